--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -20,20 +20,45 @@
 
 def scheduler() -> Scheduler:
     kinds = (
-        api.RequestClass("read", 2.0, 400.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
         api.RequestClass(
-            "write", 3.0, 500.0, 2500.0, 0.1, api.Effect.KEYED, api.Scope.CELL, 4000.0, writes=True
+            "read", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+        ),
+        api.RequestClass(
+            "write",
+            3.0,
+            500.0,
+            2500.0,
+            0.1,
+            api.RepeatSafety.IDEMPOTENCY_KEY,
+            api.DeduplicationScope.SHARD,
+            4000.0,
+            modifies_data=True,
         ),
     )
     plans = (api.Plan("basic", 1.0, 1.0, 4.0, 0.0, 20.0, 60.0), api.Plan("gold", 1.4, 6.0, 10.0, 12.0))
     settings = api.Settings(
-        gateways=GATEWAYS, index=0, classes=kinds, plans=plans, mean_units=2.0, largest_units=8.0, fair_worth=0.3,
-        idle_worth=0.08, max_attempts=3, max_retry_after_ms=500.0, cold_from=0.2, warm_after_ms=10_000.0, fall_multiple=3.0,
-        fall_window_ms=1500.0, cold_units=9.0, extra_window_ms=5000.0, extra_free=3.0, extra_share=0.1,
-    )  # fmt: skip
+        gateway_count=GATEWAYS,
+        gateway_index=0,
+        classes=kinds,
+        plans=plans,
+        mean_request_units=2.0,
+        max_request_units=8.0,
+        fair_share_priority_factor=0.3,
+        excess_priority_factor=0.08,
+        max_attempts=3,
+        max_retry_after_ms=500.0,
+        slow_start_initial_capacity=0.2,
+        slow_start_duration_ms=10_000.0,
+        slow_start_overload_factor=3.0,
+        slow_start_overload_window_ms=1500.0,
+        slow_start_initial_units=9.0,
+        retry_budget_window_ms=5000.0,
+        retry_budget_base=3.0,
+        retry_budget_ratio=0.1,
+    )
     made = Scheduler(settings, seed=1, now=0.0)
-    nodes = tuple(api.Node(f"n{shard}", api.NodeState.READY, shard) for shard in range(STORES))
-    made.handle(0.0, [api.NodeList(api.ListKind.FULL, nodes)])
+    nodes = tuple(api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(STORES))
+    made.handle(0.0, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
     return made
 
 
@@ -71,16 +96,16 @@
         spent, events_seen = spent + took, events_seen + len(events)
         costs.append(took * 1e6 / len(events))
         for action in actions:
-            if isinstance(action, api.Send):
-                number = attempts[action.request] = attempts.get(action.request, -1) + 1
+            if isinstance(action, api.StartAttempt):
+                number = attempts[action.request_id] = attempts.get(action.request_id, -1) + 1
                 wait = draw.expovariate(1 / latency_ms)
                 end = api.AttemptEnded(
-                    action.request, number, action.node, api.Outcome.SERVED, wait, True, 90.0
+                    action.request_id, number, action.endpoint, api.AttemptOutcome.SERVED, wait, True, 90.0
                 )
                 due.append((now + wait, end))
             elif isinstance(action, api.SetTimer):
-                due.append((now + action.after_ms, api.TimerFired(action.tag)))
-            elif isinstance(action, (api.Refuse, api.Fail)):
+                due.append((now + action.after_ms, api.TimerFired(action.timer_id)))
+            elif isinstance(action, (api.ShedRequest, api.FailRequest)):
                 refused += 1
     return spent * 1e6 / events_seen, statistics.quantiles(costs, n=100)[98], refused / taken
 
--- a/benchmarks/fleet_mutants.py
+++ b/benchmarks/fleet_mutants.py
@@ -24,23 +24,23 @@
 from winchdyke.days import script
 from winchdyke.days.members import bounds_of, stops
 from winchdyke.days.script import Event
-from winchdyke.fleet.members import machine as m
-from winchdyke.fleet.members.health import Health
-from winchdyke.fleet.wire import Entry, Kind, State
+from winchdyke.membership import swim as m
+from winchdyke.membership.datagrams import Entry, Kind, State
+from winchdyke.membership.local_health import Health
 
 FAULTS_MS, CALM_MS = 12_000.0, 15_000.0  # of trouble, and after it for views to agree
 
 
-def no_refutation(machine: type[m.Machine]) -> None:
+def no_refutation(machine: type[m.SwimProtocol]) -> None:
     """An accused process says nothing."""
     machine._of_self = lambda self, entry, teller: None  # type: ignore[method-assign,assignment]
 
 
-def no_incarnations(machine: type[m.Machine]) -> None:
+def no_incarnations(machine: type[m.SwimProtocol]) -> None:
     """An accused process says that it is there, under the incarnation that was accused."""
     before = machine._of_self
 
-    def of_self(self: m.Machine, entry: Entry, teller: str) -> None:
+    def of_self(self: m.SwimProtocol, entry: Entry, teller: str) -> None:
         if entry.life != self.life or entry.state == State.ALIVE or entry.incarnation < self.incarnation:
             before(self, entry, teller)
             return
@@ -50,17 +50,17 @@
     machine._of_self = of_self  # type: ignore[method-assign]
 
 
-def no_indirect_probes(machine: type[m.Machine]) -> None:
+def no_indirect_probes(machine: type[m.SwimProtocol]) -> None:
     """Nobody is asked to probe in one's place, and TCP is not tried."""
     machine._ask_others = lambda self, probe: None  # type: ignore[method-assign,assignment]
 
 
-def no_local_health(machine: type[m.Machine]) -> None:
+def no_local_health(machine: type[m.SwimProtocol]) -> None:
     """A process that misses answers goes on at its own pace."""
     Health.worse = lambda self, by=1: None  # type: ignore[method-assign,assignment]
 
 
-def no_look_at_sleep(machine: type[m.Machine]) -> None:
+def no_look_at_sleep(machine: type[m.SwimProtocol]) -> None:
     """A process that did not run takes what it missed for silence."""
     machine._woke = lambda self, late: None  # type: ignore[method-assign,assignment]
 
@@ -101,7 +101,7 @@
 class Mutant:
     """A defence taken out, and a day that needs it."""
 
-    take_out: Callable[[type[m.Machine]], None]
+    take_out: Callable[[type[m.SwimProtocol]], None]
     day: Callable[[int, int], script.Day]
 
 
@@ -172,7 +172,7 @@
     """Be the gateway with a defence out."""
     from winchdyke.cli.main import main as command
 
-    MUTANTS[name].take_out(m.Machine)
+    MUTANTS[name].take_out(m.SwimProtocol)
     command(arguments, prog_name="winchdyke")
 
 
--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -20,8 +20,8 @@
 from rig import Rig, rig
 from test_accounts import waits, with_ledger
 
-from winchdyke.accounts.report import summed
-from winchdyke.accounts.spans import Account
+from winchdyke.latency_attribution.report import summed
+from winchdyke.latency_attribution.spans import Account
 from winchdyke.standins.record import clock
 
 CORES = 2
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -24,9 +24,9 @@
 from importlib import resources
 from pathlib import Path
 
-from winchdyke.changes.desk import Confirm, Desk, DeskError, Set, Stage, Undo
-from winchdyke.changes.machine import Standing, recover
-from winchdyke.changes.trail import Trail
+from winchdyke.config_rollout.change_log import ChangeLog
+from winchdyke.config_rollout.operations import ChangeOperations, Confirm, OperationError, Set, Stage, Undo
+from winchdyke.config_rollout.rollout_state import RolloutState, recover
 
 START_S = 30.0
 KEPT = 12  # versions, so that old ones are moved out as well
@@ -81,9 +81,9 @@
         except (OSError, ValueError, http.client.HTTPException):
             return 0
 
-    def edit(self, trail: Trail) -> None:
+    def edit(self, trail: ChangeLog) -> None:
         """One step of an editor."""
-        desk = Desk(trail, "editor", "here")
+        desk = ChangeOperations(trail, "editor", "here")
         try:
             what = self.draw.choice(("set", "set", "set", "undo", "confirm"))
             if what == "undo":
@@ -97,20 +97,20 @@
                 within = self.draw.choice((0.0, 0.0, 200.0))
                 desk.do(Stage(made["version"], at_ms=at, confirm_within_ms=within))
             self.counts[what] += 1
-        except DeskError as error:
+        except OperationError as error:
             self.counts["no " + error.code] += 1
 
     def round(self) -> bool:
         """Start, edit, kill; False where the start was refused."""
         changes = self.folder / "changes"
-        before = Trail(changes).standing() if changes.exists() else Standing()
-        last = Trail(changes).last() if changes.exists() else 0
+        before = ChangeLog(changes).standing() if changes.exists() else RolloutState()
+        last = ChangeLog(changes).last() if changes.exists() else 0
         process = self.start()
         if process is None:
             self.wrong.append("a start was refused: " + (self.folder / "log").read_text()[-500:])
             return False
         try:
-            trail = Trail(changes)
+            trail = ChangeLog(changes)
             steps, _ = recover(before)
             due = before
             for step in steps:
@@ -143,7 +143,7 @@
         self._check(trail, reported, seen, last)
         return True
 
-    def _check(self, trail: Trail, reported: Standing, seen: set[int], last: int) -> None:
+    def _check(self, trail: ChangeLog, reported: RolloutState, seen: set[int], last: int) -> None:
         self.counts["kills"] += 1
         self.wrong += trail.verify(archives=True)
         entries = [*trail.archived(), *trail.entries()]
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -204,7 +204,7 @@
 @click.option("--plot", "figure", type=click.Path(path_type=Path), default=None)
 def main(seconds: float, figure: Path | None) -> None:
     """Measure, and print a table."""
-    plan: Any = next(plan for plan in parse(defaults(), "defaults").plans if plan.limit)
+    plan: Any = next(plan for plan in parse(defaults(), "defaults").plans if plan.limit_units_per_s)
     found: dict[str, tuple[list[tuple[float, float]], int]] = {}
     click.echo("| dialect | gateways | MiB moved | MiB allowed | most of any window | put | refused |")
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
@@ -213,15 +213,15 @@
             moved, said = anyio.run(measure, dialect, gateways, seconds)
             found[f"{dialect}, {gateways}"] = moved, gateways
             span = max((at for at, _ in moved), default=0.0) / 1000
-            allowed = (plan.limit * span + plan.limit_burst + gateways * SIZE / UNIT) / 16
-            part = worst(moved, plan.limit, plan.limit_burst, gateways)
+            allowed = (plan.limit_units_per_s * span + plan.limit_burst_units + gateways * SIZE / UNIT) / 16
+            part = worst(moved, plan.limit_units_per_s, plan.limit_burst_units, gateways)
             total = sum(units for _, units in moved) / 16
             good, bad = sum(n for s, n in said.items() if 200 <= s < 300), said[503]
             click.echo(
                 f"| {dialect} | {gateways} | {total:.0f} | {allowed:.0f} | {part:.2f} | {good} | {bad} |"
             )
     if figure is not None:
-        plot(figure, found, plan.limit, plan.limit_burst, seconds)
+        plot(figure, found, plan.limit_units_per_s, plan.limit_burst_units, seconds)
 
 
 if __name__ == "__main__":
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,13 +16,12 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
 
-from winchdyke.fleet import wire
-from winchdyke.fleet.members import events
-from winchdyke.fleet.members import machine as m
-from winchdyke.fleet.members.book import Member, said
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.members.machine import Machine
-from winchdyke.fleet.wire import State
+from winchdyke.membership import datagrams, events
+from winchdyke.membership import swim as m
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.datagrams import State
+from winchdyke.membership.member_table import Member, said
+from winchdyke.membership.swim import SwimProtocol
 from winchdyke.model.fleet import Fleet, Links
 
 HOUR = 3_600_000.0
@@ -33,7 +32,7 @@
 PHI_DEAD, PHI_WINDOW, PHI_LEAST = 8.0, 200, 0.1
 
 
-class Plain(Machine):
+class Plain(SwimProtocol):
     """SWIM with suspicion, without Lifeguard's parts, the look at sleep, sight, and TCP beside probes."""
 
     def _woke(self, late: float) -> None:
@@ -44,22 +43,24 @@
         helpers = self.random.sample(others, min(self.bounds.helpers, len(others)))
         probe.asked = tuple(helper.name for helper in helpers)
         for name in probe.asked:
-            self._tell(name, wire.Kind.ASK, probe.number, target=probe.name)
+            self._tell(name, datagrams.Kind.ASK, probe.number, target=probe.name)
 
     def _expire(self, member: Member) -> None:
         self._learn(said(member.entry, State.DEAD, self.own.name), self.own.name)
 
 
-class Beats(Machine):
+class Beats(SwimProtocol):
     """A heartbeat to everybody each interval; who is not heard for five of them is dead, by the own ears alone."""
 
     def _woke(self, late: float) -> None:
         pass
 
-    def _answer(self, message: wire.Envelope, what: events.Arrived, kind: wire.Kind, age: int) -> None:
+    def _answer(
+        self, message: datagrams.Envelope, what: events.Arrived, kind: datagrams.Kind, age: int
+    ) -> None:
         pass
 
-    def _learn(self, entry: wire.Entry, teller: str) -> None:
+    def _learn(self, entry: datagrams.Entry, teller: str) -> None:
         if teller != self.own.name and entry.state != State.ALIVE:
             return
         super()._learn(entry, teller)
@@ -69,7 +70,7 @@
             self._probe_at += self.bounds.interval
             for member in self.book.members.values():
                 if member.state is not State.LEFT:
-                    self._tell(member.name, wire.Kind.PING, entries=[self._self()])
+                    self._tell(member.name, datagrams.Kind.PING, entries=[self._self()])
         for member in self.book.members.values():
             if member.there and self._late(member):
                 self._learn(said(member.entry, State.DEAD, self.own.name), self.own.name)
@@ -94,7 +95,7 @@
     def _arrived(self, what: events.Arrived) -> None:
         super()._arrived(what)
         name = what.message.sender
-        if name in self.book.members and what.message.kind == wire.Kind.PING:
+        if name in self.book.members and what.message.kind == datagrams.Kind.PING:
             if name in self._last:
                 self._gaps[name].append(self.now - self._last[name])
             self._last[name] = self.now
@@ -111,8 +112,8 @@
 
 
 SWIM = replace(Bounds(), health_most=0, patience=1.0, sight=-1.0)
-WAYS: dict[str, tuple[type[Machine], Bounds]] = {
-    "as it is": (Machine, Bounds()),
+WAYS: dict[str, tuple[type[SwimProtocol], Bounds]] = {
+    "as it is": (SwimProtocol, Bounds()),
     "plain SWIM": (Plain, SWIM),
     "heartbeats": (Beats, Bounds()),
     "phi accrual": (Phi, Bounds()),
--- a/benchmarks/merging.py
+++ b/benchmarks/merging.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from pathlib import Path
 
-from winchdyke.accounts.merge import merged
-from winchdyke.accounts.spans import Account
+from winchdyke.latency_attribution.merge import merged
+from winchdyke.latency_attribution.spans import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 
 OFFS = (0.0, 50.0, 250.0, 1000.0)
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -22,7 +22,7 @@
 from test_accounts import waits, with_ledger
 
 from winchdyke import interface as api
-from winchdyke.accounts.spans import Account
+from winchdyke.latency_attribution.spans import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 from winchdyke.placement import shard_of
 from winchdyke.standins.record import clock
@@ -62,7 +62,7 @@
             await anyio.sleep(max(0.0, (began + at - clock()) / 1000))
             own = free.pop() if free else await it.connect()
             try:
-                await it.ask("GET", where, peer=own, winchdyke_class=request.class_name)
+                await it.ask("GET", where, peer=own, winchdyke_class=request.request_class)
                 free.append(own)
             except LOST:
                 await anyio.aclose_forcefully(own.stream)
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -14,12 +14,12 @@
 
 from winchdyke.config import defaults, parse
 from winchdyke.gateway import logs
-from winchdyke.gateway.attempts import Attempt, Outgoing
+from winchdyke.gateway.attempts import Attempt, OutgoingRequest
 from winchdyke.gateway.bodies import BodyStore, ReplayBody
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.http1 import RequestHead
-from winchdyke.objects import answers
+from winchdyke.object_api import answers
 
 
 class PassThrough:
@@ -41,7 +41,9 @@
             body = ReplayBody(connection.body, head.length, self.bodies, keep=False)
         node = self.nodes[hash(head.target) % len(self.nodes)]
         attempt = Attempt(self.pool, self.clock, 30_000.0, connection, lambda: None, lambda _: True)
-        ended = await attempt.run(node, Outgoing(head.method, head.target, head.headers, body), 30_000.0)
+        ended = await attempt.run(
+            node, OutgoingRequest(head.method, head.target, head.headers, body), 30_000.0
+        )
         if ended.answer is not None:
             await connection.pass_on(ended.answer.head, ended.answer.body)
         elif not ended.relayed:
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -14,8 +14,8 @@
 
 from winchdyke.config.loading import load_file
 from winchdyke.config.model import Fleet, Listen
-from winchdyke.fleet.node import Node
 from winchdyke.gateway import logs
+from winchdyke.membership.agent import MembershipAgent
 
 BASE = Path(__file__).resolve().parent.parent / "winchdyke" / "config" / "defaults.conf"
 
@@ -31,7 +31,9 @@
             fleet = Fleet(
                 Listen("127.0.0.1", 0), seeds=(Listen("127.0.0.1", seed),), keys=str(folder / "fleet.keys")
             )
-            node = Node(replace(base, gateway=gateway, fleet=fleet), lambda: time.monotonic() * 1000)
+            node = MembershipAgent(
+                replace(base, gateway=gateway, fleet=fleet), lambda: time.monotonic() * 1000
+            )
             await node.open()
             group.start_soon(node.run)
             nodes.append(node)
--- a/benchmarks/reserve.py
+++ b/benchmarks/reserve.py
@@ -13,8 +13,8 @@
 import random
 
 from winchdyke import interface as api
-from winchdyke.limits.account import weigh
 from winchdyke.policy import Scheduler
+from winchdyke.quotas.token_bucket import weigh
 
 WAYS = {
     "": "at most largest_units",
@@ -22,7 +22,9 @@
     "true": "true sizes",
 }
 LARGEST, SECONDS, POWER, RESERVE = 8.0, 60.0, 100.0, 20.0
-KIND = api.RequestClass("put", 2.0, 2000.0, 6000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0)
+KIND = api.RequestClass(
+    "put", 2.0, 2000.0, 6000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+)
 
 
 def played(times: float, way: str, seed: int = 1) -> dict[str, float]:
@@ -34,9 +36,17 @@
         api.Plan("open", 1.0, 1.0, POWER, 0.0),
     )
     cfg = api.Settings(
-        1, 0, (KIND,), plans, mean_units=4.0, largest_units=largest, fair_worth=0.3, idle_worth=0.05, max_attempts=1,
+        1,
+        0,
+        (KIND,),
+        plans,
+        mean_request_units=4.0,
+        max_request_units=largest,
+        fair_share_priority_factor=0.3,
+        excess_priority_factor=0.05,
+        max_attempts=1,
         max_retry_after_ms=500.0,
-    )  # fmt: skip
+    )
     scheduler, draw = Scheduler(cfg, seed, 0.0), random.Random(seed)
     served = dict.fromkeys(("small", "large", "rest"), 0.0)
     offered = {"small": (4.0, RESERVE), "large": (size, 3 * RESERVE), "rest": (4.0, 1.5 * POWER)}
@@ -50,7 +60,7 @@
 
     for name in offered:
         later(draw.expovariate(1.0), "come", name)
-    node = api.NodeList(api.ListKind.FULL, (api.Node("n", api.NodeState.READY, 0),))
+    node = api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))
     later(0.0, "event", node)
     free, units = 0.0, dict[str, tuple[str, float]]()
     while heap:
@@ -70,16 +80,16 @@
             request, began = value  # type: ignore[misc]
             name, each = units[request]
             served[name] += each / SECONDS
-            value = api.AttemptEnded(request, 0, "n", api.Outcome.SERVED, now - began, True)
+            value = api.AttemptEnded(request, 0, "n", api.AttemptOutcome.SERVED, now - began, True)
         for action in scheduler.handle(now, [value]):  # type: ignore[list-item]
-            if isinstance(action, api.Send):
-                name, each = units[action.request]
+            if isinstance(action, api.StartAttempt):
+                name, each = units[action.request_id]
                 if way == "reserve":
-                    weigh(scheduler.volumes[name], each - min(each, largest), min(each, largest))
-                free = max(free, now) + units[action.request][1] / POWER * 1000
-                later(free, "done", (action.request, now))
+                    weigh(scheduler.quotas[name], each - min(each, largest), min(each, largest))
+                free = max(free, now) + units[action.request_id][1] / POWER * 1000
+                later(free, "done", (action.request_id, now))
             elif isinstance(action, api.SetTimer):
-                later(now + action.after_ms, "event", api.TimerFired(action.tag))
+                later(now + action.after_ms, "event", api.TimerFired(action.timer_id))
     return served
 
 
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -16,16 +16,16 @@
 import config as settings
 
 from winchdyke import interface as api
-from winchdyke.changes.edit import text_of
-from winchdyke.changes.instant import Going, moved
-from winchdyke.changes.live import SLICE
 from winchdyke.config import Config, defaults, parse
 from winchdyke.config.meaning import diff
-from winchdyke.gateway.engine import Engine
-from winchdyke.gateway.service import Snapshot
+from winchdyke.config_rollout.controller import SLICE
+from winchdyke.config_rollout.cutover import Going, moved
+from winchdyke.config_rollout.edit import text_of
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.gateway.service import ConfigSnapshot
 
 
-def swapped(engine: Engine, old: Config, config: Config) -> float:
+def swapped(engine: SchedulerLoop, old: Config, config: Config) -> float:
     """Milliseconds for which the loop stands in one swap, as the daemon does it; the rest is made beside it."""
     plans, settings = moved(engine.accounts(), Going(old, old), Going(config, config)), config.settings()
     names = list(plans)
@@ -33,7 +33,7 @@
         engine.freshen(names[at : at + SLICE])
     began = time.perf_counter()
     engine.accounts(len(engine.accounts()))
-    Snapshot(config, 1)
+    ConfigSnapshot(config, 1)
     engine.retell(settings, plans)
     return (time.perf_counter() - began) * 1000
 
@@ -51,7 +51,7 @@
     one = parse(text[:at] + text[at:].replace("plan = basic", "plan = school", 1))
     every = parse(text[:at] + text[at:].replace("plan = basic", "plan = school"))
     print(f"{len(names)} volumes; {len(diff(base, one))} and {len(diff(base, every))} values changed")
-    engine = Engine(base.settings(), 1)
+    engine = SchedulerLoop(base.settings(), 1)
     for number, name in enumerate(names):
         engine.take(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
     engine.turn()
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -23,9 +23,9 @@
 import h11
 
 from winchdyke import interface as api
-from winchdyke.changes.desk import Desk, Propose, Stage
 from winchdyke.config import Config, defaults, parse
 from winchdyke.config.model import Admin, Changes
+from winchdyke.config_rollout.operations import ChangeOperations, Propose, Stage
 from winchdyke.gateway import logs
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.standins.nodelist import ListService
@@ -93,7 +93,7 @@
             group.start_soon(client, gateway, number, took, lambda: on)
         await anyio.sleep(3)
         swaps.clear()
-        desk = Desk(gateway.live.trail, "benchmark", "here")
+        desk = ChangeOperations(gateway.live.trail, "benchmark", "here")
         first = gateway.live.trail.version(1).text
         versions = (changed(first), first)
         for number in range(applies):
--- a/benchmarks/two_settings.py
+++ b/benchmarks/two_settings.py
@@ -20,8 +20,8 @@
 import config as settings
 import gateway as bench
 
-from winchdyke.accounts.ledger import Recovered, read
 from winchdyke.admin import keys
+from winchdyke.latency_attribution.ledger import Recovered, read
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from winchdyke.changes.verdict import Criteria, Watch
+from winchdyke.config_rollout.canary_analysis import CanaryObserver, Criteria
 from winchdyke.model.world import Course, Scene, World
 
 LENGTH, APPLIED = 24_000.0, 13_500.0
@@ -71,7 +71,7 @@
         )
     scene = Scene(tuple(courses), stores=8, slow=slow, slow_from_ms=APPLIED, length_ms=LENGTH, seed=seed)
     world = Holed(scene)
-    shards = {request.id: request.shard for _, request in world.arrivals()}
+    shards = {request.request_id: request.shard for _, request in world.arrivals()}
     ended = [
         (
             done.end,
@@ -87,7 +87,7 @@
 
 def judged(ended: list[tuple[float, str, int, str, float]], criteria: Criteria) -> float | None:
     """After how many milliseconds the change was undone; None where it was not."""
-    watch, at = Watch(criteria), 0
+    watch, at = CanaryObserver(criteria), 0
     now = APPLIED
     while now < APPLIED + criteria.watch:
         now += 250.0
--- a/benchmarks/why_held.py
+++ b/benchmarks/why_held.py
@@ -18,31 +18,66 @@
 from collections import Counter
 
 from winchdyke import interface as api
-from winchdyke.accounts.why import Observer
-from winchdyke.policy import Held, Scheduler
+from winchdyke.latency_attribution.why import Observer
+from winchdyke.policy import PendingRequest, Scheduler
 
 SAME = {"share": "window", "pause": "window"}  # all of them are the window's bound
 ORDER = ("window", "limit", "order", "cold", "trial", "budget", "repeat", "no-node")
 CLASSES = (
-    api.RequestClass("fetch", 2.0, 400.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
-    api.RequestClass("submit", 3.0, 500.0, 2500.0, 0.1, api.Effect.KEYED, api.Scope.CELL, 300.0, writes=True),
     api.RequestClass(
-        "turns", 1.0, 500.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0, in_order=True
+        "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+    ),
+    api.RequestClass(
+        "submit",
+        3.0,
+        500.0,
+        2500.0,
+        0.1,
+        api.RepeatSafety.IDEMPOTENCY_KEY,
+        api.DeduplicationScope.SHARD,
+        300.0,
+        modifies_data=True,
+    ),
+    api.RequestClass(
+        "turns",
+        1.0,
+        500.0,
+        3000.0,
+        0.1,
+        api.RepeatSafety.IDEMPOTENT,
+        api.DeduplicationScope.ALL,
+        0.0,
+        in_order=True,
     ),
 )
 PLANS = (
     api.Plan("open", 1.0, 1.0, 10.0, 0.0),
-    api.Plan("capped", 1.0, 1.0, 10.0, 0.0, limit=30.0, limit_burst=30.0),
+    api.Plan("capped", 1.0, 1.0, 10.0, 0.0, limit_units_per_s=30.0, limit_burst_units=30.0),
 )
 
 
 def settings() -> api.Settings:
     """Two shards, a cold bound, a tight budget of attempts."""
     return api.Settings(
-        gateways=1, index=0, classes=CLASSES, plans=PLANS, mean_units=1.0, largest_units=4.0, fair_worth=0.3,
-        idle_worth=0.08, max_attempts=3, max_retry_after_ms=500.0, fall_window_ms=500.0, fall_multiple=2.0,
-        warm_after_ms=1500.0, cold_from=0.1, cold_units=2.0, extra_window_ms=1000.0, extra_share=0.02, extra_free=1,
-    )  # fmt: skip
+        gateway_count=1,
+        gateway_index=0,
+        classes=CLASSES,
+        plans=PLANS,
+        mean_request_units=1.0,
+        max_request_units=4.0,
+        fair_share_priority_factor=0.3,
+        excess_priority_factor=0.08,
+        max_attempts=3,
+        max_retry_after_ms=500.0,
+        slow_start_overload_window_ms=500.0,
+        slow_start_overload_factor=2.0,
+        slow_start_duration_ms=1500.0,
+        slow_start_initial_capacity=0.1,
+        slow_start_initial_units=2.0,
+        retry_budget_window_ms=1000.0,
+        retry_budget_ratio=0.02,
+        retry_budget_base=1,
+    )
 
 
 def truth(scheduler: Scheduler, name: str) -> set[str]:
@@ -53,51 +88,58 @@
         held = copied.requests[name]
         shard = copied.shards[held.shard]
         if what == "window":
-            for node in shard.nodes.values():
-                node.window.size = 1000.0
+            for node in shard.endpoints.values():
+                node.concurrency_limit.limit = 1000.0
         elif what == "limit":
-            held.volume.limit = 1e9
+            held.quota.limit_units = 1e9
         elif what == "order":
-            copied.rest.clear()
-            held.kind = dataclasses.replace(held.kind, in_order=False)
+            copied.settling_keys.clear()
+            held.request_class = dataclasses.replace(held.request_class, in_order=False)
         elif what == "cold":
-            for node in shard.nodes.values():
-                node.born = -1e18
+            for node in shard.endpoints.values():
+                node.started_at_ms = -1e18
         elif what == "trial":
-            for node in shard.nodes.values():
-                node.lost = None
+            for node in shard.endpoints.values():
+                node.suspected_since_ms = None
         elif what == "budget":
-            copied.budget.extra.clear()
+            copied.retry_budget.retry_times.clear()
         elif what == "repeat":
-            held.maybe = None
+            held.first_possible_execution = None
         elif what == "no-node":
-            for node in shard.nodes.values():
+            for node in shard.endpoints.values():
                 node.ready = True
         copied.actions = []
         copied.dispatch(shard)
-        if any(isinstance(action, api.Send) and action.request == name for action in copied.actions):
+        if any(
+            isinstance(action, api.StartAttempt) and action.request_id == name for action in copied.actions
+        ):
             if what == "turn":
                 return {"turn"}
             found.add(what)
     return found
 
 
-def says(scheduler: Scheduler, held: Held) -> str:
+def says(scheduler: Scheduler, held: PendingRequest) -> str:
     """The module's own questions, in the order in which it asks them."""
     shard = scheduler.shards[held.shard]
-    node, now = shard.node(), scheduler.now
+    node, now = shard.active_endpoint(), scheduler.now
     if node is None:
         return "no-node"
-    if not node.room(now, held, scheduler.shares):
-        return "trial" if node.lost is not None else "window"
+    if not node.has_capacity(now, held, scheduler.class_shares):
+        return "trial" if node.suspected_since_ms is not None else "window"
     if not scheduler.eligible(held, node):
-        if held.sent:
-            return "budget" if held.may_go_to(node, now) else "repeat"
-        limited = held.volume.plan.limit and held.volume.limit < held.request.units
+        if held.attempts:
+            return "budget" if held.may_be_sent_to(node, now) else "repeat"
+        limited = held.quota.plan.limit_units_per_s and held.quota.limit_units < held.request.units
         return "limit" if limited else "order"
-    credit, at = node.credit, node.credit_at
-    bears = node.bears(scheduler.cfg, now, held.request.units, shard.flow)
-    node.credit, node.credit_at = credit, at  # it changes what it looks at: the prototype puts it back
+    credit, at = node.slow_start_credit_units, node.slow_start_credit_at_ms
+    bears = node.admits_during_slow_start(
+        scheduler.settings, now, held.request.units, shard.throughput_units_per_s
+    )
+    node.slow_start_credit_units, node.slow_start_credit_at_ms = (
+        credit,
+        at,
+    )  # it changes what it looks at: the prototype puts it back
     return "turn" if bears else "cold"
 
 
@@ -113,8 +155,9 @@
         self.spent: Counter[str] = Counter()
         self.give(
             [
-                api.NodeList(
-                    api.ListKind.FULL, tuple(api.Node(n, api.NodeState.READY, "ab".index(n)) for n in "ab")
+                api.EndpointList(
+                    api.EndpointListKind.FULL,
+                    tuple(api.Endpoint(n, api.EndpointStatus.READY, "ab".index(n)) for n in "ab"),
                 )
             ]
         )
@@ -126,22 +169,24 @@
         self.spent["scheduler"] += time.perf_counter() - began  # type: ignore[assignment]
         began = time.perf_counter()
         for action in actions:
-            if isinstance(action, (api.Send, api.Refuse, api.Fail)) and not self.observer.at_once(
-                action.request
-            ):
-                self.observer.end(action.request, self.now)
+            if isinstance(
+                action, (api.StartAttempt, api.ShedRequest, api.FailRequest)
+            ) and not self.observer.at_once(action.request_id):
+                self.observer.end(action.request_id, self.now)
         self.observer.look(self.now)
         self.spent["shadow"] += time.perf_counter() - began  # type: ignore[assignment]
         began = time.perf_counter()
         for held in self.scheduler.requests.values():
-            if not held.done and not held.out:
+            if not held.finished and not held.attempts_in_flight:
                 says(self.scheduler, held)
         self.spent["module"] += time.perf_counter() - began  # type: ignore[assignment]
         for action in actions:
-            if isinstance(action, api.Send):
-                held = self.scheduler.requests[action.request]
-                took = held.request.units * 40 * self.slow[action.node] * self.draw.uniform(0.8, 1.3)
-                self.out.append((self.now + took, action.request, len(held.sent) - 1, action.node, took))
+            if isinstance(action, api.StartAttempt):
+                held = self.scheduler.requests[action.request_id]
+                took = held.request.units * 40 * self.slow[action.endpoint] * self.draw.uniform(0.8, 1.3)
+                self.out.append(
+                    (self.now + took, action.request_id, len(held.attempts) - 1, action.endpoint, took)
+                )
 
     def step(self) -> None:
         """Five milliseconds."""
@@ -152,10 +197,10 @@
             _, name, attempt, node, took = entry
             lost = draw.random() < 0.08
             held = self.scheduler.requests.get(name)
-            how = api.Outcome.RESET if lost else api.Outcome.SERVED
+            how = api.AttemptOutcome.CONNECTION_RESET if lost else api.AttemptOutcome.SERVED
             events.append(api.AttemptEnded(name, attempt, node, how, took, not lost))
-            if held is not None and lost and not held.done:
-                self.observer.begin(name, held.request.shard, held.kind.name, self.now)
+            if held is not None and lost and not held.finished:
+                self.observer.begin(name, held.request.shard, held.request_class.name, self.now)
         while draw.random() < 0.6:
             self.number += 1
             kind = draw.choice((CLASSES[0], CLASSES[0], CLASSES[1], CLASSES[1], CLASSES[2]))
@@ -172,11 +217,14 @@
             self.slow[node] = draw.choice((1.0, 1.0, 4.0))
         if draw.random() < 0.004:
             node = draw.choice("ab")
-            state = draw.choice((api.NodeState.GONE, api.NodeState.READY, api.NodeState.READY))
-            started = self.now if state is api.NodeState.READY else 0.0
+            state = draw.choice(
+                (api.EndpointStatus.REMOVED, api.EndpointStatus.READY, api.EndpointStatus.READY)
+            )
+            started = self.now if state is api.EndpointStatus.READY else 0.0
             events.append(
-                api.NodeList(
-                    api.ListKind.CHANGES, (api.Node(node, state, "ab".index(node), started_ms=started),)
+                api.EndpointList(
+                    api.EndpointListKind.CHANGES,
+                    (api.Endpoint(node, state, "ab".index(node), started_at_ms=started),),
                 )
             )
         self.give([*events, api.TimerFired(0)])
@@ -201,7 +249,9 @@
         play = Play(seed)
         for number in range(chosen.steps):
             play.step()
-            held = [n for n, h in play.scheduler.requests.items() if not h.done and not h.out]
+            held = [
+                n for n, h in play.scheduler.requests.items() if not h.finished and not h.attempts_in_flight
+            ]
             if number % 7 or not held:
                 continue
             name = play.draw.choice(held)
--- a/fuzz/datagrams.py
+++ b/fuzz/datagrams.py
@@ -12,14 +12,13 @@
 
 import atheris
 
-with atheris.instrument_imports(include=["winchdyke.fleet"]):
-    from winchdyke.fleet import wire
-    from winchdyke.fleet.members import events
-    from winchdyke.fleet.members import machine as m
-    from winchdyke.fleet.members.bounds import Bounds
+with atheris.instrument_imports(include=["winchdyke.membership"]):
+    from winchdyke.membership import datagrams, events
+    from winchdyke.membership import swim as m
+    from winchdyke.membership.bounds import Bounds
 
 SECRET = b"a secret that no input knows...."
-HEAD = wire.MAGIC + bytes((wire.VERSION, 0))
+HEAD = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
 BOUNDS = Bounds(members_most=50)
 
 
@@ -29,26 +28,28 @@
         return
     if data[0] % 4 == 0:
         try:
-            wire.unseal(data[1:], [SECRET])
-        except wire.Dropped as dropped:
+            datagrams.unseal(data[1:], [SECRET])
+        except datagrams.Dropped as dropped:
             assert dropped.reason
         else:
             raise AssertionError("taken without the key")
         return
-    machine = m.Machine(events.Own("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), BOUNDS, 1, 0.0)
+    machine = m.SwimProtocol(events.Own("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), BOUNDS, 1, 0.0)
     now = 0.0
     for body in data[1:].split(b"\xff\xff")[:16]:
         now += 100.0 * (1 + data[0] % 7)
         try:
-            message = wire.unseal(HEAD + wire._tag(SECRET, HEAD, body) + body, [SECRET])
-        except wire.Dropped:
+            message = datagrams.unseal(HEAD + datagrams._tag(SECRET, HEAD, body) + body, [SECRET])
+        except datagrams.Dropped:
             message = None
         happened: list[events.Arrived | events.Exchanged] = []
         if message is not None:
-            happened.append(events.Arrived(message, "127.0.0.1:2", stream=message.kind == wire.Kind.EXCHANGE))
+            happened.append(
+                events.Arrived(message, "127.0.0.1:2", stream=message.kind == datagrams.Kind.EXCHANGE)
+            )
         for action in machine.handle(now, happened):
             if isinstance(action, events.Tell):
-                assert len(wire.seal(action.message, SECRET)) <= wire.DATAGRAM_MOST
+                assert len(datagrams.seal(action.message, SECRET)) <= datagrams.DATAGRAM_MOST
         machine.view(now)
         assert len(machine.book.members) <= BOUNDS.members_most
 
--- a/fuzz/signatures.py
+++ b/fuzz/signatures.py
@@ -11,7 +11,7 @@
 
 import atheris
 
-with atheris.instrument_imports(include=["winchdyke.auth", "winchdyke.s3", "winchdyke.objects"]):
+with atheris.instrument_imports(include=["winchdyke.auth", "winchdyke.s3", "winchdyke.object_api"]):
     from winchdyke.auth.sigv4 import AuthError, Signable, canonical_path, canonical_query, is_signed, verify
     from winchdyke.http1 import RequestHead
     from winchdyke.s3 import requests, xml
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,39 +14,59 @@
 hypothesis_settings.register_profile("same", derandomize=True, deadline=None)
 hypothesis_settings.load_profile("same")
 
-READ = api.RequestClass("read", 2.0, 300.0, 2000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0)
+READ = api.RequestClass(
+    "read", 2.0, 300.0, 2000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+)
 WRITE = api.RequestClass(
-    "write", 3.0, 500.0, 3000.0, 0.1, api.Effect.KEYED, api.Scope.CELL, 4000.0, writes=True
+    "write",
+    3.0,
+    500.0,
+    3000.0,
+    0.1,
+    api.RepeatSafety.IDEMPOTENCY_KEY,
+    api.DeduplicationScope.SHARD,
+    4000.0,
+    modifies_data=True,
+)
+ONCE = api.RequestClass(
+    "once", 2.0, 500.0, 3000.0, 0.1, api.RepeatSafety.AT_MOST_ONCE, api.DeduplicationScope.ALL, 0.0
 )
-ONCE = api.RequestClass("once", 2.0, 500.0, 3000.0, 0.1, api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0.0)
 TURNS = api.RequestClass(
-    "turns", 2.0, 500.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0, in_order=True
+    "turns",
+    2.0,
+    500.0,
+    3000.0,
+    0.1,
+    api.RepeatSafety.IDEMPOTENT,
+    api.DeduplicationScope.ALL,
+    0.0,
+    in_order=True,
 )
 SETTINGS = api.Settings(
-    gateways=2,
-    index=0,
+    gateway_count=2,
+    gateway_index=0,
     classes=(READ, WRITE, ONCE, TURNS),
     plans=(
         api.Plan("gold", 1.5, 3.0, 8.0, 8.0),
         api.Plan("open", 1.0, 1.0, 4.0, 0.0),
-        api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit=10.0, limit_burst=32.0),
+        api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=10.0, limit_burst_units=32.0),
     ),
-    tick_ms=1.0,
-    mean_units=2.0,
-    largest_units=8.0,
-    fair_worth=0.3,
-    idle_worth=0.05,
+    clock_tick_ms=1.0,
+    mean_request_units=2.0,
+    max_request_units=8.0,
+    fair_share_priority_factor=0.3,
+    excess_priority_factor=0.05,
     max_attempts=3,
     max_retry_after_ms=500.0,
-    cold_from=0.2,
-    warm_after_ms=10000.0,
-    fall_multiple=3.0,
-    fall_window_ms=1000.0,
-    cold_units=12.0,
-    settle_ms=400.0,
-    extra_window_ms=5000.0,
-    extra_free=2.0,
-    extra_share=0.1,
+    slow_start_initial_capacity=0.2,
+    slow_start_duration_ms=10000.0,
+    slow_start_overload_factor=3.0,
+    slow_start_overload_window_ms=1000.0,
+    slow_start_initial_units=12.0,
+    order_settle_ms=400.0,
+    retry_budget_window_ms=5000.0,
+    retry_budget_base=2.0,
+    retry_budget_ratio=0.1,
 )
 
 
@@ -58,11 +78,11 @@
         self.now = 1000.0
         self.scheduler = Scheduler(self.settings, seed=seed, now=self.now)
         self.timers: list[tuple[float, int]] = []
-        self.sends: list[tuple[float, api.Send]] = []
-        self.answers: dict[str, api.Refuse | api.Fail] = {}
+        self.sends: list[tuple[float, api.StartAttempt]] = []
+        self.answers: dict[str, api.ShedRequest | api.FailRequest] = {}
         self.attempts: dict[str, int] = {}
         self.logs: list[str] = []
-        self.cancelled: list[api.Cancel] = []
+        self.cancelled: list[api.CancelAttempt] = []
         self.watches = 0
 
     def give(self, *events: api.Event) -> list[api.Action]:
@@ -72,18 +92,18 @@
             match action:
                 case api.SetTimer(tag, after):
                     self.timers.append((self.now + max(after, 0.001), tag))
-                case api.Send(request):
+                case api.StartAttempt(request):
                     assert request not in self.answers, "sent after its final answer"
                     self.sends.append((self.now, action))
                     self.attempts[request] = self.attempts.get(request, 0) + 1
-                case api.Refuse(request) | api.Fail(request):
+                case api.ShedRequest(request) | api.FailRequest(request):
                     assert request not in self.answers, "answered twice"
                     self.answers[request] = action
-                case api.Log(text):
+                case api.LogMessage(text):
                     self.logs.append(text)
-                case api.Cancel():
+                case api.CancelAttempt():
                     self.cancelled.append(action)
-                case api.WatchList():
+                case api.WatchEndpoints():
                     self.watches += 1
         return actions
 
@@ -97,19 +117,23 @@
             self.give(api.TimerFired(due[1]))
         self.now = end
 
-    def nodes(self, *nodes: api.Node, kind: api.ListKind = api.ListKind.FULL) -> None:
+    def nodes(self, *nodes: api.Endpoint, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
         """Tell the list; by default one warm node a shard, for shards 0 and 1."""
-        self.give(api.NodeList(kind, nodes or (node("n0", 0), node("n1", 1))))
+        self.give(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
 
     def ask(self, name: str, **changes: object) -> list[api.Action]:
         """Hand over one request."""
         return self.give(request(name, **changes))
 
-    def end(self, name: str, outcome: api.Outcome, closed: bool | None = None, **changes: object) -> None:
+    def end(
+        self, name: str, outcome: api.AttemptOutcome, closed: bool | None = None, **changes: object
+    ) -> None:
         """End the newest attempt of a request."""
-        sent_at, send = [(at, s) for at, s in self.sends if s.request == name][-1]
-        done = outcome is api.Outcome.SERVED if closed is None else closed
-        event = api.AttemptEnded(name, self.attempts[name] - 1, send.node, outcome, self.now - sent_at, done)
+        sent_at, send = [(at, s) for at, s in self.sends if s.request_id == name][-1]
+        done = outcome is api.AttemptOutcome.SERVED if closed is None else closed
+        event = api.AttemptEnded(
+            name, self.attempts[name] - 1, send.endpoint, outcome, self.now - sent_at, done
+        )
         self.give(replace(event, **changes))  # type: ignore[arg-type]
 
     def sent(self, name: str) -> bool:
@@ -117,9 +141,11 @@
         return name in self.attempts
 
 
-def node(name: str, shard: int, state: api.NodeState = api.NodeState.READY, started: float = 0.0) -> api.Node:
+def node(
+    name: str, shard: int, state: api.EndpointStatus = api.EndpointStatus.READY, started: float = 0.0
+) -> api.Endpoint:
     """An entry of the node list."""
-    return api.Node(name, state, shard, "hall", started)
+    return api.Endpoint(name, state, shard, "hall", started)
 
 
 def request(name: str, **changes: object) -> api.Request:
@@ -140,7 +166,7 @@
 def make() -> Callable[..., Gateway]:
     """Make gateways with other settings."""
 
-    def made(nodes: Sequence[api.Node] = (), **changes: object) -> Gateway:
+    def made(nodes: Sequence[api.Endpoint] = (), **changes: object) -> Gateway:
         built = Gateway(**changes)
         built.nodes(*nodes)
         return built
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -24,20 +24,20 @@
 from cryptography.fernet import Fernet
 
 from winchdyke import interface as api
-from winchdyke.accounts import compact, ledger
-from winchdyke.accounts.spans import Account, Noted
 from winchdyke.admin import keys as admin_keys
 from winchdyke.auth import keys as access_keys
-from winchdyke.changes import mend
-from winchdyke.changes.machine import HELD, Step
-from winchdyke.changes.trail import Trail
-from winchdyke.fleet import disk as fleet_disk
-from winchdyke.gateway.writeback import Record, tag_of
-from winchdyke.nodes import disk as nodes_disk
-from winchdyke.nodes.belief import Bounds, Entry, Known, State
-from winchdyke.nodes.membership import Membership
-from winchdyke.nodes.sources import Fail, Tell
-from winchdyke.nodes.wire import Heard
+from winchdyke.config_rollout import last_known_good
+from winchdyke.config_rollout.change_log import ChangeLog
+from winchdyke.config_rollout.rollout_state import HELD, Step
+from winchdyke.discovery import cache as nodes_disk
+from winchdyke.discovery.endpoint_view import Bounds, CachedEndpoint, Entry, State
+from winchdyke.discovery.follower import EndpointFollower
+from winchdyke.discovery.list_protocol import ReceivedList
+from winchdyke.discovery.sources import Fail, Tell
+from winchdyke.gateway.writeback import WriteBackRecord, tag_of
+from winchdyke.latency_attribution import compact, ledger
+from winchdyke.latency_attribution.spans import Account, Annotation
+from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Kind, Log
 
@@ -67,7 +67,7 @@
 
 def write_changes(folder: Path) -> None:
     """Four versions: applied, confirmed, undone and held; the entries of the first two are in an archive."""
-    trail = Trail(folder)
+    trail = ChangeLog(folder)
     with fixed_clock():
         trail.propose(settings_text(100), 0, "[]", "alice", "first settings", "test")
         for what in ("staged", "applying", "applied"):
@@ -79,7 +79,7 @@
         trail.add(Step("applying", 2), "gateway")
         trail.add(Step("applied", 2, until_ms=confirm_by), "gateway")
         trail.add(Step("confirmed", 2), "bob", "works", "test")
-        mend.keep(folder, 2, settings_text(200))
+        last_known_good.keep(folder, 2, settings_text(200))
 
         trail.propose(settings_text(300), 2, difference(200, 300), "alice", "even more", "test")
         trail.add(Step("staged", 3, until_ms=confirm_by, at_ms=START_MS + 60_000), "alice", "", "test")
@@ -95,12 +95,12 @@
 def write_nodes(folder: Path) -> None:
     """Two generations of the node list, the newer one with a node of each state."""
     folder.mkdir(mode=0o700)
-    first = Known("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
-    nodes_disk.save(folder, nodes_disk.Kept(START_MS, "gateway-1", [first]), rotate=False)
+    first = CachedEndpoint("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
+    nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first]), rotate=False)
     nodes = [first]
     for number, state in enumerate(State, 2):
         nodes.append(
-            Known(
+            CachedEndpoint(
                 f"192.0.2.{number}:9000",
                 shard=number,
                 zone="west",
@@ -122,7 +122,7 @@
                 next_try=200.0,
             )
         )
-    nodes_disk.save(folder, nodes_disk.Kept(START_MS + 1000, "gateway-1", nodes), rotate=True)
+    nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", nodes), rotate=True)
 
 
 class ListedOnce:
@@ -138,19 +138,19 @@
 
     async def run(self, tell: Tell, fail: Fail) -> None:
         """Tell two nodes, then that the second one drains."""
-        ready, draining = api.NodeState.READY, api.NodeState.DRAINING
+        ready, draining = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
         first = Entry("192.0.2.1:9000", ready, 0, identity="store-1")
         second = Entry("192.0.2.2:9000", ready, 1, identity="store-2")
-        await tell(self.name, Heard("1", api.ListKind.FULL, (first, second), 1))
+        await tell(self.name, ReceivedList("1", api.EndpointListKind.FULL, (first, second), 1))
         drains = Entry("192.0.2.2:9000", draining, 1, identity="store-2")
-        await tell(self.name, Heard("2", api.ListKind.CHANGES, (drains,), 2))
+        await tell(self.name, ReceivedList("2", api.EndpointListKind.CHANGES, (drains,), 2))
         self._scope.cancel()
 
 
 async def write_node_history(folder: Path) -> None:
     """The history of states as a running membership writes it."""
 
-    async def post(_: api.NodeList) -> None:
+    async def post(_: api.EndpointList) -> None:
         """Take the scheduler's place."""
 
     async def trial(_: str) -> bool:
@@ -159,17 +159,17 @@
 
     with anyio.CancelScope() as scope, fixed_clock():
         source = ListedOnce(scope)
-        membership = Membership(Bounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder)
+        membership = EndpointFollower(Bounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder)
         await membership.run()
 
 
 def write_fleet(folder: Path) -> None:
     """The last life of this gateway, and two members."""
     members = [
-        fleet_disk.Known("gateway-2", "192.0.2.12:7400"),
-        fleet_disk.Known("gateway-3", "[2001:db8::3]:7400"),
+        fleet_disk.KnownMember("gateway-2", "192.0.2.12:7400"),
+        fleet_disk.KnownMember("gateway-3", "[2001:db8::3]:7400"),
     ]
-    fleet_disk.save(folder, fleet_disk.Kept("gateway-1", 1_700_000_000_123, members))
+    fleet_disk.save(folder, fleet_disk.KnownMembers("gateway-1", 1_700_000_000_123, members))
 
 
 def write_keys(folder: Path) -> None:
@@ -211,7 +211,7 @@
     """Two segments: one write is done, one may have been sent, one has not been sent; the log is closed."""
 
     def payload(number: int, body: bytes) -> bytes:
-        record = Record(
+        record = WriteBackRecord(
             volume="photos-1",
             key=f"2023/{number}.jpg",
             class_name="upload",
@@ -269,9 +269,9 @@
     )
 
 
-def noted() -> Noted:
+def noted() -> Annotation:
     """A request as a gateway notes it: arriving, held for two causes, out at a store, answered."""
-    return Noted(
+    return Annotation(
         request="request-noted",
         end_unix_ns=(START_S + 300) * 1_000_000_000,
         gateway="gateway-1",
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -15,7 +15,7 @@
 from winchdyke.config import Config, parse
 from winchdyke.gateway import logs
 from winchdyke.gateway.daemon import Gateway
-from winchdyke.gateway.engine import Engine
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
@@ -179,7 +179,7 @@
     stores: int = 8,
     unit_ms: float = 2.0,
     listing: bool = True,
-    engine: Callable[[Config], Engine] | None = None,
+    engine: Callable[[Config], SchedulerLoop] | None = None,
     **spec: Any,
 ) -> AsyncIterator[Rig]:
     """Start stores, list service and gateway; all end with the block."""
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -22,15 +22,15 @@
 
 from winchdyke import Scheduler
 from winchdyke import interface as api
-from winchdyke.accounts import ledger
-from winchdyke.accounts.page import page
-from winchdyke.accounts.report import Summary, summed
-from winchdyke.accounts.spans import CODES, Account, added, apportion, cut
-from winchdyke.accounts.why import Observer
 from winchdyke.cli.main import main
 from winchdyke.config import ini
 from winchdyke.days import script
 from winchdyke.days.run import run_day
+from winchdyke.latency_attribution import ledger
+from winchdyke.latency_attribution.page import page
+from winchdyke.latency_attribution.report import Summary, summed
+from winchdyke.latency_attribution.spans import CODES, Account, added, apportion, cut
+from winchdyke.latency_attribution.why import Observer
 
 
 def account(name: str = "r1", **changes: object) -> Account:
@@ -73,18 +73,32 @@
 
 def scheduler(**changes: object) -> Scheduler:
     kinds = (
-        api.RequestClass("fetch", 2.0, 400.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
-        api.RequestClass("export", 1.0, 1500.0, 5000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
         api.RequestClass(
-            "turns", 1.0, 500.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0, in_order=True
+            "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+        ),
+        api.RequestClass(
+            "export", 1.0, 1500.0, 5000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+        ),
+        api.RequestClass(
+            "turns",
+            1.0,
+            500.0,
+            3000.0,
+            0.1,
+            api.RepeatSafety.IDEMPOTENT,
+            api.DeduplicationScope.ALL,
+            0.0,
+            in_order=True,
         ),
     )
     plans = (
         api.Plan("open", 1.0, 1.0, 10.0, 0.0),
-        api.Plan("capped", 1.0, 1.0, 10.0, 0.0, limit=2.0, limit_burst=8.0),
+        api.Plan("capped", 1.0, 1.0, 10.0, 0.0, limit_units_per_s=2.0, limit_burst_units=8.0),
     )
     return Scheduler(
-        api.Settings(gateways=1, index=0, classes=kinds, plans=plans, max_attempts=3, **changes), 1, 0.0
+        api.Settings(gateway_count=1, gateway_index=0, classes=kinds, plans=plans, max_attempts=3, **changes),
+        1,
+        0.0,
     )
 
 
@@ -104,19 +118,21 @@
         self.waits: dict[str, tuple[dict, dict]] = {}
         self.began: dict[str, float] = {}
         if nodes:
-            self.give(api.NodeList(api.ListKind.FULL, (api.Node("n", api.NodeState.READY, 0),)))
+            self.give(
+                api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))
+            )
 
     def give(self, *events: api.Event) -> None:
         for event in events:
             if isinstance(event, api.Request):
-                self.began[event.id] = self.now
-                self.observer.begin(event.id, event.shard, event.class_name, self.now)
+                self.began[event.request_id] = self.now
+                self.observer.begin(event.request_id, event.shard, event.request_class, self.now)
         actions = self.scheduler.handle(self.now, list(events))
         for action in actions:
-            if isinstance(action, (api.Send, api.Refuse, api.Fail)):
-                self.waits[action.request] = self.observer.end(action.request, self.now)
-                if isinstance(action, api.Send):
-                    self.sent.append(action.request)
+            if isinstance(action, (api.StartAttempt, api.ShedRequest, api.FailRequest)):
+                self.waits[action.request_id] = self.observer.end(action.request_id, self.now)
+                if isinstance(action, api.StartAttempt):
+                    self.sent.append(action.request_id)
         self.observer.look(self.now)
 
     def pass_time(self, span: float, step: float = 5.0) -> None:
@@ -126,7 +142,7 @@
             self.give(api.TimerFired(0))
 
     def answer(self, name: str) -> None:
-        self.give(api.AttemptEnded(name, 0, "n", api.Outcome.SERVED, 10.0, True))
+        self.give(api.AttemptEnded(name, 0, "n", api.AttemptOutcome.SERVED, 10.0, True))
 
 
 def test_an_export_that_holds_up_a_fetch_shows_as_such():
@@ -174,10 +190,14 @@
     assert scene.waits["o2"][1]["order"] == pytest.approx(100.0, abs=10)
     assert scene.waits["o2"][0]["volume", "d", "turns"] == pytest.approx(100.0, abs=10)
     gone = Scene()
-    gone.give(api.NodeList(api.ListKind.CHANGES, (api.Node("n", api.NodeState.GONE, 0),)))
+    gone.give(
+        api.EndpointList(api.EndpointListKind.CHANGES, (api.Endpoint("n", api.EndpointStatus.REMOVED, 0),))
+    )
     gone.give(asked("x"))
     gone.pass_time(50)
-    gone.give(api.NodeList(api.ListKind.CHANGES, (api.Node("m", api.NodeState.READY, 0),)))
+    gone.give(
+        api.EndpointList(api.EndpointListKind.CHANGES, (api.Endpoint("m", api.EndpointStatus.READY, 0),))
+    )
     if "x" in gone.waits:
         assert gone.waits["x"][1].get("no-node", 0) == pytest.approx(sum(gone.waits["x"][1].values()), abs=1)
 
@@ -354,11 +374,11 @@
     def full(descriptor: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("winchdyke.accounts.ledger.os.write", full)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger.os.write", full)
     writer.put(account("r2"))
     while not writer.failed and time.monotonic() < until:
         time.sleep(0.01)
-    monkeypatch.setattr("winchdyke.accounts.ledger.os.write", real)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger.os.write", real)
     writer.put(account("r3"))
     writer.close()
     assert (writer.failed, writer.trouble) == (1, "No space left on device")
@@ -366,7 +386,7 @@
 
 
 def test_what_there_is_no_room_for_is_counted_and_segments_stay_under_their_bound(tmp_path, monkeypatch):
-    monkeypatch.setattr("winchdyke.accounts.ledger.BATCH", 5)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger.BATCH", 5)
     writer = ledger.Writer(tmp_path, ledger.Bounds(waiting=0))
     writer.put(account())
     assert writer.dropped == 1
@@ -387,7 +407,7 @@
 sys.path.insert(0, "tests")
 from pathlib import Path
 from test_accounts import account
-from winchdyke.accounts import compact, ledger, sums
+from winchdyke.latency_attribution import compact, ledger, sums
 writer = ledger.Writer(Path(sys.argv[1]), ledger.Bounds(sync_s=0.002, segment_bytes=20000))
 number = 0
 while True:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -13,13 +13,13 @@
 from click.testing import CliRunner
 from rig import played, rig, settings
 
-from winchdyke import files
+from winchdyke import durable_files
 from winchdyke.admin.client import There
 from winchdyke.admin.keys import Key, KeysError, Ring, made, read, write
 from winchdyke.admin.signing import SKEW_S, Guard, Message, NotSigned, sign
-from winchdyke.changes.desk import DeskError
 from winchdyke.cli.main import main
 from winchdyke.config.model import Admin, Changes, Listen
+from winchdyke.config_rollout.operations import OperationError
 
 BODY = b'{"op": "standing"}'
 
@@ -195,7 +195,7 @@
             session = There(tcp, mine)
             assert (await there(lambda: session.call(op="standing")))["serving"] == 3
             ran("keys", "withdraw", str(file), name)
-            with pytest.raises(DeskError, match="not signed with a key that counts"):
+            with pytest.raises(OperationError, match="not signed with a key that counts"):
                 await there(lambda: session.call(op="undo"))
             assert it.gateway.service.snapshot.version == 3
 
@@ -286,7 +286,7 @@
     def full(_: int) -> None:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(files.os, "fsync", full)
+    monkeypatch.setattr(durable_files.os, "fsync", full)
     with pytest.raises(KeysError, match="No space"):
         write(path, [])
     assert path.read_bytes() == before
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -11,7 +11,7 @@
 from rig import played, rig, settings
 
 from winchdyke import interface as api
-from winchdyke.gateway.pool import DialError, Pool
+from winchdyke.gateway.pool import ConnectError, ConnectionPool
 from winchdyke.policy import Scheduler
 from winchdyke.standins.wire import LOST
 
@@ -266,8 +266,8 @@
                 filler.connect_ex(blocker.getsockname())
                 fillers.append(filler)
             await anyio.sleep(0.05)
-            pool = Pool(100.0, 1000.0, 4, lambda: 0.0)
-            with pytest.raises(DialError) as caught:
+            pool = ConnectionPool(100.0, 1000.0, 4, lambda: 0.0)
+            with pytest.raises(ConnectError) as caught:
                 await pool.get(f"127.0.0.1:{blocker.getsockname()[1]}")
             assert not caught.value.own
         finally:
@@ -288,7 +288,7 @@
                 ticket = next(iter(it.gateway.engine.tickets.values()))
                 await it.until(lambda: ticket.on_cancel is not None)
                 await anyio.sleep(0.05)
-                it.gateway.engine._carry_out(0.0, api.Cancel(ticket.id, 0))
+                it.gateway.engine._carry_out(0.0, api.CancelAttempt(ticket.id, 0))
 
             it.group.start_soon(cancel)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize("order", ["it is called off", "its time to be written ends"])
 def test_a_connection_comes_up_after_what_a_send_was_decided_on_and_nothing_is_written(monkeypatch, order):
     """As on the platform: a store that had been told to drain got what a late connection brought."""
-    get, handle = Pool.get, Scheduler.handle
+    get, handle = ConnectionPool.get, Scheduler.handle
 
     @played
     async def run():
@@ -316,7 +316,7 @@
 
             def bounded(scheduler, now, events):
                 return [
-                    replace(action, write_ms=1.0) if isinstance(action, api.Send) else action
+                    replace(action, write_timeout_ms=1.0) if isinstance(action, api.StartAttempt) else action
                     for action in handle(scheduler, now, events)
                 ]
 
@@ -324,14 +324,14 @@
                 await begun.wait()
                 if order == "it is called off":
                     ticket = next(iter(it.gateway.engine.tickets.values()))
-                    it.gateway.engine._carry_out(0.0, api.CallOff(ticket.id, 0))
+                    it.gateway.engine._carry_out(0.0, api.AbandonAttempt(ticket.id, 0))
                     await it.until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
                 monkeypatch.setattr(Scheduler, "handle", handle)
                 up.set()
 
-            monkeypatch.setattr(Pool, "get", late)
+            monkeypatch.setattr(ConnectionPool, "get", late)
             if order != "it is called off":
                 monkeypatch.setattr(Scheduler, "handle", bounded)
             it.group.start_soon(later)
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -84,7 +84,7 @@
         + demand("gateway/0", "a")
         + "FLUSH\nCLOCK\t2\nMEMBERS\tgateway/0\t1\t2\t1\nM\t1\tz\t-\t10.0.0.1:1\tkind\t2\t0\nVANISHED\tgateway/0\ta\nFLUSH\n"
     )
-    assert "ISSUE\tgateway/0\ta" in out and out.endswith("NEXT\n") and "CallOff" not in out
+    assert "ISSUE\tgateway/0\ta" in out and out.endswith("NEXT\n") and "AbandonAttempt" not in out
 
 
 @pytest.mark.parametrize(
--- a/tests/test_change_cases.py
+++ b/tests/test_change_cases.py
@@ -23,11 +23,16 @@
 from rig import played, rig, settings
 
 from benchmarks import kills
-from winchdyke.changes import mend
-from winchdyke.changes.desk import (
-    Desk,
-    DeskError,
+from winchdyke.config import parse
+from winchdyke.config.model import Admin, Changes
+from winchdyke.config_rollout import last_known_good
+from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
+from winchdyke.config_rollout.cutover import Going, Phase, limits_differ, lower, phase
+from winchdyke.config_rollout.edit import edited, text_of
+from winchdyke.config_rollout.operations import (
+    ChangeOperations,
     Log,
+    OperationError,
     Propose,
     Set,
     Show,
@@ -38,12 +43,7 @@
     Withdraw,
     read,
 )
-from winchdyke.changes.edit import edited, text_of
-from winchdyke.changes.instant import Going, Phase, limits_differ, lower, phase
-from winchdyke.changes.machine import HELD, Step
-from winchdyke.changes.trail import Trail, TrailError
-from winchdyke.config import parse
-from winchdyke.config.model import Admin, Changes
+from winchdyke.config_rollout.rollout_state import HELD, Step
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.model.checker import explore
 from winchdyke.model.instant import Clocks
@@ -53,8 +53,8 @@
     return dataclasses.replace(settings(), changes=Changes(str(folder), **more), admin=Admin("none"))
 
 
-def desk_of(it) -> Desk:
-    return Desk(it.gateway.live.trail, "ann", "here")
+def desk_of(it) -> ChangeOperations:
+    return ChangeOperations(it.gateway.live.trail, "ann", "here")
 
 
 async def do(it, operation):
@@ -91,9 +91,9 @@
         if not left: os._exit(9)
         return found
     return done
-from winchdyke.changes.trail import Trail
+from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.gateway.daemon import Gateway
-Trail.add_all, Trail.propose, Gateway._swap = step(Trail.add_all), step(Trail.propose), step(Gateway._swap)
+ChangeLog.add_all, ChangeLog.propose, Gateway._swap = step(ChangeLog.add_all), step(ChangeLog.propose), step(Gateway._swap)
 from winchdyke.cli.main import main
 main(["serve", "-c", sys.argv[2]])
 """
@@ -104,13 +104,13 @@
     """Apply version 2 with a kill before or after the nth step: left at, versions served after a start, version then, steps."""
     folder.mkdir()
     made = kills.Killed(folder, 0)
-    trail = Trail(folder / "changes")
+    trail = ChangeLog(folder / "changes")
     base = settings()
     text = (folder / "g.ini").read_text()
     base = parse(text, "g.ini")
     first = trail.propose(text_of(base), 0, "[]", "gateway", "", "")
     trail.add_all([(Step(what, first), "") for what in ("staged", "applying", "applied")], "gateway")
-    desk = Desk(trail, "ann", "here")
+    desk = ChangeOperations(trail, "ann", "here")
     desk.do(Set("plan", "school", ["weight=7"]))
     desk.do(Stage(2, confirm_within_ms=within))
     process = subprocess.Popen(
@@ -207,7 +207,7 @@
 
 
 def test_a_start_finishes_an_undo_that_was_begun(tmp_path):
-    trail = Trail(tmp_path)
+    trail = ChangeLog(tmp_path)
     base = settings()
     for number in (1, 2):
         trail.propose(text_of(base), number - 1, "[]", "a", "", "")
@@ -226,9 +226,9 @@
 # Disks and files
 
 
-def full_after(trail: Trail, writes: int):
+def full_after(trail: ChangeLog, writes: int):
     """A trail whose disk is full after so many transactions: SQLite itself says so."""
-    opened = Trail._open
+    opened = ChangeLog._open
     left = [writes]
 
     @contextlib.contextmanager
@@ -241,7 +241,7 @@
                            "INSERT INTO versions VALUES (NULL, 0, hex(zeroblob(300000)), ''); END")  # fmt: skip
             yield db
 
-    adding = Trail.add_all
+    adding = ChangeLog.add_all
 
     def counted(self, *words, **more):
         adding(self, *words, **more)
@@ -258,7 +258,9 @@
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             live = it.gateway.live
-            other = Desk(Trail(tmp_path), "ann", "here")  # its own way to the file, which has room
+            other = ChangeOperations(
+                ChangeLog(tmp_path), "ann", "here"
+            )  # its own way to the file, which has room
             other.do(Set("plan", "school", ["weight=6"]))
             left = full_after(live.trail, writes)
             other.do(Stage(2))
@@ -268,7 +270,7 @@
             assert weights == {plan.name: plan.weight for plan in settings().plans}
             assert (await it.ask("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
             assert other.trail.verify() == []
-            with pytest.raises(TrailError, match="full"):
+            with pytest.raises(ChangeLogError, match="full"):
                 live.trail.add(Step("ready", 2), "x")
             left[0] = 1000
             if writes:
@@ -289,7 +291,7 @@
             await serves(it, 2)
             left = full_after(it.gateway.live.trail, 0)
             await it.until(lambda: it.gateway.service.snapshot.version == 1)
-            assert Trail(tmp_path).standing().serving == 2
+            assert ChangeLog(tmp_path).standing().serving == 2
             left[0] = 1000
             await serves(it, 1)
             assert ("undone", 1) in steps_of(it)
@@ -299,13 +301,13 @@
 
 def test_a_trail_that_is_damaged_at_any_byte_is_told_and_the_last_good_version_served(tmp_path):
     whole = tmp_path / "whole"
-    trail = Trail(whole)
+    trail = ChangeLog(whole)
     base = settings()
     texts = {1: text_of(base), 2: edited(base, "plan", "school", ["weight=6"])}
     for number, text in texts.items():
         trail.propose(text, number - 1, '[{"path": "x"}]', "ann", "why", "here")
         trail.add_all([(Step(what, number), "note") for what in ("staged", "applying", "applied")], "gateway")
-    mend.keep(whole, 2, texts[2])
+    last_known_good.keep(whole, 2, texts[2])
     with sqlite3.connect(trail.path) as db:
         db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     entries, data = trail.entries(), trail.path.read_bytes()
@@ -318,10 +320,10 @@
         damaged = bytearray(data)
         damaged[place] ^= draw.randrange(1, 256)
         (folder / "changes.db").write_bytes(damaged)
-        (folder / mend.SERVED).write_bytes((whole / mend.SERVED).read_bytes())
+        (folder / last_known_good.SERVED).write_bytes((whole / last_known_good.SERVED).read_bytes())
         try:
-            found, why = mend.opened(folder)
-        except TrailError as error:
+            found, why = last_known_good.opened(folder)
+        except ChangeLogError as error:
             assert "newer one" in str(error), "a file of a later format is nothing to put aside"
             continue
         told += bool(why)
@@ -332,8 +334,8 @@
         else:
             assert found.entries() == entries, place
     assert told > 60
-    (tmp_path / "0" / mend.SERVED).write_bytes(b"{}")
-    assert mend.kept(tmp_path / "0") is None
+    (tmp_path / "0" / last_known_good.SERVED).write_bytes(b"{}")
+    assert last_known_good.kept(tmp_path / "0") is None
 
 
 def test_a_gateway_starts_with_a_damaged_trail_and_says_so_on_the_new_one(tmp_path):
@@ -342,7 +344,11 @@
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=9")
             await serves(it, 2)
-            await it.until(lambda: mend.kept(tmp_path) is not None and mend.kept(tmp_path).version == 2)
+            await it.until(
+                lambda: (
+                    last_known_good.kept(tmp_path) is not None and last_known_good.kept(tmp_path).version == 2
+                )
+            )
 
     first()
     with sqlite3.connect(tmp_path / "changes.db") as db:
@@ -377,7 +383,7 @@
                         made = await do(it, Set("plan", "school", [f"weight={number + 10}"]))
                         last = (await do(it, Stage(made["version"])))["version"]
                         break
-                    except DeskError as error:
+                    except OperationError as error:
                         assert error.code == "conflict", error.text
                 if number % 20 == 0:
                     assert (await it.ask("GET", "/school-1/k")).status in (404, 503)
@@ -392,8 +398,8 @@
     run()
 
 
-def trail_of(folder, count: int) -> Trail:
-    trail = Trail(folder)
+def trail_of(folder, count: int) -> ChangeLog:
+    trail = ChangeLog(folder)
     for number in range(1, count + 1):
         trail.propose(f"text {number}", number - 1, "[]", "ann", "why", "here")
         trail.add_all([(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway")
@@ -413,7 +419,7 @@
     archive.write_text(left)
     assert trail.standing() == stood and trail.version(30).text == "text 30"
     assert trail.whole()[: len(before)] == before
-    with pytest.raises(TrailError, match="archives"):
+    with pytest.raises(ChangeLogError, match="archives"):
         trail.version(3)
     for number in range(31, 50):
         trail.propose(f"text {number}", number - 1, "[]", "ann", "", "")
@@ -440,14 +446,14 @@
     with sqlite3.connect(trail.path) as db:
         db.execute("ALTER TABLE trail DROP COLUMN at_ms")
         db.execute("PRAGMA user_version = 1")
-    again = Trail(tmp_path)
+    again = ChangeLog(tmp_path)
     assert again.verify() == [] and again.standing().serving == 2
     again.add(Step("staged", 1, at_ms=HELD), "ann")
     assert again.verify() == [] and again.standing().staged_at_ms == HELD
     with sqlite3.connect(trail.path) as db:
         db.execute("PRAGMA user_version = 9")
-    with pytest.raises(TrailError, match="newer one"):
-        Trail(tmp_path)
+    with pytest.raises(ChangeLogError, match="newer one"):
+        ChangeLog(tmp_path)
 
 
 # Stops, and what goes while it is used
@@ -472,7 +478,7 @@
             assert it.gateway.service.snapshot.version == 1
 
     first()
-    assert Trail(tmp_path).standing().staged == 2
+    assert ChangeLog(tmp_path).standing().staged == 2
 
     @played
     async def second():
@@ -604,19 +610,21 @@
     ]  # fmt: skip
     assert phase(5.0, 0.0, 20.0) is Phase.NEW
     base = settings()
-    plan = dataclasses.replace(base.plans[0], limit=10.0, limit_burst=5.0)
+    plan = dataclasses.replace(base.plans[0], limit_units_per_s=10.0, limit_burst_units=5.0)
     none, high = (
-        dataclasses.replace(plan, limit=0.0, limit_burst=0.0),
-        dataclasses.replace(plan, limit=20.0, limit_burst=3.0),
+        dataclasses.replace(plan, limit_units_per_s=0.0, limit_burst_units=0.0),
+        dataclasses.replace(plan, limit_units_per_s=20.0, limit_burst_units=3.0),
     )
     assert lower(plan, none) == lower(none, plan) == lower(plan, None) == plan and lower(none, None) == none
-    assert (lower(plan, high).limit, lower(high, plan).limit_burst) == (10.0, 3.0)
+    assert (lower(plan, high).limit_units_per_s, lower(high, plan).limit_burst_units) == (10.0, 3.0)
     new = parse(edited(base, "plan", "school", ["limit=80 units/s", "limit_burst=90"]))
     assert limits_differ(base, new) and not limits_differ(base, base)
     for at in Phase:
         going = Going(base, new, at)
-        assert going.plan("school-1").limit == (0.0 if at is Phase.OLD else 80.0)
-        assert {p.name: p for p in going.settings().plans}["school"].limit == going.plan("school-1").limit
+        assert going.plan("school-1").limit_units_per_s == (0.0 if at is Phase.OLD else 80.0)
+        assert {p.name: p for p in going.settings().plans}["school"].limit_units_per_s == going.plan(
+            "school-1"
+        ).limit_units_per_s
     moved = parse(edited(base, "volume", "school-*", ["plan=contest"]))
     assert limits_differ(base, moved)
 
@@ -703,7 +711,7 @@
 
                 def all_of_them() -> None:
                     for each in gateways:
-                        desk = Desk(each.live.trail, "ann", "here")
+                        desk = ChangeOperations(each.live.trail, "ann", "here")
                         desk.do(Set("plan", "basic", [f"limit={new} units/s"]))
                         desk.do(Stage(2, at_ms=at))
 
@@ -744,14 +752,14 @@
 
 
 def test_what_cant_be_done_is_told_in_words_and_codes(tmp_path):
-    trail = Trail(tmp_path)
+    trail = ChangeLog(tmp_path)
     base = settings()
     trail.propose(text_of(base), 0, "[]", "gateway", "", "")
     trail.add_all([(Step(what, 1), "") for what in ("staged", "applying", "applied")], "gateway")
-    desk = Desk(trail, "ann", "here")
+    desk = ChangeOperations(trail, "ann", "here")
 
     def code(operation) -> str:
-        with pytest.raises(DeskError) as error:
+        with pytest.raises(OperationError) as error:
             desk.do(operation)
         assert error.value.text
         return error.value.code
@@ -778,14 +786,14 @@
     assert desk.do(Stage(3))["withdrawn"] == 2
     assert desk.do(Withdraw())["version"] == 3
     assert desk.do(Verify())["wrong"] == []
-    with pytest.raises(DeskError, match="Object missing required field"):
+    with pytest.raises(OperationError, match="Object missing required field"):
         read({"op": "show"})
 
 
 def test_the_whole_history_is_read_while_it_is_moved_out(tmp_path):
     """Archives first and then the trail: entries that were moved between the two were in neither."""
 
-    class Moved(Trail):
+    class Moved(ChangeLog):
         """History is moved out behind the first reading, whichever that is."""
 
         moved = False
@@ -815,7 +823,7 @@
 
 def test_a_trail_that_is_read_while_its_history_is_moved_out_is_read_as_it_was_at_one_moment(tmp_path):
     """The reader took where it stood before the move and the entries after it: a start or an editor failed on that."""
-    trail, reader, stop = trail_of(tmp_path, 6), Trail(tmp_path), []
+    trail, reader, stop = trail_of(tmp_path, 6), ChangeLog(tmp_path), []
 
     def reading() -> int:
         count = 0
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -22,17 +22,17 @@
 from rig import played, rig, settings
 
 from winchdyke import interface as api
-from winchdyke.accounts import ledger
 from winchdyke.admin import keys
-from winchdyke.changes.edit import edited, rebased, text_of
-from winchdyke.changes.instant import Going, moved
-from winchdyke.changes.machine import Standing, Step, due, recover, standing
-from winchdyke.changes.swap import retell
-from winchdyke.changes.trail import Trail, TrailError
-from winchdyke.changes.verdict import Watch
 from winchdyke.cli.main import main
 from winchdyke.config import parse
 from winchdyke.config.model import Fleet, Listen
+from winchdyke.config_rollout.canary_analysis import CanaryObserver
+from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
+from winchdyke.config_rollout.cutover import Going, moved
+from winchdyke.config_rollout.edit import edited, rebased, text_of
+from winchdyke.config_rollout.hot_reload import retell
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, due, recover, standing
+from winchdyke.latency_attribution import ledger
 from winchdyke.model.changing import Changing
 from winchdyke.model.checker import explore
 from winchdyke.policy import Scheduler
@@ -97,10 +97,10 @@
 
 
 def test_what_is_due():
-    assert due(Standing(serving=1, staged=2), 0.0) == Step("applying", 2)
-    assert due(Standing(serving=2, before=1, until_ms=100.0), 99.0) is None
-    assert due(Standing(serving=2, before=1, until_ms=100.0), 100.0) == Step("undoing", 1)
-    assert due(Standing(serving=1, applying=2), 1e9) is None
+    assert due(RolloutState(serving=1, staged=2), 0.0) == Step("applying", 2)
+    assert due(RolloutState(serving=2, before=1, until_ms=100.0), 99.0) is None
+    assert due(RolloutState(serving=2, before=1, until_ms=100.0), 100.0) == Step("undoing", 1)
+    assert due(RolloutState(serving=1, applying=2), 1e9) is None
 
 
 # The seam to the module
@@ -111,12 +111,16 @@
 
 
 def told(limit: float) -> api.Settings:
-    kind = api.RequestClass("fetch", 2.0, 400.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0)
+    kind = api.RequestClass(
+        "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+    )
     plans = (
-        api.Plan("a", 1.0, 1.0, 10.0, 0.0, limit=limit, limit_burst=limit),
+        api.Plan("a", 1.0, 1.0, 10.0, 0.0, limit_units_per_s=limit, limit_burst_units=limit),
         api.Plan("b", 1.0, 1.0, 10.0, 20.0),
     )
-    return api.Settings(gateways=1, index=0, classes=(kind,), plans=plans, max_attempts=3, largest_units=4.0)
+    return api.Settings(
+        gateway_count=1, gateway_index=0, classes=(kind,), plans=plans, max_attempts=3, max_request_units=4.0
+    )
 
 
 def sent(scheduler: Scheduler, now: float, count: int, name: str) -> int:
@@ -124,35 +128,39 @@
         api.Request(f"{name}{n}", "fetch", "a", "v", f"{name}{n}", 1.0, 0, 1, 2500.0) for n in range(count)
     ]
     actions = scheduler.handle(now, list(requests))
-    done = [action for action in actions if isinstance(action, api.Send)]
-    ended = [api.AttemptEnded(a.request, 0, "n", api.Outcome.SERVED, 1.0, True) for a in done]
+    done = [action for action in actions if isinstance(action, api.StartAttempt)]
+    ended = [api.AttemptEnded(a.request_id, 0, "n", api.AttemptOutcome.SERVED, 1.0, True) for a in done]
     scheduler.handle(now, list(ended))
     return len(done)
 
 
 def test_a_lowered_limit_binds_from_the_instant_and_a_raised_one_gives_no_burst():
     made = scheduler(50.0)
-    made.handle(0.0, [api.NodeList(api.ListKind.FULL, (api.Node("n", api.NodeState.READY, 0),))])
+    made.handle(
+        0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
+    )
     sent(made, 0.0, 1, "x")
     sent(made, 2000.0, 1, "y")  # the account is full by now: 50 units
-    assert made.volumes["v"].limit > 40
+    assert made.quotas["v"].limit_units > 40
     assert retell(made, told(2.0), {"v": told(2.0).plans[0]}, 2000.0) == 1
-    assert made.volumes["v"].limit == 2.0
+    assert made.quotas["v"].limit_units == 2.0
     total = sum(sent(made, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
     assert total <= 2 + 2.0 * 3, "the burst and the flow of the new limit, no more"
-    before = made.volumes["v"].limit
+    before = made.quotas["v"].limit_units
     retell(made, told(500.0), {"v": told(500.0).plans[0]}, 5000.0)
-    assert made.volumes["v"].limit == pytest.approx(before, abs=1.0)
+    assert made.quotas["v"].limit_units == pytest.approx(before, abs=1.0)
 
 
 def test_what_lives_on_lives_on_and_a_volume_may_change_its_plan():
     made = scheduler()
-    made.handle(0.0, [api.NodeList(api.ListKind.FULL, (api.Node("n", api.NodeState.READY, 0),))])
+    made.handle(
+        0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
+    )
     sent(made, 0.0, 3, "x")
-    window, taken = made.nodes["n"].window, list(made.budget.taken)
+    window, taken = made.endpoints["n"].concurrency_limit, list(made.retry_budget.request_times)
     retell(made, told(0.0), {"v": told(0.0).plans[1]}, 1.0)
-    assert made.volumes["v"].plan.name == "b"
-    assert made.nodes["n"].window is window and list(made.budget.taken) == taken
+    assert made.quotas["v"].plan.name == "b"
+    assert made.endpoints["n"].concurrency_limit is window and list(made.retry_budget.request_times) == taken
     base = settings()
     other = parse(edited(base, "volume", "school-*", ["plan=contest"]))
     names = ["school-1", "contest-1", "x"]
@@ -170,7 +178,10 @@
     theirs = parse(edited(base, "plan", "basic", ["limit=200 units/s"]))
     text, clashes = rebased(base, mine, theirs)
     both = {plan.name: plan for plan in parse(text).plans}
-    assert not clashes and (both["school"].usual_rate, both["basic"].limit) == (90.0, 200.0)
+    assert not clashes and (both["school"].expected_units_per_s, both["basic"].limit_units_per_s) == (
+        90.0,
+        200.0,
+    )
     other = parse(edited(base, "plan", "school", ["usual_rate=70 units/s"]))
     _, clashes = rebased(base, mine, other)
     assert [(a.new, b.new) for a, b in clashes] == [(90.0, 70.0)]
@@ -180,8 +191,8 @@
 # The trail
 
 
-def trail_of(folder, versions: int = 3) -> Trail:
-    trail = Trail(folder)
+def trail_of(folder, versions: int = 3) -> ChangeLog:
+    trail = ChangeLog(folder)
     for number in range(versions):
         version = trail.propose(f"text {number}", number, "[]", "ann", "why", "here")
         for what in ("staged", "applying", "applied"):
@@ -207,7 +218,7 @@
         copy.mkdir(exist_ok=True)
         with sqlite3.connect(trail.path) as source, sqlite3.connect(copy / "changes.db") as target:
             source.backup(target)
-        other = Trail(copy)
+        other = ChangeLog(copy)
         with sqlite3.connect(other.path) as db:
             db.execute(statement)
         assert other.verify(), statement
@@ -217,10 +228,10 @@
 def test_steps_that_do_not_follow_and_races_are_refused_and_nothing_is_written(tmp_path):
     trail = trail_of(tmp_path)
     before = trail.entries()
-    with pytest.raises(TrailError, match="without being begun"):
+    with pytest.raises(ChangeLogError, match="without being begun"):
         trail.add(Step("applied", 9), "x")
-    with pytest.raises(TrailError, match="meanwhile"):
-        trail.add(Step("staged", 2), "x", expect=Standing())
+    with pytest.raises(ChangeLogError, match="meanwhile"):
+        trail.add(Step("staged", 2), "x", expect=RolloutState())
     assert trail.entries() == before
     assert "is not there" in said("log", str(tmp_path / "none"), ends=1)
 
@@ -234,9 +245,9 @@
 KILLED = """
 import sys
 from pathlib import Path
-from winchdyke.changes.machine import Step
-from winchdyke.changes.trail import Trail
-trail = Trail(Path(sys.argv[1]))
+from winchdyke.config_rollout.rollout_state import Step
+from winchdyke.config_rollout.change_log import ChangeLog
+trail = ChangeLog(Path(sys.argv[1]))
 while True:
     version = trail.propose("x" * 5000, 0, "[]", "w", "", "")
     for what in ("staged", "applying", "applied"):
@@ -261,7 +272,7 @@
             reported = int(line) if line.endswith("\n") else reported
         process.wait(5)
         process.stdout.close()
-        trail = Trail(tmp_path)
+        trail = ChangeLog(tmp_path)
         assert trail.verify() == []
         added, _ = recover(trail.standing())
         for step in added:
@@ -439,9 +450,9 @@
 # The verdict
 
 
-def watched(**rates: tuple[float, float]) -> Watch:
+def watched(**rates: tuple[float, float]) -> CanaryObserver:
     """Ten seconds before and five after, two shards; rates: group -> share of bad before and after."""
-    draw, watch = random.Random(3), Watch()
+    draw, watch = random.Random(3), CanaryObserver()
     for second in range(100, 116):
         for volume, (before, after) in rates.items():
             for _ in range(20):
@@ -455,7 +466,7 @@
     return watch
 
 
-def found(watch: Watch, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
+def found(watch: CanaryObserver, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
     return watch.verdict(110_000.0, 116_000.0, lambda volume: volume in volumes, dead).bad
 
 
@@ -465,8 +476,8 @@
     assert not found(watched(mine=(0.02, 0.5), other=(0.02, 0.5)), "mine"), "a node's death, a bad hour"
     assert not found(watched(mine=(0.3, 0.32), other=(0.3, 0.3)), "mine"), "it was so before"
     assert not found(watched(mine=(0.02, 0.9)), "mine", dead=(0, 1)), "no node is left, which no setting does"
-    assert not found(Watch(), "mine"), "nothing seen is no verdict"
-    lower = Watch()
+    assert not found(CanaryObserver(), "mine"), "nothing seen is no verdict"
+    lower = CanaryObserver()
     for second in range(100, 116):
         for number in range(20):
             lower.ended(second * 1000.0, "mine", 0, "refused" if second > 110 and number else "served")
@@ -476,7 +487,7 @@
 
 
 def test_a_surge_is_not_blamed_on_a_change():
-    draw, watch = random.Random(4), Watch()
+    draw, watch = random.Random(4), CanaryObserver()
     for second in range(100, 116):
         surge = 3 if second > 110 else 1
         for _ in range(20 * surge):
@@ -560,7 +571,7 @@
 
 
 def test_who_changed_what_last_and_a_trail_that_is_taken_elsewhere(tmp_path):
-    trail = Trail(tmp_path / "a")
+    trail = ChangeLog(tmp_path / "a")
     for number, (who, what) in enumerate(
         [("ann", "plan.school.weight"), ("bob", "plan.school.weight"), ("eve", "plan.basic.limit")]
     ):
@@ -571,7 +582,7 @@
     blamed = said("blame", folder)
     assert "bob" in blamed and "ann" not in blamed and "eve" not in blamed, "what was not applied is nobody's"
     assert said("blame", folder, "plan.basic") == ""
-    undone = Trail(tmp_path / "a2")
+    undone = ChangeLog(tmp_path / "a2")
     for number, what in enumerate(["plan.school.weight", "plan.basic.limit"], 1):
         undone.propose("text", number - 1, f'[{{"path": "{what}"}}]', "ann", "why", "here")
         undone.add_all([(Step(step, number), "") for step in ("staged", "applying", "applied")], "gateway")
@@ -588,4 +599,4 @@
     assert "does not fit" in said("import", str(tmp_path / "c"), str(file), ends=1)
     file.write_text("no json\n")
     assert "line 1" in said("import", str(tmp_path / "d"), str(file), ends=1)
-    assert Trail(tmp_path / "c").last() == 0, "nothing of it was kept"
+    assert ChangeLog(tmp_path / "c").last() == 0, "nothing of it was kept"
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -28,16 +28,25 @@
 def test_the_embedded_defaults_become_the_schedulers_settings():
     config = parse(INI, "defaults.ini")
     told = config.settings()
-    assert {kind.name: kind.effect for kind in told.classes} == {
-        "fetch": api.Effect.IDEMPOTENT, "submit": api.Effect.KEYED, "export": api.Effect.IDEMPOTENT,
+    assert {kind.name: kind.repeat_safety for kind in told.classes} == {
+        "fetch": api.RepeatSafety.IDEMPOTENT, "submit": api.RepeatSafety.IDEMPOTENCY_KEY, "export": api.RepeatSafety.IDEMPOTENT,
     }  # fmt: skip
-    assert (told.max_attempts, told.fall_window_ms, told.max_retry_after_ms, told.extra_share) == (
+    assert (
+        told.max_attempts,
+        told.slow_start_overload_window_ms,
+        told.max_retry_after_ms,
+        told.retry_budget_ratio,
+    ) == (
         3,
         1500.0,
         500.0,
         0.1,
     )
-    assert {plan.name: plan.limit for plan in told.plans} == {"basic": 240.0, "school": 0.0, "contest": 0.0}
+    assert {plan.name: plan.limit_units_per_s for plan in told.plans} == {
+        "basic": 240.0,
+        "school": 0.0,
+        "contest": 0.0,
+    }
 
 
 def test_an_exact_volume_comes_before_a_pattern_and_the_first_pattern_before_the_next():
@@ -52,7 +61,7 @@
     assert config.kind_for("get", None).rules.name == "fetch"
     assert config.kind_for("get", "export").rules.name == "export"
     assert config.kind_for("put", "export") is None
-    assert "once" in ONCE and config.kind_for("put", "once").rules.effect is api.Effect.AT_MOST_ONCE
+    assert "once" in ONCE and config.kind_for("put", "once").rules.effect is api.RepeatSafety.AT_MOST_ONCE
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -12,7 +12,7 @@
 from test_platform import TOLD, config
 from test_platform_sockets import answer, discovery, free_port, port_of, site, spawned, until
 
-from winchdyke.platform import environment
+from winchdyke.platform import configuration
 from winchdyke.platform.clients import Clients, State
 from winchdyke.settings import settings_of
 
@@ -276,8 +276,12 @@
     if how == "null":
         told[key] = None
     variables = config(tmp_path / "config.json", settings=told, limits=None, known=None)
-    read = environment.read(variables)
-    assert read.settings.classes[0].memory_ms == 0.0 and not read.known and read.limits.cores == 1.0
+    read = configuration.read(variables)
+    assert (
+        read.settings.classes[0].deduplication_window_ms == 0.0
+        and not read.known
+        and read.limits.cores == 1.0
+    )
 
 
 def test_zeros_that_would_divide_are_read_as_not_told():
@@ -288,4 +292,8 @@
         "classes": [{**TOLD["classes"][0], "promise_ms": 0}],
     }
     read = settings_of(told)
-    assert (read.mean_units, read.cold_from, read.classes[0].aim_ms) == (1.0, 1.0, 2000.0)
+    assert (
+        read.mean_request_units,
+        read.slow_start_initial_capacity,
+        read.classes[0].latency_objective_ms,
+    ) == (1.0, 1.0, 2000.0)
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -14,8 +14,8 @@
 from test_platform_sockets import GOOD, answer, site, until
 
 from winchdyke import interface as api
-from winchdyke.interface import Outcome
-from winchdyke.platform import clients, wire
+from winchdyke.interface import AttemptOutcome
+from winchdyke.platform import clients, protocol
 from winchdyke.platform.clients import State
 
 
@@ -171,45 +171,47 @@
     ],
 )
 def test_a_spoilt_list_is_a_fault_by_name_and_nothing_else(text):
-    with pytest.raises(wire.ListFault):
-        wire.Objects().feed(text)
+    with pytest.raises(protocol.EndpointListError):
+        protocol.Objects().feed(text)
 
 
-CAPPED = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit=40.0, limit_burst=32.0)
+CAPPED = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=40.0, limit_burst_units=32.0)
 SLACK = (
-    8.0 + 0.15 * CAPPED.limit
+    8.0 + 0.15 * CAPPED.limit_units_per_s
 )  # the larger of a tenth of the burst and a largest request; 150 ms on sockets
 
 
 def test_dials_of_a_limited_volume_fail_then_all_go_with_what_has_filled_meanwhile(make):
     """Units are taken as the last byte comes to a store: what failed to get there is taken again when it goes."""
-    slow = api.RequestClass("slow", 2.0, 1500.0, 5000.0, 0.1, api.Effect.AT_MOST_ONCE, api.Scope.ALL, 0.0)
+    slow = api.RequestClass(
+        "slow", 2.0, 1500.0, 5000.0, 0.1, api.RepeatSafety.AT_MOST_ONCE, api.DeduplicationScope.ALL, 0.0
+    )
     gateway: Gateway = make(
         [node(f"n{shard}", shard) for shard in range(16)],
         classes=(slow,),
         plans=(CAPPED,),
-        extra_window_ms=0.0,
+        retry_budget_window_ms=0.0,
     )
-    ask = {"class_name": "slow", "plan": "capped", "units": 4.0, "left_ms": 5000.0}
+    ask = {"request_class": "slow", "plan": "capped", "units": 4.0, "time_left_ms": 5000.0}
     gateway.run(2000.0)
     gateway.give(*[request(f"a{n}", shard=n, key=f"a{n}", **ask) for n in range(8)])
     assert len(gateway.sends) == 8
     failed = list(gateway.sends)
     gateway.run(250.0)
     for n in range(8):
-        gateway.end(f"a{n}", Outcome.DIAL_FAILED, closed=False)
+        gateway.end(f"a{n}", AttemptOutcome.CONNECT_FAILED, closed=False)
     gateway.run(400.0)
     gateway.give(*[request(f"b{n}", shard=8 + n, key=f"b{n}", **ask) for n in range(8)])
     ended = len(failed)
     for _ in range(30):
         gateway.run(50.0)
         for _, send in gateway.sends[ended:]:
-            gateway.end(send.request, Outcome.SERVED)
+            gateway.end(send.request, AttemptOutcome.SERVED)
         ended = len(gateway.sends)
     came = sorted((at, 4.0) for at, send in gateway.sends if (at, send) not in failed)
-    level, last = CAPPED.limit_burst, 0.0
+    level, last = CAPPED.limit_burst_units, 0.0
     for at, units in came:
-        level = min(CAPPED.limit_burst, level + CAPPED.limit * (at - last) / 1000) - units
+        level = min(CAPPED.limit_burst_units, level + CAPPED.limit_units_per_s * (at - last) / 1000) - units
         last = at
         assert level >= -SLACK, f"{len(came)} came, the store of the limit is at {level:.1f}"
     assert len(came) >= 12, "what failed is sent once the limit has filled for it"
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -7,9 +7,9 @@
 from rig import played
 
 from winchdyke import interface as api
-from winchdyke.gateway.engine import Engine
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
 
-SETTINGS = api.Settings(gateways=1, index=0, classes=(), plans=())
+SETTINGS = api.Settings(gateway_count=1, gateway_index=0, classes=(), plans=())
 
 
 class Script:
@@ -24,9 +24,9 @@
         return self.answers.pop(0) if self.answers else []
 
 
-def made() -> tuple[Engine, Script, list[float]]:
+def made() -> tuple[SchedulerLoop, Script, list[float]]:
     script, now = Script(), [1000.0]
-    return Engine(SETTINGS, 1, lambda *_: script, lambda: now[0]), script, now
+    return SchedulerLoop(SETTINGS, 1, lambda *_: script, lambda: now[0]), script, now
 
 
 def request(name: str) -> api.Request:
@@ -36,12 +36,12 @@
 def test_every_kind_of_event_is_handed_over_as_it_came():
     engine, script, _ = made()
     events: list[api.Event] = [
-        *(api.NodeList(kind) for kind in api.ListKind),
+        *(api.EndpointList(kind) for kind in api.EndpointListKind),
         request("a"),
         api.StreamStarted("a", 0),
-        api.AttemptEnded("a", 0, "n", api.Outcome.SERVED, 5.0, True, 80.0, 3.0, (0.5, 2.0)),
-        api.ClientGone("a"),
-        api.ProbeEnded("n", api.Outcome.SERVED, 1.0, (0.1,)),
+        api.AttemptEnded("a", 0, "n", api.AttemptOutcome.SERVED, 5.0, True, 80.0, 3.0, (0.5, 2.0)),
+        api.ClientDisconnected("a"),
+        api.HealthCheckEnded("n", api.AttemptOutcome.SERVED, 1.0, (0.1,)),
         api.PeerMessage(2, b"hello"),
     ]
     for event in events:
@@ -57,7 +57,7 @@
     script.answers = [
         [api.SetTimer(7, 30.0), api.SetTimer(8, 10.0), api.SetTimer(9, 10.0), api.SetTimer(5, 90.0)]
     ]
-    engine.post(api.ClientGone("x"))
+    engine.post(api.ClientDisconnected("x"))
     engine.turn()
     now[0] = 1031.0
     engine.turn()
@@ -78,22 +78,22 @@
     tickets["a"].on_call_off = called_off.append
     script.answers = [
         [
-            api.Send("a", "n1", 50.0),
-            api.Refuse("b", 250.0),
-            api.Fail("c"),
-            api.Cancel("a", 0),
-            api.CallOff("a", 0),
-            api.CallOff("nobody", 0),
-            api.WatchList(),
-            api.Log("two known"),
-            api.Cancel("nobody", 0),
-            api.Send("nobody", "n1"),
+            api.StartAttempt("a", "n1", 50.0),
+            api.ShedRequest("b", 250.0),
+            api.FailRequest("c"),
+            api.CancelAttempt("a", 0),
+            api.AbandonAttempt("a", 0),
+            api.AbandonAttempt("nobody", 0),
+            api.WatchEndpoints(),
+            api.LogMessage("two known"),
+            api.CancelAttempt("nobody", 0),
+            api.StartAttempt("nobody", "n1"),
         ]
     ]
     engine.turn()
-    assert list(tickets["a"].actions) == [api.Send("a", "n1", 50.0)]
-    assert list(tickets["b"].actions) == [api.Refuse("b", 250.0)]
-    assert list(tickets["c"].actions) == [api.Fail("c")]
+    assert list(tickets["a"].actions) == [api.StartAttempt("a", "n1", 50.0)]
+    assert list(tickets["b"].actions) == [api.ShedRequest("b", 250.0)]
+    assert list(tickets["c"].actions) == [api.FailRequest("c")]
     assert (cancelled, called_off, watched) == ([0], [0], [True])
     assert set(engine.tickets) == {"a"}
     assert (tickets["a"].attempts_out, tickets["b"].closed, tickets["c"].closed) == (1, True, True)
@@ -112,14 +112,14 @@
     engine.gone(ticket)
     engine.gone(ticket)
     engine.turn()
-    assert script.batches[0][1] == [request("a"), api.ClientGone("a")]
+    assert script.batches[0][1] == [request("a"), api.ClientDisconnected("a")]
 
 
 def test_after_a_fault_the_next_scheduler_starts_with_the_list_and_no_old_timers():
     class Once(Script):
         def handle(self, now, events):
             super().handle(now, events)
-            if any(isinstance(event, api.ClientGone) for event in events):
+            if any(isinstance(event, api.ClientDisconnected) for event in events):
                 raise RuntimeError("by design")
             return [api.SetTimer(1, 5.0)]
 
@@ -130,32 +130,32 @@
         return schedulers[-1]
 
     now = [0.0]
-    engine = Engine(SETTINGS, 1, make, lambda: now[0])
-    node = api.Node("n", api.NodeState.READY, 0)
-    engine.post(api.NodeList(api.ListKind.FULL, (node,)))
+    engine = SchedulerLoop(SETTINGS, 1, make, lambda: now[0])
+    node = api.Endpoint("n", api.EndpointStatus.READY, 0)
+    engine.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
     ticket = engine.take(request("a"))
     engine.turn()
-    engine.post(api.ClientGone("nobody"))
+    engine.post(api.ClientDisconnected("nobody"))
     engine.turn()
-    assert list(ticket.actions) == [api.Fail("a")]
+    assert list(ticket.actions) == [api.FailRequest("a")]
     assert ticket.fault == "engine-fault" and not engine.tickets
     now[0] = 100.0
     engine.turn()
-    assert schedulers[1].batches == [(100.0, [api.NodeList(api.ListKind.CACHED, (node,))])]
+    assert schedulers[1].batches == [(100.0, [api.EndpointList(api.EndpointListKind.CACHED, (node,))])]
 
 
 def test_what_comes_together_is_decided_together_and_timers_wake_it():
     @played
     async def run():
         script = Script()
-        engine = Engine(SETTINGS, 1, lambda *_: script)
+        engine = SchedulerLoop(SETTINGS, 1, lambda *_: script)
         script.answers = [[api.SetTimer(3, 20.0)]]
         async with anyio.create_task_group() as group:
             group.start_soon(engine.run)
             await anyio.sleep(0.01)
 
             async def post(name: str) -> None:
-                engine.post(api.ClientGone(name))
+                engine.post(api.ClientDisconnected(name))
 
             for name in "abc":
                 group.start_soon(post, name)
--- a/tests/test_fleet_checked.py
+++ b/tests/test_fleet_checked.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from winchdyke.fleet.members.book import Book, Member
-from winchdyke.fleet.wire import Entry, State
+from winchdyke.membership.datagrams import Entry, State
+from winchdyke.membership.member_table import Member, MemberTable
 from winchdyke.model.checker import explore
 from winchdyke.model.members import Words
 
@@ -21,7 +21,7 @@
     assert not found.broken, found.trace
 
 
-class LastWord(Book):
+class LastWord(MemberTable):
     """Believes whatever it heard last."""
 
     def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
@@ -29,7 +29,7 @@
         return super().learn(entry, now, teller)
 
 
-class LifeBlind(Book):
+class LifeBlind(MemberTable):
     """Compares incarnations of different lives."""
 
     def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
@@ -39,7 +39,7 @@
         return super().learn(entry, now, teller)
 
 
-class DeadIsDead(Book):
+class DeadIsDead(MemberTable):
     """Lets no refutation clear a death."""
 
     def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
@@ -49,7 +49,7 @@
         return super().learn(entry, now, teller)
 
 
-class FirstWord(Book):
+class FirstWord(MemberTable):
     """Of equal life and incarnation keeps what came first."""
 
     def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
@@ -59,7 +59,7 @@
         return super().learn(entry, now, teller)
 
 
-class Inventive(Book):
+class Inventive(MemberTable):
     """Raises another's incarnation itself."""
 
     def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -6,13 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from winchdyke.fleet import wire
-from winchdyke.fleet.members import events
-from winchdyke.fleet.members import machine as m
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.members.events import Own
-from winchdyke.fleet.members.machine import Machine
-from winchdyke.fleet.wire import Entry, Envelope, Kind, State
+from winchdyke.membership import datagrams, events
+from winchdyke.membership import swim as m
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.datagrams import Entry, Envelope, Kind, State
+from winchdyke.membership.events import Own
+from winchdyke.membership.swim import SwimProtocol
 from winchdyke.model.fleet import Fleet, Links
 
 
@@ -166,7 +165,7 @@
 def test_who_hears_nothing_and_is_never_late_has_not_slept(interval):
     """Where intervals are short, a turn with a probe in it was followed by one that seemed late by a whole look."""
     bounds = Bounds(interval=interval, timeout=0.4 * interval, pause=max(50.0, interval / 4))
-    machine = Machine(Own("a", "at-a", "", 0, 1 << 16), bounds, 1, 0.0)
+    machine = SwimProtocol(Own("a", "at-a", "", 0, 1 << 16), bounds, 1, 0.0)
     now, noted = 0.0, list[events.Action]()
     silent = Entry("b", "at-b", "", 1, 1 << 16, 0, int(State.ALIVE))
     machine.handle(now, [events.Arrived(Envelope("b", 1 << 16, 1, "", int(Kind.ACK), 1, "", -1, [silent]))])
@@ -264,12 +263,12 @@
     assert any(note.code == "renewed" for _, name, note in fleet.notes if name == "g1")
 
 
-def machine(bounds: Bounds | None = None, **more: object) -> Machine:
+def machine(bounds: Bounds | None = None, **more: object) -> SwimProtocol:
     """A member by itself."""
     own = Own(
         **{"name": "a", "address": "at-a", "zone": "z", "index": 0, "life": 10 << 16, "gateways": 4, **more}
     )  # type: ignore[arg-type]
-    return Machine(own, bounds or Bounds(), 5, 0.0)
+    return SwimProtocol(own, bounds or Bounds(), 5, 0.0)
 
 
 def entry(name: str, state: State = State.ALIVE, life: int = 1, incarnation: int = 0, by: str = "") -> Entry:
@@ -279,7 +278,7 @@
 class Peer:
     """Somebody that speaks to a machine by hand."""
 
-    def __init__(self, to: Machine, name: str = "b", life: int = 1) -> None:
+    def __init__(self, to: SwimProtocol, name: str = "b", life: int = 1) -> None:
         self.to, self.name, self.life, self.counter, self.now = to, name, life, 0, 0.0
 
     def say(
@@ -337,9 +336,9 @@
     one = machine()
     peer = Peer(one)
     life = one.life
-    peer.say(entries=[entry("a", State.SUSPECT, life, wire.NUMBER_MOST, "b")])
+    peer.say(entries=[entry("a", State.SUSPECT, life, datagrams.NUMBER_MOST, "b")])
     assert one.life > life and one.incarnation == 0
-    life, one.counter = one.life, wire.NUMBER_MOST
+    life, one.counter = one.life, datagrams.NUMBER_MOST
     told = peer.say()
     assert one.life > life
     assert all(action.message.counter < 100 for action in told if isinstance(action, events.Tell))
@@ -456,7 +455,7 @@
             fleet.at(13_000.0 + 2000.0 * n, lambda name=name: fleet.start(name))
     fleet.run(20_000.0)
     rates = fleet.rate(12_000.0, 20_000.0)
-    assert sum(rates) / 250 < 40_000 and fleet.largest <= wire.DATAGRAM_MOST
+    assert sum(rates) / 250 < 40_000 and fleet.largest <= datagrams.DATAGRAM_MOST
 
 
 KINDS = ["kill", "pause", "cut", "loss", "leave"]
@@ -468,7 +467,7 @@
     """One entry that fits in no datagram must not keep all others from going out."""
     size = len(letter.encode())
     name = letter * (64 // size)
-    top = wire.NUMBER_MOST
+    top = datagrams.NUMBER_MOST
     one = machine(name=name, address=name, zone=name, life=top - 5, index=65535)
     one.incarnation, one.counter = top, top - 1000
     peer = Peer(one, name="b", life=top)
@@ -482,28 +481,28 @@
             *peer.pass_time(peer.now + 1000.0),
         ]:
             if isinstance(action, events.Tell):
-                data = wire.seal(action.message, b"k" * 32)
-                assert len(data) <= wire.DATAGRAM_MOST
-                assert wire.unseal(data, [b"k" * 32]) == action.message
+                data = datagrams.seal(action.message, b"k" * 32)
+                assert len(data) <= datagrams.DATAGRAM_MOST
+                assert datagrams.unseal(data, [b"k" * 32]) == action.message
                 seen |= {entry.name for entry in action.message.entries}
     assert len(seen) >= 20
 
 
-class Deafened(Machine):
+class Deafened(SwimProtocol):
     """Refutes nothing."""
 
     def _of_self(self, entry: Entry, teller: str) -> None:
         pass
 
 
-class Lonely(Machine):
+class Lonely(SwimProtocol):
     """Asks nobody to probe in its place."""
 
     def _ask_others(self, probe: m._Probe) -> None:
         pass
 
 
-class Sleepless(Machine):
+class Sleepless(SwimProtocol):
     """Does not look whether it slept."""
 
     def _woke(self, late: float) -> None:
@@ -513,7 +512,7 @@
 def test_without_each_defence_members_die_that_live():
     """The judge of these tests is seen to fail: refutation, indirect probes, and the look at the own sleep, each taken out."""
 
-    def lost(make: type[Machine], trouble: str) -> float:
+    def lost(make: type[SwimProtocol], trouble: str) -> float:
         """ms for which a member that ran was dead in a view, at the longest; with pauses, whom the paused one suspects."""
         fleet = settled(8, make=make)
         since = fleet.now
@@ -530,9 +529,9 @@
             return float(len([pair for pair in said(fleet, since, "suspect") if pair[0] == "g2"]))
         return dead_for(fleet, since)
 
-    assert lost(Machine, "deaf") == 0 < lost(Lonely, "deaf")
-    assert lost(Machine, "deaf and loss") < 15_000 < 60_000 < lost(Deafened, "deaf and loss")
-    assert lost(Machine, "pauses") == 0 < lost(Sleepless, "pauses")
+    assert lost(SwimProtocol, "deaf") == 0 < lost(Lonely, "deaf")
+    assert lost(SwimProtocol, "deaf and loss") < 15_000 < 60_000 < lost(Deafened, "deaf and loss")
+    assert lost(SwimProtocol, "pauses") == 0 < lost(Sleepless, "pauses")
 
 
 @settings(max_examples=25, deadline=None)
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -18,15 +18,15 @@
 from click.testing import CliRunner
 
 from winchdyke.admin import keys
-from winchdyke.changes.swap import fixed
 from winchdyke.cli import fleet as command
 from winchdyke.config.loading import load_file
 from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
-from winchdyke.fleet import disk, wire
-from winchdyke.fleet.names import AGAIN_MS, FRESH_MS, MOST, Names
-from winchdyke.fleet.node import FleetError, Node
-from winchdyke.nodes.seeds import Seeds
+from winchdyke.config_rollout.hot_reload import fixed
+from winchdyke.discovery.seeds import Seeds
+from winchdyke.membership import datagrams, member_cache
+from winchdyke.membership.agent import MembershipAgent, MembershipError
+from winchdyke.membership.resolver import AGAIN_MS, FRESH_MS, MOST, AddressResolver
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -54,7 +54,7 @@
 
 
 @asynccontextmanager
-async def running(*nodes: Node) -> AsyncIterator[None]:
+async def running(*nodes: MembershipAgent) -> AsyncIterator[None]:
     async with anyio.create_task_group() as group:
         for node in nodes:
             if node.machine is None:
@@ -78,15 +78,15 @@
     return time.monotonic() * 1000
 
 
-def states(node: Node) -> dict[str, str]:
+def states(node: MembershipAgent) -> dict[str, str]:
     return {row["name"]: row["state"] for row in node.standing()["members"]}
 
 
 def test_two_find_each_other_by_one_seed_and_a_leave_is_heard(tmp_path):
     async def play() -> None:
-        one = Node(config(tmp_path, "one"), clock)
+        one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
-        two = Node(config(tmp_path, "two", seeds=(Listen(*one.address),)), clock)
+        two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),)), clock)
         async with running(one, two):
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
             await until(lambda: one.standing()["members"][0]["link"] == "both")
@@ -107,7 +107,7 @@
             service = ListService(Record())
             await service.start(group)
             service.failing = "error"
-            nodes = [Node(config(tmp_path, name), clock) for name in ("one", "two", "three")]
+            nodes = [MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two", "three")]
             one, two, three = nodes
             async with running(one, two):
                 for node in (one, two):
@@ -140,7 +140,7 @@
             await service.start(group)
             where = ("127.0.0.1", service.port, "/gateways")
             serving = replace(rigs.settings(), fleet=config(tmp_path, "-", list=where).fleet)
-            one = Node(config(tmp_path, "one"), clock)
+            one = MembershipAgent(config(tmp_path, "one"), clock)
             async with running(one), rigs.rig(serving) as it:
                 assert it.gateway.fleet is not None
                 await service.set(shown(one), "ready", 0, "")
@@ -152,9 +152,14 @@
 
 def test_seeds_of_settings_peers_disk_and_list_stand_beside_each_other_and_none_drives_out_another(tmp_path):
     async def play() -> None:
-        disk.save(tmp_path / "keep", disk.Kept("one", 1, [disk.Known("two", "10.0.0.2:1")]))
+        member_cache.save(
+            tmp_path / "keep",
+            member_cache.KnownMembers("one", 1, [member_cache.KnownMember("two", "10.0.0.2:1")]),
+        )
         seeds, peer = (Listen("10.0.0.3", 1),), ("four", Listen("10.0.0.4", 1))
-        one = Node(config(tmp_path, "one", seeds=seeds, keep=str(tmp_path / "keep"), peers=(peer,)), clock)
+        one = MembershipAgent(
+            config(tmp_path, "one", seeds=seeds, keep=str(tmp_path / "keep"), peers=(peer,)), clock
+        )
         await one.open()
         given = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.2:1"]
         assert list(one.machine.seeds) == given
@@ -167,12 +172,12 @@
     anyio.run(play)
 
 
-def follows(node: Node, service: ListService) -> Seeds:
+def follows(node: MembershipAgent, service: ListService) -> Seeds:
     where = ("127.0.0.1", service.port, "/gateways")
     return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.listed)
 
 
-def shown(node: Node) -> str:
+def shown(node: MembershipAgent) -> str:
     return f"{node.address[0]}:{node.address[1]}"
 
 
@@ -207,10 +212,10 @@
     monkeypatch.setattr("anyio._core._sockets.getaddrinfo", looked_up)  # what its connections use
 
     async def play() -> None:
-        one = Node(config(tmp_path, "one"), clock)
+        one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
         peer = ("one", Listen("gateway-one.example", one.address[1]))
-        two = Node(config(tmp_path, "two", seeds=(Listen(*one.address),), peers=(peer,)), clock)
+        two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),), peers=(peer,)), clock)
         await two.open()
         two._udp = sends = Sends(two._udp)  # type: ignore[assignment]
         async with running(one, two):
@@ -225,7 +230,7 @@
 
 
 def test_names_are_looked_up_one_at_a_time_anew_when_old_and_kept_where_nobody_answers():
-    names = Names()
+    names = AddressResolver()
     assert names.send("10.0.0.1", "1", b"a", 0.0) == ("10.0.0.1", False)
     assert names.send("::1", "1", b"a", 0.0) == ("::1", False)
     assert names.send("gw", "1", b"a", 0.0) == ("", True)
@@ -251,7 +256,7 @@
 
 def test_a_peer_that_the_settings_gain_in_service_is_joined(tmp_path):
     async def play() -> None:
-        one, two = (Node(config(tmp_path, name), clock) for name in ("one", "two"))
+        one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
             await anyio.sleep(0.3)
             assert states(one) == {} and one.standing()["alone"]
@@ -263,7 +268,7 @@
 
 def test_seeds_that_the_settings_gain_in_service_are_asked_and_other_keys_of_the_block_need_a_start(tmp_path):
     async def play() -> None:
-        one, two = (Node(config(tmp_path, name), clock) for name in ("one", "two"))
+        one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
             await until(lambda: one.machine is not None and two.machine is not None)
             assert states(one) == {} and one.standing()["alone"]
@@ -281,7 +286,7 @@
 
 def test_a_key_is_changed_under_way_and_a_withdrawn_one_opens_nothing(tmp_path):
     async def play() -> None:
-        one, two = (Node(config(tmp_path, name), clock) for name in ("one", "two"))
+        one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         await one.open()
         two.config = replace(two.config, peers=(("one", Listen(*one.address)),))
         async with running(one, two):
@@ -293,9 +298,9 @@
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
             assert states(one) == {"two": "alive"} and one.standing()["members"][0]["heard_ms"] < 1000
-            message = wire.Envelope("two", 1, 1, "one", int(wire.Kind.PING))
+            message = datagrams.Envelope("two", 1, 1, "one", int(datagrams.Kind.PING))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.sendto(wire.seal(message, base64.b64decode(secret(1))), one.address)
+                stranger.sendto(datagrams.seal(message, base64.b64decode(secret(1))), one.address)
                 await until(lambda: one.counts["dropped:seal"] == 1)
 
     anyio.run(play)
@@ -303,7 +308,7 @@
 
 def test_strangers_are_counted_and_told_nothing(tmp_path):
     async def play() -> None:
-        one = Node(config(tmp_path, "one"), clock)
+        one = MembershipAgent(config(tmp_path, "one"), clock)
         async with running(one):
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.bind(("127.0.0.1", 0))
@@ -333,20 +338,20 @@
 
 def test_what_can_not_be_started_says_why_and_what_to_do(tmp_path):
     async def play() -> None:
-        with pytest.raises(FleetError, match="see fleet, keys"):
-            await Node(config(tmp_path, "one", keys=str(tmp_path / "none")), clock).open()
+        with pytest.raises(MembershipError, match="see fleet, keys"):
+            await MembershipAgent(config(tmp_path, "one", keys=str(tmp_path / "none")), clock).open()
         (tmp_path / "open").write_text("{}")
         (tmp_path / "open").chmod(0o644)
-        with pytest.raises(FleetError, match="chmod 600"):
-            await Node(config(tmp_path, "one", keys=str(tmp_path / "open")), clock).open()
-        with pytest.raises(FleetError, match=r"gateway, name is .* 64 bytes"):
-            await Node(config(tmp_path, "n" * 65), clock).open()
-        with pytest.raises(FleetError, match="give HOST:PORT"):
-            await Node(config(tmp_path, "one", advertise="here"), clock).open()
-        one = Node(config(tmp_path, "one"), clock)
+        with pytest.raises(MembershipError, match="chmod 600"):
+            await MembershipAgent(config(tmp_path, "one", keys=str(tmp_path / "open")), clock).open()
+        with pytest.raises(MembershipError, match=r"gateway, name is .* 64 bytes"):
+            await MembershipAgent(config(tmp_path, "n" * 65), clock).open()
+        with pytest.raises(MembershipError, match="give HOST:PORT"):
+            await MembershipAgent(config(tmp_path, "one", advertise="here"), clock).open()
+        one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
-        with pytest.raises(FleetError, match="see fleet, listen"):
-            await Node(config(tmp_path, "two", listen=Listen(*one.address)), clock).open()
+        with pytest.raises(MembershipError, match="see fleet, listen"):
+            await MembershipAgent(config(tmp_path, "two", listen=Listen(*one.address)), clock).open()
         await one.close()
 
     anyio.run(play)
@@ -354,23 +359,29 @@
 
 def test_members_kept_on_the_disk_are_found_without_seeds_and_lives_only_go_up(tmp_path):
     async def play() -> None:
-        one = Node(config(tmp_path, "one"), clock)
+        one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
-        two = Node(config(tmp_path, "two", seeds=(Listen(*one.address),), keep=str(tmp_path / "kept")), clock)
+        two = MembershipAgent(
+            config(tmp_path, "two", seeds=(Listen(*one.address),), keep=str(tmp_path / "kept")), clock
+        )
         async with running(one, two):
-            await until(lambda: (tmp_path / "kept" / disk.FILE).exists() and bool(states(two)))
-            await until(lambda: bool((disk.load(tmp_path / "kept")[0] or disk.Kept("x", 0)).members))
-            kept, wrong = disk.load(tmp_path / "kept")
+            await until(lambda: (tmp_path / "kept" / member_cache.FILE).exists() and bool(states(two)))
+            await until(
+                lambda: bool(
+                    (member_cache.load(tmp_path / "kept")[0] or member_cache.KnownMembers("x", 0)).members
+                )
+            )
+            kept, wrong = member_cache.load(tmp_path / "kept")
             assert kept is not None and not wrong and [each.name for each in kept.members] == ["one"]
-        far = disk.Kept("two", (1 << 60), kept.members)  # a clock that was years ahead
-        disk.save(tmp_path / "kept", far)
-        again = Node(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
+        far = member_cache.KnownMembers("two", (1 << 60), kept.members)  # a clock that was years ahead
+        member_cache.save(tmp_path / "kept", far)
+        again = MembershipAgent(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
         await again.open()
         assert again.machine is not None and again.machine.life > 1 << 60
         assert again.machine.seeds == (f"127.0.0.1:{one.address[1]}",)
         await again.close()
-        (tmp_path / "kept" / disk.FILE).write_bytes(b"{cut")
-        assert disk.load(tmp_path / "kept")[1].startswith(str(tmp_path))
+        (tmp_path / "kept" / member_cache.FILE).write_bytes(b"{cut")
+        assert member_cache.load(tmp_path / "kept")[1].startswith(str(tmp_path))
 
     anyio.run(play)
 
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -7,19 +7,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from winchdyke.fleet import wire
-from winchdyke.fleet.wire import Dropped, Entry, Envelope, Kind, State, Window
+from winchdyke.membership import datagrams
+from winchdyke.membership.datagrams import Dropped, Entry, Envelope, Kind, State, Window
 
 SECRET, OTHER = b"s" * 32, b"t" * 32
 ENTRY = Entry("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(State.ALIVE), "g1")
 MESSAGE = Envelope("g0", 7, 1, "g1", int(Kind.PING), 9, "g2", 3, [ENTRY])
-TOP = wire.NUMBER_MOST
+TOP = datagrams.NUMBER_MOST
 
 
 def reason(data: bytes, secrets: list[bytes] | None = None) -> str:
     """Why it is dropped; "" where it is taken."""
     try:
-        wire.unseal(data, [SECRET] if secrets is None else secrets)
+        datagrams.unseal(data, [SECRET] if secrets is None else secrets)
     except Dropped as dropped:
         return dropped.reason
     return ""
@@ -27,23 +27,23 @@
 
 def sealed(fields: list[object]) -> bytes:
     """Any fields with a good seal: what a faulty member that has the key may send."""
-    head, body = wire.MAGIC + bytes((wire.VERSION, 0)), msgspec.msgpack.encode(fields)
-    return head + wire._tag(SECRET, head, body) + body
+    head, body = datagrams.MAGIC + bytes((datagrams.VERSION, 0)), msgspec.msgpack.encode(fields)
+    return head + datagrams._tag(SECRET, head, body) + body
 
 
 def test_what_is_sealed_is_opened_the_same():
-    assert wire.unseal(wire.seal(MESSAGE, SECRET), [OTHER, SECRET]) == MESSAGE
+    assert datagrams.unseal(datagrams.seal(MESSAGE, SECRET), [OTHER, SECRET]) == MESSAGE
 
 
-@pytest.mark.parametrize("at", range(len(wire.seal(MESSAGE, SECRET))))
+@pytest.mark.parametrize("at", range(len(datagrams.seal(MESSAGE, SECRET))))
 def test_one_changed_byte_anywhere_is_dropped(at):
-    data = bytearray(wire.seal(MESSAGE, SECRET))
+    data = bytearray(datagrams.seal(MESSAGE, SECRET))
     data[at] ^= 1
     assert reason(bytes(data)) in ("not-ours", "version", "seal")
 
 
 def test_two_keys_count_during_a_change_and_a_withdrawn_one_does_not():
-    old, new = wire.seal(MESSAGE, SECRET), wire.seal(MESSAGE, OTHER)
+    old, new = datagrams.seal(MESSAGE, SECRET), datagrams.seal(MESSAGE, OTHER)
     assert reason(old, [OTHER, SECRET]) == reason(new, [OTHER, SECRET]) == ""
     assert reason(old, [OTHER]) == "seal"
 
@@ -101,26 +101,26 @@
     """A later version adds fields at ends, and kinds: the first are passed over, the second dropped and counted."""
     fields = msgspec.to_builtins(MESSAGE)
     fields[8] = [[*msgspec.to_builtins(ENTRY), "more", 5]]
-    assert wire.unseal(sealed([*fields, {"new": 1}]), [SECRET]) == MESSAGE
+    assert datagrams.unseal(sealed([*fields, {"new": 1}]), [SECRET]) == MESSAGE
     fields[4] = 77
     assert reason(sealed(fields)) == "kind"
     assert reason(sealed(msgspec.to_builtins(MESSAGE)[:5])) == ""  # an earlier one that had fewer
-    data = bytearray(wire.seal(MESSAGE, SECRET))
-    data[2] = wire.VERSION + 1
+    data = bytearray(datagrams.seal(MESSAGE, SECRET))
+    data[2] = datagrams.VERSION + 1
     assert reason(bytes(data)) == "version"
 
 
 def test_what_is_too_long_is_not_looked_at():
-    assert reason(b"W" * (wire.DATAGRAM_MOST + 1)) == "too-long"
+    assert reason(b"W" * (datagrams.DATAGRAM_MOST + 1)) == "too-long"
     assert reason(b"WF") == reason(b"") == "not-ours"
 
 
 @given(st.binary(max_size=200))
 def test_noise_is_dropped_and_nothing_else_is_raised(noise):
     assert reason(noise)
-    assert reason(wire.MAGIC + bytes((wire.VERSION, 0)) + noise)
-    head = wire.MAGIC + bytes((wire.VERSION, 0))
-    reason(head + wire._tag(SECRET, head, noise) + noise)
+    assert reason(datagrams.MAGIC + bytes((datagrams.VERSION, 0)) + noise)
+    head = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
+    reason(head + datagrams._tag(SECRET, head, noise) + noise)
 
 
 @given(st.lists(st.integers(0, 600), max_size=200))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -12,7 +12,7 @@
 from rig import played, reply, rig, settings
 
 from winchdyke import interface as api
-from winchdyke.gateway.engine import Engine
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.standins.wire import LOST
 
 READ = "/school-1/object"
@@ -157,7 +157,7 @@
             assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
             await it.until(lambda: not it.gateway.service.active)
             # What was out is heard to its end, so that the window knows; nothing else is sent.
-            assert all(event.outcome is api.Outcome.SERVED and event.closed for event in it.ended)
+            assert all(event.outcome is api.AttemptOutcome.SERVED and event.closed for event in it.ended)
             await anyio.sleep(0.2)
             assert [seen["client"] for seen in it.record.seen if seen["what"] == "head"] == heads
             assert (await it.ask("GET", READ)).status in (200, 404)
@@ -211,12 +211,17 @@
         async with rig(settings(nodes__wait="200ms", nodes__timeout="200ms")) as it:
             it.list.failing = "error"
             await it.until(
-                lambda: any(isinstance(e, api.NodeList) and e.kind is api.ListKind.FAILED for e in it.events)
+                lambda: any(
+                    isinstance(e, api.EndpointList) and e.kind is api.EndpointListKind.FAILED
+                    for e in it.events
+                )
             )
             assert (await it.ask("GET", READ)).status == 404
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.NodeState.DRAINING)
+            await it.until(
+                lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.EndpointStatus.DRAINING
+            )
 
     run()
 
@@ -225,7 +230,7 @@
     @played
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
-            assert it.gateway.engine.counts["WatchList"] == 1
+            assert it.gateway.engine.counts["WatchEndpoints"] == 1
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -294,7 +299,7 @@
 def test_a_scheduler_that_fails_leaves_no_request_without_an_answer():
     @played
     async def run():
-        async with rig(engine=lambda config: Engine(config.settings(), 1, Broken)) as it:
+        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Broken)) as it:
             got = []
 
             async def ask():
@@ -324,7 +329,7 @@
 def test_a_scheduler_that_says_nothing_is_answered_for():
     @played
     async def run():
-        async with rig(engine=lambda config: Engine(config.settings(), 1, Mute)) as it:
+        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Mute)) as it:
             answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
             assert not it.gateway.engine.tickets
@@ -495,7 +500,7 @@
             old = it.where(READ)
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
-            await it.until(lambda: it.gateway.engine.nodes[old.name].state is api.NodeState.DRAINING)
+            await it.until(lambda: it.gateway.engine.nodes[old.name].state is api.EndpointStatus.DRAINING)
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
             fresh = type(old)(old.spec, old.shelf, it.rack, it.meter, it.record)
@@ -518,8 +523,8 @@
             # Held by the scheduler's list: nobody reads the body at all.
             deaf = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = deaf.extra(anyio.abc.SocketAttribute.local_port)
-            node = api.Node(f"127.0.0.1:{port}", api.NodeState.READY, it.where(READ).spec.shard)
-            it.gateway.engine.post(api.NodeList(api.ListKind.FULL, (node,)))
+            node = api.Endpoint(f"127.0.0.1:{port}", api.EndpointStatus.READY, it.where(READ).spec.shard)
+            it.gateway.engine.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
             sock = socket.create_connection(it.gateway.address)
             head = b"PUT /school-1/object HTTP/1.1\r\nhost: t\r\ncontent-length: 900000000\r\n\r\n"
             sock.sendall(
@@ -569,9 +574,11 @@
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.list.start(it.group)
             await it.until(lambda: len(it.gateway.engine.nodes) == 8)
-            kinds = [event.kind for event in it.events if isinstance(event, api.NodeList)]
-            assert api.ListKind.CACHED in kinds
-            await it.until(lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.NodeState.DRAINING)
+            kinds = [event.kind for event in it.events if isinstance(event, api.EndpointList)]
+            assert api.EndpointListKind.CACHED in kinds
+            await it.until(
+                lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.EndpointStatus.DRAINING
+            )
 
     run()
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -12,7 +12,7 @@
 from winchdyke import interface as api
 from winchdyke.days.judge import RULES, Judge
 from winchdyke.days.script import CLASSES, Class, Day, Event, Plan, Rules, Volume
-from winchdyke.gateway.engine import Engine
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.placement import shard_of
 from winchdyke.standins.clients import Clients, Wish
 
@@ -260,19 +260,23 @@
     def handle(self, now, events):
         actions: list[api.Action] = []
         for event in events:
-            if isinstance(event, api.NodeList):
+            if isinstance(event, api.EndpointList):
                 self.nodes |= {
-                    node.shard: node.name for node in event.nodes if node.state is not api.NodeState.GONE
+                    node.shard: node.name
+                    for node in event.endpoints
+                    if node.status is not api.EndpointStatus.REMOVED
                 }
             elif isinstance(event, api.Request):
-                self.requests[event.id], self.sent[event.id] = event, 1
-                actions.append(api.Send(event.id, self.nodes[event.shard]))
-            elif isinstance(event, api.AttemptEnded) and not event.closed:
-                request = self.requests[event.request]
-                self.sent[event.request] += 1
-                again = self.sent[event.request] <= 4
+                self.requests[event.request_id], self.sent[event.request_id] = event, 1
+                actions.append(api.StartAttempt(event.request_id, self.nodes[event.shard]))
+            elif isinstance(event, api.AttemptEnded) and not event.request_finished:
+                request = self.requests[event.request_id]
+                self.sent[event.request_id] += 1
+                again = self.sent[event.request_id] <= 4
                 actions.append(
-                    api.Send(request.id, self.nodes[request.shard]) if again else api.Refuse(request.id)
+                    api.StartAttempt(request.request_id, self.nodes[request.shard])
+                    if again
+                    else api.ShedRequest(request.request_id)
                 )
         return actions
 
@@ -289,7 +293,7 @@
     @played
     async def run():
         config = settings(gateway__name="gateway-0")
-        wrong = lambda config: Engine(config.settings(), 1, Wrong)  # noqa: E731
+        wrong = lambda config: SchedulerLoop(config.settings(), 1, Wrong)  # noqa: E731
         async with rig(
             config, engine=wrong, unit_ms=30.0, cold_from=0.1, warm_ms=5000.0, fall_window_ms=300.0
         ) as it:
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -23,14 +23,14 @@
 from test_accounts import account, segment, with_ledger
 
 from winchdyke import interface as api
-from winchdyke.accounts import compact, ledger, spans, sums
-from winchdyke.accounts.live import Tail, Top
-from winchdyke.accounts.merge import merged
-from winchdyke.accounts.recorder import Recorder
-from winchdyke.accounts.report import summed
-from winchdyke.accounts.spans import Account
 from winchdyke.cli.main import main
-from winchdyke.gateway.engine import Engine
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.latency_attribution import compact, ledger, spans, sums
+from winchdyke.latency_attribution.live import Tail, Top
+from winchdyke.latency_attribution.merge import merged
+from winchdyke.latency_attribution.recorder import Recorder
+from winchdyke.latency_attribution.report import summed
+from winchdyke.latency_attribution.spans import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 from winchdyke.standins.record import clock
 
@@ -117,9 +117,9 @@
 
     with monkeypatch.context() as patch:
         if killed_at == "write":
-            patch.setattr("winchdyke.accounts.compact.os.fsync", killed)
+            patch.setattr("winchdyke.latency_attribution.compact.os.fsync", killed)
         else:
-            patch.setattr(f"winchdyke.accounts.compact.Path.{killed_at}", killed)
+            patch.setattr(f"winchdyke.latency_attribution.compact.Path.{killed_at}", killed)
         with pytest.raises(Killed):
             compact.compact(tmp_path, 1 << 30, 0.0)
     assert summed(ledger.entries([tmp_path])).requests == 300
@@ -129,7 +129,7 @@
 
 
 def test_a_writer_has_old_segments_summed_up_and_the_whole_stays_under_its_bound(tmp_path, monkeypatch):
-    monkeypatch.setattr("winchdyke.accounts.ledger.BATCH", 20)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger.BATCH", 20)
     bounds = ledger.Bounds(segment_bytes=20_000, total_bytes=200_000, sync_s=0.01)
     writer = ledger.Writer(tmp_path, bounds)
     until = time.monotonic() + 30
@@ -383,12 +383,14 @@
 def test_ten_thousand_waiting_requests_cost_bounded_memory_and_leave_nothing():
     """On the path that the gateway takes: engine, recorder and shadow, with a node that does not answer."""
     config = rig_settings()
-    engine = Engine(config.settings(), 1)
+    engine = SchedulerLoop(config.settings(), 1)
     engine.observe()
     kept: list[object] = []
     writer = SimpleNamespace(put=kept.append)
     recorder = Recorder("g", writer, lambda: engine.observer)  # type: ignore[arg-type]
-    engine.post(api.NodeList(api.ListKind.FULL, (api.Node("n", api.NodeState.READY, 0),)))
+    engine.post(
+        api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))
+    )
     engine.turn()
     tickets, courses = [], []
     for number in range(10_000):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,10 +20,10 @@
 
 from winchdyke import interface as api
 from winchdyke.config.model import S3, Listen
-from winchdyke.gateway.engine import Engine
-from winchdyke.limits.account import SHARE, Account, OverLimit, units_of
-from winchdyke.limits.tolls import Tolls
-from winchdyke.policy import Scheduler, Volume
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.policy import Scheduler, VolumeQuota
+from winchdyke.quotas.byte_metering import ByteMeter
+from winchdyke.quotas.token_bucket import SHARE, Account, OverLimit, units_of
 from winchdyke.standins.wire import Peer
 
 RATE, BURST = 400.0, 100.0
@@ -31,11 +31,11 @@
 SMALL = f"\n[plan small]\nusual_rate = 5\nlimit = {RATE:g}\nlimit_burst = {BURST:g}\n"
 
 
-def purse(limit: float, burst: float, gateways: int = 1, largest: float = 8.0) -> Volume:
+def purse(limit: float, burst: float, gateways: int = 1, largest: float = 8.0) -> VolumeQuota:
     plan = api.Plan("p", 1.0, 1.0, 5.0, 0.0, limit, burst)
-    cfg = api.Settings(gateways, 0, (), (plan,), largest_units=largest)
-    made = Volume(cfg, plan, 0.0)
-    made.gateways = gateways
+    cfg = api.Settings(gateways, 0, (), (plan,), max_request_units=largest)
+    made = VolumeQuota(cfg, plan, 0.0)
+    made.sharing_gateways = gateways
     return made
 
 
@@ -59,8 +59,8 @@
         mine.refill(now)
         small = draw.uniform(1, 8)
         if draw.random() < 0.6:
-            if mine.limit >= small:
-                mine.limit -= small
+            if mine.limit_units >= small:
+                mine.limit_units -= small
                 went.append((now, small))
         elif account.clear:
             units = draw.uniform(9, 300)
@@ -85,8 +85,8 @@
     while not account.clear:
         now += 100.0
         account.settle(now, mine, 100.0, 8.0)
-        while mine.limit >= 4.0:  # small ones take all that there is
-            mine.limit -= 4.0
+        while mine.limit_units >= 4.0:  # small ones take all that there is
+            mine.limit_units -= 4.0
             served += 4.0
     assert now <= sure + 100.0
     assert served >= 0.9 * (1 - SHARE) * 100.0 * now / 1000, "the small ones have the other part of the rate"
@@ -113,7 +113,7 @@
     mine, account = purse(10.0, 50.0, gateways=2), Account(0.0)
     account.owe(30.0)
     account.give_back(100.0, mine)
-    assert account.debt == 0.0 and mine.limit == 25.0
+    assert account.debt == 0.0 and mine.limit_units == 25.0
 
 
 def test_a_limit_that_is_no_more_leaves_no_debt():
@@ -127,7 +127,7 @@
     """81,920 units: the next large one is refused at once, with the time after which there surely is room."""
     clock = [0.0]
     mine = purse(240.0, 480.0)
-    tolls = Tolls(lambda: clock[0], lambda _: mine, lambda: 8.0)
+    tolls = ByteMeter(lambda: clock[0], lambda _: mine, lambda: 8.0)
 
     async def run() -> None:
         first = tolls.bill("v", 240.0, 1, UNIT, 8.0, 1000.0)
@@ -142,7 +142,7 @@
         while clock[0] < error.value.wait_ms:  # small requests take what they may meanwhile
             clock[0] += 100.0
             tolls.settle()
-            mine.limit = min(mine.limit, 0.0)
+            mine.limit_units = min(mine.limit_units, 0.0)
         third = tolls.bill("v", 240.0, 1, UNIT, 8.0, clock[0])
         await third.before(1 << 20)
         third.moved = 1 << 20
@@ -163,7 +163,9 @@
         for rule in base.volumes
     )
     kinds = tuple(
-        dataclasses.replace(kind, rules=dataclasses.replace(kind.rules, deadline_ms=4000.0, aim_ms=500.0))
+        dataclasses.replace(
+            kind, rules=dataclasses.replace(kind.rules, deadline_ms=4000.0, latency_objective_ms=500.0)
+        )
         for kind in base.kinds
     )
     s3 = S3(Listen("127.0.0.1", 0), unsigned="all", part_least=1)
@@ -410,7 +412,9 @@
             )
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
             await it.until(lambda: tolls.debt("school-1") > 0)
-            plan = dataclasses.replace(engine.purse("school-1").plan, limit=20.0, limit_burst=20.0)
+            plan = dataclasses.replace(
+                engine.purse("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
+            )
             engine.retell(engine.settings, {"school-1": plan})
             since, owed = anyio.current_time(), tolls.debt("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
@@ -425,10 +429,10 @@
 
 def test_a_debt_outlives_a_scheduler_that_failed():
     """All accounts of a new scheduler begin empty; what is owed stays owed."""
-    engine = Engine(
+    engine = SchedulerLoop(
         api.Settings(1, 0, (), (api.Plan("p", 1, 1, 5, 0, 10.0, 20.0),)), 1, Scheduler, lambda: 0.0
     )
-    tolls = Tolls(lambda: 0.0, engine.purse, lambda: 8.0)
+    tolls = ByteMeter(lambda: 0.0, engine.purse, lambda: 8.0)
 
     async def run() -> None:
         bill = tolls.bill("v", 10.0, 1, UNIT, 8.0, 0.0)
@@ -507,7 +511,7 @@
 
 
 def test_what_an_operation_counts_is_its_bytes_in_units():
-    from winchdyke.objects.routes import Operation, units
+    from winchdyke.object_api.routes import Operation, units
 
     put = Operation("put", "v", "k")
     assert [units(put, size, 1024, 2.0, 8.0) for size in (0, 1, 1024, 1025, 5000, 10**9)] == [
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,32 +14,40 @@
 from rig import played, rig, settings
 
 from winchdyke import interface as api
+from winchdyke.discovery import cache
+from winchdyke.discovery.endpoint_view import (
+    Bounds,
+    CachedEndpoint,
+    EndpointEvidence,
+    EndpointView,
+    Entry,
+    State,
+)
+from winchdyke.discovery.sources import BURST, Allowance, backoff
 from winchdyke.model.checker import explore
 from winchdyke.model.membership import Membership as World
-from winchdyke.nodes import disk
-from winchdyke.nodes.belief import Belief, Bounds, Entry, Known, State, Word
-from winchdyke.nodes.sources import BURST, Allowance, backoff
 from winchdyke.standins.dns import Dns
 
-READY, DRAINING = api.NodeState.READY, api.NodeState.DRAINING
+READY, DRAINING = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
 NAMES = [f"10.0.0.{n}:7" for n in range(6)]
 
 
-def kept(count: int = 2, **changes: object) -> disk.Kept:
+def kept(count: int = 2, **changes: object) -> cache.CachedEndpointList:
     nodes = [
         dataclasses.replace(
-            Known(name, n, identity=f"s{n}", state=State.USABLE, confirmed_unix=1000.0 + n), **changes
+            CachedEndpoint(name, n, identity=f"s{n}", state=State.USABLE, confirmed_unix=1000.0 + n),
+            **changes,
         )
         for n, name in enumerate(NAMES[:count])
     ]
-    return disk.Kept(1e12, "g", nodes)
+    return cache.CachedEndpointList(1e12, "g", nodes)
 
 
-def believing(count: int = 4, **bounds: float) -> Belief:
-    belief = Belief(Bounds(**bounds))  # type: ignore[arg-type]
+def believing(count: int = 4, **bounds: float) -> EndpointView:
+    belief = EndpointView(Bounds(**bounds))  # type: ignore[arg-type]
     belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:count])], 0.0, version=5)
     for name in NAMES[:count]:
-        belief.heard(name, Word(f"id-{name}", "b1", 1e6), 1.0)
+        belief.heard(name, EndpointEvidence(f"id-{name}", "b1", 1e6), 1.0)
     return belief
 
 
@@ -47,84 +55,84 @@
 
 
 def test_a_list_cut_at_any_byte_or_damaged_anywhere_falls_back_to_the_one_before(tmp_path):
-    disk.save(tmp_path, kept(1), False)
-    disk.save(tmp_path, kept(2), True)
-    whole = disk.path(tmp_path, 0).read_bytes()
+    cache.save(tmp_path, kept(1), False)
+    cache.save(tmp_path, kept(2), True)
+    whole = cache.path(tmp_path, 0).read_bytes()
     for size in range(len(whole)):
-        disk.path(tmp_path, 0).write_bytes(whole[:size])
-        found, said = disk.load(tmp_path)
+        cache.path(tmp_path, 0).write_bytes(whole[:size])
+        found, said = cache.load(tmp_path)
         assert found is not None and len(found.nodes) == 1
         assert "nodes.0" in said[0] and "nodes.1" in said[1]
     for at in range(len(whole)):
-        disk.path(tmp_path, 0).write_bytes(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
-        found, said = disk.load(tmp_path)
+        cache.path(tmp_path, 0).write_bytes(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
+        found, said = cache.load(tmp_path)
         assert found is not None and len(found.nodes) == 1 and said
 
 
 def test_generations_keep_the_lists_before(tmp_path):
     for count in range(1, 6):
-        disk.save(tmp_path, kept(count), True)
-        disk.save(tmp_path, kept(count), False)
-    assert [len(disk.read(disk.path(tmp_path, n)).nodes) for n in range(3)] == [5, 4, 3]
-    assert disk.load(tmp_path / "none") == (None, [])
+        cache.save(tmp_path, kept(count), True)
+        cache.save(tmp_path, kept(count), False)
+    assert [len(cache.read(cache.path(tmp_path, n)).nodes) for n in range(3)] == [5, 4, 3]
+    assert cache.load(tmp_path / "none") == (None, [])
 
 
 def test_a_newer_format_and_lists_that_others_may_write_are_refused(tmp_path):
-    disk.save(tmp_path, kept(1), False)
-    where = disk.path(tmp_path, 0)
+    cache.save(tmp_path, kept(1), False)
+    where = cache.path(tmp_path, 0)
     assert where.stat().st_mode & 0o777 == 0o600
     whole = where.read_bytes()
     where.write_bytes(whole[:7] + b"\x09" + whole[8:])
-    assert "format 9" in disk.load(tmp_path)[1][0]
+    assert "format 9" in cache.load(tmp_path)[1][0]
     where.write_bytes(whole)
     where.chmod(0o666)
-    found, said = disk.load(tmp_path)
+    found, said = cache.load(tmp_path)
     assert found is None and "others may write to the file" in said[0] and "chmod" in said[0]
     where.chmod(0o600)
     tmp_path.chmod(0o777)
-    assert "others may write to the folder" in disk.load(tmp_path)[1][0]
+    assert "others may write to the folder" in cache.load(tmp_path)[1][0]
     tmp_path.chmod(0o700)
 
 
 @pytest.mark.parametrize("call", ["open", "write", "fsync", "link"])
 def test_a_kill_or_a_full_disk_at_any_step_of_writing_leaves_a_whole_list(tmp_path, monkeypatch, call):
-    disk.save(tmp_path, kept(1), False)
+    cache.save(tmp_path, kept(1), False)
 
     def broken(*_: object) -> int:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(f"winchdyke.nodes.disk.os.{call}", broken)
+    monkeypatch.setattr(f"winchdyke.discovery.cache.os.{call}", broken)
     with pytest.raises(OSError):
-        disk.save(tmp_path, kept(3), True)
+        cache.save(tmp_path, kept(3), True)
     monkeypatch.undo()
-    found, said = disk.load(tmp_path)
+    found, said = cache.load(tmp_path)
     assert found is not None and len(found.nodes) == 1 and not said
-    disk.save(tmp_path, kept(3), True)
-    assert len(disk.load(tmp_path)[0].nodes) == 3
+    cache.save(tmp_path, kept(3), True)
+    assert len(cache.load(tmp_path)[0].nodes) == 3
 
 
 # Belief
 
 
 def test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold():
-    belief = Belief(Bounds(trial_gap=20.0))
+    belief = EndpointView(Bounds(trial_gap=20.0))
     belief.restored(kept(3).nodes, 0.0)
     assert belief.news() == []
     assert belief.trial(0.0) == NAMES[2]
     assert belief.trial(10.0) is None, "one at a time"
     assert belief.trial(20.0) == NAMES[1]
-    assert belief.heard(NAMES[2], Word("s2"), 30.0)
+    assert belief.heard(NAMES[2], EndpointEvidence("s2"), 30.0)
     (node,) = belief.news()
-    assert (node.name, node.started_ms) == (NAMES[2], 30.0), "no word on its age: cold from now on"
-    assert belief.heard(NAMES[1], Word("s1", "b", 3_600_000.0), 40.0)
-    assert belief.news()[0].started_ms == 0.0, "warm by its own word"
+    assert (node.name, node.started_at_ms) == (NAMES[2], 30.0), "no word on its age: cold from now on"
+    assert belief.heard(NAMES[1], EndpointEvidence("s1", "b", 3_600_000.0), 40.0)
+    assert belief.news()[0].started_at_ms == 0.0, "warm by its own word"
     belief.refused(NAMES[0], 50.0)
     assert not belief.usable(NAMES[0])
 
 
 def test_another_identity_at_an_address_is_sent_nothing_until_a_list_knows_it():
     belief = believing()
-    assert not belief.heard(NAMES[0], Word("stranger", "b9", 1e6), 2.0)
+    assert not belief.heard(NAMES[0], EndpointEvidence("stranger", "b9", 1e6), 2.0)
     belief.news()
     belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:4])], 3.0, version=6)
     assert belief.known[NAMES[0]].state is State.REUSED, "the list is late"
@@ -156,7 +164,7 @@
     belief = believing()
     belief.listed(
         "list",
-        [Entry(NAMES[0], DRAINING, 0), Entry(NAMES[1], api.NodeState.GONE, 1)],
+        [Entry(NAMES[0], DRAINING, 0), Entry(NAMES[1], api.EndpointStatus.REMOVED, 1)],
         5.0,
         version=6,
         whole=False,
@@ -176,15 +184,15 @@
 
 def test_a_drain_by_its_own_word_outlives_lists_that_do_not_know_it_and_ends_with_a_new_start():
     belief = believing()
-    belief.heard(NAMES[0], Word(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
+    belief.heard(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
     belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:4])], 6.0, version=6)
     assert belief.known[NAMES[0]].state is State.DRAINING
-    belief.heard(NAMES[0], Word(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
+    belief.heard(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
     assert belief.known[NAMES[0]].state is State.COLD
 
 
 def test_all_doubtful_and_none_answers_is_tried_on_and_on_ever_more_rarely():
-    belief = Belief(Bounds(trial_gap=1.0, retry=100.0, retry_most=1000.0))
+    belief = EndpointView(Bounds(trial_gap=1.0, retry=100.0, retry_most=1000.0))
     belief.restored(kept(2).nodes, 0.0)
     tries: list[float] = []
     now = 0.0
@@ -207,7 +215,7 @@
 
 
 def test_a_source_that_fails_hands_over_to_the_next_and_takes_over_again():
-    belief = Belief(Bounds(), ("list", "file"))
+    belief = EndpointView(Bounds(), ("list", "file"))
     belief.listed("file", [Entry(NAMES[0], READY, 0), Entry(NAMES[1], READY, 1)], 0.0)
     assert belief.usable(NAMES[1])
     belief.listed("list", [Entry(NAMES[0], READY, 0)], 1.0)
@@ -245,7 +253,7 @@
     assert found.states > 1000
 
 
-class Stranger(Belief):
+class Stranger(EndpointView):
     """Takes whoever answers for the one that is meant."""
 
     def heard(self, name, word, now, unix=0.0):
@@ -255,14 +263,14 @@
         return super().heard(name, word, now, unix)
 
 
-class Warm(Belief):
+class Warm(EndpointView):
     """Does not look at a store's word on its start."""
 
     def _age(self, known, word, restarted, now):
         known.warm_known = True
 
 
-class Forgets(Belief):
+class Forgets(EndpointView):
     """Loses a drain that the list does not know yet."""
 
     def _entry(self, known, entry, by, now, unix, back):
@@ -272,14 +280,14 @@
         super()._entry(known, entry, by, now, unix, back)
 
 
-class Deaf(Belief):
+class Deaf(EndpointView):
     """Does not hear a store's own word on its drain."""
 
     def heard(self, name, word, now, unix=0.0):
         return super().heard(name, dataclasses.replace(word, draining=False), now, unix)
 
 
-class Young(Belief):
+class Young(EndpointView):
     """Believes a list's silence on a start against what the store said."""
 
     def _entry(self, known, entry, by, now, unix, back):
@@ -321,11 +329,14 @@
     """The list that a gateway kept an hour ago."""
     nodes = [
         dataclasses.replace(
-            Known(store.name, store.spec.shard, "hall-a", State.USABLE, identity=store.identity, confirmed_unix=1e12), **changes
+            CachedEndpoint(
+                store.name, store.spec.shard, "hall-a", State.USABLE, identity=store.identity, confirmed_unix=1e12
+            ),
+            **changes,
         )
         for store in it_stores
     ]  # fmt: skip
-    disk.save(folder, disk.Kept(time.time() * 1000 - 3_600_000, "dev", nodes), False)
+    cache.save(folder, cache.CachedEndpointList(time.time() * 1000 - 3_600_000, "dev", nodes), False)
 
 
 async def restarted(it, folder: Path, listing: bool = False, **changes: object):
@@ -397,7 +408,7 @@
                 seen for seen in it.record.seen[mark:] if seen["who"] == store.name and seen["what"] == "head"
             ]
             await anyio.sleep(1.2)
-            found, _ = disk.load(tmp_path)
+            found, _ = cache.load(tmp_path)
             assert next(known for known in found.nodes if known.name == store.name).drained, (
                 "kept for the next start"
             )
@@ -478,7 +489,7 @@
 
 def test_a_wall_clock_that_is_wrong_by_a_day_changes_nothing(tmp_path, monkeypatch):
     real = time.time
-    monkeypatch.setattr("winchdyke.nodes.membership.time.time", lambda: real() - 86_400)
+    monkeypatch.setattr("winchdyke.discovery.follower.time.time", lambda: real() - 86_400)
 
     @played
     async def run():
@@ -556,7 +567,7 @@
                 lambda: it.gateway.membership.belief.known[it.stores[0].name].state is State.DRAINING
             )
             await it.until(
-                lambda: disk.load(tmp_path)[0] is not None and disk.load(tmp_path)[0].nodes[0].drained
+                lambda: cache.load(tmp_path)[0] is not None and cache.load(tmp_path)[0].nodes[0].drained
             )
             name = it.stores[0].name
             assert "8 nodes" in said("show", str(tmp_path))
@@ -632,12 +643,12 @@
 sys.path.insert(0, "tests")
 from pathlib import Path
 from test_membership import kept
-from winchdyke.nodes import disk
+from winchdyke.discovery import cache
 count = 1
 print("on", flush=True)
 while True:
     count = count % 6 + 1
-    disk.save(Path(sys.argv[1]), kept(count), True)
+    cache.save(Path(sys.argv[1]), kept(count), True)
 """
 
 
@@ -646,7 +657,7 @@
     import subprocess
     import sys
 
-    disk.save(tmp_path, kept(1), False)
+    cache.save(tmp_path, kept(1), False)
     draw = random.Random(2)
     for _ in range(8):
         process = subprocess.Popen([sys.executable, "-c", SAVING, str(tmp_path)], stdout=subprocess.PIPE)
@@ -656,5 +667,5 @@
         process.kill()
         process.wait(5)
         process.stdout.close()
-        found, said = disk.load(tmp_path)
+        found, said = cache.load(tmp_path)
         assert found is not None and found.nodes and not said
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -11,8 +11,8 @@
 from rig import played, rig
 
 from winchdyke.http1 import RequestHead
-from winchdyke.objects import listing, ranges, routes
-from winchdyke.objects.answers import RequestError
+from winchdyke.object_api import listing, ranges, routes
+from winchdyke.object_api.answers import RequestError
 from winchdyke.placement import placed_key, shard_of
 
 KEYS = st.text(st.characters(exclude_categories=("Cs", "Cc")), min_size=1, max_size=60).filter(
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -11,9 +11,9 @@
 
 from winchdyke import interface as api
 from winchdyke.http1 import ClientSide, Need, ProtocolError, ServerSide
-from winchdyke.interface import Outcome
-from winchdyke.platform import environment, wire
-from winchdyke.platform.leaving import leaving
+from winchdyke.interface import AttemptOutcome
+from winchdyke.platform import configuration, protocol
+from winchdyke.platform.graceful_shutdown import shutdown_schedule
 from winchdyke.platform.room import HALF_MS, LEAST, TIMES, Room
 
 TOLD = {
@@ -60,29 +60,29 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def asked(headers: dict[str, str], method: str = "GET", path: str = PATH) -> wire.Asked:
+def asked(headers: dict[str, str], method: str = "GET", path: str = PATH) -> protocol.ParsedRequest:
     side = ServerSide(4096)
     side.feed(message(f"{method} {path} HTTP/1.1", headers))
     head = side.head()
     assert head is not None and not isinstance(head, Need)
-    return wire.Reader(SETTINGS).asked(head)
+    return protocol.Reader(SETTINGS).asked(head)
 
 
 def test_a_request_is_read_and_passes_on_unchanged_but_for_its_time():
     read = asked({**WRITE, "X-IO": "units=2, shard=-1,hosts=1"}, "PUT", PATH + "?a=b")
     assert read.request == api.Request(
-        id="9b1f03aa5c7e2d41",
-        class_name="write",
+        request_id="9b1f03aa5c7e2d41",
+        request_class="write",
         plan="gold",
         volume="00000003b4d60021",
         key="7f3a9c21e0b4d655",
         units=2.0,
         shard=-1,
-        gateways=1,
-        left_ms=480.0,
+        sharing_gateways=1,
+        time_left_ms=480.0,
     )
     read.body = b"abc"
-    sent = dict(wire.onward(read, 123.9))
+    sent = dict(protocol.onward(read, 123.9))
     assert read.target == (PATH + "?a=b").encode() and sent[b"req-deadline-ms"] == b"123"
     assert (sent[b"idempotency-key"], sent[b"content-length"]) == (b"k1", b"3")
 
@@ -119,7 +119,7 @@
     side = ServerSide(4096)
     side.feed(message(f"GET {PATH} HTTP/1.1", READ).replace(b"\r\n\r\n", b"\r\nReq-Id: other\r\n\r\n"))
     with pytest.raises(ProtocolError, match="more than one req-id"):
-        wire.Reader(SETTINGS).asked(side.head())
+        protocol.Reader(SETTINGS).asked(side.head())
 
 
 def answered(first: str, headers: dict[str, str]) -> Any:
@@ -133,25 +133,25 @@
 @pytest.mark.parametrize(
     ("first", "headers", "outcome"),
     [
-        ("HTTP/1.1 200 OK", {}, Outcome.SERVED),
-        ("HTTP/1.1 503 No", {"Srv-Declined": "1"}, Outcome.SHED),
-        ("HTTP/1.1 504 No", {"Srv-Declined": "1"}, Outcome.SHED),
-        ("HTTP/1.1 503 No", {}, Outcome.ERROR),
-        ("HTTP/1.1 500 No", {"Srv-Declined": "1"}, Outcome.ERROR),
-        ("HTTP/1.1 404 No", {}, Outcome.ERROR),
+        ("HTTP/1.1 200 OK", {}, AttemptOutcome.SERVED),
+        ("HTTP/1.1 503 No", {"Srv-Declined": "1"}, AttemptOutcome.SHED),
+        ("HTTP/1.1 504 No", {"Srv-Declined": "1"}, AttemptOutcome.SHED),
+        ("HTTP/1.1 503 No", {}, AttemptOutcome.ERROR),
+        ("HTTP/1.1 500 No", {"Srv-Declined": "1"}, AttemptOutcome.ERROR),
+        ("HTTP/1.1 404 No", {}, AttemptOutcome.ERROR),
     ],
 )
 def test_answers_and_whether_they_prove_that_nothing_ran(first, headers, outcome):
-    assert wire.told(answered(first, {**headers, "Content-Length": "0"}), ()).outcome is outcome
+    assert protocol.told(answered(first, {**headers, "Content-Length": "0"}), ()).outcome is outcome
 
 
 def test_figures_that_cannot_be_read_are_dropped_and_the_answer_counts():
     good = {"X-Volume-Use": "86", "X-Served-Elsewhere": "3", "Srv-Load": "util=0.61,inflight=7"}
-    told = wire.told(answered("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util"))
+    told = protocol.told(answered("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util"))
     assert (told.used, told.others, told.load) == (86.0, 3.0, (7.0, 0.61))
     bad = {"X-Volume-Use": "nan", "X-Served-Elsewhere": "-1", "Srv-Load": "inflight=x,util"}
-    told = wire.told(answered("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util"))
-    assert (told.outcome, told.used, told.others, told.load) == (Outcome.SERVED, None, 0.0, ())
+    told = protocol.told(answered("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util"))
+    assert (told.outcome, told.used, told.others, told.load) == (AttemptOutcome.SERVED, None, 0.0, ())
 
 
 @pytest.mark.parametrize(
@@ -165,7 +165,7 @@
     ],
 )
 def test_an_answer_must_tell_its_end_in_one_way_and_within_the_bound(headers, fits):
-    assert wire.fits(answered("HTTP/1.1 200 OK", headers)) is fits
+    assert protocol.fits(answered("HTTP/1.1 200 OK", headers)) is fits
 
 
 ENTRY = {
@@ -179,9 +179,9 @@
 
 
 def test_a_list_is_read():
-    read = wire.listing(json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode())
-    assert read == wire.Listing(
-        4, True, (wire.Entry("s-1", "10.1.0.18:7070", api.NodeState.READY, 3, "a", 0.0),)
+    read = protocol.listing(json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode())
+    assert read == protocol.EndpointListing(
+        4, True, (protocol.EndpointEntry("s-1", "10.1.0.18:7070", api.EndpointStatus.READY, 3, "a", 0.0),)
     )
 
 
@@ -190,8 +190,8 @@
     [{"id": 7}, {"addr": "here"}, {"addr": "h:99999"}, {"state": "new"}, {"cell": "3"}, {"started_ms": "x"}],
 )
 def test_a_list_that_cannot_be_read_is_told(change):
-    with pytest.raises(wire.ListFault):
-        wire.listing({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
+    with pytest.raises(protocol.EndpointListError):
+        protocol.listing({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
 
 
 def config(path: Path, **changes: Any) -> dict[str, str]:
@@ -214,9 +214,9 @@
 
 
 def test_the_environment_is_one_checked_value(tmp_path):
-    told = environment.read(config(tmp_path / "c.json"))
+    told = configuration.read(config(tmp_path / "c.json"))
     assert (told.discovery, told.seed, told.limits.sockets) == (("127.0.0.1", 8500), 0x8C1F, 256)
-    assert told.settings.classes[1].writes and told.store_idle_ms == 1000.0
+    assert told.settings.classes[1].modifies_data and told.store_idle_ms == 1000.0
     assert told.load_fields == ("inflight", "util")
 
 
@@ -232,17 +232,17 @@
     ],
 )
 def test_an_environment_that_cannot_be_used_says_what_is_wrong(tmp_path, change, says):
-    with pytest.raises(environment.EnvironmentFault, match=says):
-        environment.read(config(tmp_path / "c.json", **change))
+    with pytest.raises(configuration.ConfigurationError, match=says):
+        configuration.read(config(tmp_path / "c.json", **change))
 
 
 def test_no_file_no_json_and_no_variable_are_told(tmp_path):
     for variables in ({}, {"NODE_CONFIG": str(tmp_path / "none")}):
-        with pytest.raises(environment.EnvironmentFault, match="NODE_CONFIG"):
-            environment.read(variables)
+        with pytest.raises(configuration.ConfigurationError, match="NODE_CONFIG"):
+            configuration.read(variables)
     (tmp_path / "half").write_text('{"name": ')
-    with pytest.raises(environment.EnvironmentFault, match="no JSON"):
-        environment.read({"NODE_CONFIG": str(tmp_path / "half")})
+    with pytest.raises(configuration.ConfigurationError, match="no JSON"):
+        configuration.read({"NODE_CONFIG": str(tmp_path / "half")})
 
 
 def test_idle_connections_are_kept_by_how_many_were_open_of_late():
@@ -260,7 +260,7 @@
 def test_a_stop_answers_all_before_the_earliest_end_whatever_the_deadlines(longest, earliest):
     """The platform may end the process so long after SIGTERM; what came later than 0.7 s after it and is open is lost."""
     now = 5000.0
-    times = leaving(now, longest)
+    times = shutdown_schedule(now, longest)
     assert now <= times.last_call <= times.answer_by < now + earliest - 300.0
     assert times.last_call <= now + earliest - 900.0 or times.last_call == now
     assert times.end >= now + 400.0  # new connections come until then
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -20,7 +20,7 @@
 from test_platform import PATH, READ, TOLD, WRITE, config, message
 
 from winchdyke.gateway import logs
-from winchdyke.platform import environment, sockets
+from winchdyke.platform import configuration, sockets
 from winchdyke.platform.clients import State
 from winchdyke.platform.service import Gateway
 
@@ -161,7 +161,7 @@
         limits={"cores": 1, "memory_mb": 64, "sockets": sockets_most},
     )
     os.environ["NODE_CONFIG"] = variables["NODE_CONFIG"]
-    gateway = Gateway(environment.read(variables), asyncio.get_running_loop())
+    gateway = Gateway(configuration.read(variables), asyncio.get_running_loop())
     serving = asyncio.ensure_future(gateway.run())
     made = Site(gateway, store, watches, port)
     made.entry = entry
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -11,38 +11,40 @@
 from hypothesis import strategies as st
 
 from winchdyke import interface as api
-from winchdyke.interface import NodeState, Outcome
+from winchdyke.interface import AttemptOutcome, EndpointStatus
 
 
 def test_held_request_is_answered_before_its_own_time_is_up(gateway):
-    gateway.ask("first", class_name="turns", key="x")
-    gateway.ask("a", class_name="turns", key="x", left_ms=120.0)
+    gateway.ask("first", request_class="turns", key="x")
+    gateway.ask("a", request_class="turns", key="x", time_left_ms=120.0)
     gateway.run(50.0)
     assert gateway.answers == {}
     gateway.run(68.0)
-    assert isinstance(gateway.answers["a"], api.Refuse)
+    assert isinstance(gateway.answers["a"], api.ShedRequest)
 
 
 def test_time_out_at_the_deadline_is_failed_once_and_not_sent_again(gateway):
-    gateway.ask("w", class_name="write")
+    gateway.ask("w", request_class="write")
     gateway.run(2000.0)
-    gateway.end("w", Outcome.TIMED_OUT, closed=False)
+    gateway.end("w", AttemptOutcome.TIMED_OUT, closed=False)
     gateway.run(3000.0)
-    assert gateway.answers == {"w": api.Fail("w")}
+    assert gateway.answers == {"w": api.FailRequest("w")}
     assert gateway.attempts["w"] == 1
 
 
 def test_an_attempt_that_fails_just_before_the_end_is_answered_at_once(gateway):
-    gateway.ask("a", left_ms=100.0)
+    gateway.ask("a", time_left_ms=100.0)
     gateway.run(99.0)
-    gateway.end("a", Outcome.SHED, closed=False)
-    assert isinstance(gateway.answers["a"], api.Refuse)
+    gateway.end("a", AttemptOutcome.SHED, closed=False)
+    assert isinstance(gateway.answers["a"], api.ShedRequest)
 
 
 def test_client_gone_needs_no_answer(gateway):
-    gateway.ask("first", class_name="turns", key="x")
-    gateway.ask("a", class_name="turns", key="x")
-    gateway.give(api.ClientGone("a"), api.ClientGone("first"), api.ClientGone("never heard of"))
+    gateway.ask("first", request_class="turns", key="x")
+    gateway.ask("a", request_class="turns", key="x")
+    gateway.give(
+        api.ClientDisconnected("a"), api.ClientDisconnected("first"), api.ClientDisconnected("never heard of")
+    )
     gateway.run(3000.0)
     assert gateway.answers == {}
 
@@ -50,38 +52,38 @@
 @pytest.mark.parametrize(
     ("name", "outcome", "again"),
     [
-        ("read", Outcome.RESET, True),
-        ("write", Outcome.ERROR, True),
-        ("once", Outcome.RESET, False),
-        ("once", Outcome.SHED, True),
+        ("read", AttemptOutcome.CONNECTION_RESET, True),
+        ("write", AttemptOutcome.ERROR, True),
+        ("once", AttemptOutcome.CONNECTION_RESET, False),
+        ("once", AttemptOutcome.SHED, True),
     ],
 )
 def test_repeats_by_effect(gateway, name, outcome, again):
-    gateway.ask("a", class_name=name)
+    gateway.ask("a", request_class=name)
     gateway.end("a", outcome, closed=False)
     gateway.run(600.0)
     assert (gateway.attempts["a"] > 1) is again
     if not again:
-        assert gateway.answers["a"] == api.Fail("a")
+        assert gateway.answers["a"] == api.FailRequest("a")
 
 
 def test_keyed_repeat_only_while_the_group_remembers(make):
     gateway = make(max_attempts=9)
-    gateway.ask("w", class_name="write", left_ms=9000.0)
-    gateway.end("w", Outcome.ERROR, closed=False)
+    gateway.ask("w", request_class="write", time_left_ms=9000.0)
+    gateway.end("w", AttemptOutcome.ERROR, closed=False)
     assert gateway.attempts["w"] == 2
     gateway.run(4001.0)
-    gateway.end("w", Outcome.SHED, closed=False)
+    gateway.end("w", AttemptOutcome.SHED, closed=False)
     gateway.run(100.0)
     assert gateway.attempts["w"] == 2
-    assert gateway.answers["w"] == api.Fail("w")
+    assert gateway.answers["w"] == api.FailRequest("w")
 
 
 def test_nothing_new_goes_to_a_draining_node_and_its_successor_takes_what_is_held(gateway):
-    gateway.nodes(node("n0", 0, NodeState.DRAINING), kind=api.ListKind.CHANGES)
+    gateway.nodes(node("n0", 0, EndpointStatus.DRAINING), kind=api.EndpointListKind.CHANGES)
     gateway.ask("a")
     assert not gateway.sent("a")
-    gateway.nodes(node("n2", 0), kind=api.ListKind.CHANGES)
+    gateway.nodes(node("n2", 0), kind=api.EndpointListKind.CHANGES)
     gateway.run(30.0)
     assert [send.node for _, send in gateway.sends] == ["n2"]
 
@@ -94,10 +96,10 @@
 
 
 def test_the_watch_is_asked_for_at_start_and_again_after_a_failure():
-    gateway = Gateway(must_ask=True)
+    gateway = Gateway(polls_endpoint_list=True)
     gateway.give()
     assert gateway.watches == 1
-    gateway.give(api.NodeList(api.ListKind.FAILED))
+    gateway.give(api.EndpointList(api.EndpointListKind.FAILED))
     gateway.run(1100.0)
     assert gateway.watches == 2
 
@@ -114,7 +116,7 @@
         gateway.ask(f"r{at}", units=float(size))
         for name in [send.request for _, send in gateway.sends if send.request in units]:
             if gateway.scheduler.requests.get(name) and gateway.scheduler.requests[name].out:
-                gateway.end(name, Outcome.SERVED)
+                gateway.end(name, AttemptOutcome.SERVED)
                 served.append((gateway.now, units[name]))
     window = SETTINGS.fall_window_ms
 
@@ -139,13 +141,13 @@
 
 
 def test_order_by_key_with_its_rest(gateway):
-    gateway.ask("a", class_name="turns", key="x")
-    gateway.ask("b", class_name="turns", key="x")
-    gateway.ask("c", class_name="turns", key="y")
+    gateway.ask("a", request_class="turns", key="x")
+    gateway.ask("b", request_class="turns", key="x")
+    gateway.ask("c", request_class="turns", key="y")
     assert gateway.sent("c") and not gateway.sent("b")
-    gateway.give(api.ClientGone("a"))
+    gateway.give(api.ClientDisconnected("a"))
     assert not gateway.sent("b")
-    gateway.end("a", Outcome.CANCELLED, closed=True)
+    gateway.end("a", AttemptOutcome.CANCELLED, closed=True)
     gateway.run(390.0)
     assert not gateway.sent("b")
     gateway.run(60.0)
@@ -164,7 +166,7 @@
         gateway.ask(f"r{at}")
         for held in list(gateway.scheduler.requests.values()):
             if held.out and not held.done:
-                gateway.end(held.request.id, Outcome.SHED if sheds else Outcome.SERVED)
+                gateway.end(held.request.id, AttemptOutcome.SHED if sheds else AttemptOutcome.SERVED)
     seen: Counter[str] = Counter()
     for when, send in gateway.sends:
         seen[send.request] += 1
@@ -183,11 +185,11 @@
     sent: list[tuple[float, float]] = []
     for at, (gap, size) in enumerate(steps):
         gateway.run(float(gap))
-        gateway.ask(f"r{at}", plan="capped", units=float(size), gateways=2)
+        gateway.ask(f"r{at}", plan="capped", units=float(size), sharing_gateways=2)
         for held in list(gateway.scheduler.requests.values()):
             if held.out:
                 sent.append((gateway.now, held.request.units))
-                gateway.end(held.request.id, Outcome.SERVED)
+                gateway.end(held.request.id, AttemptOutcome.SERVED)
     # The part fills at half the limit from an empty store, whatever an earlier life has spent.
     for at, _ in sent:
         assert sum(units for when, units in sent if when <= at) <= 5.0 * (at - start) / 1000 + 0.001
@@ -195,19 +197,19 @@
 
 @pytest.mark.parametrize("gateways", [1, 6, 250])
 def test_the_sum_over_all_gateways_keeps_a_volumes_limit(gateways):
-    plan = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit=400.0, limit_burst=16.0 * gateways)
+    plan = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=400.0, limit_burst_units=16.0 * gateways)
     sent: list[tuple[float, float]] = []
     for index in range(gateways):
-        one = Gateway(seed=index, gateways=gateways, index=index, plans=(plan,))
+        one = Gateway(seed=index, gateway_count=gateways, gateway_index=index, plans=(plan,))
         start = one.now
         one.nodes()
         for at in range(12):
-            one.ask(f"r{at}", plan="capped", units=float(1 + at % 3), gateways=gateways)
+            one.ask(f"r{at}", plan="capped", units=float(1 + at % 3), sharing_gateways=gateways)
             one.run(150.0)
             for held in list(one.scheduler.requests.values()):
                 if held.out:
                     sent.append((held.sent[-1][1], held.request.units))
-                    one.end(held.request.id, Outcome.SERVED)
+                    one.end(held.request.id, AttemptOutcome.SERVED)
     assert sent
     for at, _ in sent:
         assert sum(units for when, units in sent if when <= at) <= 400.0 * (at - start) / 1000 + 0.001
@@ -215,10 +217,10 @@
 
 EVENTS = st.one_of(
     st.tuples(st.just("ask"), st.sampled_from(["read", "write", "once", "turns"]), st.integers(-1, 2)),
-    st.tuples(st.just("end"), st.sampled_from(list(Outcome)), st.integers(0, 40)),
+    st.tuples(st.just("end"), st.sampled_from(list(AttemptOutcome)), st.integers(0, 40)),
     st.tuples(st.just("gone"), st.integers(0, 60), st.just(0)),
     st.tuples(st.just("wait"), st.integers(0, 900), st.just(0)),
-    st.tuples(st.just("list"), st.sampled_from(list(NodeState)), st.integers(0, 1)),
+    st.tuples(st.just("list"), st.sampled_from(list(EndpointStatus)), st.integers(0, 1)),
     st.tuples(
         st.just("odd"),
         st.sampled_from(["end", "timer", "first", "failed", "peer", "probe", "stale"]),
@@ -236,7 +238,7 @@
     gone: set[str] = set()
     finished: set[str] = set()
     ran: Counter[str] = Counter()
-    states = {0: NodeState.READY, 1: NodeState.READY}
+    states = {0: EndpointStatus.READY, 1: EndpointStatus.READY}
 
     def out() -> list[str]:
         return [h.request.id for h in gateway.scheduler.requests.values() if h.out]
@@ -247,10 +249,10 @@
             case "ask":
                 name = f"r{len(kinds)}"
                 kinds[name] = first
-                gateway.ask(name, class_name=first, shard=second, volume=f"v{second}")
+                gateway.ask(name, request_class=first, shard=second, volume=f"v{second}")
             case "end" if out():
                 name = out()[second % len(out())]
-                closed = first is Outcome.SERVED or name in gone
+                closed = first is AttemptOutcome.SERVED or name in gone
                 if not first.never_ran:
                     ran[name] += 1
                 if closed:
@@ -259,36 +261,38 @@
             case "gone" if f"r{first}" in kinds and f"r{first}" not in finished:
                 if f"r{first}" not in gateway.answers:
                     gone.add(f"r{first}")
-                gateway.give(api.ClientGone(f"r{first}"))
+                gateway.give(api.ClientDisconnected(f"r{first}"))
             case "wait":
                 gateway.run(float(first))
             case "list":
                 states[second] = first
-                gateway.nodes(node(f"n{second}", second, first), kind=api.ListKind.CHANGES)
+                gateway.nodes(node(f"n{second}", second, first), kind=api.EndpointListKind.CHANGES)
             case "odd":
                 gateway.give(
                     {
-                        "end": api.AttemptEnded(f"r{second}", 7, "n0", Outcome.SERVED, 1.0, True),
+                        "end": api.AttemptEnded(f"r{second}", 7, "n0", AttemptOutcome.SERVED, 1.0, True),
                         "timer": api.TimerFired(10_000 + second),
                         "first": api.StreamStarted("unheard of", 0),
-                        "failed": api.NodeList(api.ListKind.FAILED),
+                        "failed": api.EndpointList(api.EndpointListKind.FAILED),
                         "peer": api.PeerMessage(10_000 + second, b"\xff" * second),
-                        "probe": api.ProbeEnded("no such node", Outcome.SERVED, -1.0, (-5.0, 1e9)),
-                        "stale": api.ClientGone(f"r{second + 9000}"),
+                        "probe": api.HealthCheckEnded(
+                            "no such node", AttemptOutcome.SERVED, -1.0, (-5.0, 1e9)
+                        ),
+                        "stale": api.ClientDisconnected(f"r{second + 9000}"),
                     }[first]
                 )
         for _, send in gateway.sends[before:]:
-            assert states[int(send.node[1])] is NodeState.READY
+            assert states[int(send.node[1])] is EndpointStatus.READY
             assert send.request not in finished | gone
             assert kinds[send.request] != "once" or not ran[send.request]
     while out():
         name = out()[0]
         finished |= {name} & gone
-        gateway.end(name, Outcome.TIMED_OUT, closed=name in gone)
+        gateway.end(name, AttemptOutcome.TIMED_OUT, closed=name in gone)
     gateway.run(4000.0)
     while out():
-        gateway.end(out()[0], Outcome.TIMED_OUT, closed=False)
+        gateway.end(out()[0], AttemptOutcome.TIMED_OUT, closed=False)
     for name, answer in gateway.answers.items():
-        if isinstance(answer, api.Refuse):
+        if isinstance(answer, api.ShedRequest):
             assert kinds[name] in ("read", "turns") or not ran[name]
     assert set(kinds) == finished | gone | set(gateway.answers)
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -57,7 +57,7 @@
     # Stand-ins on a busy machine: a class whose deadline leaves time for tens of MiB.
     kinds = tuple(
         dataclasses.replace(
-            kind, rules=dataclasses.replace(kind.rules, deadline_ms=20_000.0, aim_ms=10_000.0)
+            kind, rules=dataclasses.replace(kind.rules, deadline_ms=20_000.0, latency_objective_ms=10_000.0)
         )
         for kind in base.kinds
     )
@@ -536,7 +536,9 @@
     async def run():
         config = with_s3(keys)
         kinds = tuple(
-            dataclasses.replace(kind, rules=dataclasses.replace(kind.rules, aim_ms=300.0, deadline_ms=3000.0))
+            dataclasses.replace(
+                kind, rules=dataclasses.replace(kind.rules, latency_objective_ms=300.0, deadline_ms=3000.0)
+            )
             for kind in config.kinds
         )
         async with rig(dataclasses.replace(config, kinds=kinds), unit_ms=0.1) as it:
@@ -636,7 +638,9 @@
             for rule in config.volumes
         )
         kinds = tuple(
-            dataclasses.replace(kind, rules=dataclasses.replace(kind.rules, deadline_ms=400.0, aim_ms=200.0))
+            dataclasses.replace(
+                kind, rules=dataclasses.replace(kind.rules, deadline_ms=400.0, latency_objective_ms=200.0)
+            )
             for kind in config.kinds
         )
         config = dataclasses.replace(config, plans=(*config.plans, small), volumes=volumes, kinds=kinds)
@@ -861,7 +865,9 @@
         config = with_s3(keys)
         limits = dataclasses.replace(config.limits, header_timeout=400.0, stream_idle=600.0)
         kinds = tuple(
-            dataclasses.replace(kind, rules=dataclasses.replace(kind.rules, deadline_ms=1500.0, aim_ms=500.0))
+            dataclasses.replace(
+                kind, rules=dataclasses.replace(kind.rules, deadline_ms=1500.0, latency_objective_ms=500.0)
+            )
             for kind in config.kinds
         )
         async with rig(dataclasses.replace(config, limits=limits, kinds=kinds)) as it:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -15,20 +15,20 @@
 import pytest
 from click.testing import CliRunner
 
-from winchdyke.accounts import ledger
-from winchdyke.accounts.live import held_now
-from winchdyke.accounts.spans import Account
-from winchdyke.accounts.sums import Latencies, NodeSum, Sums, VolumeSum, histogram
 from winchdyke.admin import keys as admin_keys
 from winchdyke.auth import keys as access_keys
-from winchdyke.changes import mend
-from winchdyke.changes.machine import HELD, Standing
-from winchdyke.changes.trail import TrailError, Version
 from winchdyke.cli.main import main
-from winchdyke.fleet import disk as fleet_disk
-from winchdyke.gateway.writeback import Record
-from winchdyke.nodes import disk as nodes_disk
-from winchdyke.nodes.belief import Known, State
+from winchdyke.config_rollout import last_known_good
+from winchdyke.config_rollout.change_log import ChangeLogError, Version
+from winchdyke.config_rollout.rollout_state import HELD, RolloutState
+from winchdyke.discovery import cache as nodes_disk
+from winchdyke.discovery.endpoint_view import CachedEndpoint, State
+from winchdyke.gateway.writeback import WriteBackRecord
+from winchdyke.latency_attribution import ledger
+from winchdyke.latency_attribution.live import held_now
+from winchdyke.latency_attribution.spans import Account
+from winchdyke.latency_attribution.sums import Latencies, NodeSum, Sums, VolumeSum, histogram
+from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Found, Log
 
@@ -89,7 +89,7 @@
 
 def test_the_trail_of_changes_is_read_with_its_archive(tmp_path):
     """All entries, versions, the chain of hashes, and where the gateway stands."""
-    trail, said = mend.opened(copied("changes", tmp_path))
+    trail, said = last_known_good.opened(copied("changes", tmp_path))
     assert said == ""
     assert trail.verify(archives=True) == []
 
@@ -121,11 +121,11 @@
         "kept": {"2": "b5a967070f323ecb4619a3540c6a50367324b8267881dd35acc17143a6442400"},
     }
 
-    assert trail.standing() == Standing(serving=2, staged=4, before=3, staged_at_ms=HELD)
+    assert trail.standing() == RolloutState(serving=2, staged=4, before=3, staged_at_ms=HELD)
     assert trail.version(2) == Version(2, 1, settings_text(200), difference(100, 200))
     assert trail.version(3) == Version(3, 2, settings_text(300), difference(200, 300))
     assert trail.version(4) == Version(4, 2, settings_text(250), difference(200, 250))
-    with pytest.raises(TrailError, match="no version 1"):
+    with pytest.raises(ChangeLogError, match="no version 1"):
         trail.version(1)
     archived = trail.archives()[0].read_text(encoding="utf-8").splitlines()
     assert json.loads(archived[0]) == {"version": [1, 0, settings_text(100), "[]"]}
@@ -134,7 +134,7 @@
 
 def test_the_version_that_was_served_last_is_read(tmp_path):
     """Its number and text; a checksum that does not fit would give None."""
-    served = mend.kept(copied("changes", tmp_path))
+    served = last_known_good.kept(copied("changes", tmp_path))
     assert served is not None
     assert (served.version, served.text) == (2, settings_text(200))
     assert served.sha256 == "755c96edcfe5b4ae813ba93cbeb9a012a5c996e4df8a739a587db3364a863b83"
@@ -146,9 +146,9 @@
 def test_both_generations_of_the_node_list_are_read(tmp_path):
     """Every field of each node."""
     folder = copied("nodes", tmp_path)
-    first = Known("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
+    first = CachedEndpoint("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
     others = [
-        Known(
+        CachedEndpoint(
             f"192.0.2.{number}:9000",
             number,
             "west",
@@ -174,9 +174,9 @@
 
     newest, said = nodes_disk.load(folder)
     assert said == []
-    assert newest == nodes_disk.Kept(START_MS + 1000, "gateway-1", [first, *others])
+    assert newest == nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", [first, *others])
     before = nodes_disk.read(nodes_disk.path(folder, 1))
-    assert before == nodes_disk.Kept(START_MS, "gateway-1", [first])
+    assert before == nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first])
 
 
 def test_the_history_of_nodes_is_read(tmp_path):
@@ -203,12 +203,12 @@
     """This gateway's name and last life, and the other members in order."""
     kept, said = fleet_disk.load(copied("fleet", tmp_path))
     assert said == ""
-    assert kept == fleet_disk.Kept(
+    assert kept == fleet_disk.KnownMembers(
         "gateway-1",
         1_700_000_000_123,
         [
-            fleet_disk.Known("gateway-2", "192.0.2.12:7400"),
-            fleet_disk.Known("gateway-3", "[2001:db8::3]:7400"),
+            fleet_disk.KnownMember("gateway-2", "192.0.2.12:7400"),
+            fleet_disk.KnownMember("gateway-3", "[2001:db8::3]:7400"),
         ],
     )
 
@@ -269,7 +269,9 @@
             4: (2, 72, 388),
         }
         assert log.out == {2: b'"tag-before"'}
-        records = [(sequence, msgspec.msgpack.decode(data, type=Record)) for sequence, data in log.writes()]
+        records = [
+            (sequence, msgspec.msgpack.decode(data, type=WriteBackRecord)) for sequence, data in log.writes()
+        ]
     finally:
         log.close()
 
@@ -280,7 +282,7 @@
     assert records == [
         (
             sequence,
-            Record(
+            WriteBackRecord(
                 volume="photos-1",
                 key=f"2023/{number}.jpg",
                 class_name="upload",
--- a/winchdyke/admin/client.py
+++ b/winchdyke/admin/client.py
@@ -11,7 +11,7 @@
 from urllib.parse import urlsplit
 
 from winchdyke.admin.keys import Key, KeysError, read
-from winchdyke.changes.desk import DeskError
+from winchdyke.config_rollout.operations import OperationError
 
 TIMEOUT_S = 60.0
 TRIES = 3  # where a gateway has just started
@@ -41,16 +41,18 @@
             return
         parts = urlsplit(where)
         if parts.scheme != "http" or not parts.hostname or parts.path not in ("", "/"):
-            raise DeskError("where", f"{where} is no place of an admin API: unix:PATH or http://HOST:PORT")
+            raise OperationError(
+                "where", f"{where} is no place of an admin API: unix:PATH or http://HOST:PORT"
+            )
         if key_file is None:
-            raise DeskError("no-key", f"{where} wants signed requests: give --key FILE")
+            raise OperationError("no-key", f"{where} wants signed requests: give --key FILE")
         try:
             now = time.time() * 1000
             good = [key for key in read(key_file) if key.good(now)]
         except KeysError as error:
-            raise DeskError("key", str(error)) from error
+            raise OperationError("key", str(error)) from error
         if not good:
-            raise DeskError("key", f"{key_file}: none of its keys counts now; ask for another one")
+            raise OperationError("key", f"{key_file}: none of its keys counts now; ask for another one")
         self._key = max(good, key=lambda key: key.since_ms)
         self._connection = http.client.HTTPConnection(parts.hostname, parts.port or 80, timeout=TIMEOUT_S)
 
@@ -71,7 +73,7 @@
                 time.sleep(min(after, 10.0))
                 continue
             text = str(found.pop("text", f"the gateway answered {status}"))
-            raise DeskError(str(found.pop("error", "http")), text, found)
+            raise OperationError(str(found.pop("error", "http")), text, found)
         raise AssertionError
 
     def _ask(self, body: bytes, path: str) -> tuple[int, float, dict[str, Any]]:
@@ -92,7 +94,7 @@
         except (OSError, http.client.HTTPException) as error:
             self._connection.close()
             reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
-            raise DeskError("unreachable", f"no gateway answers at {self.where}: {reason}") from error
+            raise OperationError("unreachable", f"no gateway answers at {self.where}: {reason}") from error
         try:
             found = json.loads(data)
         except ValueError:
--- a/winchdyke/admin/keys.py
+++ b/winchdyke/admin/keys.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from winchdyke.files import OwnError, Watched, read_own, write_own
+from winchdyke.durable_files import OwnError, Watched, read_own, write_own
 
 SECRET_BYTES = 32
 
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -23,9 +23,9 @@
 from anyio.abc import SocketAttribute, SocketListener, SocketStream
 
 from winchdyke.admin.keys import KeysError, Ring, read
-from winchdyke.changes import desk
-from winchdyke.changes.trail import Trail
 from winchdyke.config.model import Admin as Settings
+from winchdyke.config_rollout import operations
+from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.http1 import Headers, ProtocolError, RequestHead
 
@@ -118,7 +118,7 @@
 class Admin:
     """What answers on the admin listeners of one gateway."""
 
-    def __init__(self, settings: Settings, trail: Trail | None, fleet: Standing | None = None) -> None:
+    def __init__(self, settings: Settings, trail: ChangeLog | None, fleet: Standing | None = None) -> None:
         self.connections = CONNECTIONS
         self.trail, self.fleet, self._log = trail, fleet, structlog.get_logger("admin")
         self._limiter = anyio.CapacityLimiter(AT_ONCE)
@@ -179,12 +179,12 @@
         if self.trail is None:
             return 404, {"error": "no-changes", "text": "no changes are kept here; see changes, folder"}, []
         try:
-            operation = desk.read(body if head.method == "POST" else b'{"op": "standing"}')
-            worker = desk.Desk(self.trail, who, origin)
+            operation = operations.read(body if head.method == "POST" else b'{"op": "standing"}')
+            worker = operations.ChangeOperations(self.trail, who, origin)
             found = await anyio.to_thread.run_sync(worker.do, operation, limiter=self._limiter)
-        except desk.DeskError as error:
+        except operations.OperationError as error:
             return STATUS.get(error.code, 409), {"error": error.code, "text": error.text, **error.more}, []
-        if not isinstance(operation, desk.READING):
+        if not isinstance(operation, operations.READING):
             self._log.info("admin", op=type(operation).__name__.lower(), who=who, origin=origin)
         return 200, found, []
 
--- a/winchdyke/auth/keys.py
+++ b/winchdyke/auth/keys.py
@@ -15,7 +15,7 @@
 import msgspec
 from cryptography.fernet import Fernet, InvalidToken, MultiFernet
 
-from winchdyke.files import OwnError, Watched, read_own, write_own
+from winchdyke.durable_files import OwnError, Watched, read_own, write_own
 
 ACTIONS = ("list", "read", "write", "delete")
 
