--- a/winchdyke/benchlink.py
+++ b/winchdyke/benchlink.py
@@ -15,22 +15,22 @@
 from winchdyke.policy import Scheduler
 from winchdyke.settings import settings_of, word
 
-STATES = {"0": api.NodeState.GONE, "1": api.NodeState.READY, "2": api.NodeState.DRAINING}
+STATES = {"0": api.EndpointStatus.REMOVED, "1": api.EndpointStatus.READY, "2": api.EndpointStatus.DRAINING}
 KINDS = {
-    "0": api.ListKind.FAILED,
-    "1": api.ListKind.CHANGES,
-    "2": api.ListKind.CACHED,
-    "3": api.ListKind.FULL,
+    "0": api.EndpointListKind.FAILED,
+    "1": api.EndpointListKind.CHANGES,
+    "2": api.EndpointListKind.CACHED,
+    "3": api.EndpointListKind.FULL,
 }
 OUTCOMES = {
-    "delivered": api.Outcome.SERVED,
-    "app_error": api.Outcome.ERROR,
-    "shed": api.Outcome.SHED,
-    "expired": api.Outcome.TIMED_OUT,
-    "dial_failed": api.Outcome.DIAL_FAILED,
-    "dropped": api.Outcome.RESET,
-    "revoked": api.Outcome.CANCELLED,
-    "unused": api.Outcome.UNSENT,
+    "delivered": api.AttemptOutcome.SERVED,
+    "app_error": api.AttemptOutcome.ERROR,
+    "shed": api.AttemptOutcome.SHED,
+    "expired": api.AttemptOutcome.TIMED_OUT,
+    "dial_failed": api.AttemptOutcome.CONNECT_FAILED,
+    "dropped": api.AttemptOutcome.CONNECTION_RESET,
+    "revoked": api.AttemptOutcome.CANCELLED,
+    "unused": api.AttemptOutcome.NOT_SENT,
 }
 REPEAT_BIT = 2
 
@@ -49,32 +49,32 @@
     return () if text == "-" else tuple(number(part) for part in text.split(","))
 
 
-def node(row: list[str]) -> api.Node:
+def node(row: list[str]) -> api.Endpoint:
     """An entry of the node list."""
     if row[0] != "M":
         raise WireError(f"expected a list entry, got {row[0]!r}")
-    return api.Node(
+    return api.Endpoint(
         name=row[4],
-        state=word(STATES, row[6]),
+        status=word(STATES, row[6]),
         shard=int(number(row[7])),
         zone=row[2],
-        started_ms=number(row[3]),
+        started_at_ms=number(row[3]),
     )
 
 
 def demand(row: list[str]) -> api.Request:
     """A client's request."""
     return api.Request(
-        id=row[2],
-        class_name=row[3],
+        request_id=row[2],
+        request_class=row[3],
         plan=row[4],
         key="" if row[5] == "-" else row[5],
-        left_ms=number(row[6]),
+        time_left_ms=number(row[6]),
         volume=row[7],
         units=number(row[8]),
         shard=int(number(row[9])),
-        gateways=int(number(row[10])),
-        repeat=bool(int(number(row[11])) & REPEAT_BIT),
+        sharing_gateways=int(number(row[10])),
+        is_retry=bool(int(number(row[11])) & REPEAT_BIT),
     )
 
 
@@ -82,15 +82,15 @@
     """The end of an attempt."""
     used = number(row[8])
     return api.AttemptEnded(
-        request=row[2],
+        request_id=row[2],
         attempt=int(row[3]),
-        node=row[4],
+        endpoint=row[4],
         outcome=word(OUTCOMES, row[5]),
         latency_ms=number(row[6]),
-        closed=row[7] == "1",
-        used_percent=used - 1 if used else None,
-        from_others=number(row[9]),
-        load=report(row[10]),
+        request_finished=row[7] == "1",
+        volume_usage_percent=used - 1 if used else None,
+        units_via_other_gateways=number(row[9]),
+        load_report=report(row[10]),
     )
 
 
@@ -103,16 +103,16 @@
         data = b"" if row[3] == "-" else base64.b64decode(row[3], validate=True)
     except binascii.Error:
         data = b""
-    return api.PeerMessage(sender=int(row[2]), data=data)
+    return api.PeerMessage(sender_index=int(row[2]), payload=data)
 
 
 READERS: dict[str, Callable[[list[str]], api.Event]] = {
     "DEMAND": demand,
-    "FLOWING": lambda row: api.StreamStarted(request=row[2], attempt=int(row[3])),
+    "FLOWING": lambda row: api.StreamStarted(request_id=row[2], attempt=int(row[3])),
     "CLOSED_ATTEMPT": ended,
-    "VANISHED": lambda row: api.ClientGone(request=row[2]),
-    "TIMEOUT_FIRED": lambda row: api.TimerFired(tag=int(row[2])),
-    "PONG": lambda row: api.ProbeEnded(row[2], word(OUTCOMES, row[3]), number(row[4]), report(row[5])),
+    "VANISHED": lambda row: api.ClientDisconnected(request_id=row[2]),
+    "TIMEOUT_FIRED": lambda row: api.TimerFired(timer_id=int(row[2])),
+    "PONG": lambda row: api.HealthCheckEnded(row[2], word(OUTCOMES, row[3]), number(row[4]), report(row[5])),
     "PEER": peer,
 }
 
@@ -120,19 +120,19 @@
 def written(who: str, action: api.Action) -> str:
     """An action as a line of the wire."""
     match action:
-        case api.Send(request, name, timeout):
+        case api.StartAttempt(request, name, timeout):
             parts = ["ISSUE", who, request, name, f"{timeout:.3f}"]
-        case api.Refuse(request, after):
+        case api.ShedRequest(request, after):
             parts = ["REFUSE", who, request, f"{after:.3f}"]
-        case api.Fail(request):
+        case api.FailRequest(request):
             parts = ["DROP_REQUEST", who, request]
         case api.SetTimer(tag, after):
             parts = ["DEFER", who, str(tag), f"{after:.3f}"]
-        case api.Cancel(request, attempt):
+        case api.CancelAttempt(request, attempt):
             parts = ["UNDO_SEND", who, request, str(attempt)]
-        case api.WatchList():
+        case api.WatchEndpoints():
             parts = ["TAIL", who, "1"]
-        case api.Log(text):
+        case api.LogMessage(text):
             parts = ["LOG", who, " ".join(text.split())]
     return "\t".join(parts)
 
@@ -160,8 +160,8 @@
             raise WireError(f"instance {who!r} is not running")
         elif kind == "MEMBERS":
             nodes = tuple(node(next(more, "").rstrip("\r\n").split("\t")) for _ in range(int(number(row[4]))))
-            self.events.setdefault(who, []).append(api.NodeList(word(KINDS, row[2]), nodes))
-        elif kind == "DEMAND" and row[3] not in self.schedulers[who].kinds:
+            self.events.setdefault(who, []).append(api.EndpointList(word(KINDS, row[2]), nodes))
+        elif kind == "DEMAND" and row[3] not in self.schedulers[who].classes:
             raise WireError(f"unknown class {row[3]!r}")
         elif kind in READERS:
             self.events.setdefault(who, []).append(READERS[kind](row))
@@ -174,7 +174,9 @@
         for who, events in self.events.items():
             actions = self.schedulers[who].handle(self.now, events)
             # A send is written as it is decided here: there is nothing to call off before it.
-            lines += [written(who, action) for action in actions if not isinstance(action, api.CallOff)]
+            lines += [
+                written(who, action) for action in actions if not isinstance(action, api.AbandonAttempt)
+            ]
         self.events = {}
         return lines
 
--- a/winchdyke/cli/changes.py
+++ b/winchdyke/cli/changes.py
@@ -52,8 +52,8 @@
     folder: bool = False,
 ) -> Call:
     """What carries out operations: on a folder's trail, or at a gateway."""
-    from winchdyke.changes import desk
-    from winchdyke.changes.trail import Trail, TrailError
+    from winchdyke.config_rollout import operations
+    from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
 
     try:
         if where.startswith(("unix:", "http:")):
@@ -63,18 +63,20 @@
 
             call: Call = There(where, key_file, who or "").call
         else:
-            trail = Trail(Path(where), create)
-            worker = desk.Desk(trail, who or getpass.getuser(), f"{socket.gethostname()}:{os.getpid()}")
+            trail = ChangeLog(Path(where), create)
+            worker = operations.ChangeOperations(
+                trail, who or getpass.getuser(), f"{socket.gethostname()}:{os.getpid()}"
+            )
 
             def call(**operation: Any) -> dict[str, Any]:
-                return worker.do(desk.read(operation))
-    except (desk.DeskError, TrailError) as error:
+                return worker.do(operations.read(operation))
+    except (operations.OperationError, ChangeLogError) as error:
         raise click.ClickException(str(error)) from None
 
     def asked(**operation: Any) -> dict[str, Any]:
         try:
             return call(**operation)
-        except desk.DeskError as error:
+        except operations.OperationError as error:
             raise click.ClickException(error.text) from None
 
     return asked
@@ -371,13 +373,13 @@
 @click.argument("file", type=click.File(encoding="utf-8"))
 def take_in(where: str, file: Any) -> None:
     """Take in an export at a folder that has none; its hash chain must fit."""
-    from winchdyke.changes.trail import Trail, TrailError
+    from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
 
     if where.startswith(("unix:", "http:")):
         raise click.ClickException("this is done on a folder of its own, before a gateway starts with it")
     try:
-        count = Trail(Path(where)).take_in(file)
-    except TrailError as error:
+        count = ChangeLog(Path(where)).take_in(file)
+    except ChangeLogError as error:
         raise click.ClickException(str(error)) from None
     click.echo(f"{count} entries, all in the chain")
 
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -41,11 +41,11 @@
 
 def _standing(where: str, key: Path | None) -> dict[str, Any]:
     from winchdyke.admin.client import There
-    from winchdyke.changes.desk import DeskError
+    from winchdyke.config_rollout.operations import OperationError
 
     try:
         return There(where, key).fleet()
-    except DeskError as error:
+    except OperationError as error:
         raise click.ClickException(error.text) from None
 
 
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -82,7 +82,7 @@
     from urllib.parse import urlsplit
 
     from winchdyke.config import units
-    from winchdyke.files import OwnError, read_own
+    from winchdyke.durable_files import OwnError, read_own
     from winchdyke.load.report import Seen
     from winchdyke.load.schedule import Mix
 
--- a/winchdyke/cli/nodes.py
+++ b/winchdyke/cli/nodes.py
@@ -28,9 +28,9 @@
 
 
 def _kept(folder: Path) -> Any:
-    from winchdyke.nodes import disk
+    from winchdyke.discovery import cache
 
-    found, said = disk.load(folder)
+    found, said = cache.load(folder)
     for text in said:
         click.echo(text, err=True)
     if found is None:
--- a/winchdyke/cli/waits.py
+++ b/winchdyke/cli/waits.py
@@ -35,15 +35,15 @@
 def _summary(
     ledgers: tuple[Path, ...], since: str | None, until: str | None, node: str | None, off_ms: float = 0.0
 ) -> tuple[Any, list[str]]:
-    from winchdyke.accounts import ledger
-    from winchdyke.accounts.merge import Crowd
-    from winchdyke.accounts.report import summed
-    from winchdyke.accounts.spans import Account
+    from winchdyke.latency_attribution import ledger
+    from winchdyke.latency_attribution.merge import ContentionTimeline
+    from winchdyke.latency_attribution.report import summed
+    from winchdyke.latency_attribution.spans import Account
 
     found = ledger.Recovered()
     try:
         # Two passes, so that no more than sums is held: who was at each node, then whom each wait was for.
-        crowd = Crowd(off_ms)
+        crowd = ContentionTimeline(off_ms)
         for each in ledger.read(ledgers):
             crowd.add(each)
         entries = (
@@ -90,7 +90,7 @@
     summary, losses = _summary(ledgers, since, until, node, off_ms)
     data = summary.data(volumes or None)
     if html is not None:
-        from winchdyke.accounts.page import page
+        from winchdyke.latency_attribution.page import page
 
         html.write_text(page(data, losses), encoding="utf-8")
         click.echo(f"{html}: written")
@@ -132,8 +132,8 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def explain(request: str, ledgers: tuple[Path, ...], as_json: bool) -> None:
     """Where the time of REQUEST went: its spans, its wait by cause, and who held it."""
-    from winchdyke.accounts import ledger
-    from winchdyke.accounts.report import explained
+    from winchdyke.latency_attribution import ledger
+    from winchdyke.latency_attribution.report import explained
 
     try:
         account = next(
@@ -195,7 +195,7 @@
     """Sum up old accounts of the ledger in FOLDER by the minute. A gateway does so by itself."""
     import os
 
-    from winchdyke.accounts import compact as compaction
+    from winchdyke.latency_attribution import compact as compaction
 
     if gently:
         os.nice(10)
@@ -232,7 +232,7 @@
     import sys
     import time
 
-    from winchdyke.accounts.live import Top
+    from winchdyke.latency_attribution.live import Top
 
     if seconds <= 0 or every <= 0:
         raise click.ClickException("--seconds and --every are more than 0")
--- a/winchdyke/config/loading.py
+++ b/winchdyke/config/loading.py
@@ -475,22 +475,24 @@
     nodes = values["nodes", ""]
     host, port, path = nodes["list"]
     effects = {
-        "idempotent": api.Effect.IDEMPOTENT, "keyed": api.Effect.KEYED, "at-most-once": api.Effect.AT_MOST_ONCE,
-    }  # fmt: skip
+        "idempotent": api.RepeatSafety.IDEMPOTENT,
+        "keyed": api.RepeatSafety.IDEMPOTENCY_KEY,
+        "at-most-once": api.RepeatSafety.AT_MOST_ONCE,
+    }
     kinds = []
     for name, keys in named("class"):
         rules = api.RequestClass(
             name=name,
-            worth=keys["worth"],
-            aim_ms=keys["aim"],
+            priority_weight=keys["worth"],
+            latency_objective_ms=keys["aim"],
             deadline_ms=keys["deadline"],
-            late_share=keys["late_share"],
-            effect=effects[keys["effect"]],
-            scope=api.Scope(keys["scope"]),
-            memory_ms=keys["memory"],
+            late_value_ratio=keys["late_share"],
+            repeat_safety=effects[keys["effect"]],
+            deduplication_scope=api.DeduplicationScope(keys["scope"]),
+            deduplication_window_ms=keys["memory"],
             streamed=keys["streamed"],
             in_order=keys["in_order"],
-            writes=keys["writes"],
+            modifies_data=keys["writes"],
         )
         unit = max(1, keys["unit_bytes"])
         kinds.append(model.Kind(rules, keys["operations"], keys["also"], unit, keys["usual_units"]))
@@ -531,7 +533,10 @@
         ),
         rules=model.Rules(**values["rules", ""]),
         kinds=tuple(kinds),
-        plans=tuple(api.Plan(name, **keys) for name, keys in named("plan")),
+        plans=tuple(
+            api.Plan(name, **{field: keys[key] for key, field in schema.PLAN_FIELDS.items()})
+            for name, keys in named("plan")
+        ),
         stores=tuple(
             model.Store(_address(name), keys["shard"], keys["capacity"], keys["answers_in"])
             for name, keys in named("store")
--- a/winchdyke/config/meaning.py
+++ b/winchdyke/config/meaning.py
@@ -21,8 +21,10 @@
 GONE = None
 SAMPLES = 400  # example requests that are tried for each side's routes at the most
 EFFECTS = {
-    api.Effect.IDEMPOTENT: "idempotent", api.Effect.KEYED: "keyed", api.Effect.AT_MOST_ONCE: "at-most-once",
-}  # fmt: skip
+    api.RepeatSafety.IDEMPOTENT: "idempotent",
+    api.RepeatSafety.IDEMPOTENCY_KEY: "keyed",
+    api.RepeatSafety.AT_MOST_ONCE: "at-most-once",
+}
 LOOSER_UP = {  # rules' figures that promise less when they grow
     "fall_multiple", "cold_units", "extra_free", "extra_share", "max_attempts", "cold_from",
 }  # fmt: skip
@@ -79,13 +81,23 @@
     for kind in config.kinds:
         rules = kind.rules
         values["class", rules.name] = {
-            "operations": kind.operations, "also": kind.also, "worth": rules.worth, "aim": rules.aim_ms,
-            "deadline": rules.deadline_ms, "late_share": rules.late_share, "effect": EFFECTS[rules.effect],
-            "scope": rules.scope.value, "memory": rules.memory_ms, "streamed": rules.streamed, "in_order": rules.in_order,
-            "writes": rules.writes, "unit_bytes": kind.unit_bytes, "usual_units": kind.usual_units,
-        }  # fmt: skip
+            "operations": kind.operations,
+            "also": kind.also,
+            "worth": rules.priority_weight,
+            "aim": rules.latency_objective_ms,
+            "deadline": rules.deadline_ms,
+            "late_share": rules.late_value_ratio,
+            "effect": EFFECTS[rules.repeat_safety],
+            "scope": rules.deduplication_scope.value,
+            "memory": rules.deduplication_window_ms,
+            "streamed": rules.streamed,
+            "in_order": rules.in_order,
+            "writes": rules.modifies_data,
+            "unit_bytes": kind.unit_bytes,
+            "usual_units": kind.usual_units,
+        }
     for plan in config.plans:
-        values["plan", plan.name] = {key: getattr(plan, key) for key in schema.BLOCKS["plan"].keys}
+        values["plan", plan.name] = {key: getattr(plan, field) for key, field in schema.PLAN_FIELDS.items()}
     for store in config.stores:
         values["store", Address().show(store.address)] = {
             "shard": store.shard, "capacity": store.capacity, "answers_in": store.answers_in,
--- a/winchdyke/config/schema.py
+++ b/winchdyke/config/schema.py
@@ -402,5 +402,14 @@
         t.Type("name"),
     ),
 }
+# The settings' keys of a plan, and the fields of `interface.Plan` that they fill.
+PLAN_FIELDS = {
+    "worth_factor": "priority_factor",
+    "weight": "fair_share_weight",
+    "usual_rate": "expected_units_per_s",
+    "reserve": "reserved_units_per_s",
+    "limit": "limit_units_per_s",
+    "limit_burst": "limit_burst_units",
+}
 EXCLUSIVE = {"volume": (("pool", "shards"),)}  # keys of which a nearer layer's sets the other's aside
 WORDS = ("include", "let", "template", "defaults", "from")  # of the language: no block has such a name
--- a/winchdyke/changes/verdict.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -60,7 +60,7 @@
     samples: int = 0
 
 
-class Watch:
+class CanaryObserver:
     """Counts what ends, by second, so that a change can be held against the time before it."""
 
     def __init__(self, criteria: Criteria = Criteria()) -> None:
@@ -191,8 +191,12 @@
         a, b = old.volume(volume), new.volume(volume)
         before = plans[0].get(a.plan) if a is not None else None
         after = plans[1].get(b.plan) if b is not None else None
-        if before is None or after is None or not after.limit:
+        if before is None or after is None or not after.limit_units_per_s:
             return False
-        return not before.limit or after.limit < before.limit or after.limit_burst < before.limit_burst
+        return (
+            not before.limit_units_per_s
+            or after.limit_units_per_s < before.limit_units_per_s
+            or after.limit_burst_units < before.limit_burst_units
+        )
 
     return found
--- a/winchdyke/changes/trail.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -23,8 +23,8 @@
 from pathlib import Path
 from typing import Any
 
-from winchdyke.changes.machine import Standing, Step, standing
-from winchdyke.files import replace
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, standing
+from winchdyke.durable_files import replace
 
 FILE = "changes.db"
 SCHEMA = """
@@ -41,7 +41,7 @@
 LIKELY = 16  # formats further on that there may be one day; a greater number is damage
 
 
-class TrailError(Exception):
+class ChangeLogError(Exception):
     """A trail that can't be used, or a step that can't be taken; says what is wrong and what to do.
 
     ``damaged``: the file itself is no longer what was written.
@@ -91,28 +91,28 @@
     return not (getattr(error, "sqlite_errorname", "") or "").startswith(PASSING)
 
 
-class Trail:
+class ChangeLog:
     """The versions of one gateway. Any process may add to it; each step is one transaction, synced."""
 
     def __init__(self, folder: Path, create: bool = True) -> None:
         self.path = folder / FILE
         if not create and not self.path.exists():
-            raise TrailError(f"{self.path} is not there; 'winchdyke changes propose' begins it")
+            raise ChangeLogError(f"{self.path} is not there; 'winchdyke changes propose' begins it")
         try:
             folder.mkdir(parents=True, exist_ok=True, mode=0o700)
             with self._open() as db:
                 found = int(db.execute("PRAGMA user_version").fetchone()[0])
                 if found < 0 or found > FORMAT + LIKELY:
-                    raise TrailError(f"{self.path} says it is of format {found}, which no trail is", True)
+                    raise ChangeLogError(f"{self.path} says it is of format {found}, which no trail is", True)
                 if found > FORMAT:
-                    raise TrailError(
+                    raise ChangeLogError(
                         f"{self.path} is of format {found}; this version reads up to {FORMAT}: use a newer one"
                     )
                 if found < FORMAT:
                     self._bring_up(db, found)
             os.chmod(self.path, 0o600)
         except OSError as error:
-            raise TrailError(f"{self.path} can't be used: {error.strerror or error}") from error
+            raise ChangeLogError(f"{self.path} can't be used: {error.strerror or error}") from error
 
     @staticmethod
     def _bring_up(db: sqlite3.Connection, found: int) -> None:
@@ -133,7 +133,7 @@
             db.execute("PRAGMA synchronous = FULL")
             yield db
         except sqlite3.Error as error:
-            raise TrailError(
+            raise ChangeLogError(
                 f"{self.path}: {error}; nothing was changed by this step", _damaged(error)
             ) from error
         finally:
@@ -170,26 +170,26 @@
             return version
 
     def add(
-        self, step: Step, who: str, note: str = "", origin: str = "", expect: Standing | None = None
+        self, step: Step, who: str, note: str = "", origin: str = "", expect: RolloutState | None = None
     ) -> None:
         """Take a step. TrailError where it does not follow, or others have gone on since ``expect``."""
         self.add_all([(step, note)], who, origin, expect)
 
     def add_all(
-        self, steps: list[tuple[Step, str]], who: str, origin: str = "", expect: Standing | None = None
+        self, steps: list[tuple[Step, str]], who: str, origin: str = "", expect: RolloutState | None = None
     ) -> None:
         """Take several steps, each with its note, all or none."""
         with self._writing() as db:
             now = self._standing(db)
             if expect is not None and now != expect:
-                raise TrailError(
+                raise ChangeLogError(
                     "another step was taken meanwhile; look at 'winchdyke changes log', and try again"
                 )
             for step, note in steps:
                 try:
                     now = now.after(step)
                 except ValueError as error:
-                    raise TrailError(str(error)) from error
+                    raise ChangeLogError(str(error)) from error
                 self._add(db, step, who, note, origin)
 
     def _add(self, db: sqlite3.Connection, step: Step, who: str, note: str, origin: str) -> None:
@@ -217,14 +217,14 @@
         return json.dumps(found)
 
     @staticmethod
-    def _standing(db: sqlite3.Connection) -> Standing:
+    def _standing(db: sqlite3.Connection) -> RolloutState:
         base, after = _base(db)
         rows = db.execute(
             "SELECT what, version, unix_ms, until_ms, at_ms FROM trail WHERE seq > ? ORDER BY seq", (after,)
         )
         return standing((Step(*row) for row in rows), base)
 
-    def standing(self) -> Standing:
+    def standing(self) -> RolloutState:
         """Where the gateway stands."""
         with self._reading() as db:
             return self._standing(db)
@@ -253,7 +253,7 @@
                 "SELECT id, parent, text, difference FROM versions WHERE id = ?", (number,)
             ).fetchone()
         if row is None:
-            raise TrailError(
+            raise ChangeLogError(
                 f"there is no version {number} here; see 'winchdyke changes log', and the archives beside {self.path}"
             )
         return Version(*row)
@@ -273,7 +273,7 @@
             for version in changed if serving != entry.version else ():
                 try:
                     difference = self.version(version).difference
-                except TrailError:
+                except ChangeLogError:
                     continue  # in the archives
                 for change in json.loads(difference):
                     found[change["path"]] = asked
@@ -292,7 +292,7 @@
         """What was exported, into a trail that is empty; TrailError where it is not, or the chain does not fit."""
         with self._writing() as db:
             if db.execute("SELECT COUNT(*) FROM trail").fetchone()[0]:
-                raise TrailError(f"{self.path} is not empty; take it in at a folder of its own")
+                raise ChangeLogError(f"{self.path} is not empty; take it in at a folder of its own")
             for number, line in enumerate(lines, 1):
                 try:
                     found = json.loads(line)
@@ -301,9 +301,9 @@
                     else:
                         db.execute(INSERT, [*found["entry"], 0.0][:10])
                 except (ValueError, KeyError, TypeError, sqlite3.Error) as error:
-                    raise TrailError(f"line {number} is no line of an export: {error}") from error
+                    raise ChangeLogError(f"line {number} is no line of an export: {error}") from error
             if said := self._unfit(db):
-                raise TrailError(f"the export does not fit together: {said[0]}")
+                raise ChangeLogError(f"the export does not fit together: {said[0]}")
             return int(db.execute("SELECT COUNT(*) FROM trail").fetchone()[0])
 
     def prune(self, keep: int) -> int:
@@ -347,7 +347,9 @@
         try:
             replace(path, text.encode(), path.with_suffix(".new"))
         except OSError as error:
-            raise TrailError(f"{path} can't be written: {error.strerror}; nothing was moved there") from error
+            raise ChangeLogError(
+                f"{path} can't be written: {error.strerror}; nothing was moved there"
+            ) from error
 
     def archives(self) -> list[Path]:
         """The files that hold what was moved out, the oldest first."""
@@ -365,7 +367,9 @@
                     if "entry" in found and found["entry"][0] <= last:
                         yield Entry(*found["entry"])
                 except (ValueError, TypeError) as error:
-                    raise TrailError(f"{path}, line {number}: not an entry of a trail: {error}") from error
+                    raise ChangeLogError(
+                        f"{path}, line {number}: not an entry of a trail: {error}"
+                    ) from error
 
     def whole(self) -> list[Entry]:
         """All entries, those in the archives too, the oldest first, also while some are moved out. TrailError as above.
@@ -409,7 +413,7 @@
                     try:
                         made = self.version(entry.version)
                         versions[entry.version] = [made.parent, made.text, made.difference]
-                    except TrailError:
+                    except ChangeLogError:
                         said.append(f"{name}: version {entry.version} is in none of the archives")
                 content = json.dumps(versions.get(entry.version))
             if _hash(before, dataclasses.astuple(entry)[:8], content, entry.at_ms) != entry.hash:
@@ -451,9 +455,9 @@
     try:
         return json.loads(row[0]) if row else None
     except ValueError as error:
-        raise TrailError(f"the entry on what was moved out can't be read: {error}", True) from error
+        raise ChangeLogError(f"the entry on what was moved out can't be read: {error}", True) from error
 
 
-def _base(db: sqlite3.Connection) -> tuple[Standing, int]:
+def _base(db: sqlite3.Connection) -> tuple[RolloutState, int]:
     told = _pruned(db)
-    return (Standing(**told["standing"]), told["seq"]) if told else (Standing(), 0)
+    return (RolloutState(**told["standing"]), told["seq"]) if told else (RolloutState(), 0)
--- a/winchdyke/changes/live.py
+++ b/winchdyke/config_rollout/controller.py
@@ -12,16 +12,16 @@
 import structlog
 
 from winchdyke import interface as api
-from winchdyke.changes import mend
-from winchdyke.changes.edit import text_of
-from winchdyke.changes.instant import Going, Phase, limits_differ, moved, phase
-from winchdyke.changes.machine import Standing, Step, due, recover
-from winchdyke.changes.mend import GATEWAY
-from winchdyke.changes.swap import fixed
-from winchdyke.changes.trail import TrailError
-from winchdyke.changes.verdict import Asked, Criteria, Watch, lowered, touched
 from winchdyke.config import Config, ConfigError, parse
 from winchdyke.config.meaning import diff
+from winchdyke.config_rollout import last_known_good
+from winchdyke.config_rollout.canary_analysis import Asked, CanaryObserver, Criteria, lowered, touched
+from winchdyke.config_rollout.change_log import ChangeLogError
+from winchdyke.config_rollout.cutover import Going, Phase, limits_differ, moved, phase
+from winchdyke.config_rollout.edit import text_of
+from winchdyke.config_rollout.hot_reload import fixed
+from winchdyke.config_rollout.last_known_good import GATEWAY
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, due, recover
 
 LOOK_S = 0.1
 NEAR_MS = 300.0  # before an instant, from which on it is waited for
@@ -47,7 +47,7 @@
     return Prepared(before, after, version, after.settings(), moved(names, before, after), len(names))
 
 
-class Live:
+class RolloutController:
     """Follows the trail in a folder. ``swap`` puts settings into service; it runs in the event loop and waits for nothing."""
 
     def __init__(
@@ -64,18 +64,18 @@
         self._freshen = freshen
         self.folder, self._swap, self._accounts = folder, swap, accounts
         self._keep, self._apart = config.changes.keep, config.changes.clocks_apart
-        self.trail, self._damage = mend.opened(folder)
-        self._clock, self._dead, self.watch = clock, dead, Watch(criteria or Criteria())
+        self.trail, self._damage = last_known_good.opened(folder)
+        self._clock, self._dead, self.watch = clock, dead, CanaryObserver(criteria or Criteria())
         self.wall: Callable[[], float] = lambda: time.time() * 1000  # the clock of stated instants
         self._watched: tuple[float, int, int, Asked, Asked] | None = (
             None  # since, version, before; touched, lowered
         )
         self._going, self._version = Going(config, config), 0
-        self._ready: tuple[Standing, Config] | None = None  # what is staged, and passed the check
+        self._ready: tuple[RolloutState, Config] | None = None  # what is staged, and passed the check
         self._settles = 0.0  # the instant whose lower limits count still
         self._owed: list[tuple[Step, str]] = []  # what could not be written yet
         self._known = 0  # accounts that have the plans of this phase
-        self._seen, self._found = -1, Standing()
+        self._seen, self._found = -1, RolloutState()
         self._said, self._swaps = 0.0, 0
         self.stopping = False
         self._log = structlog.get_logger("changes")
@@ -135,7 +135,7 @@
         while True:
             try:
                 await self._look()
-            except TrailError as error:
+            except ChangeLogError as error:
                 if self._clock() >= self._said + SAY_S * 1000 or not self._said:
                     self._said = self._clock()
                     self._log.warning("changes", trouble=str(error))
@@ -167,7 +167,7 @@
         else:
             await self._apply(step, found, self._ready[1])
 
-    def _stands(self) -> Standing:
+    def _stands(self) -> RolloutState:
         self._seen = self.trail.last()
         return self.trail.standing()
 
@@ -199,7 +199,7 @@
         swap = await anyio.to_thread.run_sync(prepared, plain, going, self._version, new)
         self._serve(Prepared(going, going, self._version, swap.settings, swap.plans, len(names)))
 
-    async def _checked(self, found: Standing) -> bool:
+    async def _checked(self, found: RolloutState) -> bool:
         """Whether what is staged passed; it is refused where it does not."""
         if self._ready is not None and self._ready[0] == found:
             return True
@@ -238,7 +238,7 @@
         ][-1]
         return self.trail.version(version).parent, last.note == "undo"
 
-    async def _apply(self, step: Step, found: Standing, config: Config) -> None:
+    async def _apply(self, step: Step, found: RolloutState, config: Config) -> None:
         old, at = self._going, found.staged_at_ms
         now = phase(self.wall(), at, self._apart)
         if not limits_differ(old.config, config):
@@ -257,7 +257,7 @@
         applied = Step("applied", step.version, until_ms=found.staged_until_ms)
         try:
             await self._add(applied, f"swapped in {self.pause_ms:.2f} ms")
-        except TrailError as error:
+        except ChangeLogError as error:
             # Guards against settings that are served and would be gone with a kill, where the disk is full.
             await self._turn(Going(old.config, old.config), found.serving)
             self._owed.append(
@@ -283,7 +283,7 @@
         config = await anyio.to_thread.run_sync(self._read, version)
         try:
             await self._add(Step("undoing", version), why)
-        except TrailError:
+        except ChangeLogError:
             self._owed.append((Step("undoing", version), why))
         await self._turn(Going(config, config), version)
         steps = [(Step("undone", version), f"swapped in {self.pause_ms:.2f} ms")]
@@ -297,7 +297,7 @@
         if self._owed:
             try:
                 self.trail.add_all(self._owed, GATEWAY)
-            except TrailError as error:
+            except ChangeLogError as error:
                 self._log.warning("changes", trouble=str(error))
             else:
                 self._owed.clear()
@@ -310,14 +310,16 @@
         ):
             self._log.info("changes", moved_out=gone)
 
-    def _snapshot(self, found: Standing) -> None:
+    def _snapshot(self, found: RolloutState) -> None:
         if found.until_ms or found.applying:
             return
         try:
-            mend.keep(self.folder, found.serving, self.trail.version(found.serving).text)
+            last_known_good.keep(self.folder, found.serving, self.trail.version(found.serving).text)
         except OSError as error:
-            self._log.warning("changes", trouble=f"{mend.SERVED} can't be written: {error.strerror}")
+            self._log.warning(
+                "changes", trouble=f"{last_known_good.SERVED} can't be written: {error.strerror}"
+            )
 
-    async def _add(self, step: Step, note: str, expect: Standing | None = None) -> None:
+    async def _add(self, step: Step, note: str, expect: RolloutState | None = None) -> None:
         self._log.info("changes", step=step.what, version=step.version, note=note)
         await anyio.to_thread.run_sync(self.trail.add, step, GATEWAY, note, "", expect)
--- a/winchdyke/changes/instant.py
+++ b/winchdyke/config_rollout/cutover.py
@@ -46,11 +46,14 @@
 
 def lower(mine: api.Plan, other: api.Plan | None) -> api.Plan:
     """A plan with the lower of two plans' limits; 0 is no limit."""
-    limited = [plan for plan in (mine, other) if plan is not None and plan.limit]
+    limited = [plan for plan in (mine, other) if plan is not None and plan.limit_units_per_s]
     if not limited:
         return mine
-    limit, burst = min(plan.limit for plan in limited), min(plan.limit_burst for plan in limited)
-    return dataclasses.replace(mine, limit=limit, limit_burst=burst)
+    limit, burst = (
+        min(plan.limit_units_per_s for plan in limited),
+        min(plan.limit_burst_units for plan in limited),
+    )
+    return dataclasses.replace(mine, limit_units_per_s=limit, limit_burst_units=burst)
 
 
 class Going:
@@ -101,7 +104,7 @@
     if old.volumes != new.volumes:
         return True
     return any(
-        (plan.limit, plan.limit_burst) != (other.limit, other.limit_burst)
+        (plan.limit_units_per_s, plan.limit_burst_units) != (other.limit_units_per_s, other.limit_burst_units)
         for name, plan in plans[0].items()
         for other in [plans[1].get(name)]
         if other is not None
--- a/winchdyke/changes/edit.py
+++ b/winchdyke/config_rollout/edit.py
@@ -5,7 +5,6 @@
 import difflib
 from collections.abc import Iterable
 
-from winchdyke.changes.swap import LIVE, LIVE_KEYS, lives, merged
 from winchdyke.config.diagnostics import Source, Span
 from winchdyke.config.loading import Values
 from winchdyke.config.meaning import Change, apply, table
@@ -14,6 +13,7 @@
 from winchdyke.config.syntax import Word
 from winchdyke.config.types import Wrong
 from winchdyke.config.writing import written
+from winchdyke.config_rollout.hot_reload import LIVE, LIVE_KEYS, lives, merged
 
 
 class EditError(Exception):
--- a/winchdyke/changes/swap.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -40,32 +40,32 @@
 def freshen(scheduler: Scheduler, names: Iterable[str], now: float) -> None:
     """Fill accounts up by the plans they have, a few at a time before :func:`retell`, so that it finds little to do."""
     for name in names:
-        if (volume := scheduler.volumes.get(name)) is not None:
+        if (volume := scheduler.quotas.get(name)) is not None:
             volume.refill(now)
 
 
 def retell(scheduler: Scheduler, settings: api.Settings, plans: Mapping[str, api.Plan], now: float) -> int:
     """Let a scheduler go by new plans from now on, and give accounts their plans (``instant.moved`` finds them); how many."""
-    scheduler.cfg = scheduler.budget.cfg = settings
+    scheduler.settings = scheduler.retry_budget.settings = settings
     scheduler.plans = {plan.name: plan for plan in settings.plans}
-    changed, volumes, largest = 0, scheduler.volumes, settings.largest_units
+    changed, volumes, largest = 0, scheduler.quotas, settings.max_request_units
     for name, plan in plans.items():
         volume = volumes.get(name)
         if volume is None:
             continue
-        if now - volume.at > FRESH_MS:
+        if now - volume.refilled_at_ms > FRESH_MS:
             volume.refill(now)  # by the old plan up to this instant
         else:
-            volume.at = now
-        if not volume.plan.limit:
+            volume.refilled_at_ms = now
+        if not volume.plan.limit_units_per_s:
             # Guards against a course cut off for as long as it was free: without a limit all that it sent was taken from an
             # account that nothing fills.
-            volume.limit = 0.0
-        volume.plan, volume.cfg = plan, settings
-        if volume.limit > (most := plan.limit_burst / volume.gateways):
-            volume.limit = most
-        if volume.reserve > (most := (plan.reserve + largest) * volume.part):
-            volume.reserve = most
+            volume.limit_units = 0.0
+        volume.plan, volume.settings = plan, settings
+        if volume.limit_units > (most := plan.limit_burst_units / volume.sharing_gateways):
+            volume.limit_units = most
+        if volume.reserved_units > (most := (plan.reserved_units_per_s + largest) * volume.gateway_fraction):
+            volume.reserved_units = most
         changed += 1
     return changed
 
--- a/winchdyke/changes/mend.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -14,15 +14,15 @@
 
 import msgspec
 
-from winchdyke.changes.machine import Step
-from winchdyke.changes.trail import FILE, Trail, TrailError
-from winchdyke.files import replace, sync_folder
+from winchdyke.config_rollout.change_log import FILE, ChangeLog, ChangeLogError
+from winchdyke.config_rollout.rollout_state import Step
+from winchdyke.durable_files import replace, sync_folder
 
 SERVED = "served.json"
 GATEWAY = "gateway"
 
 
-class Served(msgspec.Struct):
+class LastKnownGood(msgspec.Struct):
     """A version that was applied for good."""
 
     version: int
@@ -36,25 +36,25 @@
 
 def keep(folder: Path, version: int, text: str) -> None:
     """Write what is served for good. OSError."""
-    data = msgspec.json.encode(Served(version, text, _digest(version, text)))
+    data = msgspec.json.encode(LastKnownGood(version, text, _digest(version, text)))
     replace(folder / SERVED, data, folder / (SERVED + ".new"))
 
 
-def kept(folder: Path) -> Served | None:
+def kept(folder: Path) -> LastKnownGood | None:
     """What was served for good last; None where there is none, or it is damaged."""
     try:
-        found = msgspec.json.decode((folder / SERVED).read_bytes(), type=Served)
+        found = msgspec.json.decode((folder / SERVED).read_bytes(), type=LastKnownGood)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
         return None
     return found if found.sha256 == _digest(found.version, found.text) else None
 
 
-def opened(folder: Path) -> tuple[Trail, str]:
+def opened(folder: Path) -> tuple[ChangeLog, str]:
     """The trail in a folder, and what was wrong with the one that lay there; TrailError where none can be kept there."""
     try:
-        trail = Trail(folder)
+        trail = ChangeLog(folder)
         said = trail.verify()
-    except TrailError as error:
+    except ChangeLogError as error:
         if not error.damaged:
             raise
         said = [str(error)]
@@ -69,9 +69,11 @@
                 os.rename(folder / (FILE + end), folder / (aside + end))
         sync_folder(folder)
     except OSError as error:
-        raise TrailError(f"{folder / FILE} is damaged, and can't be put aside: {error.strerror}") from error
+        raise ChangeLogError(
+            f"{folder / FILE} is damaged, and can't be put aside: {error.strerror}"
+        ) from error
     why = f"the trail was damaged ({said[0]}); it is kept as {aside}"
-    trail = Trail(folder)
+    trail = ChangeLog(folder)
     if found := kept(folder):
         trail.propose(found.text, 0, "[]", GATEWAY, why, "", found.version)
         steps = [(Step(what, found.version), why) for what in ("staged", "applying", "applied")]
--- a/winchdyke/changes/desk.py
+++ b/winchdyke/config_rollout/operations.py
@@ -13,17 +13,17 @@
 
 import msgspec
 
-from winchdyke.changes.edit import EditError, edited, rebased, removed
-from winchdyke.changes.machine import HELD, Standing, Step
-from winchdyke.changes.swap import fixed
-from winchdyke.changes.trail import Trail, TrailError
 from winchdyke.config import Config, ConfigError, parse
 from winchdyke.config.meaning import Change, diff
+from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
+from winchdyke.config_rollout.edit import EditError, edited, rebased, removed
+from winchdyke.config_rollout.hot_reload import fixed
+from winchdyke.config_rollout.rollout_state import HELD, RolloutState, Step
 
 WORD = 4096  # most characters of a name or a reason
 
 
-class DeskError(Exception):
+class OperationError(Exception):
     """An operation that can't be done; ``code`` is for programs, ``text`` for people."""
 
     def __init__(self, code: str, text: str, more: dict[str, Any] | None = None) -> None:
@@ -130,25 +130,25 @@
         )
         return found
     except msgspec.MsgspecError as error:
-        raise DeskError("not-an-operation", f"not an operation of this API: {error}") from error
+        raise OperationError("not-an-operation", f"not an operation of this API: {error}") from error
 
 
-class Desk:
+class ChangeOperations:
     """Carries out operations on a trail for one person. Calls read and write files: not for the event loop."""
 
-    def __init__(self, trail: Trail, who: str, origin: str) -> None:
+    def __init__(self, trail: ChangeLog, who: str, origin: str) -> None:
         self.trail, self.who, self.origin = trail, who, origin
 
     def do(self, operation: Operation) -> dict[str, Any]:
         """The result, as plain data. DeskError with what is wrong and what to do."""
         for word in ("why", "name", "path"):
             if len(getattr(operation, word, "")) > WORD:
-                raise DeskError("too-long", f"{word} is longer than {WORD} characters")
+                raise OperationError("too-long", f"{word} is longer than {WORD} characters")
         try:
             result: dict[str, Any] = getattr(self, "_" + type(operation).__name__.lower())(operation)
-        except TrailError as error:
+        except ChangeLogError as error:
             code = "conflict" if "meanwhile" in str(error) else "trail"
-            raise DeskError(code, str(error)) from error
+            raise OperationError(code, str(error)) from error
         return result
 
     # What is read
@@ -218,16 +218,16 @@
             else:
                 text = edited(old, operation.kind, operation.name, operation.values, operation.new)
         except EditError as error:
-            raise DeskError("no-edit", str(error)) from error
+            raise OperationError("no-edit", str(error)) from error
         return self._keep(old, text, parent, operation.why, operation.check)
 
     def _keep(self, old: Config, text: str, parent: int, why: str, check: bool = False) -> dict[str, Any]:
         new = _parsed(text, "the new version")
         changes = diff(old, new)
         if not changes:
-            raise DeskError("no-difference", f"nothing differs from version {parent}")
+            raise OperationError("no-difference", f"nothing differs from version {parent}")
         if needs := fixed(changes):
-            raise DeskError(
+            raise OperationError(
                 "needs-start",
                 f"{', '.join(needs[:5])} can't change in service; put that into the gateway's file and start it anew",
             )
@@ -242,10 +242,10 @@
         version, merged = operation.version, None
         made = self.trail.version(version)
         if version == found.serving:
-            raise DeskError("served", f"version {version} is served already")
+            raise OperationError("served", f"version {version} is served already")
         if made.parent != found.serving:
             if version == found.before:
-                raise DeskError(
+                raise OperationError(
                     "undone", f"version {version} was served before; 'winchdyke changes undo' goes back to it"
                 )
             merged = version
@@ -253,7 +253,7 @@
         now = time.time() * 1000
         at = HELD if operation.hold else operation.at_ms
         if at and at < now:
-            raise DeskError("past", f"the instant is {(now - at) / 1000:.1f} s in the past")
+            raise OperationError("past", f"the instant is {(now - at) / 1000:.1f} s in the past")
         until = 0.0
         if operation.confirm_within_ms and not operation.hold:
             until = max(at, now) + operation.confirm_within_ms
@@ -266,30 +266,30 @@
             "after": self.trail.last() - 1,
         }  # fmt: skip
 
-    def _merge(self, base: int, mine: int, found: Standing, why: str) -> int:
+    def _merge(self, base: int, mine: int, found: RolloutState, why: str) -> int:
         theirs = self._config(found.serving)
         try:
             text, clashes = rebased(self._config(base), self._config(mine), theirs)
-        except DeskError as error:
-            raise DeskError(
+        except OperationError as error:
+            raise OperationError(
                 "conflict", f"version {mine} was made from {base}, which can't be read: {error.text}"
             ) from error
         if clashes:
-            raise DeskError("conflict", *_clashing(mine, base, found.serving, clashes))
+            raise OperationError("conflict", *_clashing(mine, base, found.serving, clashes))
         made = self._keep(theirs, text, found.serving, f"merged from {mine}; {why}".rstrip("; "))
         return int(made["version"])
 
     def _withdraw(self, operation: Withdraw) -> dict[str, Any]:
         found = self.trail.standing()
         if not found.staged:
-            raise DeskError("nothing-staged", "no version is staged")
+            raise OperationError("nothing-staged", "no version is staged")
         self.trail.add_all([(Step("withdrawn", found.staged), operation.why)], self.who, self.origin, found)
         return {"version": found.staged}
 
     def _confirm(self, operation: Confirm) -> dict[str, Any]:
         found = self.trail.standing()
         if not found.until_ms:
-            raise DeskError("no-trial", f"version {found.serving} is not on trial")
+            raise OperationError("no-trial", f"version {found.serving} is not on trial")
         step = Step("confirmed", found.serving)
         self.trail.add_all([(step, operation.why)], self.who, self.origin, found)
         return {"version": found.serving}
@@ -297,7 +297,7 @@
     def _undo(self, operation: Undo) -> dict[str, Any]:
         found = self.trail.standing()
         if not found.before or found.before == found.serving:
-            raise DeskError("nothing-before", "there is no version before the one that is served")
+            raise OperationError("nothing-before", "there is no version before the one that is served")
         steps = [(Step("staged", found.before), "undo")]
         if found.staged and found.staged != found.before:
             # What is staged was made on top of what is undone: it has to be applied anew, which puts it on what is served.
@@ -314,7 +314,7 @@
     try:
         return parse(text, name)
     except ConfigError as error:
-        raise DeskError("check", f"{name} does not pass the check:\n{error}") from error
+        raise OperationError("check", f"{name} does not pass the check:\n{error}") from error
 
 
 def _told(entry: Any) -> dict[str, Any]:
--- a/winchdyke/changes/machine.py
+++ b/winchdyke/config_rollout/rollout_state.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class RolloutState:
     """The version that is served, the one that waits to be applied, the one being applied, and a trial's end."""
 
     serving: int = 0
@@ -49,7 +49,7 @@
     undoing: bool = False  # what is being applied is an undo: a start finishes it
     instant_ms: float = 0.0  # for which what is applied, or being applied, was staged
 
-    def after(self, step: Step) -> Standing:
+    def after(self, step: Step) -> RolloutState:
         """The standing one step on. ValueError where the step does not follow."""
         if step.what == "staged":
             return replace(self, staged=step.version, staged_until_ms=step.until_ms, staged_at_ms=step.at_ms)
@@ -97,7 +97,7 @@
         raise ValueError(f"{step.what!r} is no step of a change")
 
 
-def standing(steps: Iterable[Step], base: Standing = Standing()) -> Standing:
+def standing(steps: Iterable[Step], base: RolloutState = RolloutState()) -> RolloutState:
     """Where a trail leaves a gateway; ``base``: what the entries before the first of ``steps`` came to."""
     found = base
     for step in steps:
@@ -105,7 +105,7 @@
     return found
 
 
-def recover(found: Standing) -> tuple[list[Step], str]:
+def recover(found: RolloutState) -> tuple[list[Step], str]:
     """The steps that a start adds to a trail that a kill cut, and why; none where nothing was under way."""
     if found.undoing:
         # Guards against a harmful version that is served for good because a kill came between an undo's two entries.
@@ -120,7 +120,7 @@
     return [], f"version {found.serving} is served" if found.serving else "no version was applied"
 
 
-def due(found: Standing, now_unix_ms: float) -> Step | None:
+def due(found: RolloutState, now_unix_ms: float) -> Step | None:
     """What is to be done now: undo what was not confirmed in time, or begin what is staged."""
     if found.applying:
         return None
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -22,7 +22,7 @@
 import anyio.to_thread
 
 from winchdyke.days.script import Day
-from winchdyke.fleet.members.bounds import Bounds
+from winchdyke.membership.bounds import Bounds
 
 Seen = dict[str, Any]
 HOST_MS = 1500.0  # by which a busy host may run processes late
@@ -340,14 +340,14 @@
 async def settle(names: list[str], where: Path) -> dict[str, Any]:
     """What each running gateway's admin socket says of the others now: states by member."""
     from winchdyke.admin.client import There
-    from winchdyke.changes.desk import DeskError
+    from winchdyke.config_rollout.operations import OperationError
 
     found: dict[str, Any] = {}
 
     def ask(path: Path) -> dict[str, Any] | None:
         try:
             return There(f"unix:{path}").fleet()
-        except DeskError:
+        except OperationError:
             return None
 
     for index, name in enumerate(names):
--- a/winchdyke/nodes/disk.py
+++ b/winchdyke/discovery/cache.py
@@ -16,8 +16,8 @@
 import msgspec
 import xxhash
 
-from winchdyke.files import sync_folder
-from winchdyke.nodes.belief import Known
+from winchdyke.discovery.endpoint_view import CachedEndpoint
+from winchdyke.durable_files import sync_folder
 
 MAGIC, VERSION = b"WDNODES", 1
 HEAD = struct.Struct("<7sBIQ")
@@ -25,16 +25,16 @@
 LARGEST = 16 << 20
 
 
-class DiskError(Exception):
+class EndpointCacheError(Exception):
     """A list that can't be used; says what is wrong and what to do."""
 
 
-class Kept(msgspec.Struct):
+class CachedEndpointList(msgspec.Struct):
     """What is kept: when it was written (Unix ms), by which gateway, and what was believed of each node."""
 
     unix_ms: float
     gateway: str
-    nodes: list[Known]
+    nodes: list[CachedEndpoint]
 
 
 def path(folder: Path, generation: int) -> Path:
@@ -42,7 +42,7 @@
     return folder / f"nodes.{generation}"
 
 
-def save(folder: Path, kept: Kept, rotate: bool) -> None:
+def save(folder: Path, kept: CachedEndpointList, rotate: bool) -> None:
     """Write the list; ``rotate``: its members changed, so the present one is kept as the one before. OSError."""
     payload = msgspec.msgpack.encode(kept)
     new = folder / "nodes.new"
@@ -71,7 +71,7 @@
     sync_folder(folder)
 
 
-def read(where: Path) -> Kept:
+def read(where: Path) -> CachedEndpointList:
     """One generation. DiskError where it can't be used; FileNotFoundError where there is none."""
     _safe(where.parent, "folder")
     _safe(where, "file")
@@ -80,25 +80,25 @@
     except FileNotFoundError:
         raise
     except OSError as error:
-        raise DiskError(f"{where} can't be read: {error.strerror}") from error
+        raise EndpointCacheError(f"{where} can't be read: {error.strerror}") from error
     if len(data) < HEAD.size:
-        raise DiskError(f"{where} is cut short: {len(data)} bytes")
+        raise EndpointCacheError(f"{where} is cut short: {len(data)} bytes")
     magic, version, length, check = HEAD.unpack_from(data)
     if magic != MAGIC:
-        raise DiskError(f"{where} is no node list")
+        raise EndpointCacheError(f"{where} is no node list")
     if version > VERSION:
-        raise DiskError(
+        raise EndpointCacheError(
             f"{where} is of format {version}, and this release reads up to {VERSION}; a newer one wrote it"
         )
     payload = data[HEAD.size :]
     if len(payload) != length or length > LARGEST:
-        raise DiskError(f"{where} is cut short: {len(payload)} of {length} bytes")
+        raise EndpointCacheError(f"{where} is cut short: {len(payload)} of {length} bytes")
     if xxhash.xxh3_64_intdigest(payload) != check:
-        raise DiskError(f"{where} is damaged: its checksum does not fit")
+        raise EndpointCacheError(f"{where} is damaged: its checksum does not fit")
     try:
-        return msgspec.msgpack.decode(payload, type=Kept)
+        return msgspec.msgpack.decode(payload, type=CachedEndpointList)
     except msgspec.DecodeError as error:
-        raise DiskError(f"{where} is of another form: {error}") from error
+        raise EndpointCacheError(f"{where} is of another form: {error}") from error
 
 
 def _safe(where: Path, what: str) -> None:
@@ -108,20 +108,20 @@
     except FileNotFoundError:
         raise
     except OSError as error:
-        raise DiskError(f"{where} can't be read: {error.strerror}") from error
+        raise EndpointCacheError(f"{where} can't be read: {error.strerror}") from error
     if found.st_uid not in (os.geteuid(), 0):
-        raise DiskError(
+        raise EndpointCacheError(
             f"{where} belongs to user {found.st_uid}, not to the gateway's; its list is not believed"
         )
     sticky = what == "folder" and found.st_mode & stat.S_ISVTX
     if found.st_mode & 0o022 and not sticky:
         mode = stat.S_IMODE(found.st_mode)
-        raise DiskError(
+        raise EndpointCacheError(
             f"others may write to the {what} {where} (mode {mode:o}); chmod go-w it, and check what is in it"
         )
 
 
-def load(folder: Path) -> tuple[Kept | None, list[str]]:
+def load(folder: Path) -> tuple[CachedEndpointList | None, list[str]]:
     """The newest generation that can be used, and what is to be said of those passed over."""
     said: list[str] = []
     for generation in range(GENERATIONS):
@@ -129,7 +129,7 @@
             found = read(path(folder, generation))
         except FileNotFoundError:
             continue
-        except DiskError as error:
+        except EndpointCacheError as error:
             said.append(str(error))
             continue
         if generation:
@@ -138,6 +138,6 @@
     return None, said
 
 
-def members(nodes: Iterable[Known]) -> frozenset[tuple[str, int, str, str]]:
+def members(nodes: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
     """What makes two lists differ enough to keep the one before."""
     return frozenset((known.name, known.shard, known.state.value, known.identity) for known in nodes)
--- a/winchdyke/nodes/belief.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -19,7 +19,7 @@
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
-from winchdyke.interface import Node, NodeState
+from winchdyke.interface import Endpoint, EndpointStatus
 
 
 class State(StrEnum):
@@ -38,7 +38,7 @@
     """One node on a source's list. ``started``: on the gateway's clock, 0 for long ago."""
 
     name: str
-    state: NodeState
+    state: EndpointStatus
     shard: int
     zone: str = ""
     started: float = 0.0
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class EndpointEvidence:
     """What a store says of itself: identity, the start it has lived since, for how long (ms), whether it drains."""
 
     identity: str = ""
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Known:
+class CachedEndpoint:
     """All that is believed of a node, and why, since when."""
 
     name: str
@@ -106,20 +106,20 @@
     back_since: float | None = None  # since when its versions have been older than one seen
 
 
-class Belief:
+class EndpointView:
     """What one gateway believes; ``sources`` in order of precedence."""
 
     def __init__(self, bounds: Bounds, sources: Iterable[str] = ("list",)) -> None:
         self.bounds = bounds
         self.sources = {name: Source(name) for name in sources}
-        self.known: dict[str, Known] = {}
+        self.known: dict[str, CachedEndpoint] = {}
         self.notes: list[str] = []  # what people should hear of, until it is taken
-        self._told: dict[str, Node] = {}
+        self._told: dict[str, Endpoint] = {}
         self._next_trial = 0.0
 
     # What comes in
 
-    def restored(self, kept: Iterable[Known], now: float) -> None:
+    def restored(self, kept: Iterable[CachedEndpoint], now: float) -> None:
         """From the disk: nothing of it is used before it is confirmed; a drain and an identity are kept."""
         for each in kept:
             if each.name not in self.known:
@@ -163,7 +163,7 @@
         if self._authority() is source:
             self._believe(source, entries if not whole else None, now, unix, back or old)
         for entry in entries:  # a drain counts whoever tells it
-            if entry.state is NodeState.DRAINING and entry.name in self.known:
+            if entry.state is EndpointStatus.DRAINING and entry.name in self.known:
                 self._drain(self.known[entry.name], f"drains, by {name}", now)
 
     def failed(self, name: str, now: float, unix: float = 0.0) -> None:
@@ -175,7 +175,7 @@
         if after is not None and after is not was and after.healthy:
             self._believe(after, None, now, unix, False)
 
-    def heard(self, name: str, word: Word, now: float, unix: float = 0.0) -> bool:
+    def heard(self, name: str, word: EndpointEvidence, now: float, unix: float = 0.0) -> bool:
         """A node answered. Whether it is the one that is meant: else nothing may be sent there."""
         known = self.known.get(name)
         if known is None:
@@ -250,14 +250,14 @@
 
     # What goes out
 
-    def news(self) -> list[Node]:
+    def news(self) -> list[Endpoint]:
         """What the scheduler is to be told: all whose state for it changed since the last call."""
         found = []
         for known in self.known.values():
             node = self._node(known)
             told = self._told.get(known.name)
             if (node is not None or told is not None) and node != told:
-                gone = Node(known.name, NodeState.GONE, known.shard, known.zone)
+                gone = Endpoint(known.name, EndpointStatus.REMOVED, known.shard, known.zone)
                 found.append(node or gone)
                 if node is None:
                     self._told.pop(known.name, None)
@@ -265,7 +265,7 @@
                     self._told[known.name] = node
         return found
 
-    def all(self) -> list[Node]:
+    def all(self) -> list[Endpoint]:
         """The whole view for the scheduler, as of the last ``news``."""
         return list(self._told.values())
 
@@ -274,12 +274,12 @@
         known = self.known.get(name)
         return known is not None and known.state in (State.USABLE, State.COLD)
 
-    def _node(self, known: Known) -> Node | None:
+    def _node(self, known: CachedEndpoint) -> Endpoint | None:
         if known.state in (State.USABLE, State.COLD):
             started = known.started if known.state is State.COLD else 0.0
-            return Node(known.name, NodeState.READY, known.shard, known.zone, started)
+            return Endpoint(known.name, EndpointStatus.READY, known.shard, known.zone, started)
         if known.state is State.DRAINING:
-            return Node(known.name, NodeState.DRAINING, known.shard, known.zone)
+            return Endpoint(known.name, EndpointStatus.DRAINING, known.shard, known.zone)
         return None
 
     # How it is weighed
@@ -295,15 +295,19 @@
         for entry in entries:
             known = self.known.get(entry.name)
             if known is None or entry.shard != known.shard:
-                known = self.known[entry.name] = Known(entry.name, entry.shard, entry.zone, since=now)
-                if entry.state is NodeState.GONE:
+                known = self.known[entry.name] = CachedEndpoint(
+                    entry.name, entry.shard, entry.zone, since=now
+                )
+                if entry.state is EndpointStatus.REMOVED:
                     known.state = State.GONE
             self._entry(known, entry, source.name, now, unix, back)
         if changed is None:
             self._left_out(source, now, back)
 
-    def _entry(self, known: Known, entry: Entry, by: str, now: float, unix: float, back: bool) -> None:
-        if entry.state is NodeState.GONE:
+    def _entry(
+        self, known: CachedEndpoint, entry: Entry, by: str, now: float, unix: float, back: bool
+    ) -> None:
+        if entry.state is EndpointStatus.REMOVED:
             known.listed, known.held_since = False, None
             known.drained = False
             self._set(known, State.GONE, f"gone, by {by}", now)
@@ -328,7 +332,7 @@
             known.warm_known = (
                 True  # a list in good health says that it has been up for long, or nothing lately
             )
-        if entry.state is NodeState.DRAINING:
+        if entry.state is EndpointStatus.DRAINING:
             self._drain(known, f"drains, by {by}", now)
         elif known.state is State.DRAINING and known.drained and known.why.endswith("own word") and not later:
             pass  # the node knows it sooner than the list
@@ -358,13 +362,13 @@
                     continue  # an empty or an old list says nothing of one that is being tried
                 self._set(known, State.GONE, f"left out by {source.name}", now)
 
-    def _confirm(self, known: Known, why: str, now: float) -> None:
+    def _confirm(self, known: CachedEndpoint, why: str, now: float) -> None:
         if not known.warm_known:
             known.started, known.warm_known = now, True  # what is not known to be warm counts as cold
         cold = known.started and now - known.started < self.bounds.warm_after
         self._set(known, State.COLD if cold else State.USABLE, why, now)
 
-    def _age(self, known: Known, word: Word, restarted: bool, now: float) -> None:
+    def _age(self, known: CachedEndpoint, word: EndpointEvidence, restarted: bool, now: float) -> None:
         """How long it has been up: its own word, and a list's only where that makes it younger."""
         known.aged = word.up_ms is not None
         if word.up_ms is None:
@@ -375,7 +379,7 @@
         if restarted or not known.warm_known or started > known.started + self.bounds.slack:
             known.started, known.warm_known = started, True
 
-    def _warmth(self, known: Known, now: float) -> None:
+    def _warmth(self, known: CachedEndpoint, now: float) -> None:
         cold = bool(known.started) and now - known.started < self.bounds.warm_after
         if cold != (known.state is State.COLD):
             self._set(
@@ -385,12 +389,12 @@
                 now,
             )
 
-    def _drain(self, known: Known, why: str, now: float) -> None:
+    def _drain(self, known: CachedEndpoint, why: str, now: float) -> None:
         known.drained = True
         if known.state not in (State.GONE, State.REUSED):
             self._set(known, State.DRAINING, why, now)
 
-    def _set(self, known: Known, state: State, why: str, now: float) -> None:
+    def _set(self, known: CachedEndpoint, state: State, why: str, now: float) -> None:
         if state is not known.state:
             known.since = now
         known.state, known.why = state, why
--- a/winchdyke/nodes/membership.py
+++ b/winchdyke/discovery/follower.py
@@ -14,17 +14,17 @@
 import structlog
 
 from winchdyke import interface as api
-from winchdyke.nodes import disk
-from winchdyke.nodes.belief import Belief, Bounds, Known, State, Word
-from winchdyke.nodes.sources import Source
-from winchdyke.nodes.wire import Heard
+from winchdyke.discovery import cache
+from winchdyke.discovery.endpoint_view import Bounds, CachedEndpoint, EndpointEvidence, EndpointView, State
+from winchdyke.discovery.list_protocol import ReceivedList
+from winchdyke.discovery.sources import Source
 
 TICK_S = 0.02
 SAVE_S, CONFIRM_S = 1.0, 60.0  # after a change, and where only the times of confirmation changed
 HISTORY_BYTES = 1 << 20
 
 
-class Membership:
+class EndpointFollower:
     """What one gateway believes, kept current. ``post`` takes the scheduler's news, ``trial`` dials a node."""
 
     def __init__(
@@ -33,7 +33,7 @@
         sources: list[Source],
         gateway: str,
         clock: Callable[[], float],
-        post: Callable[[api.NodeList], Awaitable[None]],
+        post: Callable[[api.EndpointList], Awaitable[None]],
         trial: Callable[[str], Awaitable[bool]],
         folder: Path | None = None,
     ) -> None:
@@ -44,7 +44,7 @@
             post,
             trial,
         )
-        self.belief = Belief(bounds, [source.name for source in sources])
+        self.belief = EndpointView(bounds, [source.name for source in sources])
         self.folder = folder
         self._log = structlog.get_logger("nodes")
         self._states: dict[str, tuple[State, str]] = {}
@@ -69,7 +69,7 @@
             self._log.warning("node-list", trouble=f"{self.folder}: {error.strerror}; no list is kept")
             self.folder = None
             return
-        kept, said = disk.load(self.folder)
+        kept, said = cache.load(self.folder)
         for text in said:
             self._log.warning("node-list", trouble=text)
         if kept is not None:
@@ -105,18 +105,18 @@
             self._trying = False
         await self._tell()
 
-    async def _told(self, source: str, heard: Heard) -> None:
+    async def _told(self, source: str, heard: ReceivedList) -> None:
         now, unix = self._clock(), time.time() * 1000
-        old = heard.kind is api.ListKind.CACHED
+        old = heard.kind is api.EndpointListKind.CACHED
         self.belief.listed(
-            source, heard.entries, now, unix, heard.kind is not api.ListKind.CHANGES, heard.version, old
+            source, heard.entries, now, unix, heard.kind is not api.EndpointListKind.CHANGES, heard.version, old
         )  # fmt: skip
         news = self.belief.news()
         if source == self.sources[0].name:
-            whole = heard.kind is not api.ListKind.CHANGES
+            whole = heard.kind is not api.EndpointListKind.CHANGES
             nodes = tuple(self.belief.all() if whole else news)
             self._note()
-            await self._post(api.NodeList(heard.kind, nodes))
+            await self._post(api.EndpointList(heard.kind, nodes))
         elif news:
             await self._say(news)
 
@@ -124,10 +124,10 @@
         self._log.warning("list-failed", source=source, error=why)
         self.belief.failed(source, self._clock(), time.time() * 1000)
         if source == self.sources[0].name:
-            await self._post(api.NodeList(api.ListKind.FAILED))
+            await self._post(api.EndpointList(api.EndpointListKind.FAILED))
         await self._tell()
 
-    def heard(self, node: str, word: Word) -> bool:
+    def heard(self, node: str, word: EndpointEvidence) -> bool:
         """A node answered; whether it is the one that is meant."""
         known = self.belief.known.get(node)
         before = known.state if known is not None else None
@@ -145,13 +145,13 @@
         if news:
             await self._say(news)
 
-    async def _say(self, news: list[api.Node]) -> None:
+    async def _say(self, news: list[api.Endpoint]) -> None:
         self._note()
         if self.belief.sources[self.sources[0].name].healthy:
-            await self._post(api.NodeList(api.ListKind.CHANGES, tuple(news)))
+            await self._post(api.EndpointList(api.EndpointListKind.CHANGES, tuple(news)))
         else:
             # As a copy: changes would tell the scheduler that the list is followed, and it would not ask for it again.
-            await self._post(api.NodeList(api.ListKind.CACHED, tuple(self.belief.all())))
+            await self._post(api.EndpointList(api.EndpointListKind.CACHED, tuple(self.belief.all())))
 
     def _note(self) -> None:
         notes, self.belief.notes = self.belief.notes, []
@@ -186,15 +186,15 @@
     async def _save(self, now: float) -> None:
         if self.folder is None or now - self._saved < SAVE_S * 1000 or not self.belief.known:
             return
-        members = disk.members(self.belief.known.values())
+        members = cache.members(self.belief.known.values())
         changed = members != self._members
         if not changed and now - self._saved < CONFIRM_S * 1000:
             return
-        nodes: list[Known] = [replace(known) for known in self.belief.known.values()]
-        kept = disk.Kept(time.time() * 1000, self.gateway, nodes)
+        nodes: list[CachedEndpoint] = [replace(known) for known in self.belief.known.values()]
+        kept = cache.CachedEndpointList(time.time() * 1000, self.gateway, nodes)
         self._saved = now
         try:
-            await anyio.to_thread.run_sync(disk.save, self.folder, kept, changed and bool(self._members))
+            await anyio.to_thread.run_sync(cache.save, self.folder, kept, changed and bool(self._members))
             self._members, self._trouble = members, ""
         except OSError as error:
             # Guards against a full or read-only disk: the gateway serves on with what it believes, and says so once.
--- a/winchdyke/nodes/wire.py
+++ b/winchdyke/discovery/list_protocol.py
@@ -7,10 +7,18 @@
 import msgspec
 
 from winchdyke import interface as api
-from winchdyke.nodes.belief import Entry
+from winchdyke.discovery.endpoint_view import Entry
 
-STATES = {"ready": api.NodeState.READY, "draining": api.NodeState.DRAINING, "gone": api.NodeState.GONE}
-FORMS = {"full": api.ListKind.FULL, "changes": api.ListKind.CHANGES, "cached": api.ListKind.CACHED}
+STATES = {
+    "ready": api.EndpointStatus.READY,
+    "draining": api.EndpointStatus.DRAINING,
+    "gone": api.EndpointStatus.REMOVED,
+}
+FORMS = {
+    "full": api.EndpointListKind.FULL,
+    "changes": api.EndpointListKind.CHANGES,
+    "cached": api.EndpointListKind.CACHED,
+}
 
 
 class ListError(Exception):
@@ -37,11 +45,11 @@
     version: int = 0  # grows with every change; 0 where the service keeps none
 
 
-class Heard(NamedTuple):
+class ReceivedList(NamedTuple):
     """What a source told: the token for the next call, the form, the entries, and the list's version."""
 
     token: str
-    kind: api.ListKind
+    kind: api.EndpointListKind
     entries: tuple[Entry, ...]
     version: int
 
@@ -56,7 +64,7 @@
     def __init__(self) -> None:
         self._started: dict[tuple[str, float], float] = {}
 
-    def read(self, data: bytes, now_ms: float, unix_ms: float) -> Heard:
+    def read(self, data: bytes, now_ms: float, unix_ms: float) -> ReceivedList:
         """What a listing tells. ListError where the bytes are no listing."""
         try:
             listing = msgspec.json.decode(data, type=Listing)
@@ -73,7 +81,7 @@
         if listing.form != "changes":
             kept = {(entry.name, entry.started_unix_ms) for entry in listing.nodes}
             self._started = {key: at for key, at in self._started.items() if key in kept}
-        return Heard(listing.token, FORMS[listing.form], nodes, listing.version)
+        return ReceivedList(listing.token, FORMS[listing.form], nodes, listing.version)
 
     def _node(self, entry: Listed, now_ms: float, unix_ms: float) -> Entry:
         started = 0.0
--- a/winchdyke/nodes/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -16,8 +16,8 @@
 
 from winchdyke import interface as api
 from winchdyke.config.model import Discovery
-from winchdyke.nodes.sources import HttpSource, backoff
-from winchdyke.nodes.wire import Heard
+from winchdyke.discovery.list_protocol import ReceivedList
+from winchdyke.discovery.sources import HttpSource, backoff
 
 MOST = 1024  # gateways of a list that are taken: as many as members
 
@@ -46,13 +46,13 @@
         self._source.ask()
         await self._source.run(self._heard, self._failed)
 
-    async def _heard(self, _: str, heard: Heard) -> None:
+    async def _heard(self, _: str, heard: ReceivedList) -> None:
         self._failures = 0
         before = set(self._ready)
-        if heard.kind is not api.ListKind.CHANGES:
+        if heard.kind is not api.EndpointListKind.CHANGES:
             self._ready = set()
         for entry in heard.entries:
-            if entry.state is api.NodeState.READY:
+            if entry.state is api.EndpointStatus.READY:
                 self._ready.add(entry.name)
             else:
                 self._ready.discard(entry.name)
--- a/winchdyke/nodes/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -15,17 +15,17 @@
 
 from winchdyke import interface as api
 from winchdyke.config.model import Discovery
+from winchdyke.discovery.endpoint_view import Entry
+from winchdyke.discovery.list_protocol import ListError, Reader, ReceivedList
 from winchdyke.gateway.attempts import LOST
 from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
-from winchdyke.nodes.belief import Entry
-from winchdyke.nodes.wire import Heard, ListError, Reader
 
 LIST_BYTES = 16 << 20
 GAP_S = 0.02  # between polls at the least: a service that never waits is not asked without end
 BURST, PER_S = 20.0, 2.0  # calls to a service that answers at once: so many, and then so many a second
 RETRY_S, RETRY_MOST_S = 0.5, 8.0  # of sources that choose their own time after a failure
 
-Tell = Callable[[str, Heard], Awaitable[None]]
+Tell = Callable[[str, ReceivedList], Awaitable[None]]
 Fail = Callable[[str, str], Awaitable[None]]
 
 
@@ -93,7 +93,7 @@
                 self._asked, self._token, self._index = anyio.Event(), "", 0
                 await fail(self.name, str(error) or type(error).__name__)
 
-    async def _poll(self) -> Heard | None:
+    async def _poll(self) -> ReceivedList | None:
         where = self._where
         wait = where.wait if self._token else 0.0
         target = f"{where.path}?gateway={quote(self._gateway, safe='')}"
@@ -125,7 +125,7 @@
         self._token = heard.token
         return heard if not where.by_index else self._indexed(heard, head)
 
-    def _indexed(self, heard: Heard, head: AnswerHead) -> Heard | None:
+    def _indexed(self, heard: ReceivedList, head: AnswerHead) -> ReceivedList | None:
         """The whole list at an index, as services with blocking queries tell it; None where nothing changed.
 
         An index that goes back, or is none, is not waited on: the next call asks anew. The belief hears of it as of a version.
@@ -137,7 +137,7 @@
         same, back = index == self._index, index < self._index
         self._index = 0 if back else index
         self._token = "" if back else "index"
-        return None if same else heard._replace(kind=api.ListKind.FULL, version=index)
+        return None if same else heard._replace(kind=api.EndpointListKind.FULL, version=index)
 
     @staticmethod
     async def _receive(stream: anyio.abc.SocketStream) -> bytes:
@@ -212,7 +212,7 @@
                 await anyio.sleep(backoff(failures, self._draw))
                 continue
             failures = 0
-            await tell(self.name, Heard("", api.ListKind.FULL, entries, 0))
+            await tell(self.name, ReceivedList("", api.EndpointListKind.FULL, entries, 0))
             await anyio.sleep(self._every * (0.5 + self._draw.random()))
 
     async def _all(self) -> tuple[Entry, ...]:
@@ -235,7 +235,7 @@
                     if not _is_address(host)
                     else [host]
                 )
-                found.append(Entry(f"{next(iter(addresses))}:{record.port}", api.NodeState.READY, shard))
+                found.append(Entry(f"{next(iter(addresses))}:{record.port}", api.EndpointStatus.READY, shard))
         return tuple(found)
 
 
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -9,24 +9,24 @@
 from anyio.abc import TaskGroup
 
 from winchdyke.gateway.bodies import BodyStoreFull, ReplayBody
-from winchdyke.gateway.pool import Connection, DialError, Pool
+from winchdyke.gateway.pool import ConnectError, Connection, ConnectionPool
 from winchdyke.http1 import AnswerHead, Bytes, End, Headers, Need, ProtocolError
-from winchdyke.interface import Outcome
-from winchdyke.limits.account import OverLimit
-from winchdyke.objects import storewire
-from winchdyke.objects.sinks import Sink
+from winchdyke.interface import AttemptOutcome
+from winchdyke.object_api import store_protocol
+from winchdyke.object_api.sinks import Sink
+from winchdyke.quotas.token_bucket import OverLimit
 
 WHOLE = 64 * 1024  # an answer up to this many bytes is read whole before any of it is the client's
 CHUNK = 256 * 1024  # what the transport reads at once; less would be cut out of that, with a copy
 LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
-class ClientLeft(Exception):
+class ClientDisconnectedError(Exception):
     """The client's connection is gone."""
 
 
 @dataclass(slots=True)
-class Outgoing:
+class OutgoingRequest:
     """A request as a store gets it."""
 
     method: str
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class Answer:
+class UpstreamResponse:
     """A whole answer."""
 
     head: AnswerHead
@@ -44,13 +44,13 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptResult:
     """How an attempt ended. ``relayed``: a part of its answer is the client's; ``fault``: what the client did."""
 
-    outcome: Outcome
+    outcome: AttemptOutcome
     latency_ms: float = 0.0
-    told: storewire.Told = field(default_factory=storewire.Told)
-    answer: Answer | None = None
+    told: store_protocol.Told = field(default_factory=store_protocol.Told)
+    answer: UpstreamResponse | None = None
     relayed: bool = False
     status: int = 0
     moved: int = 0
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: ConnectionPool,
         clock: Callable[[], float],
         stream_idle_ms: float,
         sink: Sink,
@@ -78,7 +78,7 @@
         self._sent = self._all_sent = False
         self._blocked = self._block_began = 0.0  # time spent on the client, which is not the store's
         self._fault: Exception | None = None
-        self._ended: Ended | None = None
+        self._ended: AttemptResult | None = None
 
     @property
     def all_sent(self) -> bool:
@@ -95,12 +95,14 @@
         if not self._sent:
             self._scope.cancel()
 
-    async def run(self, node: str, out: Outgoing, timeout_ms: float, write_ms: float = 0.0) -> Ended:
+    async def run(
+        self, node: str, out: OutgoingRequest, timeout_ms: float, write_ms: float = 0.0
+    ) -> AttemptResult:
         """Carry it out; never raises but when the task itself is cancelled."""
         began = self._clock()
         connection: Connection | None = None
         self._scope.deadline = anyio.current_time() + max(0.0, timeout_ms) / 1000
-        ended: Ended | None = None
+        ended: AttemptResult | None = None
         self._phase("dial")
         try:
             with self._scope:
@@ -108,31 +110,31 @@
                 if not write_ms or self._clock() < began + write_ms:
                     ended = await self._exchange(connection, out)
                 else:
-                    ended = Ended(Outcome.UNSENT)  # what it was decided on holds no longer
-        except DialError as error:
-            ended = Ended(Outcome.UNSENT if error.own else Outcome.DIAL_FAILED)
+                    ended = AttemptResult(AttemptOutcome.NOT_SENT)  # what it was decided on holds no longer
+        except ConnectError as error:
+            ended = AttemptResult(AttemptOutcome.NOT_SENT if error.own else AttemptOutcome.CONNECT_FAILED)
         except LOST:
-            ended = Ended(Outcome.RESET if self._sent else Outcome.UNSENT)
+            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET if self._sent else AttemptOutcome.NOT_SENT)
         except ProtocolError:
-            ended = Ended(Outcome.RESET)
+            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET)
         finally:
             if connection is not None and (ended is None or not connection.codec.reusable):
                 await connection.close()
         if ended is None:
-            ended = self._ended or Ended(self._cut_short())
+            ended = self._ended or AttemptResult(self._cut_short())
         if connection is not None and connection.codec.reusable:
             await self._pool.put(connection)
         ended.fault = ended.fault or self._fault
         ended.latency_ms = self._clock() - began - self._blocked
         return ended
 
-    def _cut_short(self) -> Outcome:
+    def _cut_short(self) -> AttemptOutcome:
         if not self._sent:
-            return Outcome.UNSENT
+            return AttemptOutcome.NOT_SENT
         # Time spent on a client that trickles its body is not the store's: a time-out would make it suspect.
-        return Outcome.CANCELLED if self._cancelled or self._on_client else Outcome.TIMED_OUT
+        return AttemptOutcome.CANCELLED if self._cancelled or self._on_client else AttemptOutcome.TIMED_OUT
 
-    async def _exchange(self, connection: Connection, out: Outgoing) -> Ended:
+    async def _exchange(self, connection: Connection, out: OutgoingRequest) -> AttemptResult:
         codec, body = connection.codec, out.body
         payload = codec.request(out.method, out.target, out.headers)
         ready = b"" if body is None else body.in_memory
@@ -150,17 +152,21 @@
             pass  # it may have answered before it closed
         return await self._answer(connection)
 
-    async def _exchange_streamed(self, connection: Connection, head: bytes, body: ReplayBody) -> Ended:
+    async def _exchange_streamed(
+        self, connection: Connection, head: bytes, body: ReplayBody
+    ) -> AttemptResult:
         async with anyio.create_task_group() as group:
             group.start_soon(self._write, connection, head, body, group)
             try:
                 ended = await self._answer(connection)
             except (*LOST, ProtocolError):
-                ended = Ended(Outcome.RESET if self._sent else Outcome.UNSENT)
+                ended = AttemptResult(
+                    AttemptOutcome.CONNECTION_RESET if self._sent else AttemptOutcome.NOT_SENT
+                )
             self._ended = ended
             group.cancel_scope.cancel()
         if self._fault is not None:
-            return Ended(Outcome.CANCELLED if self._sent else Outcome.UNSENT)
+            return AttemptResult(AttemptOutcome.CANCELLED if self._sent else AttemptOutcome.NOT_SENT)
         assert self._ended is not None
         return self._ended
 
@@ -183,7 +189,7 @@
             await connection.stream.send(head + codec.end())
             self._all_sent = True
             self._phase("store")
-        except (ClientLeft, ProtocolError, BodyStoreFull, OverLimit) as error:
+        except (ClientDisconnectedError, ProtocolError, BodyStoreFull, OverLimit) as error:
             self._fault = error
             group.cancel_scope.cancel()
         except LOST:
@@ -200,14 +206,14 @@
             self._blocked += now - self._block_began
         self._on_client = waits or (self._on_client and self._scope.cancel_called)
 
-    async def _answer(self, connection: Connection) -> Ended:
+    async def _answer(self, connection: Connection) -> AttemptResult:
         codec = connection.codec
         while isinstance(head := codec.head(), Need):
             codec.feed(await self._receive(connection))
         self._phase("answer")
         if not self._fits(head):
             raise ProtocolError(502, "store-range", "the store's range is not the one asked for")
-        told = storewire.told(head)
+        told = store_protocol.told(head)
         held = bytearray()
         while len(held) <= WHOLE and (head.length is None or head.length <= WHOLE):
             piece = await self._piece(connection)
@@ -224,22 +230,28 @@
         return await self._relay(connection, head, told, bytes(held))
 
     @staticmethod
-    def _judge(head: AnswerHead, told: storewire.Told, body: bytes) -> Ended:
-        if storewire.never_ran(head):
-            return Ended(Outcome.SHED, told=told, status=head.status)
+    def _judge(head: AnswerHead, told: store_protocol.Told, body: bytes) -> AttemptResult:
+        if store_protocol.never_ran(head):
+            return AttemptResult(AttemptOutcome.SHED, told=told, status=head.status)
         if head.status >= 500:
-            return Ended(Outcome.ERROR, told=told, status=head.status)
-        return Ended(
-            Outcome.SERVED, told=told, answer=Answer(head, body), status=head.status, moved=len(body)
+            return AttemptResult(AttemptOutcome.ERROR, told=told, status=head.status)
+        return AttemptResult(
+            AttemptOutcome.SERVED,
+            told=told,
+            answer=UpstreamResponse(head, body),
+            status=head.status,
+            moved=len(body),
         )
 
     async def _relay(
-        self, connection: Connection, head: AnswerHead, told: storewire.Told, first: bytes
-    ) -> Ended:
+        self, connection: Connection, head: AnswerHead, told: store_protocol.Told, first: bytes
+    ) -> AttemptResult:
         self._scope.deadline = float("inf")  # from here on it is the client's
         self._on_stream()
         moved = 0
-        ended = self._ended = Ended(Outcome.RESET, told=told, relayed=True, status=head.status)
+        ended = self._ended = AttemptResult(
+            AttemptOutcome.CONNECTION_RESET, told=told, relayed=True, status=head.status
+        )
         try:
             await self._to_client(self._sink.begin_stream(head))
             piece: Bytes | End = first
@@ -249,11 +261,11 @@
                 with anyio.fail_after(self._stream_idle / 1000):
                     piece = await self._piece(connection)
             await self._to_client(self._sink.finish())
-            ended.outcome = Outcome.SERVED
-        except ClientLeft as error:
-            ended.outcome, ended.fault = Outcome.CANCELLED, error
+            ended.outcome = AttemptOutcome.SERVED
+        except ClientDisconnectedError as error:
+            ended.outcome, ended.fault = AttemptOutcome.CANCELLED, error
         except OverLimit as error:  # nothing of it was said to the client where it had not begun
-            ended.outcome, ended.fault, ended.relayed = Outcome.CANCELLED, error, moved > 0
+            ended.outcome, ended.fault, ended.relayed = AttemptOutcome.CANCELLED, error, moved > 0
         except (*LOST, ProtocolError):
             pass
         ended.moved = moved
--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -13,7 +13,7 @@
 from anyio.streams.tls import TLSStream
 
 from winchdyke.config.model import Limits
-from winchdyke.gateway.attempts import CHUNK, LOST, ClientLeft
+from winchdyke.gateway.attempts import CHUNK, LOST, ClientDisconnectedError
 from winchdyke.http1 import (
     NEED,
     AnswerHead,
@@ -25,8 +25,8 @@
     RequestHead,
     ServerSide,
 )
-from winchdyke.objects import answers
-from winchdyke.objects.storewire import onward
+from winchdyke.object_api import answers
+from winchdyke.object_api.store_protocol import onward
 
 AHEAD = 128 * 1024  # bytes read beyond what has been asked for
 DRAIN = 64 * 1024  # of a body that nobody wants, to keep the connection
@@ -214,7 +214,7 @@
             if isinstance(piece, End):
                 return b""
             if self.eof:
-                raise ClientLeft
+                raise ClientDisconnectedError
             await self._until_fed()
 
     async def _send(self, data: Bytes) -> None:
@@ -223,12 +223,12 @@
             await self._stream.send(data)  # type: ignore[arg-type]
         except LOST as error:
             self.close_after = True
-            raise ClientLeft from error
+            raise ClientDisconnectedError from error
         finally:
             self._sending, self.due = False, float("inf")
         if self._expired:
             self.close_after = True
-            raise ClientLeft
+            raise ClientDisconnectedError
 
     def begin(self, extra: Headers, close: bool) -> None:
         """Set the headers that every answer to this request carries."""
@@ -256,7 +256,7 @@
             sent = self._head(status, headers) + (self.codec.data(body) if body else b"") + self.codec.end()
             await self._send(sent)
             self.moved = len(body)
-        except ClientLeft:
+        except ClientDisconnectedError:
             pass
 
     async def pass_on(self, head: AnswerHead, body: bytes) -> None:
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -17,28 +17,28 @@
 from anyio.streams.tls import TLSStream
 
 from winchdyke import interface as api
-from winchdyke.accounts.ledger import Bounds, Writer
-from winchdyke.accounts.recorder import Recorder
 from winchdyke.admin.server import Admin, AdminError, listen
-from winchdyke.changes.instant import moved
-from winchdyke.changes.live import Live, Prepared
-from winchdyke.changes.trail import TrailError
 from winchdyke.config import Config
-from winchdyke.fleet.node import FleetError, Node
+from winchdyke.config_rollout.change_log import ChangeLogError
+from winchdyke.config_rollout.controller import Prepared, RolloutController
+from winchdyke.config_rollout.cutover import moved
+from winchdyke.discovery.endpoint_view import Bounds as Belief
+from winchdyke.discovery.endpoint_view import EndpointEvidence
+from winchdyke.discovery.follower import EndpointFollower
+from winchdyke.discovery.seeds import Seeds
+from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
 from winchdyke.gateway.attempts import LOST
 from winchdyke.gateway.clients import ClientConnection
-from winchdyke.gateway.engine import Engine
-from winchdyke.gateway.pool import NO_DESCRIPTORS, Connection, DialError, Pool
-from winchdyke.gateway.service import Service, Snapshot
+from winchdyke.gateway.pool import NO_DESCRIPTORS, ConnectError, Connection, ConnectionPool
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.gateway.service import ConfigSnapshot, Service
 from winchdyke.gateway.tls import Certificates, TlsError, load_stores
 from winchdyke.gateway.writeback import WriteBack, WriteBackError
 from winchdyke.http1 import End, Need, RequestHead
-from winchdyke.nodes.belief import Bounds as Belief
-from winchdyke.nodes.belief import Word
-from winchdyke.nodes.membership import Membership
-from winchdyke.nodes.seeds import Seeds
-from winchdyke.nodes.sources import FileSource, HttpSource, Source, SrvSource
-from winchdyke.objects import answers, storewire
+from winchdyke.latency_attribution.ledger import Bounds, Writer
+from winchdyke.latency_attribution.recorder import Recorder
+from winchdyke.membership.agent import MembershipAgent, MembershipError
+from winchdyke.object_api import answers, store_protocol
 from winchdyke.s3.service import S3
 
 LAST_WORD_S = 0.1  # at a stop, before connections at rest are closed
@@ -61,11 +61,13 @@
 class Gateway:
     """A gateway, made from its settings; ``run`` serves until it is stopped."""
 
-    def __init__(self, config: Config, engine: Engine | None = None) -> None:
+    def __init__(self, config: Config, engine: SchedulerLoop | None = None) -> None:
         limits = config.limits
         self.config = config
-        self.engine = engine or Engine(config.settings(), config.gateway.seed)
-        self.pool = Pool(limits.connect_timeout, limits.pool_idle, limits.pool_per_node, self.engine.clock)
+        self.engine = engine or SchedulerLoop(config.settings(), config.gateway.seed)
+        self.pool = ConnectionPool(
+            limits.connect_timeout, limits.pool_idle, limits.pool_per_node, self.engine.clock
+        )
         self.ledger = self._ledger()
         recorder = None
         if self.ledger is not None:
@@ -76,7 +78,7 @@
         self.engine.watch = self.membership.ask
         self.pool.greet = self._greet
         self.service.on_word, self.service.on_refused = self.membership.heard, self.membership.refused
-        self.fleet = Node(config, self.engine.clock) if config.fleet.listen is not None else None
+        self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
         self.live = self._live()
         self.writeback = self._writeback()
         self.address = ("", 0)
@@ -124,11 +126,11 @@
         self.service.writeback = made
         return made
 
-    def _live(self) -> Live | None:
+    def _live(self) -> RolloutController | None:
         if not self.config.changes.folder:
             return None
         try:
-            live = Live(
+            live = RolloutController(
                 Path(self.config.changes.folder),
                 self.config,
                 self._swap,
@@ -142,7 +144,7 @@
                 clock(), volume, shard, outcome, took
             )
             live.begin()
-        except TrailError as error:
+        except ChangeLogError as error:
             raise StartError(f"{error}; see changes, folder") from error
         return live
 
@@ -163,12 +165,12 @@
         if new := self.engine.accounts(prepared.known):  # that have come since it was prepared
             plans = {**plans, **moved(new, prepared.before, prepared.after)}
         if self.service.snapshot.version != prepared.version:
-            self.service.snapshot = Snapshot(prepared.after.config, prepared.version)
+            self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
         self.engine.retell(prepared.settings, plans)
         if self.fleet is not None:
             self.fleet.expect(prepared.after.config)
 
-    def _membership(self) -> Membership:
+    def _membership(self) -> EndpointFollower:
         where, name, clock = self.config.nodes, self.config.gateway.name, self.engine.clock
         sources: list[Source] = [HttpSource(where, name, clock)]
         if where.file:
@@ -181,34 +183,34 @@
             warm_after=self.config.rules.warm_after, vanish_share=where.vanish_share, hold=where.hold
         )
         folder = Path(where.keep) if where.keep else None
-        return Membership(bounds, sources, name, clock, self._listed, self._trial, folder)
+        return EndpointFollower(bounds, sources, name, clock, self._listed, self._trial, folder)
 
     async def _greet(self, connection: Connection) -> None:
         """Ask a store who it is before it is sent anything; DialError where another one is meant."""
         codec = connection.codec
-        headers = [(b"host", b"store"), (storewire.GATEWAY, self.config.gateway.name.encode())]
-        await connection.stream.send(codec.request("GET", storewire.WHO, headers) + codec.end())
+        headers = [(b"host", b"store"), (store_protocol.GATEWAY, self.config.gateway.name.encode())]
+        await connection.stream.send(codec.request("GET", store_protocol.WHO, headers) + codec.end())
         while isinstance(head := codec.head(), Need):
             codec.feed(await connection.stream.receive())
         while not isinstance(piece := codec.body(), End):
             if isinstance(piece, Need):
                 codec.feed(await connection.stream.receive())
-        if not self.membership.heard(connection.node, storewire.told(head).word or Word()):
-            raise DialError(f"{connection.node}: not the store that is meant, or it drains", False)
+        if not self.membership.heard(connection.node, store_protocol.told(head).word or EndpointEvidence()):
+            raise ConnectError(f"{connection.node}: not the store that is meant, or it drains", False)
 
     async def _trial(self, node: str) -> bool:
         try:
             connection = await self.pool.get(node)
-        except DialError:
+        except ConnectError:
             self.membership.refused(node)
             return False
         await self.pool.put(connection)
         return True
 
-    async def _listed(self, news: api.NodeList) -> None:
+    async def _listed(self, news: api.EndpointList) -> None:
         self.engine.post(news)
-        if news.kind is api.ListKind.FULL:
-            listed = {node.name for node in news.nodes}
+        if news.kind is api.EndpointListKind.FULL:
+            listed = {node.name for node in news.endpoints}
             await self.pool.forget(listed)
             self._log.info("nodes", listed=len(listed))
 
@@ -226,7 +228,7 @@
         if self.fleet is not None:
             try:
                 await self.fleet.open()
-            except FleetError as error:
+            except MembershipError as error:
                 for listener in [*admins, *(listener for listener, _ in listeners)]:
                     await listener.aclose()
                 raise StartError(str(error)) from error
@@ -234,7 +236,7 @@
         self.address = self.addresses[0]
         async with anyio.create_task_group() as group:
             group.start_soon(self.engine.run)
-            self.engine.post(api.NodeList(api.ListKind.CACHED))
+            self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
             group.start_soon(self.membership.run)
             group.start_soon(self._sweep)
             if self.live is not None:
--- a/winchdyke/gateway/outcomes.py
+++ b/winchdyke/gateway/outcomes.py
@@ -26,17 +26,17 @@
 from __future__ import annotations
 
 from winchdyke import interface as api
-from winchdyke.interface import Outcome
+from winchdyke.interface import AttemptOutcome
 
 CODES = {
-    Outcome.SERVED: "served",
-    Outcome.ERROR: "store-error",
-    Outcome.SHED: "store-shed",
-    Outcome.TIMED_OUT: "timed-out",
-    Outcome.DIAL_FAILED: "dial-failed",
-    Outcome.RESET: "store-reset",
-    Outcome.CANCELLED: "cancelled",
-    Outcome.UNSENT: "unsent",
+    AttemptOutcome.SERVED: "served",
+    AttemptOutcome.ERROR: "store-error",
+    AttemptOutcome.SHED: "store-shed",
+    AttemptOutcome.TIMED_OUT: "timed-out",
+    AttemptOutcome.CONNECT_FAILED: "dial-failed",
+    AttemptOutcome.CONNECTION_RESET: "store-reset",
+    AttemptOutcome.CANCELLED: "cancelled",
+    AttemptOutcome.NOT_SENT: "unsent",
 }
 
 REASONS = {
@@ -78,12 +78,14 @@
 }
 
 
-def final(action: api.Refuse | api.Fail, last: Outcome | None, time_up: bool) -> tuple[int, str, str]:
+def final(
+    action: api.ShedRequest | api.FailRequest, last: AttemptOutcome | None, time_up: bool
+) -> tuple[int, str, str]:
     """The status, outcome and reason code of a final answer that the scheduler gave.
 
     ``last`` is the outcome of the last attempt (None: there was none).
     """
     reason = "held-out" if last is None else CODES[last]
-    if isinstance(action, api.Refuse):
+    if isinstance(action, api.ShedRequest):
         return 503, "refused", reason
-    return (504 if last is Outcome.TIMED_OUT or time_up else 502), "failed", reason
+    return (504 if last is AttemptOutcome.TIMED_OUT or time_up else 502), "failed", reason
--- a/winchdyke/gateway/pool.py
+++ b/winchdyke/gateway/pool.py
@@ -21,7 +21,7 @@
 ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
-class DialError(Exception):
+class ConnectError(Exception):
     """No connection was made; ``own`` tells that this host had no means left to make one."""
 
     def __init__(self, text: str, own: bool) -> None:
@@ -69,7 +69,7 @@
     return found
 
 
-class Pool:
+class ConnectionPool:
     """The idle connections of one gateway."""
 
     def __init__(self, connect_ms: float, idle_ms: float, per_node: int, clock: Callable[[], float]) -> None:
@@ -101,7 +101,7 @@
                 stream = await self._dial(host, int(port))
         except (OSError, ValueError, ExceptionGroup) as error:
             own = bool(_errnos(error).intersection(NO_DESCRIPTORS))
-            raise DialError(f"{node}: {error}", own) from error
+            raise ConnectError(f"{node}: {error}", own) from error
         self.dialled += 1
         connection = Connection(node, stream)
         # Guards against an address that another store has taken, whatever the list says: nothing of one process
@@ -131,13 +131,13 @@
                 await self.greet(connection)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, ProtocolError) as error:
             await connection.close()
-            raise DialError(f"{connection.node}: {error or 'no answer to who it is'}", False) from error
+            raise ConnectError(f"{connection.node}: {error or 'no answer to who it is'}", False) from error
         except BaseException:
             await connection.close()
             raise
         if not connection.codec.reusable:
             await connection.close()
-            raise DialError(f"{connection.node}: closes after it said who it is", False)
+            raise ConnectError(f"{connection.node}: closes after it said who it is", False)
         connection.codec.next_cycle()
 
     async def put(self, connection: Connection) -> None:
--- a/winchdyke/gateway/engine.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -17,13 +17,13 @@
 import structlog
 
 from winchdyke import interface as api
-from winchdyke.policy import Scheduler, Volume
+from winchdyke.policy import Scheduler, VolumeQuota
 
 # Accounts and changes bring the configuration language along, a third of a start's time: read in where they are used.
 if TYPE_CHECKING:
-    from winchdyke.accounts.why import Observer
+    from winchdyke.latency_attribution.why import Observer
 
-Told = api.Send | api.Refuse | api.Fail | api.Cancel
+RequestAction = api.StartAttempt | api.ShedRequest | api.FailRequest | api.CancelAttempt
 GONE_KEPT = 64  # nodes that have left whose entries are kept
 OVERDUE_MS = 200.0  # past a request's time after which the engine answers without the scheduler
 
@@ -33,14 +33,14 @@
     return time.monotonic() * 1000
 
 
-class Decider(Protocol):
+class BatchScheduler(Protocol):
     """What the engine needs of the scheduler."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         """Actions that answer the events."""
 
 
-class Ticket:
+class RequestHandle:
     """One request that has been taken, and what the scheduler says of it, in order."""
 
     __slots__ = (
@@ -59,7 +59,7 @@
 
     def __init__(self, request: str, end: float) -> None:
         self.id, self.end = request, end
-        self.actions: deque[Told] = deque()
+        self.actions: deque[RequestAction] = deque()
         self.attempts = self.attempts_out = 0
         self.gone = self.closed = False
         self.fault = ""  # why the engine answered in the scheduler's place
@@ -67,7 +67,7 @@
         self.on_call_off: Callable[[int], None] | None = None
         self._wake: anyio.Event | None = None
 
-    def tell(self, action: Told) -> None:
+    def tell(self, action: RequestAction) -> None:
         """Put an action where the holder finds it."""
         self.actions.append(action)
         self.wake()
@@ -77,7 +77,7 @@
         if self._wake is not None:
             self._wake.set()
 
-    async def next(self) -> Told | None:
+    async def next(self) -> RequestAction | None:
         """The next action; None once the client has gone and none is left."""
         while not self.actions:
             if self.gone:
@@ -87,26 +87,26 @@
         return self.actions.popleft()
 
 
-class Engine:
+class SchedulerLoop:
     """The scheduler of one gateway, with its clock and its timers."""
 
     def __init__(
         self,
         settings: api.Settings,
         seed: int,
-        make: Callable[[api.Settings, int, float], Decider] = Scheduler,
+        make: Callable[[api.Settings, int, float], BatchScheduler] = Scheduler,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
         self.settings, self.clock = settings, clock
         self.observing = False
         self.observer: Observer | None = None
         self._make, self._seed, self._starts = make, seed, 0
-        self.tickets: dict[str, Ticket] = {}
-        self.departed: dict[str, Ticket] = {}  # whose clients have left and whose attempts go on
+        self.tickets: dict[str, RequestHandle] = {}
+        self.departed: dict[str, RequestHandle] = {}  # whose clients have left and whose attempts go on
         self.counts: Counter[str] = Counter()
         self.watch: Callable[[], None] = lambda: None
         self.on_post: Callable[[], None] | None = None  # told in place of the task, where turns are another's
-        self.nodes: dict[str, api.Node] = {}
+        self.nodes: dict[str, api.Endpoint] = {}
         self._inbox: list[api.Event] = []
         self._timers: list[tuple[float, int, int]] = []
         self._timer_number = 0
@@ -114,7 +114,7 @@
         self._log = structlog.get_logger("engine")
         self._scheduler = self._begin()
 
-    def _begin(self) -> Decider:
+    def _begin(self) -> BatchScheduler:
         self._starts += 1
         return self._make(self.settings, self._seed + self._starts - 1, self.clock())
 
@@ -126,11 +126,11 @@
     def accounts(self, since: int = 0) -> list[str]:
         """The volumes that have accounts, in order of their coming; those from a place on."""
         scheduler = self._scheduler
-        return list(islice(scheduler.volumes, since, None)) if isinstance(scheduler, Scheduler) else []
+        return list(islice(scheduler.quotas, since, None)) if isinstance(scheduler, Scheduler) else []
 
     def retell(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
         """Go by other plans from the next batch on; how many accounts changed theirs."""
-        from winchdyke.changes.swap import retell
+        from winchdyke.config_rollout.hot_reload import retell
 
         self.settings = settings
         scheduler = self._scheduler
@@ -138,36 +138,36 @@
 
     def freshen(self, names: list[str]) -> None:
         """Fill accounts up to now."""
-        from winchdyke.changes.swap import freshen
+        from winchdyke.config_rollout.hot_reload import freshen
 
         if isinstance(self._scheduler, Scheduler):
             freshen(self._scheduler, names, self.clock())
 
-    def purse(self, volume: str) -> Volume | None:
+    def purse(self, volume: str) -> VolumeQuota | None:
         """The scheduler's account of a volume; None where it has not heard of it."""
         scheduler = self._scheduler
-        return scheduler.volumes.get(volume) if isinstance(scheduler, Scheduler) else None
+        return scheduler.quotas.get(volume) if isinstance(scheduler, Scheduler) else None
 
     def held(self) -> dict[int, int]:
         """How many requests wait for each shard."""
         scheduler = self._scheduler
         if not isinstance(scheduler, Scheduler):
             return {}
-        return {number: len(scheduler.shards[number].queue) for number in scheduler.waiting}
+        return {number: len(scheduler.shards[number].queue) for number in scheduler.shards_with_queue}
 
     def _see(self) -> None:
         scheduler, self.observer = self._scheduler, None
         if self.observing and isinstance(scheduler, Scheduler):
-            from winchdyke.accounts.why import Observer
+            from winchdyke.latency_attribution.why import Observer
 
             self.observer = Observer(scheduler)
 
-    def take(self, request: api.Request, ticket: Ticket | None = None) -> Ticket:
+    def take(self, request: api.Request, ticket: RequestHandle | None = None) -> RequestHandle:
         """Hand a request to the scheduler, which owes it exactly one final answer from now on."""
-        if request.id in self.tickets:
-            raise ValueError(f"request {request.id} is held already")
-        ticket = ticket or Ticket(request.id, self.clock() + request.left_ms)
-        self.tickets[request.id] = ticket
+        if request.request_id in self.tickets:
+            raise ValueError(f"request {request.request_id} is held already")
+        ticket = ticket or RequestHandle(request.request_id, self.clock() + request.time_left_ms)
+        self.tickets[request.request_id] = ticket
         self.post(request)
         return ticket
 
@@ -179,22 +179,22 @@
         else:
             self.on_post()
 
-    def gone(self, ticket: Ticket) -> None:
+    def gone(self, ticket: RequestHandle) -> None:
         """The client has left."""
         if not ticket.closed:
             ticket.closed = ticket.gone = True
             self.tickets.pop(ticket.id, None)
             if ticket.attempts_out:
                 self.departed[ticket.id] = ticket
-            self.post(api.ClientGone(ticket.id))
+            self.post(api.ClientDisconnected(ticket.id))
             ticket.wake()
 
-    def ended(self, ticket: Ticket, event: api.AttemptEnded) -> None:
+    def ended(self, ticket: RequestHandle, event: api.AttemptEnded) -> None:
         """An attempt has ended; where that finishes the request its ticket is closed."""
         ticket.attempts_out -= 1
         if not ticket.attempts_out:
             self.departed.pop(ticket.id, None)
-        if event.closed and not ticket.closed:
+        if event.request_finished and not ticket.closed:
             ticket.closed = True
             self.tickets.pop(ticket.id, None)
         self.post(event)
@@ -230,7 +230,7 @@
         if not events:
             return
         for event in events:
-            if isinstance(event, api.NodeList):
+            if isinstance(event, api.EndpointList):
                 self._remember(event)
         try:
             for action in self._scheduler.handle(now, events):
@@ -240,47 +240,51 @@
         except Exception as error:
             self._fault(error)
 
-    def _remember(self, news: api.NodeList) -> None:
-        if news.kind in (api.ListKind.FULL, api.ListKind.CACHED):
+    def _remember(self, news: api.EndpointList) -> None:
+        if news.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
             self.nodes = {}
-        for node in news.nodes:
+        for node in news.endpoints:
             self.nodes.pop(node.name, None)
             self.nodes[node.name] = node
         # Where stores are ever new, what is gone must not be kept for good; what just went may still be asked for its shard.
-        gone = [name for name, node in self.nodes.items() if node.state is api.NodeState.GONE]
+        gone = [name for name, node in self.nodes.items() if node.status is api.EndpointStatus.REMOVED]
         for name in gone[:-GONE_KEPT]:
             del self.nodes[name]
 
     def _carry_out(self, now: float, action: api.Action) -> None:
         self.counts[type(action).__name__] += 1
-        if isinstance(action, (api.Send, api.Refuse, api.Fail)):
-            ticket = self.tickets.get(action.request)
+        if isinstance(action, (api.StartAttempt, api.ShedRequest, api.FailRequest)):
+            ticket = self.tickets.get(action.request_id)
             if ticket is None:  # it left in this very turn
-                if isinstance(action, api.Send):
-                    gone = api.AttemptEnded(action.request, 0, action.node, api.Outcome.UNSENT, 0.0, True)
+                if isinstance(action, api.StartAttempt):
+                    gone = api.AttemptEnded(
+                        action.request_id, 0, action.endpoint, api.AttemptOutcome.NOT_SENT, 0.0, True
+                    )
                     self.post(gone)
                 return
-            if isinstance(action, api.Send):
+            if isinstance(action, api.StartAttempt):
                 ticket.attempts_out += 1
             else:
                 ticket.closed = True
-                del self.tickets[action.request]
+                del self.tickets[action.request_id]
             ticket.tell(action)
         elif isinstance(action, api.SetTimer):
             self._timer_number += 1
-            heapq.heappush(self._timers, (now + max(0.0, action.after_ms), self._timer_number, action.tag))
-        elif isinstance(action, api.Cancel):
-            ticket = self.tickets.get(action.request) or self.departed.get(action.request)
+            heapq.heappush(
+                self._timers, (now + max(0.0, action.after_ms), self._timer_number, action.timer_id)
+            )
+        elif isinstance(action, api.CancelAttempt):
+            ticket = self.tickets.get(action.request_id) or self.departed.get(action.request_id)
             if ticket is not None and ticket.on_cancel is not None:
                 ticket.on_cancel(action.attempt)
-        elif isinstance(action, api.CallOff):
-            ticket = self.tickets.get(action.request) or self.departed.get(action.request)
+        elif isinstance(action, api.AbandonAttempt):
+            ticket = self.tickets.get(action.request_id) or self.departed.get(action.request_id)
             if ticket is not None and ticket.on_call_off is not None:
                 ticket.on_call_off(action.attempt)
-        elif isinstance(action, api.WatchList):
+        elif isinstance(action, api.WatchEndpoints):
             self.watch()
         else:
-            self._log.info("scheduler", text=action.text)
+            self._log.info("scheduler", text=action.message)
 
     def _fault(self, error: Exception) -> None:
         # Guards against a request that waits for a scheduler that has failed, whatever the cause: all that it held
@@ -288,18 +292,23 @@
         # where one bad request faults it again and again: each time all others fail with it.
         self.counts["faults"] += 1
         self._log.error("engine-fault", error=repr(error), held=len(self.tickets), exc_info=error)
-        self._inbox, self._timers = [event for event in self._inbox if isinstance(event, api.NodeList)], []
+        self._inbox, self._timers = (
+            [event for event in self._inbox if isinstance(event, api.EndpointList)],
+            [],
+        )
         for ticket in list(self.tickets.values()):
             self._answer(ticket, "engine-fault")
         self._scheduler = self._begin()
         self._see()
-        self.post(api.NodeList(api.ListKind.CACHED, tuple(self.nodes.values())))
+        self.post(api.EndpointList(api.EndpointListKind.CACHED, tuple(self.nodes.values())))
 
-    def _answer(self, ticket: Ticket, why: str, action: api.Refuse | api.Fail | None = None) -> None:
+    def _answer(
+        self, ticket: RequestHandle, why: str, action: api.ShedRequest | api.FailRequest | None = None
+    ) -> None:
         del self.tickets[ticket.id]
         ticket.closed, ticket.fault = True, why
         ticket.actions.clear()
-        ticket.tell(action or api.Fail(ticket.id))
+        ticket.tell(action or api.FailRequest(ticket.id))
         if ticket.on_cancel is not None:
             ticket.on_cancel(-1)
 
@@ -313,12 +322,14 @@
             if ticket.closed:
                 continue
             self.counts[why] += 1
-            self._answer(ticket, why, api.Fail(ticket.id) if ticket.attempts else api.Refuse(ticket.id))
-            self.post(api.ClientGone(ticket.id))
+            self._answer(
+                ticket, why, api.FailRequest(ticket.id) if ticket.attempts else api.ShedRequest(ticket.id)
+            )
+            self.post(api.ClientDisconnected(ticket.id))
 
     def answer_overdue(self, now: float) -> None:
         """Answer what is held with no attempt out past its time: a scheduler that says nothing, whatever the cause."""
         for ticket in [t for t in self.tickets.values() if now > t.end + OVERDUE_MS and not t.attempts_out]:
             self.counts["overdue"] += 1
             self._answer(ticket, "engine-silent")
-            self.post(api.ClientGone(ticket.id))
+            self.post(api.ClientDisconnected(ticket.id))
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -15,25 +15,31 @@
 
 from winchdyke import interface as api
 from winchdyke import placement
-from winchdyke.accounts.recorder import Course, Recorder
 from winchdyke.config.matching import Asked, Route
 from winchdyke.config.model import Config, Kind, VolumeRule
+from winchdyke.discovery.endpoint_view import EndpointEvidence
 from winchdyke.gateway import logs, outcomes
-from winchdyke.gateway.attempts import Answer, Attempt, ClientLeft, Ended, Outgoing
+from winchdyke.gateway.attempts import (
+    Attempt,
+    AttemptResult,
+    ClientDisconnectedError,
+    OutgoingRequest,
+    UpstreamResponse,
+)
 from winchdyke.gateway.bodies import BodyStore, BodyStoreFull, ReplayBody
 from winchdyke.gateway.clients import ClientConnection
-from winchdyke.gateway.engine import Engine, Ticket
-from winchdyke.gateway.pool import Pool
+from winchdyke.gateway.pool import ConnectionPool
+from winchdyke.gateway.scheduler_loop import RequestHandle, SchedulerLoop
 from winchdyke.gateway.writeback import Ended as OwnEnded
-from winchdyke.gateway.writeback import Record as WriteRecord
 from winchdyke.gateway.writeback import WriteBack, tag_of
+from winchdyke.gateway.writeback import WriteBackRecord as WriteRecord
 from winchdyke.http1 import AnswerHead, Bytes, Headers, ProtocolError, RequestHead
-from winchdyke.limits.account import OverLimit, units_of, weigh
-from winchdyke.limits.tolls import Bill, Paying, Tolls
-from winchdyke.nodes.belief import Word
-from winchdyke.objects import answers, listing, ranges, routes, storewire
-from winchdyke.objects.answers import RequestError
-from winchdyke.objects.sinks import Sink
+from winchdyke.latency_attribution.recorder import Recorder, RequestTrace
+from winchdyke.object_api import answers, listing, ranges, routes, store_protocol
+from winchdyke.object_api.answers import RequestError
+from winchdyke.object_api.sinks import Sink
+from winchdyke.quotas.byte_metering import ByteMeter, MeteredSink, TransferCharge
+from winchdyke.quotas.token_bucket import OverLimit, units_of, weigh
 from winchdyke.writeback.log import Full, LogError
 
 BODIES = ("put", "post", "put-part", "complete-upload")
@@ -50,7 +56,7 @@
 
 
 @dataclass(slots=True)
-class Final:
+class FinalResponse:
     """The one final answer to a request."""
 
     status: int
@@ -58,20 +64,20 @@
     reason: str
     text: str = ""
     retry_after_ms: float | None = None
-    answer: Answer | None = None
+    answer: UpstreamResponse | None = None
     relayed: bool = False
     acknowledged: str = ""  # by what, where not by a store
     parts: list[bytes] | None = None  # of what was asked of several shards, as they answered
 
 
-class Snapshot:
+class ConfigSnapshot:
     """Settings as a request finds them when it comes, to its last attempt; never changed, only followed by another."""
 
     __slots__ = ("config", "limits", "version", "volumes")
 
     def __init__(self, config: Config, version: int = 0) -> None:
         self.config, self.version = config, version
-        self.limits = {plan.name: plan.limit for plan in config.plans}  # units a second; 0: none
+        self.limits = {plan.name: plan.limit_units_per_s for plan in config.plans}  # units a second; 0: none
         self.volumes: dict[str, VolumeRule | None] = {}
 
     def volume(self, name: str) -> VolumeRule | None:
@@ -84,15 +90,15 @@
 
 
 @dataclass(slots=True)
-class Record:
+class AccessLogRecord:
     """What the access line of a request tells, and its course where accounts are kept."""
 
-    course: Course | None = None
+    course: RequestTrace | None = None
     version: int = 0
     excess: float = 0.0  # units that its body counts beyond what the scheduler is told
     unit_bytes: int = 0
     limit: float = 0.0  # of its course, over all gateways, in units a second; 0: none
-    bill: Bill | None = None  # what it pays of that beyond what the scheduler is told
+    bill: TransferCharge | None = None  # what it pays of that beyond what the scheduler is told
     ask: api.Request | None = None
     attempts: int = 0
     nodes: list[str] = field(default_factory=list)
@@ -101,7 +107,7 @@
     out_ms: float = 0.0  # attempts at stores, less what the client held up
 
 
-class Nobody:
+class InternalCaller:
     """In a client's place, where the gateway asks for itself."""
 
     on_gone: Callable[[], None] | None = None
@@ -112,20 +118,20 @@
         """Nobody leaves."""
 
 
-class Nowhere:
+class DiscardSink:
     """A sink for what is not wanted: answers that stream where only whole ones are taken."""
 
     async def begin_stream(self, head: AnswerHead) -> None:
         """Refuse."""
-        raise ClientLeft
+        raise ClientDisconnectedError
 
     async def data(self, data: Bytes) -> None:
         """Refuse."""
-        raise ClientLeft
+        raise ClientDisconnectedError
 
     async def finish(self) -> None:
         """Refuse."""
-        raise ClientLeft
+        raise ClientDisconnectedError
 
 
 class Service:
@@ -134,19 +140,19 @@
     def __init__(
         self,
         config: Config,
-        engine: Engine,
-        pool: Pool,
+        engine: SchedulerLoop,
+        pool: ConnectionPool,
         clock: Callable[[], float],
         recorder: Recorder | None = None,
     ) -> None:
         self.recorder = recorder
-        self.on_word: Callable[[str, Word], bool] = lambda *_: True
+        self.on_word: Callable[[str, EndpointEvidence], bool] = lambda *_: True
         self.on_refused: Callable[[str], None] = lambda _: None
         self.on_end: Callable[[str, int, str, float], None] | None = None
         self.config, self.engine, self.pool, self.clock = config, engine, pool, clock
         self.bodies = BodyStore(config.limits.body_total, config.limits.body_memory)
         self.writeback: WriteBack | None = None
-        self.tolls = Tolls(clock, engine.purse, lambda: engine.settings.largest_units)
+        self.tolls = ByteMeter(clock, engine.purse, lambda: engine.settings.max_request_units)
         self.stopping = False
         self.active = 0
         self._born, self._count = (
@@ -155,7 +161,7 @@
         )  # a request's id: this process, and its number in it
         self._keys: set[tuple[str, str]] = set()
         self._kinds = {kind.rules.name: kind.rules for kind in config.kinds}
-        self.snapshot = Snapshot(config)
+        self.snapshot = ConfigSnapshot(config)
         self._log = structlog.get_logger("access")
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
@@ -165,10 +171,12 @@
         snapshot = self.snapshot
         told: Headers = [(answers.REQUEST_ID, request.encode())]
         if snapshot.version:
-            told.append((storewire.VERSION, str(snapshot.version).encode()))
+            told.append((store_protocol.VERSION, str(snapshot.version).encode()))
         connection.begin(told, close=self.stopping)
         connection.unread_length = head.length
-        record = Record(self.recorder.begin() if self.recorder is not None else None, snapshot.version)
+        record = AccessLogRecord(
+            self.recorder.begin() if self.recorder is not None else None, snapshot.version
+        )
         operation: routes.Operation | None = None
         kind: Kind | None = None
         self.active += 1
@@ -178,12 +186,12 @@
             record.limit = snapshot.limits.get(volume.plan, 0.0)
             final = await self._keyed(connection, head, operation, kind, volume, request, record)
         except RequestError as error:
-            final = Final(error.status, "refused", error.reason, str(error))
+            final = FinalResponse(error.status, "refused", error.reason, str(error))
             connection.begin(
                 [*connection.extra, *([(b"allow", error.allow.encode())] if error.allow else [])], False
             )
         except Exception as error:
-            final = Final(500, "failed", "internal")
+            final = FinalResponse(500, "failed", "internal")
             structlog.get_logger("gateway").error("internal", request=request, exc_info=error)
         finally:
             self.active -= 1
@@ -205,8 +213,8 @@
         kind: Kind | None,
         head: RequestHead,
         request: str,
-        final: Final,
-        record: Record,
+        final: FinalResponse,
+        record: AccessLogRecord,
     ) -> None:
         if self.recorder is None or record.course is None or operation is None or kind is None:
             return
@@ -225,7 +233,7 @@
         )
 
     def _settings_of(
-        self, snapshot: Snapshot, operation: routes.Operation, head: RequestHead
+        self, snapshot: ConfigSnapshot, operation: routes.Operation, head: RequestHead
     ) -> tuple[Kind, VolumeRule]:
         config, volume = snapshot.config, snapshot.volume(operation.volume)
         if volume is None:
@@ -256,11 +264,11 @@
         head: RequestHead,
         operation: routes.Operation,
         request: str,
-        record: Record,
-        snapshot: Snapshot,
+        record: AccessLogRecord,
+        snapshot: ConfigSnapshot,
         source: Source | None = None,
         sink: Sink | None = None,
-    ) -> tuple[Kind, Final]:
+    ) -> tuple[Kind, FinalResponse]:
         """Carry out one operation for another dialect; nothing is said to the client but what goes into ``sink``."""
         kind, volume = self._settings_of(snapshot, operation, head)
         record.limit = snapshot.limits.get(volume.plan, 0.0)
@@ -276,16 +284,16 @@
         kind: Kind,
         volume: VolumeRule,
         request: str,
-        record: Record,
+        record: AccessLogRecord,
         source: Source | None = None,
         sink: Sink | None = None,
-    ) -> Final:
+    ) -> FinalResponse:
         """One at a time for a client's Idempotency-Key, as the IETF's draft on that header has it."""
         mine = (operation.volume, operation.idempotency_key)
         if operation.idempotency_key:
             if mine in self._keys:
                 text = "a request with this Idempotency-Key is under way; wait for its answer"
-                return Final(409, "refused", "key-in-use", text, 1000.0)
+                return FinalResponse(409, "refused", "key-in-use", text, 1000.0)
             self._keys.add(mine)
         try:
             final = await self._one(connection, head, operation, kind, volume, request, record, source, sink)
@@ -303,14 +311,14 @@
         kind: Kind,
         volume: VolumeRule,
         request: str,
-        record: Record,
+        record: AccessLogRecord,
         source: Source | None = None,
         sink: Sink | None = None,
-    ) -> Final:
+    ) -> FinalResponse:
         limits, rules = self.config.limits, kind.rules
         source = source or Source(self._bounded(connection), head.length)
         left = min(rules.deadline_ms, operation.time_left_ms or rules.deadline_ms) - limits.answer_margin
-        largest = self.engine.settings.largest_units
+        largest = self.engine.settings.max_request_units
         units = routes.units(operation, source.length, kind.unit_bytes, kind.usual_units, largest)
         record.unit_bytes = kind.unit_bytes
         size = operation.range.length if operation.range is not None else None
@@ -326,18 +334,20 @@
             length = size if operation.name == "get" else source.length
             if length is None or size is not None or length > units * kind.unit_bytes:
                 since = self.clock()
-                until = since + max(0.0, left - rules.aim_ms)  # what has not its aim left then is given up
+                until = since + max(
+                    0.0, left - rules.latency_objective_ms
+                )  # what has not its aim left then is given up
                 bill = record.bill = self.tolls.bill(
                     operation.volume, record.limit, volume.gateways, kind.unit_bytes, units, until
                 )
                 try:
                     if not await self._paid(bill, length, connection, record):
-                        return Final(0, "gone", "client-gone")
+                        return FinalResponse(0, "gone", "client-gone")
                 except OverLimit as error:
                     return _over(error)
                 left -= self.clock() - since
                 if operation.name == "get":
-                    sink = Paying(bill, sink or connection)
+                    sink = MeteredSink(bill, sink or connection)
                 else:
                     source = Source(_counted(source.read, bill), source.length)
         if self.writeback is not None and not request.startswith(OWN):
@@ -358,8 +368,8 @@
             except BodyStoreFull:
                 return self._full()
         ask = api.Request(
-            id=request,
-            class_name=rules.name,
+            request_id=request,
+            request_class=rules.name,
             plan=volume.plan,
             volume=operation.volume,
             key=f"{operation.volume}/{operation.key}"
@@ -367,8 +377,8 @@
             else operation.idempotency_key or operation.key,
             units=units,
             shard=placement.ANYWHERE,
-            gateways=volume.gateways,
-            left_ms=max(0.0, left),
+            sharing_gateways=volume.gateways,
+            time_left_ms=max(0.0, left),
         )
         record.ask = ask
         if operation.name in ("list", "list-uploads"):
@@ -381,11 +391,11 @@
         stem = uuid.uuid4().hex if operation.name == "post" else ""
         ticket = self.engine.take(ask)
 
-        def outgoing(node: str, number: int) -> Outgoing:
+        def outgoing(node: str, number: int) -> OutgoingRequest:
             shard = self.engine.nodes[node].shard
             key = placement.placed_key(stem, shard) if operation.name == "post" else operation.key
             headers = self._headers(operation, ask, head, shard, number, body, record.version)
-            return Outgoing(operation.store_method, operation.target(key), headers, body)
+            return OutgoingRequest(operation.store_method, operation.target(key), headers, body)
 
         try:
             return await self._exchange(ticket, outgoing, operation, sink or connection, connection, record)
@@ -396,16 +406,16 @@
     async def _written_back(
         self, operation: routes.Operation, rules: api.RequestClass, source: Source, *, ask_of: str, units: float,
         volume: VolumeRule, left: float,
-    ) -> Final | None:  # fmt: skip
+    ) -> FinalResponse | None:  # fmt: skip
         """Acknowledge a write from the log; others wait for what it holds of their object. None: go on as ever."""
         back = self.writeback
         assert back is not None
         if not back.takes(operation, rules.name, source.length) or back.stopping:
             if back.holds(operation.volume, operation.key) and not await back.reached(
-                operation.volume, operation.key, self.clock() + max(0.0, left - rules.aim_ms)
+                operation.volume, operation.key, self.clock() + max(0.0, left - rules.latency_objective_ms)
             ):
                 after = self.engine.settings.max_retry_after_ms
-                return Final(503, "refused", "write-back", outcomes.REASONS["write-back"], after)
+                return FinalResponse(503, "refused", "write-back", outcomes.REASONS["write-back"], after)
             return None
         tag = back.known(operation.volume, operation.idempotency_key)
         body = bytearray()
@@ -413,9 +423,9 @@
             while data := await source.read():
                 body += data
         except ProtocolError as error:
-            return Final(error.status, "failed", error.reason, str(error))
-        except ClientLeft:
-            return Final(0, "gone", "client-gone")
+            return FinalResponse(error.status, "failed", error.reason, str(error))
+        except ClientDisconnectedError:
+            return FinalResponse(0, "gone", "client-gone")
         if tag is None:
             tag = tag_of(bytes(body))
             record = WriteRecord(
@@ -426,26 +436,26 @@
             try:
                 await back.keep(record)
             except Full as error:
-                return Final(
+                return FinalResponse(
                     503, "refused", "write-back", str(error), self.engine.settings.max_retry_after_ms
                 )
             except LogError as error:
-                return Final(502, "failed", "write-back-lost", str(error))
+                return FinalResponse(502, "failed", "write-back-lost", str(error))
         told: Headers = [(b"etag", tag.encode()), (b"content-length", b"0")]
-        whole = Answer(AnswerHead(200, told, 0), b"")
-        return Final(200, "served", "ok", answer=whole, acknowledged="log")
+        whole = UpstreamResponse(AnswerHead(200, told, 0), b"")
+        return FinalResponse(200, "served", "ok", answer=whole, acknowledged="log")
 
     async def carry_own(self, operation: routes.Operation, body: bytes, request: str) -> OwnEnded:
         """Take an operation of the gateway's own through the scheduler: its outcome, the last attempt's, status and tag."""
         head = RequestHead(operation.store_method, operation.target(), [], len(body))
-        record, left = Record(version=self.snapshot.version), [body] if body else []
+        record, left = AccessLogRecord(version=self.snapshot.version), [body] if body else []
 
         async def read() -> Bytes:
             return left.pop() if left else b""
 
         try:
             _, final = await self.carry(
-                Nobody(), head, operation, OWN + request, record, self.snapshot, Source(read, len(body)), Nowhere(),  # type: ignore[arg-type]
+                InternalCaller(), head, operation, OWN + request, record, self.snapshot, Source(read, len(body)), DiscardSink(),  # type: ignore[arg-type]
             )  # fmt: skip
         except RequestError as error:
             return "failed", None, error.status, ""
@@ -460,7 +470,9 @@
             (answer.head.get(b"etag") or "") if answer is not None else "",
         )
 
-    async def _settle_bill(self, record: Record, operation: routes.Operation, final: Final) -> Final:
+    async def _settle_bill(
+        self, record: AccessLogRecord, operation: routes.Operation, final: FinalResponse
+    ) -> FinalResponse:
         """Pay for an answer that was held whole, before it is the client's; remember how large the object is."""
         bill, answer = record.bill, final.answer
         if bill is None or final.outcome != "served":
@@ -476,7 +488,7 @@
         return final
 
     async def _paid(
-        self, bill: Bill, length: int | None, connection: ClientConnection, record: Record
+        self, bill: TransferCharge, length: int | None, connection: ClientConnection, record: AccessLogRecord
     ) -> bool:
         """Pay for a body whose length is known, in turn; False where its client left meanwhile."""
         if length is None:
@@ -520,21 +532,21 @@
     ) -> Headers:
         headers: Headers = [
             (b"host", b"store"),
-            (storewire.REQUEST, ask.id.encode()),
-            (storewire.ATTEMPT, str(number).encode()),
-            (storewire.GATEWAY, self.config.gateway.name.encode()),
-            (storewire.CLASS, ask.class_name.encode()),
-            (storewire.UNITS, f"{ask.units:g}".encode()),
-            (storewire.SHARD, str(shard).encode()),
+            (store_protocol.REQUEST, ask.request_id.encode()),
+            (store_protocol.ATTEMPT, str(number).encode()),
+            (store_protocol.GATEWAY, self.config.gateway.name.encode()),
+            (store_protocol.CLASS, ask.request_class.encode()),
+            (store_protocol.UNITS, f"{ask.units:g}".encode()),
+            (store_protocol.SHARD, str(shard).encode()),
             *operation.passed,
         ]
         if version:
-            headers.append((storewire.VERSION, str(version).encode()))
-        kind = self._kinds[ask.class_name]
-        if kind.effect is api.Effect.KEYED:
-            headers.append((storewire.KEY, (operation.idempotency_key or ask.id).encode()))
+            headers.append((store_protocol.VERSION, str(version).encode()))
+        kind = self._kinds[ask.request_class]
+        if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:
+            headers.append((store_protocol.KEY, (operation.idempotency_key or ask.request_id).encode()))
         if kind.in_order and ask.key:
-            headers.append((storewire.ORDER, quote(ask.key, safe="/-._~").encode()))
+            headers.append((store_protocol.ORDER, quote(ask.key, safe="/-._~").encode()))
         if operation.client_request:
             headers.append((answers.REQUEST_ID, operation.client_request.encode()))
         if operation.range is not None:
@@ -548,13 +560,13 @@
 
     async def _exchange(
         self,
-        ticket: Ticket,
-        outgoing: Callable[[str, int], Outgoing],
+        ticket: RequestHandle,
+        outgoing: Callable[[str, int], OutgoingRequest],
         operation: routes.Operation,
         sink: Sink,
         connection: ClientConnection,
-        record: Record,
-    ) -> Final:
+        record: AccessLogRecord,
+    ) -> FinalResponse:
         """Do what the scheduler says until the request has its final answer."""
         try:
             return await self._obey(ticket, outgoing, operation, sink, connection, record)
@@ -563,14 +575,14 @@
 
     async def _obey(
         self,
-        ticket: Ticket,
-        outgoing: Callable[[str, int], Outgoing],
+        ticket: RequestHandle,
+        outgoing: Callable[[str, int], OutgoingRequest],
         operation: routes.Operation,
         sink: Sink,
         connection: ClientConnection,
-        record: Record,
-    ) -> Final:
-        last: api.Outcome | None = None
+        record: AccessLogRecord,
+    ) -> FinalResponse:
+        last: api.AttemptOutcome | None = None
         running: list[Attempt] = []
         self._watch_client(connection, ticket, running)
         while True:
@@ -578,50 +590,52 @@
             action = await self._told(ticket, record, since)
             record.held_ms += self.clock() - since
             if action is None:
-                return Final(0, "gone", "client-gone")
-            if isinstance(action, (api.Refuse, api.Fail)):
+                return FinalResponse(0, "gone", "client-gone")
+            if isinstance(action, (api.ShedRequest, api.FailRequest)):
                 status, outcome, reason = outcomes.final(action, last, self.clock() >= ticket.end - 5.0)
-                after = action.retry_after_ms if isinstance(action, api.Refuse) else None
-                return Final(
+                after = action.retry_after_ms if isinstance(action, api.ShedRequest) else None
+                return FinalResponse(
                     504 if ticket.fault == "engine-silent" else status,
                     outcome,
                     ticket.fault or reason,
                     "",
                     after,
                 )
-            if not isinstance(action, api.Send):
+            if not isinstance(action, api.StartAttempt):
                 continue
             connection.look()
             ended = await self._attempt(ticket, action, outgoing, operation, sink, running, record)
             if record.course is not None and record.ask is not None and self.recorder is not None:
-                usual = self.recorder.usual(action.node, record.ask.class_name, record.ask.units)
+                usual = self.recorder.usual(action.endpoint, record.ask.request_class, record.ask.units)
                 record.course.attempts.append(
-                    (action.node, outcomes.CODES[ended.outcome], ended.latency_ms, usual)
+                    (action.endpoint, outcomes.CODES[ended.outcome], ended.latency_ms, usual)
                 )
             last = ended.outcome
             record.attempts += 1
-            record.nodes.append(action.node)
+            record.nodes.append(action.endpoint)
             record.ends.append(outcomes.CODES[last])
             record.out_ms += ended.latency_ms
             final = self._settled(ended)
             if final is not None:
                 return final
 
-    async def _told(self, ticket: Ticket, record: Record, since: float) -> object:
+    async def _told(self, ticket: RequestHandle, record: AccessLogRecord, since: float) -> object:
         """The scheduler's next word; the wait for it is accounted for."""
         recorder, course, ask = self.recorder, record.course, record.ask
         if recorder is None or course is None or ask is None:
             return await ticket.next()
         course.phase("held")
         since_ns = course.marks[-2]
-        recorder.hold(ticket.id, ask.shard, ask.class_name, since)
+        recorder.hold(ticket.id, ask.shard, ask.request_class, since)
         try:
             return await ticket.next()
         finally:
             course.phase("dial")
             recorder.release(course, ticket.id, since_ns, self.clock())
 
-    def _watch_client(self, connection: ClientConnection, ticket: Ticket, running: list[Attempt]) -> None:
+    def _watch_client(
+        self, connection: ClientConnection, ticket: RequestHandle, running: list[Attempt]
+    ) -> None:
         before = connection.on_gone
 
         def gone() -> None:
@@ -639,19 +653,19 @@
 
     async def _attempt(
         self,
-        ticket: Ticket,
-        send: api.Send,
-        outgoing: Callable[[str, int], Outgoing],
+        ticket: RequestHandle,
+        send: api.StartAttempt,
+        outgoing: Callable[[str, int], OutgoingRequest],
         operation: routes.Operation,
         sink: Sink,
         running: list[Attempt],
-        record: Record,
-    ) -> Ended:
+        record: AccessLogRecord,
+    ) -> AttemptResult:
         number, ticket.attempts = ticket.attempts, ticket.attempts + 1
         timeout = ticket.end - self.clock()
         if send.timeout_ms > 0:
             timeout = min(timeout, send.timeout_ms)
-        ended = Ended(api.Outcome.UNSENT)
+        ended = AttemptResult(api.AttemptOutcome.NOT_SENT)
         if not ticket.gone:
             attempt = Attempt(
                 self.pool,
@@ -668,10 +682,14 @@
             ticket.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
             ticket.on_call_off = lambda which: attempt.call_off() if which == number else None
             try:
-                ended = await attempt.run(send.node, outgoing(send.node, number), timeout, send.write_ms)
+                ended = await attempt.run(
+                    send.endpoint, outgoing(send.endpoint, number), timeout, send.write_timeout_ms
+                )
             except BaseException as error:  # whatever it was: the scheduler hears of the end of what it sent
                 fault = error if isinstance(error, Exception) else None
-                self._tell(ticket, number, send.node, Ended(api.Outcome.CANCELLED, fault=fault))
+                self._tell(
+                    ticket, number, send.endpoint, AttemptResult(api.AttemptOutcome.CANCELLED, fault=fault)
+                )
                 raise
             finally:
                 ticket.on_cancel = ticket.on_call_off = None
@@ -680,22 +698,22 @@
             record.excess = max(0.0, units_of(ended.moved, record.unit_bytes) - record.ask.units)
             self._weigh(ticket, record)
         if ended.told.word is not None:
-            self.on_word(send.node, ended.told.word)
-        elif ended.outcome is api.Outcome.DIAL_FAILED:
-            self.on_refused(send.node)
-        self._tell(ticket, number, send.node, ended)
+            self.on_word(send.endpoint, ended.told.word)
+        elif ended.outcome is api.AttemptOutcome.CONNECT_FAILED:
+            self.on_refused(send.endpoint)
+        self._tell(ticket, number, send.endpoint, ended)
         return ended
 
-    def _weigh(self, ticket: Ticket, record: Record) -> None:
+    def _weigh(self, ticket: RequestHandle, record: AccessLogRecord) -> None:
         """The course's reserve pays for what the scheduler was not told."""
         ask = record.ask
         account = self.engine.purse(ask.volume) if ask is not None else None
         if account is not None and ask is not None:
             weigh(account, record.excess, ask.units)
 
-    def _tell(self, ticket: Ticket, number: int, node: str, ended: Ended) -> None:
+    def _tell(self, ticket: RequestHandle, number: int, node: str, ended: AttemptResult) -> None:
         told = ended.told
-        over = ended.outcome is api.Outcome.SERVED or ended.relayed or ended.fault is not None
+        over = ended.outcome is api.AttemptOutcome.SERVED or ended.relayed or ended.fault is not None
         event = api.AttemptEnded(
             ticket.id,
             number,
@@ -709,29 +727,29 @@
         )
         self.engine.ended(ticket, event)
 
-    def _settled(self, ended: Ended) -> Final | None:
+    def _settled(self, ended: AttemptResult) -> FinalResponse | None:
         """The final answer where an attempt's end was one."""
         fault = ended.fault
         if ended.relayed:
-            if ended.outcome is api.Outcome.SERVED:
-                return Final(ended.status, "served", "ok", relayed=True)
-            reason = "client-gone" if isinstance(fault, ClientLeft) else "store-cut"
-            return Final(ended.status, "failed", reason, relayed=True)
-        if isinstance(fault, ClientLeft):
-            return Final(0, "gone", "client-gone")
+            if ended.outcome is api.AttemptOutcome.SERVED:
+                return FinalResponse(ended.status, "served", "ok", relayed=True)
+            reason = "client-gone" if isinstance(fault, ClientDisconnectedError) else "store-cut"
+            return FinalResponse(ended.status, "failed", reason, relayed=True)
+        if isinstance(fault, ClientDisconnectedError):
+            return FinalResponse(0, "gone", "client-gone")
         if isinstance(fault, OverLimit):
             return _over(fault)
         if isinstance(fault, ProtocolError):
-            return Final(fault.status, "failed", fault.reason, str(fault))
+            return FinalResponse(fault.status, "failed", fault.reason, str(fault))
         if isinstance(fault, BodyStoreFull):
-            return Final(507, "failed", "body-store-full", outcomes.REASONS["body-store-full"])
+            return FinalResponse(507, "failed", "body-store-full", outcomes.REASONS["body-store-full"])
         if ended.answer is not None:
-            return Final(ended.status, "served", "ok", answer=ended.answer)
+            return FinalResponse(ended.status, "served", "ok", answer=ended.answer)
         return None
 
-    def _full(self) -> Final:
+    def _full(self) -> FinalResponse:
         after = self.engine.settings.max_retry_after_ms
-        return Final(503, "refused", "body-store-full", outcomes.REASONS["body-store-full"], after)
+        return FinalResponse(503, "refused", "body-store-full", outcomes.REASONS["body-store-full"], after)
 
     async def _listed(
         self,
@@ -739,22 +757,22 @@
         operation: routes.Operation,
         ask: api.Request,
         volume: VolumeRule,
-        record: Record,
-    ) -> Final:
+        record: AccessLogRecord,
+    ) -> FinalResponse:
         """Ask each shard of the volume for its page, each a request of its own to the scheduler, and merge them."""
-        finals: list[Final] = []
+        finals: list[FinalResponse] = []
 
         async def one(number: int, shard: int) -> None:
-            part = _at(ask, shard, f"{ask.id}.{number}")
+            part = _at(ask, shard, f"{ask.request_id}.{number}")
             ticket = self.engine.take(part)
 
-            def outgoing(node: str, attempt: int) -> Outgoing:
+            def outgoing(node: str, attempt: int) -> OutgoingRequest:
                 headers = self._headers(operation, part, None, shard, attempt, None, record.version)
-                return Outgoing("GET", operation.target(), headers)
+                return OutgoingRequest("GET", operation.target(), headers)
 
-            part_record = Record(version=record.version, ask=part)
+            part_record = AccessLogRecord(version=record.version, ask=part)
             finals.append(
-                await self._exchange(ticket, outgoing, operation, Nowhere(), connection, part_record)
+                await self._exchange(ticket, outgoing, operation, DiscardSink(), connection, part_record)
             )
             record.attempts += part_record.attempts
             record.nodes += part_record.nodes
@@ -770,23 +788,27 @@
             finals, key=lambda final: ("gone", "failed", "refused", "served").index(final.outcome)
         ):
             if final.answer is None:
-                return final if not final.relayed else Final(502, "failed", "list-too-large")
+                return final if not final.relayed else FinalResponse(502, "failed", "list-too-large")
         if operation.name == "list-uploads":
-            return Final(200, "served", "ok", parts=[f.answer.body for f in finals if f.answer is not None])
+            return FinalResponse(
+                200, "served", "ok", parts=[f.answer.body for f in finals if f.answer is not None]
+            )
         for final in finals:
             assert final.answer is not None
             try:
                 pages.append(msgspec.json.decode(final.answer.body, type=listing.Page))
             except msgspec.DecodeError:
-                return Final(502, "failed", "store-error", "a store's listing can't be read")
+                return FinalResponse(502, "failed", "store-error", "a store's listing can't be read")
         body = msgspec.json.encode(listing.merge(pages, operation.limit)) + b"\n"
         headers: Headers = [
             (b"content-type", b"application/json"),
             (b"content-length", str(len(body)).encode()),
         ]
-        return Final(200, "served", "ok", answer=Answer(AnswerHead(200, headers, len(body)), body))
+        return FinalResponse(
+            200, "served", "ok", answer=UpstreamResponse(AnswerHead(200, headers, len(body)), body)
+        )
 
-    async def _say(self, connection: ClientConnection, request: str, final: Final) -> None:
+    async def _say(self, connection: ClientConnection, request: str, final: FinalResponse) -> None:
         if final.outcome == "gone" or connection.eof:
             connection.close_after = True
         elif final.relayed:
@@ -812,8 +834,8 @@
         operation: routes.Operation | None,
         kind: Kind | None,
         request: str,
-        final: Final,
-        record: Record,
+        final: FinalResponse,
+        record: AccessLogRecord,
         began: float,
     ) -> None:
         if not logs.access_lines:
@@ -843,23 +865,23 @@
 def _at(ask: api.Request, shard: int, request: str | None = None) -> api.Request:
     """The same request for a shard, under another id where one is given."""
     return api.Request(
-        request or ask.id,
-        ask.class_name,
+        request or ask.request_id,
+        ask.request_class,
         ask.plan,
         ask.volume,
         ask.key,
         ask.units,
         shard,
-        ask.gateways,
-        ask.left_ms,
+        ask.sharing_gateways,
+        ask.time_left_ms,
     )
 
 
-def _over(error: OverLimit) -> Final:
-    return Final(503, "refused", "over-limit", str(error), error.wait_ms)
+def _over(error: OverLimit) -> FinalResponse:
+    return FinalResponse(503, "refused", "over-limit", str(error), error.wait_ms)
 
 
-def _counted(read: Callable[[], Awaitable[Bytes]], bill: Bill) -> Callable[[], Awaitable[Bytes]]:
+def _counted(read: Callable[[], Awaitable[Bytes]], bill: TransferCharge) -> Callable[[], Awaitable[Bytes]]:
     """A body that is paid for as it comes."""
 
     async def counted() -> Bytes:
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -25,7 +25,7 @@
 
 from winchdyke import interface as api
 from winchdyke.config import Config
-from winchdyke.objects import routes
+from winchdyke.object_api import routes
 from winchdyke.writeback.commit import Committer
 from winchdyke.writeback.disk import Folder, Locked
 from winchdyke.writeback.drain import Bounds, Drain, Waiting
@@ -37,7 +37,7 @@
 STOP_S = 5.0  # at a stop, for draining; what is left stays in the log
 
 
-class Record(msgspec.Struct, array_like=True):
+class WriteBackRecord(msgspec.Struct, array_like=True):
     """A write as it stands in the log."""
 
     volume: str
@@ -65,7 +65,7 @@
     """The log can't be used; says why and what to do."""
 
 
-Ended = tuple[str, api.Outcome | None, int, str]  # outcome, the last attempt's, status, tag
+Ended = tuple[str, api.AttemptOutcome | None, int, str]  # outcome, the last attempt's, status, tag
 Carry = Callable[[routes.Operation, bytes, str], Awaitable[Ended]]
 
 
@@ -79,7 +79,7 @@
             kind = self._kinds.get(name)
             if kind is None:
                 raise WriteBackError(f"no class {name!r} is set up; see writeback, classes")
-            if kind.effect is api.Effect.AT_MOST_ONCE:
+            if kind.repeat_safety is api.RepeatSafety.AT_MOST_ONCE:
                 raise WriteBackError(
                     f"class {name!r} is never sent twice, so its writes can't be kept for later; see writeback, classes"
                 )
@@ -89,7 +89,7 @@
             self.log = Log(disk, self.settings.segment_bytes, self.settings.total_bytes, self._heard)
         except (OSError, Locked, LogError) as error:
             raise WriteBackError(f"{error}; see writeback, folder") from error
-        weights = {plan.name: plan.weight for plan in config.plans}
+        weights = {plan.name: plan.fair_share_weight for plan in config.plans}
         rule = config.volume
         self.drain = Drain(Bounds(self.settings.wide, self.settings.urgent), _Weights(rule, weights))
         self._pending: dict[tuple[str, str], _Pending] = {}
@@ -108,7 +108,7 @@
             self._log.error("log", trouble=text)
         for sequence in sorted(self.log.open):
             try:
-                record = msgspec.msgpack.decode(self.log.payload(sequence), type=Record)
+                record = msgspec.msgpack.decode(self.log.payload(sequence), type=WriteBackRecord)
             except (LogError, msgspec.DecodeError) as error:
                 self.kept[sequence] = str(error)
                 self._log.error("log", record=sequence, trouble=str(error))
@@ -124,7 +124,7 @@
     def _heard(self, text: str) -> None:
         self._log.warning("log", trouble=text)
 
-    def _add(self, sequence: int, record: Record, now: float) -> None:
+    def _add(self, sequence: int, record: WriteBackRecord, now: float) -> None:
         self._pending.setdefault((record.volume, record.key), _Pending()).sequences.append(sequence)
         name = f"{record.volume}/{record.key}"
         self.drain.add(
@@ -146,7 +146,7 @@
         found = self._repeats.get((volume, repeat_key)) if repeat_key else None
         return found[0] if found is not None else None
 
-    async def keep(self, record: Record) -> None:
+    async def keep(self, record: WriteBackRecord) -> None:
         """Acknowledge a write. LogError where the promise can't be given: nothing was written, or nothing is promised."""
         size = len(record.body)
         room = self.log.room()
@@ -197,7 +197,7 @@
     async def _one(self, waiting: Waiting) -> None:
         sequence = waiting.sequence
         try:
-            record = msgspec.msgpack.decode(self.log.payload(sequence), type=Record)
+            record = msgspec.msgpack.decode(self.log.payload(sequence), type=WriteBackRecord)
         except (LogError, msgspec.DecodeError) as error:
             self._keep_back(waiting, str(error))
             return
@@ -227,11 +227,11 @@
         elif outcome == "served":
             self._keep_back(waiting, f"its store answered {status}")
         else:
-            if last is not None and not last.never_ran:
+            if last is not None and not last.proves_no_effect:
                 self._maybe.add(sequence)
             self._again(waiting)
 
-    async def _unlike(self, waiting: Waiting, record: Record) -> None:
+    async def _unlike(self, waiting: Waiting, record: WriteBackRecord) -> None:
         """Its store holds something else than it did: this very write, or somebody's since."""
         held = await self._holds(record)
         if held is None:
@@ -244,7 +244,7 @@
             del self._condition[waiting.sequence]
             self._again(waiting)
 
-    async def _holds(self, record: Record) -> str | None:
+    async def _holds(self, record: WriteBackRecord) -> str | None:
         """The tag of what its store holds, empty where there is nothing; None where it does not say now."""
         operation = routes.Operation("head", record.volume, record.key)
         outcome, _, status, tag = await self._carry(operation, b"", f"ask-{time.monotonic_ns():x}")
--- a/winchdyke/interface.py
+++ b/winchdyke/interface.py
@@ -1,8 +1,9 @@
-"""The types through which a gateway and the scheduler speak: settings, events and actions.
+"""The types that a gateway and its scheduler exchange: settings, events and actions.
 
-Times are milliseconds on the gateway's own clock; units are the measure in which plans count. A gateway
-makes one :class:`winchdyke.policy.Scheduler` from :class:`Settings`, hands it each batch of events with the
-time, and carries out the actions it returns, in their order. Nothing here decides anything.
+A gateway makes one :class:`winchdyke.Scheduler` from :class:`Settings`, passes it each batch of events together with
+the time, and carries out the actions it returns, in their order. Nothing here decides anything.
+
+Times are milliseconds on the gateway's monotonic clock. A *unit* is the measure of work in which plans are counted.
 """
 
 from __future__ import annotations
@@ -11,32 +12,32 @@
 from enum import Enum
 
 
-class Effect(Enum):
-    """What happens when a request of the class runs twice."""
+class RepeatSafety(Enum):
+    """What happens when a request of a class is executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    KEYED = "keyed"
+    IDEMPOTENCY_KEY = "keyed"
     AT_MOST_ONCE = "at most once"
 
 
-class Scope(Enum):
-    """The group of nodes that drops the repeats of a keyed request."""
+class DeduplicationScope(Enum):
+    """Which endpoints share the memory by which repeats of an idempotency key are discarded."""
 
     ALL = "all"
     ZONE = "zone"
-    CELL = "cell"
+    SHARD = "cell"
 
 
-class NodeState(Enum):
-    """What the node list says of a node."""
+class EndpointStatus(Enum):
+    """The state of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class ListKind(Enum):
-    """What a node list event holds: changes only, the whole list, an old copy of it, or nothing."""
+class EndpointListKind(Enum):
+    """What an endpoint list event holds: changes only, the full list, an earlier copy of it, or nothing."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -44,250 +45,356 @@
     FAILED = "failed"
 
 
-class Outcome(Enum):
+class AttemptOutcome(Enum):
     """How an attempt ended."""
 
     SERVED = "served"
     ERROR = "error"
     SHED = "shed"
     TIMED_OUT = "timed out"
-    DIAL_FAILED = "dial failed"
-    RESET = "reset"
+    CONNECT_FAILED = "dial failed"
+    CONNECTION_RESET = "reset"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    NOT_SENT = "unsent"
 
     @property
-    def never_ran(self) -> bool:
-        """Whether the outcome proves that the attempt had no effect."""
-        return self in (Outcome.SHED, Outcome.DIAL_FAILED, Outcome.UNSENT)
+    def proves_no_effect(self) -> bool:
+        """Whether the outcome proves that the attempt was never executed."""
+        return self in (AttemptOutcome.SHED, AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests: what it is worth, until when, and whether it may be repeated."""
+    """A class of requests: its priority, its deadlines, and whether a request may be repeated.
+
+    Attributes:
+        name: The name that requests give.
+        priority_weight: The value of one request served within its latency objective.
+        latency_objective_ms: The latency up to which a response earns its full value.
+        deadline_ms: The latency past which a response is of no use.
+        late_value_ratio: The part of the value that a response after the objective still earns.
+        repeat_safety: What a second execution of the same request does.
+        deduplication_scope: Which endpoints discard repeats of an idempotency key.
+        deduplication_window_ms: For how long an endpoint remembers an idempotency key.
+        streamed: Whether responses are streamed to the client.
+        in_order: Whether requests of one key are executed in the order in which they arrived.
+        modifies_data: Whether requests modify stored data.
+    """
 
     name: str
-    worth: float
-    aim_ms: float
+    priority_weight: float
+    latency_objective_ms: float
     deadline_ms: float
-    late_share: float
-    effect: Effect
-    scope: Scope
-    memory_ms: float
+    late_value_ratio: float
+    repeat_safety: RepeatSafety
+    deduplication_scope: DeduplicationScope
+    deduplication_window_ms: float
     streamed: bool = False
     in_order: bool = False
-    writes: bool = False
+    modifies_data: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A plan: the figures of each of its volumes, over all gateways and nodes. Rates are units a second."""
+    """The entitlements of each volume of a plan, over all gateways and endpoints.
+
+    Attributes:
+        name: The name that requests give.
+        priority_factor: A factor on the priority weight of the volume's requests.
+        fair_share_weight: The volume's weight in sharing what reservations leave.
+        expected_units_per_s: The use that the volume is sized for.
+        reserved_units_per_s: The reservation: use that has full priority.
+        limit_units_per_s: The use that is never exceeded; 0: no limit.
+        limit_burst_units: Units that the limit admits at once.
+    """
 
     name: str
-    worth_factor: float
-    weight: float
-    usual_rate: float
-    reserve: float
-    limit: float = 0.0
-    limit_burst: float = 0.0
+    priority_factor: float
+    fair_share_weight: float
+    expected_units_per_s: float
+    reserved_units_per_s: float
+    limit_units_per_s: float = 0.0
+    limit_burst_units: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """What a scheduler is configured with.
+
+    Attributes:
+        gateway_count: Gateways of the deployment.
+        gateway_index: This gateway's index, from 0.
+        classes: The classes of requests.
+        plans: The plans of volumes.
+        zone: The zone of this gateway.
+        clock_tick_ms: The resolution of the gateway's clock.
+        mean_request_units: The mean work of a request.
+        max_request_units: The largest work that a request may announce.
+        fair_share_priority_factor: Factor on the priority of use beyond the reservation and within the fair share.
+        excess_priority_factor: Factor on the priority of use beyond the fair share.
+        usage_report_interval_ms: How often a volume's use over all gateways is reported.
+        goal_total_weight: Weight of the value of all requests in the goal.
+        goal_worst_class_weight: Weight of the worst-served class in the goal.
+        goal_worst_plan_weight: Weight of the worst-served plan in the goal.
+        polls_endpoint_list: Whether the endpoint list has to be requested; otherwise it is pushed.
+        max_attempts: Attempts of one request, the first included.
+        can_cancel_attempts: Whether an attempt in flight may be cancelled.
+        can_health_check: Whether endpoints may be health-checked.
+        can_message_peers: Whether gateways may exchange messages.
+        can_hedge_requests: Whether a request may have two attempts in flight.
+        max_retry_after_ms: The Retry-After of a shed request; 0: none is given.
+        connect_timeout_ms: The time allowed for a new connection.
+        slow_start_initial_capacity: The fraction of its capacity that an endpoint has when it starts.
+        slow_start_duration_ms: The time until a started endpoint has its full capacity.
+        slow_start_overload_factor: How many times its capacity overloads an endpoint that warms up.
+        slow_start_overload_window_ms: The time over which that load is measured.
+        slow_start_initial_units: Units that an endpoint bears within that window when it starts; 0: not stated.
+        order_settle_ms: The pause of a key after an attempt that may still be executed, for ordered classes.
+        retry_budget_window_ms: The time over which retries are counted; 0: retries are not limited.
+        retry_budget_base: Retries allowed in any window.
+        retry_budget_ratio: Retries allowed beyond these, for each request in the window.
+    """
 
-    gateways: int
-    index: int
+    gateway_count: int
+    gateway_index: int
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     zone: str = ""
-    tick_ms: float = 1.0
-    mean_units: float = 1.0
-    largest_units: float = 1.0
-    fair_worth: float = 1.0
-    idle_worth: float = 1.0
-    meter_ms: float = 0.0
-    goal_whole: float = 1.0
-    goal_worst_class: float = 0.0
-    goal_worst_plan: float = 0.0
-    must_ask: bool = False
+    clock_tick_ms: float = 1.0
+    mean_request_units: float = 1.0
+    max_request_units: float = 1.0
+    fair_share_priority_factor: float = 1.0
+    excess_priority_factor: float = 1.0
+    usage_report_interval_ms: float = 0.0
+    goal_total_weight: float = 1.0
+    goal_worst_class_weight: float = 0.0
+    goal_worst_plan_weight: float = 0.0
+    polls_endpoint_list: bool = False
     max_attempts: int = 1
-    may_cancel: bool = False
-    may_probe: bool = False
-    may_tell: bool = False
-    second_copies: bool = False
+    can_cancel_attempts: bool = False
+    can_health_check: bool = False
+    can_message_peers: bool = False
+    can_hedge_requests: bool = False
     max_retry_after_ms: float = 0.0
     connect_timeout_ms: float = 0.0
-    cold_from: float = 1.0
-    warm_after_ms: float = 0.0
-    fall_multiple: float = 0.0
-    fall_window_ms: float = 0.0
-    cold_units: float = 0.0
-    settle_ms: float = 0.0
-    extra_window_ms: float = 0.0
-    extra_free: float = 0.0
-    extra_share: float = 0.0
+    slow_start_initial_capacity: float = 1.0
+    slow_start_duration_ms: float = 0.0
+    slow_start_overload_factor: float = 0.0
+    slow_start_overload_window_ms: float = 0.0
+    slow_start_initial_units: float = 0.0
+    order_settle_ms: float = 0.0
+    retry_budget_window_ms: float = 0.0
+    retry_budget_base: float = 0.0
+    retry_budget_ratio: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Node:
-    """A storage node as the list names it; ``started_ms`` is 0 where it has been up for long."""
+class Endpoint:
+    """A storage node in the endpoint list; ``started_at_ms`` is 0 where it has been up for long."""
 
     name: str
-    state: NodeState
+    status: EndpointStatus
     shard: int
     zone: str = ""
-    started_ms: float = 0.0
+    started_at_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class NodeList:
-    """News of the nodes."""
+class EndpointList:
+    """Event: the endpoint list, or changes of it."""
 
-    kind: ListKind
-    nodes: tuple[Node, ...] = ()
+    kind: EndpointListKind
+    endpoints: tuple[Endpoint, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A client's request, now this gateway's to answer. ``shard`` is -1 for an object that is new."""
+    """Event: a client's request has arrived.
+
+    Attributes:
+        request_id: Identifies the request in later events and actions.
+        request_class: Name of its :class:`RequestClass`.
+        plan: Name of its :class:`Plan`.
+        volume: The volume whose quota it uses.
+        key: The key by which requests are ordered, and recognised when they are retried; may be empty.
+        units: Its work.
+        shard: The shard that holds its object; -1 for a new object that any shard may take.
+        sharing_gateways: Gateways that serve the volume.
+        time_left_ms: The time until the client's deadline.
+        is_retry: Whether the client marked it as a retry.
+    """
 
-    id: str
-    class_name: str
+    request_id: str
+    request_class: str
     plan: str
     volume: str
     key: str
     units: float
     shard: int
-    gateways: int
-    left_ms: float
-    repeat: bool = False
+    sharing_gateways: int
+    time_left_ms: float
+    is_retry: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer to an attempt has begun to stream: it is the client's from now on."""
+    """Event: the response to an attempt is being streamed to the client, so the request is answered."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt has ended; ``closed`` tells that the request is finished with it or was before.
-
-    ``volume_rate`` is the volume's recent use everywhere in units a second (None: not told), ``from_others``
-    the units this shard served it through other gateways, ``load`` the node's report.
+    """Event: an attempt has ended.
+
+    Attributes:
+        request_id: The request.
+        attempt: Index of the attempt, from 0.
+        endpoint: Name of the endpoint it was sent to.
+        outcome: How it ended.
+        latency_ms: Time from its start to its end.
+        request_finished: Whether the request needs no further attempt.
+        volume_usage_percent: The volume's recent use over all gateways, in percent of the plan's expected rate;
+            None where it is not reported.
+        units_via_other_gateways: Units that the shard served to the volume through other gateways.
+        load_report: Values of the endpoint's load report, in the order of the settings.
     """
 
-    request: str
+    request_id: str
     attempt: int
-    node: str
-    outcome: Outcome
+    endpoint: str
+    outcome: AttemptOutcome
     latency_ms: float
-    closed: bool
-    used_percent: float | None = None
-    from_others: float = 0.0
-    load: tuple[float, ...] = ()
+    request_finished: bool
+    volume_usage_percent: float | None = None
+    units_via_other_gateways: float = 0.0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ClientGone:
-    """The client has left, and the request needs no answer."""
+class ClientDisconnected:
+    """Event: the client has disconnected, and the request needs no answer."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the scheduler set has come due."""
+    """Event: a timer that the scheduler set has expired."""
 
-    tag: int
+    timer_id: int
 
 
 @dataclass(frozen=True, slots=True)
-class ProbeEnded:
-    """What a probe of a node brought."""
+class HealthCheckEnded:
+    """Event: the result of a health check."""
 
-    node: str
-    outcome: Outcome
+    endpoint: str
+    outcome: AttemptOutcome
     latency_ms: float
-    load: tuple[float, ...] = ()
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """A short message of another gateway."""
+    """Event: a message from another gateway."""
 
-    sender: int
-    data: bytes
+    sender_index: int
+    payload: bytes
 
 
-Event = NodeList | Request | StreamStarted | AttemptEnded | ClientGone | TimerFired | ProbeEnded | PeerMessage
+Event = (
+    EndpointList
+    | Request
+    | StreamStarted
+    | AttemptEnded
+    | ClientDisconnected
+    | TimerFired
+    | HealthCheckEnded
+    | PeerMessage
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    """Start an attempt of a request at a node; a time-out of 0 is the client's own.
-
-    ``write_ms``: an attempt whose last byte has not been handed over after this time is given up, unsent; 0: no such bound.
+class StartAttempt:
+    """Action: start an attempt of a request at an endpoint.
+
+    Attributes:
+        request_id: The request.
+        endpoint: Name of the endpoint.
+        timeout_ms: The attempt's time limit; 0: the client's deadline.
+        write_timeout_ms: The attempt is given up as not sent unless its last byte is written within this time;
+            0: no such limit.
     """
 
-    request: str
-    node: str
+    request_id: str
+    endpoint: str
     timeout_ms: float = 0.0
-    write_ms: float = 0.0
+    write_timeout_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
-    """Final answer: not done, and safe to try again after the given time."""
+class ShedRequest:
+    """Action, final answer: the request was not executed, and may be retried after ``retry_after_ms``."""
 
-    request: str
+    request_id: str
     retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Fail:
-    """Final answer: failed, nothing promised."""
+class FailRequest:
+    """Action, final answer: the request failed, and may have been executed."""
 
-    request: str
+    request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a :class:`TimerFired` after a time."""
+    """Action: deliver a :class:`TimerFired` after a time."""
 
-    tag: int
+    timer_id: int
     after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
-class Cancel:
-    """Stop waiting for one attempt; it may have run, and its work may go on."""
+class CancelAttempt:
+    """Action: stop waiting for an attempt. It may have been executed, and its work may continue."""
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class CallOff:
-    """Give up one attempt that has not been written whole, which then never ran; one that has is let be."""
+class AbandonAttempt:
+    """Action: give up an attempt that is not completely written, so that it is never executed.
+
+    An attempt that has been written completely is not affected.
+    """
 
-    request: str
+    request_id: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class WatchList:
-    """Ask the list service for all changes from now on."""
+class WatchEndpoints:
+    """Action: request all changes of the endpoint list from now on."""
 
 
 @dataclass(frozen=True, slots=True)
-class Log:
-    """A line for the operators."""
-
-    text: str
-
-
-Action = Send | Refuse | Fail | SetTimer | Cancel | CallOff | WatchList | Log
+class LogMessage:
+    """Action: write a line to the operators' log."""
+
+    message: str
+
+
+Action = (
+    StartAttempt
+    | ShedRequest
+    | FailRequest
+    | SetTimer
+    | CancelAttempt
+    | AbandonAttempt
+    | WatchEndpoints
+    | LogMessage
+)
--- a/winchdyke/accounts/compact.py
+++ b/winchdyke/latency_attribution/compact.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from winchdyke.accounts.ledger import ENDING, HEAD, SUMS_ENDING, Recovered, framed, read
-from winchdyke.accounts.sums import summed_up
-from winchdyke.files import sync_folder
+from winchdyke.durable_files import sync_folder
+from winchdyke.latency_attribution.ledger import ENDING, HEAD, SUMS_ENDING, Recovered, framed, read
+from winchdyke.latency_attribution.sums import summed_up
 
 DETAIL_PART = (
     0.75  # of the bytes in all that accounts may have; the rest is for sums and the segment being written
--- a/winchdyke/accounts/ledger.py
+++ b/winchdyke/latency_attribution/ledger.py
@@ -30,15 +30,17 @@
 import msgspec
 import xxhash
 
-from winchdyke.accounts.spans import Account, Noted, account
-from winchdyke.accounts.sums import Sums
-from winchdyke.files import sync_folder
+from winchdyke.durable_files import sync_folder
+from winchdyke.latency_attribution.spans import Account, Annotation, account
+from winchdyke.latency_attribution.sums import Sums
 
 MAGIC, VERSION = b"WDLEDGER", 1
 HEAD = MAGIC + bytes([VERSION]) + bytes(7)
 MARK = b"RM"
 FRAME = struct.Struct("<2sIQ")
-DECODER: msgspec.msgpack.Decoder[Account | Noted | Sums] = msgspec.msgpack.Decoder(Account | Noted | Sums)
+DECODER: msgspec.msgpack.Decoder[Account | Annotation | Sums] = msgspec.msgpack.Decoder(
+    Account | Annotation | Sums
+)
 BATCH = 200  # accounts encoded in one go
 LARGEST = 1 << 20  # bytes of one record
 ENDING, SUMS_ENDING = ".waits", ".sums"
@@ -170,7 +172,7 @@
         found.records -= 1
         found.losses.append(f"{name}: a record of another form: {error}")
         return None
-    return account(made) if isinstance(made, Noted) else made
+    return account(made) if isinstance(made, Annotation) else made
 
 
 def read(paths: Iterable[Path], found: Recovered | None = None) -> Iterator[Account]:
@@ -197,7 +199,7 @@
         self.folder, self.bounds, self._sync = folder, bounds, sync
         self.dropped = self.written = self.synced = self.failed = 0
         self.trouble = ""
-        self._items: deque[Account | Noted] = deque()
+        self._items: deque[Account | Annotation] = deque()
         self._stop = threading.Event()
         self._encoder = msgspec.msgpack.Encoder()
         self._file: int | None = None
@@ -211,7 +213,7 @@
         self._thread = threading.Thread(target=self._run, name="winchdyke-ledger", daemon=True)
         self._thread.start()
 
-    def put(self, made: Account | Noted) -> None:
+    def put(self, made: Account | Annotation) -> None:
         """Hand over an account."""
         if len(self._items) >= self.bounds.waiting:
             self.dropped += 1
@@ -247,7 +249,7 @@
         # the event loop, and half of its speed.
         while True:
             over = self._stop.wait(self.bounds.sync_s)
-            batch: list[Account | Noted] = []
+            batch: list[Account | Annotation] = []
             while self._items:
                 batch.append(self._items.popleft())
                 if len(batch) >= BATCH:
@@ -262,7 +264,7 @@
                     os.close(self._file)
                 return
 
-    def _write(self, batch: list[Account | Noted]) -> None:
+    def _write(self, batch: list[Account | Annotation]) -> None:
         data = b"".join(framed(self._encoder.encode(each)) for each in batch)
         try:
             if self._file is None or self._size >= self.bounds.segment_bytes or self._old():
@@ -305,7 +307,7 @@
 
     def _compact(self) -> None:
         """Let a process of its own sum up old segments: decoding them here would take the event loop's time."""
-        from winchdyke.accounts.compact import due
+        from winchdyke.latency_attribution.compact import due
 
         if self._compactor is not None and self._compactor.poll() is None:
             return
--- a/winchdyke/accounts/live.py
+++ b/winchdyke/latency_attribution/live.py
@@ -14,9 +14,18 @@
 
 import msgspec
 
-from winchdyke.accounts.ledger import ENDING, HEAD, NOW, Held, Now, Recovered, decoded, whole_records
-from winchdyke.accounts.report import Summary, said
-from winchdyke.accounts.spans import Account
+from winchdyke.latency_attribution.ledger import (
+    ENDING,
+    HEAD,
+    NOW,
+    Held,
+    Now,
+    Recovered,
+    decoded,
+    whole_records,
+)
+from winchdyke.latency_attribution.report import Summary, said
+from winchdyke.latency_attribution.spans import Account
 
 STALE_S = 5.0  # past which a gateway's word on what it holds is told as old
 
--- a/winchdyke/accounts/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from winchdyke.accounts.spans import Account, Holder, apportion
+from winchdyke.latency_attribution.spans import Account, Holder, apportion
 
 BIN_MS = 500.0  # as long as a step of the windows; shorter ones tell chance from pace less well
 PACE_QUANTILE = 0.9  # of a node's bins: what it can do, but for a lucky few
@@ -39,7 +39,7 @@
         yield node, account.began_unix_ms + first / 1e6, account.began_unix_ms + end / 1e6
 
 
-class Crowd:
+class ContentionTimeline:
     """Who was out at each node, by bins of time, through all gateways."""
 
     def __init__(self, off_ms: float = 0.0) -> None:
@@ -140,7 +140,7 @@
 def merged(accounts: Iterable[Account], off_ms: float = 0.0) -> list[Account]:
     """Accounts of several gateways with blame across them. Holds them all; a reader of files takes two passes instead."""
     kept = list(accounts)
-    crowd = Crowd(off_ms)
+    crowd = ContentionTimeline(off_ms)
     for account in kept:
         crowd.add(account)
     return [crowd.refine(account) for account in kept]
--- a/winchdyke/accounts/page.py
+++ b/winchdyke/latency_attribution/page.py
@@ -11,7 +11,7 @@
 def page(report: dict[str, Any], losses: list[str]) -> str:
     """The page of a report's data."""
     environment = Environment(
-        loader=PackageLoader("winchdyke.accounts", "."), autoescape=True, undefined=StrictUndefined
+        loader=PackageLoader("winchdyke.latency_attribution", "."), autoescape=True, undefined=StrictUndefined
     )
     sums = {int(minute): sum(by.values()) for minute, by in report["minutes"].items()}
     first, last = (min(sums), max(sums)) if sums else (0, 0)
--- a/winchdyke/accounts/recorder.py
+++ b/winchdyke/latency_attribution/recorder.py
@@ -7,14 +7,14 @@
 from collections.abc import Callable
 from time import monotonic_ns
 
-from winchdyke.accounts.ledger import Held, Writer
-from winchdyke.accounts.spans import CODES, Hold, Noted
-from winchdyke.accounts.why import Observer
+from winchdyke.latency_attribution.ledger import Held, Writer
+from winchdyke.latency_attribution.spans import CODES, Annotation, Hold
+from winchdyke.latency_attribution.why import Observer
 
 FIRSTS_MOST = 50_000  # first tries that are remembered, to know second ones by
 
 
-class Course:
+class RequestTrace:
     """One request while it runs: what is noted of it, and no more."""
 
     __slots__ = ("attempts", "holds", "marks")
@@ -38,9 +38,9 @@
         self.gateway, self.writer, self._observer = gateway, writer, observer
         self._firsts: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
-    def begin(self) -> Course:
+    def begin(self) -> RequestTrace:
         """A request has come."""
-        return Course(monotonic_ns())
+        return RequestTrace(monotonic_ns())
 
     def hold(self, request: str, shard: int, class_name: str, now: float) -> None:
         """It is held from now on."""
@@ -48,7 +48,7 @@
         if observer is not None:
             observer.begin(request, shard, class_name, now)
 
-    def release(self, course: Course, request: str, since_ns: int, now: float) -> None:
+    def release(self, course: RequestTrace, request: str, since_ns: int, now: float) -> None:
         """It is held no more."""
         observer = self._observer()
         if observer is not None and not observer.at_once(request):
@@ -72,7 +72,7 @@
     def usual(self, node: str, class_name: str, units: float) -> float:
         """A node's usual latency for so much work, in milliseconds; 0 where it is not known."""
         observer = self._observer()
-        view = observer.scheduler.nodes.get(node) if observer is not None else None
+        view = observer.scheduler.endpoints.get(node) if observer is not None else None
         return observer.usual(view, class_name, units) if observer is not None and view is not None else 0.0
 
     def _first(
@@ -92,7 +92,7 @@
 
     def end(
         self,
-        course: Course,
+        course: RequestTrace,
         *,
         request: str,
         volume: str,
@@ -111,7 +111,7 @@
         if self._firsts or not served:
             first = self._first(volume, key or request, request, served, deadline_ms, monotonic_ns() / 1e6)
         self.writer.put(
-            Noted(
+            Annotation(
                 request, time.time_ns(), self.gateway, volume, class_name, key, outcome, reason, status, client_request,
                 first, units, monotonic_ns(), course.marks, course.holds, course.attempts,
             )
--- a/winchdyke/accounts/report.py
+++ b/winchdyke/latency_attribution/report.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from winchdyke.accounts.spans import Account, Holder
-from winchdyke.accounts.sums import FOLDED, NO_ANSWER, SLOW_EVIDENCE, Sums, histogram
+from winchdyke.latency_attribution.spans import Account, Holder
+from winchdyke.latency_attribution.sums import FOLDED, NO_ANSWER, SLOW_EVIDENCE, Sums, histogram
 
 WORST = 10
 PAIRS_MOST = 2000  # cells of the matrix that are kept; what falls out is added up as "others"
--- a/winchdyke/accounts/spans.py
+++ b/winchdyke/latency_attribution/spans.py
@@ -126,7 +126,7 @@
     return [(phase, span) for phase, span in sums.items() if span]
 
 
-class Noted(msgspec.Struct, array_like=True, tag=2, gc=False):
+class Annotation(msgspec.Struct, array_like=True, tag=2, gc=False):
     """One request as the gateway notes it in passing: all that an Account is made of, at the least cost."""
 
     request: str
@@ -147,7 +147,7 @@
     attempts: list[tuple[str, str, float, float]]  # node, how it ended, milliseconds out, the usual
 
 
-def account(noted: Noted) -> Account:
+def account(noted: Annotation) -> Account:
     """The account of what was noted; what was held and by whom is shared out exactly."""
     spans = cut(noted.marks, noted.end_ns)
     begin = spans[0][1]
--- a/winchdyke/accounts/sums.py
+++ b/winchdyke/latency_attribution/sums.py
@@ -16,7 +16,7 @@
 import msgspec
 from hdrh.histogram import HdrHistogram
 
-from winchdyke.accounts.spans import Account, Holder
+from winchdyke.latency_attribution.spans import Account, Holder
 
 CELLS_MOST = 400
 VOLUMES_MOST = 500
--- a/winchdyke/accounts/why.py
+++ b/winchdyke/latency_attribution/why.py
@@ -15,8 +15,8 @@
 from collections import OrderedDict
 from itertools import islice
 
-from winchdyke.accounts.spans import TURN, Holder
-from winchdyke.policy import CEILING, Held, NodeView, Scheduler, Shard
+from winchdyke.latency_attribution.spans import TURN, Holder
+from winchdyke.policy import MAX_LIMIT, EndpointState, PendingRequest, Scheduler, Shard
 
 Shares = dict[Holder, float]
 OWN_MOST = 512  # requests with a cause of their own that are looked at each time
@@ -145,7 +145,7 @@
         requests, shards = self.scheduler.requests, self.scheduler.shards
         for request in list(self._fresh):
             held = requests.get(request)
-            if held is not None and not held.done and not held.out:
+            if held is not None and not held.finished and not held.attempts_in_flight:
                 number, class_name, since = self._fresh.pop(request)
                 self._hold(request, number, class_name, since)
         if not self._waiting:
@@ -163,8 +163,13 @@
 
     def _look_at(self, request: str, now: float) -> None:
         waiting, held = self._waiting[request], self.scheduler.requests.get(request)
-        found = None if held is None or held.done else self._own_cause(held, now)
-        if held is not None and not held.sent and not held.kind.in_order and not held.volume.plan.limit:
+        found = None if held is None or held.finished else self._own_cause(held, now)
+        if (
+            held is not None
+            and not held.attempts
+            and not held.request_class.in_order
+            and not held.quota.plan.limit_units_per_s
+        ):
             self._own.pop(request, None)  # nothing of its own can hold it
         if found is None and not waiting.own:
             return
@@ -173,61 +178,63 @@
         if found is not None:
             waiting.cause, waiting.shares = found
 
-    def _own_cause(self, held: Held, now: float) -> tuple[str, Shares] | None:
+    def _own_cause(self, held: PendingRequest, now: float) -> tuple[str, Shares] | None:
         scheduler, request, key = self.scheduler, held.request, held.request.key
-        if held.kind.in_order and key and not held.sent:
+        if held.request_class.in_order and key and not held.attempts:
             first = next(
-                (h for h in scheduler.requests.values() if h.kind.in_order and h.request.key == key), None
+                (h for h in scheduler.requests.values() if h.request_class.in_order and h.request.key == key),
+                None,
             )
             if first is not None and first is not held:
-                return "order", {("volume", first.request.volume, first.kind.name): 1.0}
-            if now < scheduler.rest.get(key, now):
+                return "order", {("volume", first.request.volume, first.request_class.name): 1.0}
+            if now < scheduler.settling_keys.get(key, now):
                 return "order", {("design", "order", "rest after an attempt that may still run"): 1.0}
-        plan = held.volume.plan
-        if plan.limit and not held.sent:
+        plan = held.quota.plan
+        if plan.limit_units_per_s and not held.attempts:
             # What flows in until now, without touching the account itself.
-            seconds = (now - held.volume.at) / 1000
-            level = held.volume.limit + plan.limit / held.volume.gateways * seconds
+            seconds = (now - held.quota.refilled_at_ms) / 1000
+            level = held.quota.limit_units + plan.limit_units_per_s / held.quota.sharing_gateways * seconds
             if level < request.units:
                 return "limit", {("volume", request.volume, "limit"): 1.0}
-        if held.sent:
-            since = now - scheduler.cfg.extra_window_ms
-            extra = sum(at > since for at in scheduler.budget.extra)
-            taken = sum(at > since for at in scheduler.budget.taken)
+        if held.attempts:
+            since = now - scheduler.settings.retry_budget_window_ms
+            extra = sum(at > since for at in scheduler.retry_budget.retry_times)
+            taken = sum(at > since for at in scheduler.retry_budget.request_times)
             if (
-                scheduler.cfg.extra_window_ms
-                and extra + 1 > scheduler.cfg.extra_free + scheduler.cfg.extra_share * taken
+                scheduler.settings.retry_budget_window_ms
+                and extra + 1
+                > scheduler.settings.retry_budget_base + scheduler.settings.retry_budget_ratio * taken
             ):
                 return "budget", {("design", "budget", "attempts"): 1.0}
-            node = scheduler.shards[held.shard].node()
-            if node is not None and not held.may_go_to(node, now):
-                return "repeat", {("design", "repeat", held.kind.name): 1.0}
+            node = scheduler.shards[held.shard].active_endpoint()
+            if node is not None and not held.may_be_sent_to(node, now):
+                return "repeat", {("design", "repeat", held.request_class.name): 1.0}
         return None
 
     def _group(self, shard: Shard, number: int, class_name: str, now: float) -> tuple[str, Shares]:
-        node = shard.node()
+        node = shard.active_endpoint()
         if node is None:
             return "no-node", {("node", f"shard {number}", "none"): 1.0}
-        if node.lost is not None:
+        if node.suspected_since_ms is not None:
             return "trial", {("node", node.name, "suspect"): 1.0}
-        window, out = node.window, node.out
-        if window.size < 1 and not out:
+        window, out = node.concurrency_limit, node.in_flight
+        if window.limit < 1 and not out:
             return "pause", {("design", "window", "pause"): 1.0}
-        if window.size >= 1 and len(out) < int(window.size):
-            cfg = self.scheduler.cfg
-            if cfg.fall_window_ms and now - node.born < cfg.warm_after_ms:
+        if window.limit >= 1 and len(out) < int(window.limit):
+            cfg = self.scheduler.settings
+            if cfg.slow_start_overload_window_ms and now - node.started_at_ms < cfg.slow_start_duration_ms:
                 return "cold", {("design", "cold", node.name): 1.0}
             return "turn", {TURN: 1.0}
         mine = sum(name == class_name for _, name in out.values())
-        cause = "share" if mine and len(out) < CEILING and mine < len(out) else "window"
+        cause = "share" if mine and len(out) < MAX_LIMIT and mine < len(out) else "window"
         return cause, self._out(node, now)
 
-    def _out(self, node: NodeView, now: float) -> Shares:
+    def _out(self, node: EndpointState, now: float) -> Shares:
         """Those out at a node hold it in equal parts; past its usual time, one's part is the node's own."""
         scheduler = self.scheduler
         shares: Shares = {}
-        part = 1.0 / len(node.out)
-        for (request, _), (sent, class_name) in node.out.items():
+        part = 1.0 / len(node.in_flight)
+        for (request, _), (sent, class_name) in node.in_flight.items():
             held = scheduler.requests.get(request)
             usual = self.usual(node, class_name, held.request.units if held else 1.0)
             if now - sent > USUAL_SLACK * usual:
@@ -237,6 +244,8 @@
             shares[holder] = shares.get(holder, 0.0) + part
         return shares
 
-    def usual(self, node: NodeView, class_name: str, units: float) -> float:
+    def usual(self, node: EndpointState, class_name: str, units: float) -> float:
         """A node's usual latency for so much work, in milliseconds: what is learnt of its class and of itself."""
-        return float(self.scheduler.cost[class_name] * units * max(1.0, node.window.long))
+        return float(
+            self.scheduler.unit_cost_ms[class_name] * units * max(1.0, node.concurrency_limit.long_ratio)
+        )
