--- a/winchdyke/fleet/node.py
+++ b/winchdyke/membership/agent.py
@@ -1,7 +1,7 @@
-"""The one task that owns a gateway's place in the fleet: its UDP socket, its TCP exchanges, its timer. Decides nothing.
+"""The task that owns a gateway's membership: its UDP socket, its TCP exchanges and its timer. It decides nothing.
 
-What arrives is opened by :mod:`winchdyke.fleet.wire`, handed to the :class:`Machine`, and what that gives back is carried out.
-Sockets are read before timers are: what has come already is known before anybody is called silent.
+Datagrams are opened by :mod:`winchdyke.membership.datagrams` and passed to :class:`SwimProtocol`, whose outputs are
+carried out here. Sockets are read before timers: what has arrived is known before a member is declared silent.
 """
 
 from __future__ import annotations
@@ -23,12 +23,11 @@
 
 from winchdyke.admin.keys import KeysError, Ring
 from winchdyke.config.model import Config
-from winchdyke.fleet import disk, wire
-from winchdyke.fleet.members import events
-from winchdyke.fleet.members import machine as m
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.members.view import View
-from winchdyke.fleet.names import Names
+from winchdyke.membership import datagrams, events, member_cache
+from winchdyke.membership import swim as m
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.resolver import AddressResolver
+from winchdyke.membership.view import View
 
 LENGTH = struct.Struct(">I")
 STREAMS = 8  # exchanges under way at once, each way
@@ -42,11 +41,11 @@
 UNSEALED_LOG_S = 10.0  # between log lines on what was dropped
 
 
-class FleetError(Exception):
+class MembershipError(Exception):
     """The gateway can't take its place; says why and what to do."""
 
 
-class Node:
+class MembershipAgent:
     """This gateway among the others. ``changed`` is told each new view."""
 
     def __init__(self, config: Config, clock: Callable[[], float]) -> None:
@@ -59,14 +58,14 @@
         self._secrets: list[bytes] = []
         self._udp: socket.socket | None = None
         self._listeners: list[SocketListener] = []
-        self.machine: m.Machine | None = None
+        self.machine: m.SwimProtocol | None = None
         self.changed: Callable[[View], None] = lambda _: None
         self._version = -1
         self._happened: list[events.Arrived | events.Exchanged] = []
         self._wake = anyio.Event()
         self._streams = anyio.Semaphore(STREAMS)
         self._group: TaskGroup | None = None
-        self._names = Names()
+        self._names = AddressResolver()
         self._kept: tuple[str, ...] = ()  # seeds from the disk
         self._named: tuple[str, ...] = ()  # and from a list service
         self._dropped_at = 0.0
@@ -92,17 +91,17 @@
             self._udp.bind((host, port))
         except OSError as error:
             await self.close()
-            raise FleetError(
+            raise MembershipError(
                 f"can't listen at {listen.host}:{listen.port}: {error.strerror}; see fleet, listen"
             ) from error
         self.address = str(host), int(port)
         try:
             self.machine = self._machine()
-        except FleetError:
+        except MembershipError:
             await self.close()
             raise
 
-    def _machine(self) -> m.Machine:
+    def _machine(self) -> m.SwimProtocol:
         gateway, fleet = self.config.gateway, self.fleet
         said = (
             ("gateway, name", gateway.name),
@@ -110,17 +109,17 @@
             ("fleet, advertise", fleet.advertise),
         )
         for what, text in said:
-            if len(text.encode()) > wire.NAME_MOST:
-                raise FleetError(
-                    f"{what} is {text!r}: other gateways take {wire.NAME_MOST} bytes; make it shorter"
+            if len(text.encode()) > datagrams.NAME_MOST:
+                raise MembershipError(
+                    f"{what} is {text!r}: other gateways take {datagrams.NAME_MOST} bytes; make it shorter"
                 )
         if fleet.advertise and not re.fullmatch(r".+:[0-9]{1,5}", fleet.advertise):
-            raise FleetError(f"fleet, advertise is {fleet.advertise!r}: give HOST:PORT")
+            raise MembershipError(f"fleet, advertise is {fleet.advertise!r}: give HOST:PORT")
         if not 0 <= gateway.index <= 65535:
-            raise FleetError(f"gateway, index is {gateway.index}: other gateways take 0 to 65535")
+            raise MembershipError(f"gateway, index is {gateway.index}: other gateways take 0 to 65535")
         life = int(time.time() * 1000) << 16
         if fleet.keep:
-            kept, wrong = disk.load(Path(fleet.keep))
+            kept, wrong = member_cache.load(Path(fleet.keep))
             if wrong:
                 self._log.warning("fleet", trouble=wrong)
             if kept is not None:
@@ -141,18 +140,18 @@
             interval=fleet.interval, timeout=fleet.timeout, exchange=fleet.exchange, forget=fleet.forget,
             retry=fleet.interval, retry_most=10 * fleet.interval, pause=max(50.0, fleet.interval / 4),
         )  # fmt: skip
-        return m.Machine(own, bounds, time.monotonic_ns() ^ gateway.seed, self.clock())
+        return m.SwimProtocol(own, bounds, time.monotonic_ns() ^ gateway.seed, self.clock())
 
     def _read_keys(self, first: bool = False) -> None:
         try:
             good = self._keys.good(time.time() * 1000)
         except KeysError as error:
             if first:
-                raise FleetError(f"{error}; see fleet, keys") from error
+                raise MembershipError(f"{error}; see fleet, keys") from error
             self._log.warning("fleet", trouble=f"{error}; the keys before go on counting")
             return
         if not good and first:
-            raise FleetError(f"{self.fleet.keys} holds no key that counts now; see fleet, keys")
+            raise MembershipError(f"{self.fleet.keys} holds no key that counts now; see fleet, keys")
         self._secrets = [key.raw()[:64] for key in good] or self._secrets
 
     # The life of it.
@@ -295,7 +294,7 @@
             if self._udp is None:
                 return
             try:
-                data, where = self._udp.recvfrom(wire.DATAGRAM_MOST + 1)
+                data, where = self._udp.recvfrom(datagrams.DATAGRAM_MOST + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
@@ -304,14 +303,14 @@
             if self.over or len(self._happened) >= WAITING:
                 self.counts["dropped:overrun"] += 1
                 continue
-            message = self._opened(data, wire.DATAGRAM_MOST)
+            message = self._opened(data, datagrams.DATAGRAM_MOST)
             if message is not None:
                 self._happened.append(events.Arrived(message, _shown(where[:2])))
 
-    def _opened(self, data: bytes, most: int) -> wire.Envelope | None:
+    def _opened(self, data: bytes, most: int) -> datagrams.Envelope | None:
         try:
-            return wire.unseal(data, self._secrets, most)
-        except wire.Dropped as dropped:
+            return datagrams.unseal(data, self._secrets, most)
+        except datagrams.Dropped as dropped:
             self.counts[f"dropped:{dropped.reason}"] += 1
             now = time.monotonic()
             if now >= self._dropped_at + UNSEALED_LOG_S:
@@ -321,7 +320,7 @@
 
     def _send(self, action: events.Tell) -> None:
         host, _, port = action.address.rpartition(":")
-        data = wire.seal(action.message, self._secrets[0])
+        data = datagrams.seal(action.message, self._secrets[0])
         self.counts["sent"] += 1
         self.counts["sent-bytes"] += len(data)
         host = host.strip("[]")
@@ -356,12 +355,12 @@
     # Exchanges over TCP.
 
     async def _exchange(self, action: events.Exchange) -> None:
-        message: wire.Envelope | None = None
+        message: datagrams.Envelope | None = None
         host, _, port = action.address.rpartition(":")
         try:
             with anyio.move_on_after(STREAM_S):
                 async with self._streams, await anyio.connect_tcp(host.strip("[]"), int(port)) as stream:
-                    data = wire.seal(action.message, self._secrets[0])
+                    data = datagrams.seal(action.message, self._secrets[0])
                     self.counts["sent-bytes"] += len(data)
                     await stream.send(LENGTH.pack(len(data)) + data)
                     message = await self._receive(stream)
@@ -370,15 +369,15 @@
         self._happened.append(events.Exchanged(action.address, action.message.number, message))
         self._wake.set()
 
-    async def _receive(self, stream: SocketStream) -> wire.Envelope | None:
+    async def _receive(self, stream: SocketStream) -> datagrams.Envelope | None:
         got = bytearray()
         while len(got) < LENGTH.size or len(got) < LENGTH.size + LENGTH.unpack_from(got)[0]:
-            if len(got) >= LENGTH.size and LENGTH.unpack_from(got)[0] > wire.EXCHANGE_MOST:
+            if len(got) >= LENGTH.size and LENGTH.unpack_from(got)[0] > datagrams.EXCHANGE_MOST:
                 self.counts["dropped:too-long"] += 1
                 return None
             got += await stream.receive()
         return self._opened(
-            bytes(got[LENGTH.size : LENGTH.size + LENGTH.unpack_from(got)[0]]), wire.EXCHANGE_MOST
+            bytes(got[LENGTH.size : LENGTH.size + LENGTH.unpack_from(got)[0]]), datagrams.EXCHANGE_MOST
         )
 
     async def _listen_tcp(self, listener: SocketListener) -> None:
@@ -417,7 +416,7 @@
         replies = [action.message for action in actions if isinstance(action, events.Reply)]
         self._carry_out([action for action in actions if not isinstance(action, events.Reply)])
         for reply in replies[:1]:
-            data = wire.seal(reply, self._secrets[0])
+            data = datagrams.seal(reply, self._secrets[0])
             self.counts["sent-bytes"] += len(data)
             await stream.send(LENGTH.pack(len(data)) + data)
         self._tell()
@@ -431,15 +430,17 @@
 
     async def _keep(self) -> None:
         assert self.machine is not None
-        before: disk.Kept | None = None
+        before: member_cache.KnownMembers | None = None
         while True:
             members = [
-                disk.Known(seen.name, seen.address) for seen in self.view.members if seen.state != "left"
+                member_cache.KnownMember(seen.name, seen.address)
+                for seen in self.view.members
+                if seen.state != "left"
             ]
-            kept = disk.Kept(self.config.gateway.name, self.machine.life, members)
+            kept = member_cache.KnownMembers(self.config.gateway.name, self.machine.life, members)
             if kept != before:
                 try:
-                    await anyio.to_thread.run_sync(disk.save, Path(self.fleet.keep), kept)
+                    await anyio.to_thread.run_sync(member_cache.save, Path(self.fleet.keep), kept)
                     before = kept
                 except OSError as error:
                     self._log.warning(
--- a/winchdyke/fleet/members/events.py
+++ b/winchdyke/membership/events.py
@@ -1,10 +1,10 @@
-"""What a :class:`~winchdyke.fleet.members.machine.Machine` starts from, what happens to it, and what it gives back to be done."""
+"""What a :class:`~winchdyke.membership.swim.Machine` starts from, what happens to it, and what it gives back to be done."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from winchdyke.fleet.wire import Envelope
+from winchdyke.membership.datagrams import Envelope
 
 
 @dataclass(frozen=True, slots=True)
--- a/winchdyke/fleet/disk.py
+++ b/winchdyke/membership/member_cache.py
@@ -7,34 +7,34 @@
 
 import msgspec
 
-from winchdyke.files import replace
-from winchdyke.fleet.wire import Address, Name
+from winchdyke.durable_files import replace
+from winchdyke.membership.datagrams import Address, Name
 
 FILE = "members.json"
 MOST = 1 << 20
 
 
-class Known(msgspec.Struct):
+class KnownMember(msgspec.Struct):
     """A member that was there, and where."""
 
     name: Name
     address: Address
 
 
-class Kept(msgspec.Struct):
+class KnownMembers(msgspec.Struct):
     """What is kept: the last life of this process's name, so that the next one is later whatever the clock says."""
 
     own: Name
     life: int
-    members: list[Known] = []
+    members: list[KnownMember] = []
 
 
-def load(folder: Path) -> tuple[Kept | None, str]:
+def load(folder: Path) -> tuple[KnownMembers | None, str]:
     """What is kept, and what is wrong with it ("": nothing, or there is none yet)."""
     path = folder / FILE
     try:
         with path.open("rb") as file:
-            return msgspec.json.decode(file.read(MOST), type=Kept), ""
+            return msgspec.json.decode(file.read(MOST), type=KnownMembers), ""
     except FileNotFoundError:
         return None, ""
     except OSError as error:
@@ -43,7 +43,7 @@
         return None, f"{path} is no list of members ({error}); it is written anew, and seeds are asked alone"
 
 
-def save(folder: Path, kept: Kept) -> None:
+def save(folder: Path, kept: KnownMembers) -> None:
     """Write it whole, synced and renamed. OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     replace(folder / FILE, msgspec.json.encode(kept), folder / f"{FILE}.{os.getpid()}.new")
--- a/winchdyke/fleet/members/book.py
+++ b/winchdyke/membership/member_table.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.wire import Entry, State, Window
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.datagrams import Entry, State, Window
 
 FLOOD = 500.0  # messages at once, and a second, that one member may send: some fifty times what it needs
 
@@ -75,7 +75,7 @@
         return self.entry.state <= State.SUSPECT
 
 
-class Book:
+class MemberTable:
     """All members but the own."""
 
     def __init__(self, own: str, bounds: Bounds) -> None:
--- a/winchdyke/fleet/names.py
+++ b/winchdyke/membership/resolver.py
@@ -36,7 +36,7 @@
     return True
 
 
-class Names:
+class AddressResolver:
     """What is known of hosts' names. Times are ms of the caller's clock."""
 
     def __init__(self) -> None:
--- a/winchdyke/fleet/members/machine.py
+++ b/winchdyke/membership/swim.py
@@ -14,20 +14,20 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from winchdyke.fleet import wire
-from winchdyke.fleet.members.book import Book, Link, Member, said
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.members.events import Action, Arrived, Exchange, Exchanged, Leave, Note, Own, Reply, Tell
-from winchdyke.fleet.members.gossip import Gossip
-from winchdyke.fleet.members.health import Health, Sleep
-from winchdyke.fleet.members.view import Event, View, event, seen
-from winchdyke.fleet.wire import Entry, Envelope, Kind, State
+from winchdyke.membership import datagrams
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.datagrams import Entry, Envelope, Kind, State
+from winchdyke.membership.dissemination import Gossip
+from winchdyke.membership.events import Action, Arrived, Exchange, Exchanged, Leave, Note, Own, Reply, Tell
+from winchdyke.membership.local_health import Health, Sleep
+from winchdyke.membership.member_table import Link, Member, MemberTable, said
+from winchdyke.membership.view import Event, View, event, seen
 
 STEP = (
     1 << 16
 )  # between the lives of one name where the clock does not tell them apart: the low bits are drawn
 ENTRY_ROOM = (
-    wire.DATAGRAM_MOST - wire.HEAD - 3 * (wire.NAME_MOST + 2) - 4 * 9 - 12
+    datagrams.DATAGRAM_MOST - datagrams.HEAD - 3 * (datagrams.NAME_MOST + 2) - 4 * 9 - 12
 )  # beside the other fields at their largest
 NACK_PART = 0.8  # of a helper's time-out, after which it says that it waits as well
 LOOK_MS = 100.0  # between looks at what only time changes
@@ -52,13 +52,13 @@
     done: bool = False
 
 
-class Machine:
+class SwimProtocol:
     """The membership of one process."""
 
     def __init__(self, own: Own, bounds: Bounds, seed: int, now: float) -> None:
         self.own, self.bounds, self.random = own, bounds, random.Random(seed)
         self.life, self.incarnation, self.counter = own.life, 0, 0
-        self.book, self.gossip = Book(own.name, bounds), Gossip()
+        self.book, self.gossip = MemberTable(own.name, bounds), Gossip()
         self.health, self.sleep = Health(bounds.health_most), Sleep(now, bounds.pause)
         self.counts: Counter[str] = Counter()
         self.began = now
@@ -278,7 +278,7 @@
         if entry.state == State.ALIVE or entry.incarnation < self.incarnation:
             return
         # Refuted: only this process raises its own incarnation, past any word on it; past the last one by a later life.
-        if entry.incarnation >= wire.NUMBER_MOST:
+        if entry.incarnation >= datagrams.NUMBER_MOST:
             self._renew(self.life)
         else:
             self.incarnation = entry.incarnation + 1
@@ -300,7 +300,7 @@
             self._told.append(Tell(entry.address, self._message(self.own.name, Kind.PING, number)))
 
     def _renew(self, above: int) -> None:
-        self.life = min(wire.NUMBER_MOST, (above // STEP + 1) * STEP + self.random.getrandbits(16))
+        self.life = min(datagrams.NUMBER_MOST, (above // STEP + 1) * STEP + self.random.getrandbits(16))
         self.incarnation, self.counter = 0, 0
         self._note("renewed", self.own.name, "a process of this name had a later life: this one is later now")
         self.gossip.tell(self._self())
@@ -519,7 +519,7 @@
 
     def _number(self) -> int:
         self._numbers += 1 + self.random.getrandbits(8)
-        return self._numbers & wire.NUMBER_MOST
+        return self._numbers & datagrams.NUMBER_MOST
 
     def _message(
         self,
@@ -531,12 +531,12 @@
         entries: list[Entry] | None = None,
         first: Entry | None = None,
     ) -> Envelope:
-        if self.counter >= wire.NUMBER_MOST:
+        if self.counter >= datagrams.NUMBER_MOST:
             self._renew(self.life)  # the counts of one life are used up
         self.counter += 1
         if entries is None:
             own = self._self()
-            room = ENTRY_ROOM - wire.size(own)
+            room = ENTRY_ROOM - datagrams.size(own)
             entries = [own, *self.gossip.take(room, self.bounds.sends(self.book.size), first)]
         return Envelope(
             self.own.name,
@@ -546,7 +546,7 @@
             int(kind),
             number,
             target,
-            min(age, wire.NUMBER_MOST),
+            min(age, datagrams.NUMBER_MOST),
             entries,
         )
 
--- a/winchdyke/fleet/members/view.py
+++ b/winchdyke/membership/view.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from winchdyke.fleet.members.book import Link, Member
-from winchdyke.fleet.wire import State
+from winchdyke.membership.datagrams import State
+from winchdyke.membership.member_table import Link, Member
 
 TOGETHER_MS = 20_000.0  # what turns within so long of the one before belongs to one event
 LARGE, LEAST = 0.3, 3  # part of all members, and how many, that make an event
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -16,7 +16,7 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from winchdyke.changes.machine import Step, due, recover, standing
+from winchdyke.config_rollout.rollout_state import Step, due, recover, standing
 from winchdyke.model.checker import Broken
 
 UNTIL = 2.0
--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -12,11 +12,11 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from winchdyke.fleet import wire
-from winchdyke.fleet.members import events
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.members.events import Own
-from winchdyke.fleet.members.machine import Machine
+from winchdyke.membership import datagrams as wire
+from winchdyke.membership import events
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.events import Own
+from winchdyke.membership.swim import SwimProtocol
 
 UDP_IP, TCP_SETUP = 28, 400  # bytes around a datagram, and of a short TCP connection beside what it carries
 SECRET = b"the model's key, sixteen or more"
@@ -47,7 +47,7 @@
     name: str
     zone: str
     index: int
-    machine: Machine
+    machine: SwimProtocol
     began: float
     rate: float = 1.0  # of its clock: how many of its milliseconds go by in one
     ended: float | None = None
@@ -84,7 +84,7 @@
         seed: int,
         bounds: Bounds | None = None,
         zones: int = 1,
-        make: Callable[[Own, Bounds, int, float], Machine] = Machine,
+        make: Callable[[Own, Bounds, int, float], SwimProtocol] = SwimProtocol,
         links: Links | None = None,
         start_ms: float = 1000.0,
         drift: float = 0.0,
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -15,7 +15,7 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from winchdyke.changes.instant import Phase, phase
+from winchdyke.config_rollout.cutover import Phase, phase
 from winchdyke.model.checker import Broken
 
 AT, APART, END = 4.0, 2.0, 9
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -2,7 +2,7 @@
 
 Every word that was ever said may arrive anywhere, at any time, as often as it likes, or never: it stays in the world. Members
 accuse each other, let accusations run out, hear of their own, refute, end and start anew (later lives). The code under test is
-:class:`~winchdyke.fleet.members.book.Book` as it runs. Invariants, at each step:
+:class:`~winchdyke.membership.member_table.Book` as it runs. Invariants, at each step:
 
     own voice     nobody believes of a member a life or incarnation that it has not taken itself
     no way back   what a view believes of a member never goes back to an earlier (life, incarnation)
@@ -15,9 +15,9 @@
 import copy
 from collections.abc import Hashable, Iterable
 
-from winchdyke.fleet.members.book import Book, said
-from winchdyke.fleet.members.bounds import Bounds
-from winchdyke.fleet.wire import Entry, State
+from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.datagrams import Entry, State
+from winchdyke.membership.member_table import MemberTable, said
 from winchdyke.model.checker import Broken
 
 BOUNDS = Bounds(sight=-1.0)  # sight depends on time; merging must hold without it
@@ -27,7 +27,7 @@
 class Words:
     """One state of the world."""
 
-    def __init__(self, members: int = 3, faults: int = 3, book: type[Book] = Book) -> None:
+    def __init__(self, members: int = 3, faults: int = 3, book: type[MemberTable] = MemberTable) -> None:
         self.faults = faults
         self.own: list[tuple[int, int, bool]] = [(1, 0, True)] * members  # life, incarnation, whether it runs
         self.books = [book(str(n), BOUNDS) for n in range(members)]
--- a/winchdyke/model/membership.py
+++ b/winchdyke/model/membership.py
@@ -15,9 +15,16 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field, replace
 
-from winchdyke.interface import NodeState
+from winchdyke.discovery.endpoint_view import (
+    Bounds,
+    CachedEndpoint,
+    EndpointEvidence,
+    EndpointView,
+    Entry,
+    State,
+)
+from winchdyke.interface import EndpointStatus
 from winchdyke.model.checker import Broken
-from winchdyke.nodes.belief import Belief, Bounds, Entry, Known, State, Word
 
 WARM = 1000.0
 BOUNDS = Bounds(
@@ -47,7 +54,7 @@
 class Told:
     """A node as the list has it."""
 
-    state: NodeState
+    state: EndpointStatus
     identity: int
     started: float
 
@@ -56,9 +63,9 @@
 class Gateway:
     """A gateway: what it believes, its connections (node to boot), its disk, and the drains it was told of."""
 
-    belief: Belief
+    belief: EndpointView
     open: dict[int, tuple[int, int]] = field(default_factory=dict)
-    disk: list[Known] = field(default_factory=list)
+    disk: list[CachedEndpoint] = field(default_factory=list)
     drains: set[tuple[int, int]] = field(default_factory=set)  # node, boot
     disk_drains: set[tuple[int, int]] = field(default_factory=set)
 
@@ -71,12 +78,12 @@
         gateways: int = 2,
         nodes: int = 2,
         faults: int = 2,
-        kind: type[Belief] = Belief,
+        kind: type[EndpointView] = EndpointView,
         greets: bool = True,
     ) -> None:
         self.kind, self.faults, self.greets, self.now = kind, faults, greets, 100 * WARM
         self.nodes = [Machine() for _ in range(nodes)]
-        self.list = [Told(NodeState.READY, 0, 0.0) for _ in range(nodes)]
+        self.list = [Told(EndpointStatus.READY, 0, 0.0) for _ in range(nodes)]
         self.version = 2
         self.stale: tuple[int, list[Told]] = (1, [replace(told) for told in self.list])
         self.serves = "list"  # or stale, down, empty
@@ -118,9 +125,9 @@
     def _true(self, n: int) -> Told:
         node = self.nodes[n]
         if node.identity or not node.up:
-            return Told(NodeState.GONE, node.identity, 0.0)
+            return Told(EndpointStatus.REMOVED, node.identity, 0.0)
         started = node.born if self.now - node.born < WARM else 0.0
-        return Told(NodeState.DRAINING if node.draining else NodeState.READY, 0, started)
+        return Told(EndpointStatus.DRAINING if node.draining else EndpointStatus.READY, 0, started)
 
     def _restart(self, n: int) -> None:
         node = self.nodes[n]
@@ -166,16 +173,16 @@
         told = [
             Entry(f"n{n}:1", entry.state, n, "", entry.started, str(entry.identity))
             for n, entry in enumerate(entries)
-            if entry.state is not NodeState.GONE
+            if entry.state is not EndpointStatus.REMOVED
         ]
         gateway.belief.listed("list", told, self.now, version=version)
         for n, entry in enumerate(entries):
-            if entry.state is NodeState.DRAINING and entry == self._true(n):
+            if entry.state is EndpointStatus.DRAINING and entry == self._true(n):
                 gateway.drains.add((n, self.nodes[n].boot))
 
-    def _word(self, n: int) -> Word:
+    def _word(self, n: int) -> EndpointEvidence:
         node = self.nodes[n]
-        return Word(str(node.identity), str(node.boot), self.now - node.born, node.draining)
+        return EndpointEvidence(str(node.identity), str(node.boot), self.now - node.born, node.draining)
 
     def _dial(self, g: int, n: int) -> bool:
         gateway, node = self.gateways[g], self.nodes[n]
--- a/winchdyke/model/starts.py
+++ b/winchdyke/model/starts.py
@@ -12,8 +12,15 @@
 from dataclasses import dataclass, replace
 
 from winchdyke import interface as api
+from winchdyke.discovery.endpoint_view import (
+    Bounds,
+    CachedEndpoint,
+    EndpointEvidence,
+    EndpointView,
+    Entry,
+    State,
+)
 from winchdyke.model.world import CLASSES, PLANS, Course, Scene, World
-from winchdyke.nodes.belief import Belief, Bounds, Entry, Known, State, Word
 
 WARM_MS, COLD_FROM, FALL_MULTIPLE, FALL_WINDOW_MS, COLD_UNITS = 10_000.0, 0.2, 3.0, 1500.0, 9.0
 DIAL_TIMEOUT_MS, TICK_MS = 250.0, 20.0
@@ -83,11 +90,13 @@
                 old.stranger = bool(draw.random() < 0.5)
                 old.alive = old.stranger
         self.kept = [
-            Known(name, shard, state=State.USABLE, identity=f"store-{shard}", confirmed_unix=draw.random())
+            CachedEndpoint(
+                name, shard, state=State.USABLE, identity=f"store-{shard}", confirmed_unix=draw.random()
+            )
             for shard, name in enumerate(names)
         ]
         bounds = Bounds(warm_after=WARM_MS)
-        self.beliefs = [Belief(bounds) for _ in range(scene.gateways)]
+        self.beliefs = [EndpointView(bounds) for _ in range(scene.gateways)]
         self.checked: set[tuple[int, str]] = set()
         self.trying: set[int] = set()
         self.started: set[int] = set()
@@ -95,14 +104,29 @@
         self.told: Counter[int] = Counter()  # calls in a row of a gateway that failed
         self.following: set[int] = set()
         settings = api.Settings(
-            gateways=scene.gateways, index=0, classes=CLASSES, plans=PLANS, mean_units=2.0, largest_units=8.0,
-            fair_worth=0.3, idle_worth=0.08, max_attempts=3, max_retry_after_ms=500.0, connect_timeout_ms=DIAL_TIMEOUT_MS,
-            cold_from=COLD_FROM, warm_after_ms=WARM_MS, fall_multiple=FALL_MULTIPLE, fall_window_ms=FALL_WINDOW_MS,
-            cold_units=COLD_UNITS, extra_window_ms=5000.0, extra_free=3, extra_share=0.1,
-        )  # fmt: skip
+            gateway_count=scene.gateways,
+            gateway_index=0,
+            classes=CLASSES,
+            plans=PLANS,
+            mean_request_units=2.0,
+            max_request_units=8.0,
+            fair_share_priority_factor=0.3,
+            excess_priority_factor=0.08,
+            max_attempts=3,
+            max_retry_after_ms=500.0,
+            connect_timeout_ms=DIAL_TIMEOUT_MS,
+            slow_start_initial_capacity=COLD_FROM,
+            slow_start_duration_ms=WARM_MS,
+            slow_start_overload_factor=FALL_MULTIPLE,
+            slow_start_overload_window_ms=FALL_WINDOW_MS,
+            slow_start_initial_units=COLD_UNITS,
+            retry_budget_window_ms=5000.0,
+            retry_budget_base=3,
+            retry_budget_ratio=0.1,
+        )
         super().__init__(scene, given=settings)
 
-    def _begin(self, index: int, nodes: tuple[api.Node, ...]) -> None:
+    def _begin(self, index: int, nodes: tuple[api.Endpoint, ...]) -> None:
         self._at(self.draw.uniform(0.0, self.start.spread_ms), "start", index)
 
     def _on_start(self, now: float, index: int) -> None:
@@ -111,8 +135,10 @@
             self.beliefs[index].restored([replace(known) for known in self.kept], now)
             self._at(now, "tick", index)
         elif self.start.policy == "outright":
-            nodes = tuple(api.Node(known.name, api.NodeState.READY, known.shard) for known in self.kept)
-            self._give(now, index, [api.NodeList(api.ListKind.CACHED, nodes)])
+            nodes = tuple(
+                api.Endpoint(known.name, api.EndpointStatus.READY, known.shard) for known in self.kept
+            )
+            self._give(now, index, [api.EndpointList(api.EndpointListKind.CACHED, nodes)])
         self._watch(now, index)
 
     def _on_arrive(self, now: float, gateway: int, request: api.Request) -> None:
@@ -133,19 +159,21 @@
         if now < self.start.discovery_at_ms:
             self.told[index] += 1
             self.beliefs[index].failed("list", now)
-            self._give(now, index, [api.NodeList(api.ListKind.FAILED)])
+            self._give(now, index, [api.EndpointList(api.EndpointListKind.FAILED)])
             if self.start.policy == "plain":
                 self._at(now + 500.0, "retry", index)
             return
         self.following.add(index)
         entries = [
-            Entry(name, api.NodeState.READY, shard, "", born, f"store-{shard}")
+            Entry(name, api.EndpointStatus.READY, shard, "", born, f"store-{shard}")
             for name, shard, born in self.listed
         ]
         self.beliefs[index].listed("list", entries, now, version=1)
         self.beliefs[index].news()
-        nodes = tuple(api.Node(entry.name, entry.state, entry.shard, "", entry.started) for entry in entries)
-        self._give(now, index, [api.NodeList(api.ListKind.FULL, nodes)])
+        nodes = tuple(
+            api.Endpoint(entry.name, entry.state, entry.shard, "", entry.started) for entry in entries
+        )
+        self._give(now, index, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
 
     def _on_retry(self, now: float, index: int) -> None:
         self._watch(now, index)
@@ -176,7 +204,7 @@
             self.beliefs[index].refused(name, now)
             return False
         identity = "stranger" if machine.stranger else f"store-{machine.shard}"
-        fits = self.beliefs[index].heard(name, Word(identity, "b", now - machine.born), now)
+        fits = self.beliefs[index].heard(name, EndpointEvidence(identity, "b", now - machine.born), now)
         if fits:
             self.checked.add((index, name))
         return fits
@@ -192,9 +220,9 @@
         belief = self.beliefs[index]
         if news := belief.news():
             if index in self.following:
-                self._give(now, index, [api.NodeList(api.ListKind.CHANGES, tuple(news))])
+                self._give(now, index, [api.EndpointList(api.EndpointListKind.CHANGES, tuple(news))])
             else:
-                self._give(now, index, [api.NodeList(api.ListKind.CACHED, tuple(belief.all()))])
+                self._give(now, index, [api.EndpointList(api.EndpointListKind.CACHED, tuple(belief.all()))])
 
     # Work
 
@@ -202,34 +230,45 @@
         machine = self.machines[node]
         if not machine.alive or machine.fallen:
             took = self._dial_ms(node)
-            self._ended(now + took, index, request.id, attempt, node, api.Outcome.DIAL_FAILED, took)
+            self._ended(
+                now + took, index, request.request_id, attempt, node, api.AttemptOutcome.CONNECT_FAILED, took
+            )
             return
         if (
             self.start.policy == "belief"
             and (index, node) not in self.checked
             and not self._ask(now, index, node)
         ):
-            self._ended(now + 1.0, index, request.id, attempt, node, api.Outcome.DIAL_FAILED, 1.0)
+            self._ended(
+                now + 1.0, index, request.request_id, attempt, node, api.AttemptOutcome.CONNECT_FAILED, 1.0
+            )
             return
         if machine.stranger:  # it answers, and has nothing that is asked for
             machine.misled += 1
-            self._ended(now + 1.0, index, request.id, attempt, node, api.Outcome.ERROR, 1.0)
+            self._ended(now + 1.0, index, request.request_id, attempt, node, api.AttemptOutcome.ERROR, 1.0)
             return
         machine.press(now, request.units)
         if machine.fallen:
             machine.queue.clear()
             return
-        machine.queue.append((index, request.id, attempt, request.units, now))
+        machine.queue.append((index, request.request_id, attempt, request.units, now))
         self._serve(now + self.scene.net_ms, machine)
 
     def _ended(
-        self, at: float, index: int, request: str, attempt: int, node: str, how: api.Outcome, took: float
+        self,
+        at: float,
+        index: int,
+        request: str,
+        attempt: int,
+        node: str,
+        how: api.AttemptOutcome,
+        took: float,
     ) -> None:
         self._at(
             at,
             "answer",
             index,
-            api.AttemptEnded(request, attempt, node, how, took, how is api.Outcome.SERVED),
+            api.AttemptEnded(request, attempt, node, how, took, how is api.AttemptOutcome.SERVED),
         )
 
     def _serve(self, now: float, machine: Machine) -> None:
@@ -251,20 +290,20 @@
         machine.free += 1
         if not machine.fallen:
             end = now + self.scene.net_ms
-            self._ended(end, index, request, attempt, name, api.Outcome.SERVED, end - sent)
+            self._ended(end, index, request, attempt, name, api.AttemptOutcome.SERVED, end - sent)
         self._serve(now, machine)
 
     def _on_answer(self, now: float, gateway: int, event: api.AttemptEnded) -> None:
-        if event.outcome is api.Outcome.SERVED:
+        if event.outcome is api.AttemptOutcome.SERVED:
             super()._on_answer(now, gateway, event)
         else:
             self._give(now, gateway, [event])
-            if event.outcome is api.Outcome.DIAL_FAILED and self.start.policy == "belief":
-                self.beliefs[gateway].refused(event.node, now)
+            if event.outcome is api.AttemptOutcome.CONNECT_FAILED and self.start.policy == "belief":
+                self.beliefs[gateway].refused(event.endpoint, now)
 
     def worth(self, until_ms: float) -> float:
         """Worth of what was served within its aim, by then."""
-        aims = {kind.name: (kind.aim_ms, kind.worth) for kind in CLASSES}
+        aims = {kind.name: (kind.latency_objective_ms, kind.priority_weight) for kind in CLASSES}
         return sum(
             aims[done.class_name][1] * (done.latency <= aims[done.class_name][0])
             for done in self.done.values()
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -16,17 +16,29 @@
 from dataclasses import dataclass, field
 
 from winchdyke import interface as api
-from winchdyke.accounts.merge import merged
-from winchdyke.accounts.spans import Account, Holder, apportion, apportion_causes
-from winchdyke.accounts.why import USUAL_SLACK, Observer
-from winchdyke.policy import NodeView, Scheduler
+from winchdyke.latency_attribution.merge import merged
+from winchdyke.latency_attribution.spans import Account, Holder, apportion, apportion_causes
+from winchdyke.latency_attribution.why import USUAL_SLACK, Observer
+from winchdyke.policy import EndpointState, Scheduler
 
 CLASSES = (
-    api.RequestClass("fetch", 2.0, 400.0, 3000.0, 0.1, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
     api.RequestClass(
-        "submit", 3.0, 500.0, 2500.0, 0.15, api.Effect.KEYED, api.Scope.CELL, 4000.0, writes=True
+        "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
+    ),
+    api.RequestClass(
+        "submit",
+        3.0,
+        500.0,
+        2500.0,
+        0.15,
+        api.RepeatSafety.IDEMPOTENCY_KEY,
+        api.DeduplicationScope.SHARD,
+        4000.0,
+        modifies_data=True,
+    ),
+    api.RequestClass(
+        "export", 1.0, 1500.0, 5000.0, 0.2, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
     ),
-    api.RequestClass("export", 1.0, 1500.0, 5000.0, 0.2, api.Effect.IDEMPOTENT, api.Scope.ALL, 0.0),
 )
 PLANS = (
     api.Plan("basic", 0.96, 1.0, 20.0, 0.0),
@@ -116,17 +128,17 @@
         super().__init__(world.schedulers[index])
         self.world, self.index = world, index
 
-    def _out(self, node: NodeView, now: float) -> dict[Holder, float]:
+    def _out(self, node: EndpointState, now: float) -> dict[Holder, float]:
         world = self.world
         store = world.stores[node.shard]
         own = 1 - world.scene.unit_ms / store.unit_ms(now)
         shares: dict[Holder, float] = {}
-        part = 1.0 / len(node.out)
+        part = 1.0 / len(node.in_flight)
 
         def put(holder: Holder, share: float) -> None:
             shares[holder] = shares.get(holder, 0.0) + share
 
-        for (request, _), (sent, class_name) in node.out.items():
+        for (request, _), (sent, class_name) in node.in_flight.items():
             held = self.scheduler.requests.get(request)
             if now - sent <= USUAL_SLACK * self.usual(node, class_name, held.request.units if held else 1.0):
                 put(("volume", world.done[request].course, class_name), part)
@@ -155,12 +167,12 @@
         self._order = itertools.count()
         self.done: dict[str, Done] = {}
         given = given or api.Settings(
-            gateways=scene.gateways, index=0, classes=CLASSES, plans=PLANS, mean_units=2.0, largest_units=8.0,
-            fair_worth=0.3, idle_worth=0.08, max_attempts=3, max_retry_after_ms=500.0,
+            gateway_count=scene.gateways, gateway_index=0, classes=CLASSES, plans=PLANS, mean_request_units=2.0, max_request_units=8.0,
+            fair_share_priority_factor=0.3, excess_priority_factor=0.08, max_attempts=3, max_retry_after_ms=500.0,
         )  # fmt: skip
         self.deadlines = {kind.name: kind.deadline_ms for kind in given.classes}
-        settings = [dataclasses.replace(given, index=index) for index in range(scene.gateways)]
-        self.schedulers = [Scheduler(each, scene.seed * 1000 + each.index, 0.0) for each in settings]
+        settings = [dataclasses.replace(given, gateway_index=index) for index in range(scene.gateways)]
+        self.schedulers = [Scheduler(each, scene.seed * 1000 + each.gateway_index, 0.0) for each in settings]
         self.observers = [Observer(scheduler) for scheduler in self.schedulers]
         self.seers = [Seeing(self, index) for index in range(scene.gateways)] if seeing else []
         slow = dict(scene.slow)
@@ -169,16 +181,18 @@
             for n in range(scene.stores)
         ]
         self._open: dict[str, tuple[api.Request, int]] = {}
-        nodes = tuple(api.Node(f"n{shard}", api.NodeState.READY, shard) for shard in range(scene.stores))
+        nodes = tuple(
+            api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(scene.stores)
+        )
         for index in range(scene.gateways):
             self._begin(index, nodes)
         for course in scene.courses:
             if course.name not in without:
                 self._arrivals(course)
 
-    def _begin(self, index: int, nodes: tuple[api.Node, ...]) -> None:
+    def _begin(self, index: int, nodes: tuple[api.Endpoint, ...]) -> None:
         """A gateway starts: it knows all nodes."""
-        self._give(0.0, index, [api.NodeList(api.ListKind.FULL, nodes)])
+        self._give(0.0, index, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
 
     def _at(self, time: float, kind: str, *what: object) -> None:
         heapq.heappush(self._heap, (time, next(self._order), kind, what))
@@ -210,11 +224,13 @@
         return list(self.done.values())
 
     def _on_arrive(self, now: float, gateway: int, request: api.Request) -> None:
-        done = Done(request.id, request.volume, request.class_name, gateway, now, units=request.units)
-        self.done[request.id] = done
-        self._open[request.id] = request, 0
+        done = Done(
+            request.request_id, request.volume, request.request_class, gateway, now, units=request.units
+        )
+        self.done[request.request_id] = done
+        self._open[request.request_id] = request, 0
         for observer in self._observers(gateway):
-            observer.begin(request.id, request.shard, request.class_name, now)
+            observer.begin(request.request_id, request.shard, request.request_class, now)
         self._give(now, gateway, [request])
 
     def _on_timer(self, now: float, gateway: int, tag: int) -> None:
@@ -226,28 +242,28 @@
     def _give(self, now: float, index: int, events: list[api.Event]) -> None:
         for action in self.schedulers[index].handle(now, events):
             if isinstance(action, api.SetTimer):
-                self._at(now + max(0.001, action.after_ms), "timer", index, action.tag)
-            elif isinstance(action, api.Send):
-                request, attempt = self._open[action.request]
-                self._open[action.request] = request, attempt + 1
-                self._held(now, index, action.request)
-                done = self.done[action.request]
-                view = self.schedulers[index].nodes[action.node]
-                done.sent, done.node = now, action.node
+                self._at(now + max(0.001, action.after_ms), "timer", index, action.timer_id)
+            elif isinstance(action, api.StartAttempt):
+                request, attempt = self._open[action.request_id]
+                self._open[action.request_id] = request, attempt + 1
+                self._held(now, index, action.request_id)
+                done = self.done[action.request_id]
+                view = self.schedulers[index].endpoints[action.endpoint]
+                done.sent, done.node = now, action.endpoint
                 done.usual = self.observers[index].usual(view, done.class_name, done.units)
-                self._send(now, index, request, attempt, action.node)
-            elif isinstance(action, (api.Refuse, api.Fail)):
-                self._held(now, index, action.request)
-                done = self.done[action.request]
-                done.end, done.outcome = now, "refused" if isinstance(action, api.Refuse) else "failed"
-                self._open.pop(action.request, None)
-            elif isinstance(action, api.WatchList):
+                self._send(now, index, request, attempt, action.endpoint)
+            elif isinstance(action, (api.ShedRequest, api.FailRequest)):
+                self._held(now, index, action.request_id)
+                done = self.done[action.request_id]
+                done.end, done.outcome = now, "refused" if isinstance(action, api.ShedRequest) else "failed"
+                self._open.pop(action.request_id, None)
+            elif isinstance(action, api.WatchEndpoints):
                 self._watch(now, index)
         for observer in self._observers(index):
             observer.look(now)
 
     def _send(self, now: float, index: int, request: api.Request, attempt: int, node: str) -> None:
-        work = request.shard, index, request.id, attempt, request.units, now
+        work = request.shard, index, request.request_id, attempt, request.units, now
         self._at(now + self.scene.net_ms, "work", *work)
 
     def _watch(self, now: float, index: int) -> None:
@@ -287,14 +303,14 @@
         self.stores[shard].busy.discard((gateway, request))
         self._next(now, shard)
         end = now + self.scene.net_ms
-        event = api.AttemptEnded(request, attempt, f"n{shard}", api.Outcome.SERVED, end - sent, True)
+        event = api.AttemptEnded(request, attempt, f"n{shard}", api.AttemptOutcome.SERVED, end - sent, True)
         self._at(end, "answer", gateway, event)
 
     def _on_answer(self, now: float, gateway: int, event: api.AttemptEnded) -> None:
-        done = self.done[event.request]
+        done = self.done[event.request_id]
         if not done.outcome:
             done.end, done.outcome = now, "served"
-            self._open.pop(event.request, None)
+            self._open.pop(event.request_id, None)
         self._give(now, gateway, [event])
 
 
--- a/winchdyke/objects/routes.py
+++ b/winchdyke/object_api/routes.py
@@ -1,7 +1,7 @@
 """What a request asks for: method, path, query and headers in, an :class:`Operation` out. Pure.
 
 The paths are ``/VOLUME`` and ``/VOLUME/KEY``; the page for clients is ``docs/object-api.md``. Whatever can't be
-read raises :class:`winchdyke.objects.answers.RequestError`.
+read raises :class:`winchdyke.object_api.answers.RequestError`.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 
 from winchdyke.config.units import duration
 from winchdyke.http1 import RequestHead
-from winchdyke.objects import ranges
-from winchdyke.objects.answers import RequestError
+from winchdyke.object_api import ranges
+from winchdyke.object_api.answers import RequestError
 
 KEY_BYTES = 1024
 LIST_MOST = 1000
--- a/winchdyke/objects/storewire.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -5,8 +5,8 @@
 import math
 from dataclasses import dataclass
 
+from winchdyke.discovery.endpoint_view import EndpointEvidence
 from winchdyke.http1 import AnswerHead, Headers
-from winchdyke.nodes.belief import Word
 
 REQUEST, ATTEMPT, GATEWAY = b"winchdyke-request", b"winchdyke-attempt", b"winchdyke-gateway"
 CLASS, UNITS, SHARD = b"winchdyke-class", b"winchdyke-units", b"winchdyke-shard"
@@ -32,7 +32,7 @@
     used_percent: float | None = None
     from_others: float = 0.0
     load: tuple[float, ...] = ()
-    word: Word | None = None  # what it says of itself, where it does
+    word: EndpointEvidence | None = None  # what it says of itself, where it does
 
 
 def _number(text: str) -> float | None:
@@ -61,7 +61,7 @@
     word = None
     if said:
         up = _number(said[UP]) if UP in said else None
-        word = Word(said.get(STORE, ""), said.get(BOOT, ""), up, said.get(DRAINING) == "1")
+        word = EndpointEvidence(said.get(STORE, ""), said.get(BOOT, ""), up, said.get(DRAINING) == "1")
     return Told(used, others or 0.0, load, word)
 
 
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -24,12 +24,12 @@
     import os
 
     from winchdyke.gateway import logs
-    from winchdyke.platform import environment
+    from winchdyke.platform import configuration
     from winchdyke.platform.service import Gateway
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
-        gateway = Gateway(environment.read(os.environ), loop)
+        gateway = Gateway(configuration.read(os.environ), loop)
         loop.add_signal_handler(signal.SIGHUP, gateway.reload)
         loop.add_signal_handler(signal.SIGTERM, gateway.stop)
         for number in _early:
@@ -39,7 +39,7 @@
     logs.set_up("json", access=False)
     try:
         asyncio.run(serve())
-    except environment.EnvironmentFault as error:
+    except configuration.ConfigurationError as error:
         print(f"winchdyke: {error}", file=sys.stderr)
         return 2
     except OSError as error:
--- a/winchdyke/platform/clients.py
+++ b/winchdyke/platform/clients.py
@@ -12,8 +12,8 @@
 
 from winchdyke.gateway.pool import NO_DESCRIPTORS
 from winchdyke.http1 import End, Headers, Need, ProtocolError, RequestHead, ServerSide
-from winchdyke.objects import answers
-from winchdyke.platform import sockets, wire
+from winchdyke.object_api import answers
+from winchdyke.platform import protocol, sockets
 from winchdyke.platform.room import Room
 
 HEAD_MOST = 16 * 1024
@@ -74,7 +74,7 @@
         self.state, self.since, self.came = State.FRESH, ports.clock(), 0.0
         self._codec = ServerSide(HEAD_MOST)
         self._head: RequestHead | None = None
-        self._asked: wire.Asked | None = None
+        self._asked: protocol.ParsedRequest | None = None
         self._body = bytearray()
         self._left: memoryview | None = None
         self._ahead = self._thrown = self.long = 0
@@ -167,7 +167,7 @@
                 if head is None:
                     self.close()
                     return
-                if head.target == wire.READY and head.method == "GET":
+                if head.target == protocol.READY and head.method == "GET":
                     self._head, self.closing = head, True  # whoever asks that, by hundreds maybe, asks once
                     self.turn(State.OPEN)
                     self.answer(200, [(b"content-length", b"6")], b"ready\n")
@@ -210,10 +210,10 @@
         """Keep room for a body so long, where that is beyond the protocol's bound."""
         # Guards against long bodies that together take this machine's memory. It hurts the one that comes when all room is held.
         more = length - self.long
-        if length <= wire.BODY_MOST or more <= 0:
+        if length <= protocol.BODY_MOST or more <= 0:
             return
         if length > self._ports.reader.body_most:
-            raise wire.too_large(self._ports.reader.body_most)
+            raise protocol.too_large(self._ports.reader.body_most)
         if self._ports.long + more > self._ports.long_most:
             raise ProtocolError(503, "too-large", "all room for long bodies is held; try again")
         self.long, self._ports.long = length, self._ports.long + more
@@ -292,7 +292,7 @@
         """No more is answered here."""
         # Guards against an answer that a reset destroys on its way: closing a connection with bytes unread sends one, and
         # clients send on each that is open. It hurts by a connection held until its client ends it.
-        if self._head is not None and self._head.target == wire.READY:
+        if self._head is not None and self._head.target == protocol.READY:
             self.close()
             return
         try:
@@ -349,8 +349,8 @@
         loop: asyncio.AbstractEventLoop,
         clock: Callable[[], float],
         sock: socket.socket,
-        reader: wire.Reader,
-        take: Callable[[Client, wire.Asked, float], None],
+        reader: protocol.Reader,
+        take: Callable[[Client, protocol.ParsedRequest, float], None],
         most: int,
         long_most: float = 0.0,
     ) -> None:
--- a/winchdyke/platform/environment.py
+++ b/winchdyke/platform/configuration.py
@@ -15,7 +15,7 @@
 REPORTS_IN_ANSWERS = "answers"
 
 
-class EnvironmentFault(Exception):
+class ConfigurationError(Exception):
     """The environment or the file can't be used; says what is wrong, where, and what to do."""
 
 
@@ -48,39 +48,39 @@
     """HOST:PORT, checked."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
-        raise EnvironmentFault(f"{where} is {text!r}: give HOST:PORT")
+        raise ConfigurationError(f"{where} is {text!r}: give HOST:PORT")
     return host, int(port)
 
 
 def _object(of: Mapping[str, Any], key: str, where: str) -> dict[str, Any]:
     value = {} if of.get(key) is None else of[key]
     if not isinstance(value, dict):
-        raise EnvironmentFault(f"{where}: {key!r} is {type(value).__name__}: give an object")
+        raise ConfigurationError(f"{where}: {key!r} is {type(value).__name__}: give an object")
     return value
 
 
 def _number(of: Mapping[str, Any], key: str, usual: float, where: str) -> float:
     value = usual if of.get(key) is None else of[key]
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
-        raise EnvironmentFault(f"{where}: {key!r} is {value!r}: give a number above 0")
+        raise ConfigurationError(f"{where}: {key!r} is {value!r}: give a number above 0")
     return float(value)
 
 
 def read(variables: Mapping[str, str]) -> Environment:
     """The environment as it is now. EnvironmentFault where it can't be used."""
     if not variables.get("NODE_CONFIG"):
-        raise EnvironmentFault("NODE_CONFIG is not set: give the path of the gateway's configuration file")
+        raise ConfigurationError("NODE_CONFIG is not set: give the path of the gateway's configuration file")
     path = Path(variables["NODE_CONFIG"])
     try:
         info = json.loads(path.read_bytes())
     except OSError as error:
-        raise EnvironmentFault(
+        raise ConfigurationError(
             f"{path}: {error.strerror}: NODE_CONFIG must name a file that can be read"
         ) from error
     except ValueError as error:
-        raise EnvironmentFault(f"{path} is no JSON: {error}") from error
+        raise ConfigurationError(f"{path} is no JSON: {error}") from error
     if not isinstance(info, dict):
-        raise EnvironmentFault(f"{path}: the file holds {type(info).__name__}: give an object")
+        raise ConfigurationError(f"{path}: the file holds {type(info).__name__}: give an object")
     where, settings, limits = (
         str(path),
         _object(info, "settings", str(path)),
@@ -90,12 +90,12 @@
     try:
         told = settings_of(settings)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise EnvironmentFault(f"{where}: 'settings' can't be used: {error!r}") from error
+        raise ConfigurationError(f"{where}: 'settings' can't be used: {error!r}") from error
     seed = str(info.get("seed", "0"))
     try:
         number = int(seed, 16)
     except ValueError as error:
-        raise EnvironmentFault(f"{where}: 'seed' is {seed!r}: give hex digits") from error
+        raise ConfigurationError(f"{where}: 'seed' is {seed!r}: give hex digits") from error
     # A name or address in the file is newer than the variable, which stays as it was at the start.
     return Environment(
         name=str(info.get("name") or variables.get("NODE_NAME", "")),
--- a/winchdyke/platform/discovery.py
+++ b/winchdyke/platform/discovery_client.py
@@ -8,8 +8,8 @@
 import structlog
 
 from winchdyke.http1 import ClientSide, End, Need, ProtocolError
-from winchdyke.platform import wire
-from winchdyke.platform.environment import Address
+from winchdyke.platform import protocol
+from winchdyke.platform.configuration import Address
 
 # An empty line comes every 2 s, so that its absence is told at once. What a silent watch misses counts as told 6 s after it fell
 # silent, and what discovery has to tell at its return counts at once: each tenth later is one in which a drain is not known.
@@ -25,7 +25,7 @@
     def __init__(self, follower: Follower, target: bytes, whole: bool, asked: int) -> None:
         self._follower, self._target, self._whole, self.asked = follower, target, whole, asked
         self._codec, self._head, self._list = ClientSide(HEAD_MOST), False, bytearray()
-        self._objects, self.spoke, self._open_ended = wire.Objects(), False, False
+        self._objects, self.spoke, self._open_ended = protocol.Objects(), False, False
         self.transport: asyncio.Transport | None = None
         self.began = self.heard = follower.loop.time()
         self.over = False
@@ -47,7 +47,7 @@
         try:
             self._codec.feed(data)
             self._read()
-        except (ProtocolError, wire.ListFault) as error:
+        except (ProtocolError, protocol.EndpointListError) as error:
             self._follower.unreadable(self, str(error))
 
     def _read(self) -> None:
@@ -56,19 +56,19 @@
             if isinstance(head, Need):
                 return
             if head.status != 200:
-                raise wire.ListFault(f"discovery answered {head.status}")
-            self._head, self._open_ended = True, not wire.framed(head)
+                raise protocol.EndpointListError(f"discovery answered {head.status}")
+            self._head, self._open_ended = True, not protocol.framed(head)
         while not self.over and not isinstance(piece := self._codec.body(), Need):
             self.spoke = True
             if isinstance(piece, End):
                 if self._whole:
-                    self._follower.heard(self, wire.listing(bytes(self._list)))
+                    self._follower.heard(self, protocol.listing(bytes(self._list)))
                 self._follower.lost(self, "ended")
                 return
             if self._whole:
                 self._list += piece
-                if len(self._list) > wire.OBJECT_MOST:
-                    raise wire.ListFault("the list has no end")
+                if len(self._list) > protocol.OBJECT_MOST:
+                    raise protocol.EndpointListError("the list has no end")
                 continue
             for news in self._objects.feed(piece):
                 if not self.over:
@@ -100,7 +100,7 @@
         loop: asyncio.AbstractEventLoop,
         address: Address,
         version: int,
-        tell: Callable[[wire.Listing], None],
+        tell: Callable[[protocol.EndpointListing], None],
     ) -> None:
         self.loop, self.address, self.version, self._tell = loop, address, version, tell
         self._watch: Watch | None = None
@@ -137,7 +137,7 @@
             return
         if self._watch is not None:
             self._watch.end()
-        target = wire.TARGETS if self._whole else wire.TARGETS + b"?watch=1&after=%d" % self.version
+        target = protocol.TARGETS if self._whole else protocol.TARGETS + b"?watch=1&after=%d" % self.version
         watch = self._watch = Watch(self, target, self._whole, self.version)
         self._task = self.loop.create_task(self._connect(watch))
 
@@ -164,11 +164,13 @@
         if not self.spoken.done():
             self.spoken.set_result(None)
 
-    def heard(self, watch: Watch, news: wire.Listing) -> None:
+    def heard(self, watch: Watch, news: protocol.EndpointListing) -> None:
         """A list or a change."""
         if news.version < watch.asked and not news.full:
             # Guards against numbers that begin anew behind the gateway's back: it would take all changes for old ones.
-            raise wire.ListFault(f"changes of version {news.version} came after {watch.asked} was asked for")
+            raise protocol.EndpointListError(
+                f"changes of version {news.version} came after {watch.asked} was asked for"
+            )
         self.heard_of(watch)
         if news.version < self.version and watch.asked <= news.version:
             return  # on its way while the other watch told more: a whole list too, or it brings back what drains
--- a/winchdyke/platform/leaving.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leaving:
+class ShutdownSchedule:
     """The times of one stop, on the clock that ``now`` was read from."""
 
     last_call: float  # until then all goes on; from then on answers say close, and idle connections are ended
@@ -29,7 +29,9 @@
     end: float  # not to end before this: a connection may stand in the queue
 
 
-def leaving(now: float, longest: float) -> Leaving:
+def shutdown_schedule(now: float, longest: float) -> ShutdownSchedule:
     """The times of a stop told at ``now``, where the longest deadline of any class is ``longest``."""
     earliest = now + min(longest, COUNTED_MS) + BEYOND_MS
-    return Leaving(max(now, earliest - LAST_CALL_MS), max(now, earliest - ANSWER_MS), now + COMING_MS)
+    return ShutdownSchedule(
+        max(now, earliest - LAST_CALL_MS), max(now, earliest - ANSWER_MS), now + COMING_MS
+    )
--- a/winchdyke/platform/wire.py
+++ b/winchdyke/platform/protocol.py
@@ -10,7 +10,7 @@
 
 from winchdyke import interface as api
 from winchdyke.http1 import AnswerHead, Headers, ProtocolError, RequestHead
-from winchdyke.interface import NodeState, Outcome
+from winchdyke.interface import AttemptOutcome, EndpointStatus
 
 BODY_MOST = (
     64 * 1024
@@ -28,11 +28,15 @@
 EXTRAS = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,6})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
 OWN = (b"req-id", b"req-kind", b"x-plan", b"req-deadline-ms", b"x-io", b"req-retry", b"idempotency-key")
 PASSED = (b"idempotency-key", b"req-kind", b"x-plan", b"x-io", b"req-retry", b"content-type")
-STATES = {"in_service": NodeState.READY, "terminating": NodeState.DRAINING, "terminated": NodeState.GONE}
+STATES = {
+    "in_service": EndpointStatus.READY,
+    "terminating": EndpointStatus.DRAINING,
+    "terminated": EndpointStatus.REMOVED,
+}
 
 
 @dataclass(slots=True)
-class Asked:
+class ParsedRequest:
     """A client's request: what the scheduler is told of it, and what passes on unchanged."""
 
     request: api.Request
@@ -46,34 +50,34 @@
 class Told:
     """What an answer of a store means. ``used``: the volume's use in percent; ``others``: units served elsewhere."""
 
-    outcome: Outcome
+    outcome: AttemptOutcome
     used: float | None = None
     others: float = 0.0
     load: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class EndpointEntry:
     """A store of the list; ``started`` is Unix time in milliseconds, 0 where it has been up for long."""
 
     id: str
     address: str
-    state: NodeState
+    state: EndpointStatus
     shard: int
     zone: str
     started: float
 
 
 @dataclass(frozen=True, slots=True)
-class Listing:
+class EndpointListing:
     """The whole list, or what changed."""
 
     version: int
     full: bool
-    entries: tuple[Entry, ...]
+    entries: tuple[EndpointEntry, ...]
 
 
-class ListFault(Exception):
+class EndpointListError(Exception):
     """Something of discovery's that can't be read."""
 
 
@@ -93,9 +97,9 @@
         self.body_most = body_most
         self._kinds = {kind.name.encode(): kind for kind in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        self._most, self._gateways = settings.largest_units, settings.gateways
+        self._most, self._gateways = settings.max_request_units, settings.gateway_count
 
-    def asked(self, head: RequestHead) -> Asked:
+    def asked(self, head: RequestHead) -> ParsedRequest:
         """The request of a head, with its time as it was sent. ProtocolError where a field can't be used."""
         found: dict[bytes, bytes] = {}
         for name, value in head.headers:
@@ -110,7 +114,7 @@
         kind = self._kinds.get(found.get(b"req-kind", b""))
         if kind is None:
             raise _bad("no-class", "Req-Kind names no class of requests")
-        method = "PUT" if kind.writes else "GET"
+        method = "PUT" if kind.modifies_data else "GET"
         if head.method != method:
             raise ProtocolError(405, "method", f"{kind.name} goes by {method}")
         if method == "GET" and head.length != 0:
@@ -120,7 +124,7 @@
             raise _bad("no-plan", "X-Plan names no plan")
         if not TOKEN.fullmatch(found.get(b"req-id", b"")):
             raise _bad("bad-header", "Req-Id is missing or can't be used")
-        if kind.effect is api.Effect.KEYED and not found.get(b"idempotency-key"):
+        if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY and not found.get(b"idempotency-key"):
             raise _bad("bad-header", f"{kind.name} needs an Idempotency-Key")
         deadline = found.get(b"req-deadline-ms", b"")
         if not WHOLE.fullmatch(deadline) or not int(deadline):
@@ -132,23 +136,23 @@
         if not 0 < units <= self._most or not 0 < hosts <= self._gateways:
             raise _bad("bad-header", f"X-IO: units are up to {self._most:g}, hosts 1 to {self._gateways}")
         request = api.Request(
-            id=found[b"req-id"].decode("ascii"),
-            class_name=kind.name,
+            request_id=found[b"req-id"].decode("ascii"),
+            request_class=kind.name,
             plan=plan,
             volume=path[1].decode("ascii"),
             key=path[2].decode("ascii"),
             units=units,
             shard=shard,
-            gateways=hosts,
-            left_ms=float(int(deadline)),
-            repeat=found.get(b"req-retry") == b"1",
+            sharing_gateways=hosts,
+            time_left_ms=float(int(deadline)),
+            is_retry=found.get(b"req-retry") == b"1",
         )
         headers = [(b"host", found.get(b"host", b"")), (b"req-id", found[b"req-id"])]
         headers += [(name, found[name]) for name in PASSED if name in found]
-        return Asked(request, method, head.target, headers)
+        return ParsedRequest(request, method, head.target, headers)
 
 
-def onward(asked: Asked, left_ms: float) -> Headers:
+def onward(asked: ParsedRequest, left_ms: float) -> Headers:
     """The headers that a store gets."""
     headers = [*asked.headers, (b"req-deadline-ms", b"%d" % max(1, int(left_ms)))]
     if asked.method == "PUT":
@@ -187,46 +191,46 @@
 def told(head: AnswerHead, fields: tuple[str, ...]) -> Told:
     """What an answer of a store means."""
     if head.status == 200:
-        outcome = Outcome.SERVED
+        outcome = AttemptOutcome.SERVED
     elif head.status in (503, 504) and head.get(b"srv-declined") == "1":
-        outcome = Outcome.SHED
+        outcome = AttemptOutcome.SHED
     else:
-        outcome = Outcome.ERROR
+        outcome = AttemptOutcome.ERROR
     others = _figure(head.get(b"x-served-elsewhere"))
     return Told(
         outcome, _figure(head.get(b"x-volume-use")), others or 0.0, _load(head.get(b"srv-load"), fields)
     )
 
 
-def _entry(row: Any) -> Entry:
+def _entry(row: Any) -> EndpointEntry:
     if not isinstance(row, dict):
-        raise ListFault("an entry is no object")
+        raise EndpointListError("an entry is no object")
     name, place, state, shard = row.get("id"), row.get("addr"), row.get("state"), row.get("cell")
     started, zone = row.get("started_ms", 0), row.get("zone", "")
     if not isinstance(name, str) or not name or not isinstance(place, str) or state not in STATES:
-        raise ListFault(f"an entry can't be used: id {name!r}, addr {place!r}, state {state!r}")
+        raise EndpointListError(f"an entry can't be used: id {name!r}, addr {place!r}, state {state!r}")
     # Guards against what can't be dialled at all: a name would be looked up while all else waits, and some raise no OSError.
     if not PLACE.fullmatch(place) or not 0 < int(place.rpartition(":")[2]) < 65536:
-        raise ListFault(f"{name}: addr is {place!r}, which is not an IPv4 address and a port")
+        raise EndpointListError(f"{name}: addr is {place!r}, which is not an IPv4 address and a port")
     if isinstance(shard, bool) or not isinstance(shard, int):
-        raise ListFault(f"{name}: cell is {shard!r}, which is no whole number")
+        raise EndpointListError(f"{name}: cell is {shard!r}, which is no whole number")
     if isinstance(started, bool) or not isinstance(started, (int, float)) or not abs(started) < TIME_MOST:
-        raise ListFault(f"{name}: started_ms is no time")
-    return Entry(name, place, STATES[state], shard, str(zone), max(0.0, float(started)))
+        raise EndpointListError(f"{name}: started_ms is no time")
+    return EndpointEntry(name, place, STATES[state], shard, str(zone), max(0.0, float(started)))
 
 
-def listing(data: bytes | dict[str, Any]) -> Listing:
+def listing(data: bytes | dict[str, Any]) -> EndpointListing:
     """A list of discovery's, or a line of its watch. ListFault where it can't be read."""
     try:
         info = json.loads(data) if isinstance(data, bytes) else data
     except (ValueError, RecursionError) as error:
-        raise ListFault(f"no JSON: {error}") from error
+        raise EndpointListError(f"no JSON: {error}") from error
     if not isinstance(info, dict):
-        raise ListFault("no object")
+        raise EndpointListError("no object")
     version, rows = info.get("version"), info.get("servers")
     if isinstance(version, bool) or not isinstance(version, int) or not isinstance(rows, list):
-        raise ListFault("'version' or 'servers' is missing")
-    return Listing(version, info.get("full") is True, tuple(_entry(row) for row in rows))
+        raise EndpointListError("'version' or 'servers' is missing")
+    return EndpointListing(version, info.get("full") is True, tuple(_entry(row) for row in rows))
 
 
 class Objects:
@@ -238,7 +242,7 @@
     def __init__(self) -> None:
         self._held, self._seen, self._depth, self._look = bytearray(), 0, 0, 0
 
-    def feed(self, data: bytes | bytearray) -> list[Listing]:
+    def feed(self, data: bytes | bytearray) -> list[EndpointListing]:
         """The lists that have become whole. ListFault where something can't be read."""
         self._held += data
         found = []
@@ -248,7 +252,7 @@
             self._depth += sum(bare.count(c) for c in (b"{", b"[")) - sum(bare.count(c) for c in (b"}", b"]"))
             if not line.strip():
                 if self._depth:
-                    raise ListFault("an object broke off")
+                    raise EndpointListError("an object broke off")
             elif self._depth <= 0:
                 found.append(listing(bytes(self._held[: self._seen])))
             elif self._seen >= self._look:
@@ -258,7 +262,7 @@
                 del self._held[: self._seen]
                 self._seen = self._depth = self._look = 0
         if len(self._held) > OBJECT_MOST:
-            raise ListFault("an object has no end")
+            raise EndpointListError("an object has no end")
         return found
 
     @staticmethod
@@ -267,6 +271,6 @@
             json.loads(text)
         except json.JSONDecodeError as error:
             if error.pos < len(text.decode("utf-8").rstrip()):
-                raise ListFault(f"no JSON: {error}") from error
+                raise EndpointListError(f"no JSON: {error}") from error
         except (ValueError, RecursionError) as error:
-            raise ListFault(f"no JSON: {error}") from error
+            raise EndpointListError(f"no JSON: {error}") from error
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -14,14 +14,14 @@
 
 from winchdyke import interface as api
 from winchdyke.gateway import outcomes
-from winchdyke.gateway.engine import Engine, Ticket, Told, monotonic_ms
+from winchdyke.gateway.scheduler_loop import RequestAction, RequestHandle, SchedulerLoop, monotonic_ms
 from winchdyke.http1 import Headers, ProtocolError
-from winchdyke.interface import ListKind, NodeState, Outcome
-from winchdyke.objects import answers
-from winchdyke.platform import environment, sockets, wire
+from winchdyke.interface import AttemptOutcome, EndpointListKind, EndpointStatus
+from winchdyke.object_api import answers
+from winchdyke.platform import configuration, protocol, sockets
 from winchdyke.platform.clients import BACKLOG, Client, Clients
-from winchdyke.platform.discovery import Follower
-from winchdyke.platform.leaving import Leaving, leaving
+from winchdyke.platform.discovery_client import Follower
+from winchdyke.platform.graceful_shutdown import ShutdownSchedule, shutdown_schedule
 from winchdyke.platform.stores import Attempt, Place, Stores
 
 RESERVE = 24  # descriptors for the standard streams, the loop, the listener and discovery
@@ -38,18 +38,18 @@
 FAULTY_FILE_TRIES, FAULTY_FILE_S = 5, 0.2  # a file that is being replaced is read again
 
 
-class Call(Ticket):
+class ForwardedRequest(RequestHandle):
     """A request that was taken, its client, and how its last attempt ended."""
 
     __slots__ = ("asked", "client", "gone_at", "last", "owner")
 
-    def __init__(self, owner: Gateway, client: Client, asked: wire.Asked, end: float) -> None:
-        super().__init__(asked.request.id, end)
+    def __init__(self, owner: Gateway, client: Client, asked: protocol.ParsedRequest, end: float) -> None:
+        super().__init__(asked.request.request_id, end)
         self.owner, self.client, self.asked = owner, client, asked
-        self.last: Outcome | None = None
+        self.last: AttemptOutcome | None = None
         self.gone_at = float("inf")
 
-    def tell(self, action: Told) -> None:
+    def tell(self, action: RequestAction) -> None:
         """What the scheduler, or the engine in its place, says: carried out at once."""
         self.owner.carry_out(self, action)
 
@@ -57,10 +57,10 @@
 class Gateway:
     """All parts of one gateway. Decides nothing."""
 
-    def __init__(self, told: environment.Environment, loop: asyncio.AbstractEventLoop) -> None:
+    def __init__(self, told: configuration.Environment, loop: asyncio.AbstractEventLoop) -> None:
         self.told, self.loop, self.clock = told, loop, monotonic_ms
         self.log = structlog.get_logger("gateway")
-        self.engine = Engine(told.settings, told.seed)
+        self.engine = SchedulerLoop(told.settings, told.seed)
         self.engine.on_post = self._posted
         self._turning, self._timer_at = False, float("inf")
         self._timer: asyncio.TimerHandle | None = None
@@ -79,17 +79,17 @@
             told.limits.memory_mb,
         )
         known = self._known()
-        self._listed(known, ListKind.CACHED)
+        self._listed(known, EndpointListKind.CACHED)
         self.engine.turn()
         self._sock = sockets.listening(told.listen, BACKLOG)
         memory = told.limits.memory_mb * 2**20
-        reader = wire.Reader(told.settings, max(wire.BODY_MOST, int(memory * BODY_PART)))
+        reader = protocol.Reader(told.settings, max(protocol.BODY_MOST, int(memory * BODY_PART)))
         self.clients = Clients(loop, self.clock, self._sock, reader, self._take, clients, memory * LONG_PART)
         self.follower = Follower(loop, told.discovery, known.version, self._heard)
         self.follower.spoken.add_done_callback(lambda _: self.clients.accept(True))
-        loop.call_later(0.0 if told.settings.must_ask else START_S, self.clients.accept, True)
+        loop.call_later(0.0 if told.settings.polls_endpoint_list else START_S, self.clients.accept, True)
         self.over = loop.create_future()
-        self._leaving: Leaving | None = None
+        self._leaving: ShutdownSchedule | None = None
         self._lag, self._worst_lag = loop.time(), 0.0
         self._sweep()
         loop.call_later(TELL_S, self._tell_state)
@@ -124,85 +124,85 @@
 
     # Requests.
 
-    def _take(self, client: Client, asked: wire.Asked, came: float) -> None:
+    def _take(self, client: Client, asked: protocol.ParsedRequest, came: float) -> None:
         request = asked.request
-        if request.id in self.engine.tickets or request.id in self.engine.departed:
+        if request.request_id in self.engine.tickets or request.request_id in self.engine.departed:
             raise ProtocolError(409, "id-in-use", "a request with this Req-Id is open")
         now = self.clock()
-        left = request.left_ms - max(0.0, now - came)
+        left = request.time_left_ms - max(0.0, now - came)
         if self._leaving is not None:
             left = min(left, self._leaving.answer_by - now)
         self.counts["taken"] += 1
-        asked.request = dataclasses.replace(request, left_ms=left)
-        call = Call(self, client, asked, now + left)
+        asked.request = dataclasses.replace(request, time_left_ms=left)
+        call = ForwardedRequest(self, client, asked, now + left)
         client.on_gone = lambda: self._gone(call)
         self.engine.take(asked.request, call)
 
-    def _gone(self, call: Call) -> None:
+    def _gone(self, call: ForwardedRequest) -> None:
         self.counts["gone"] += 1
         self.counts["gone-unsent"] += not call.attempts
         call.gone_at = self.clock()
         self.engine.gone(call)
 
-    def carry_out(self, call: Call, action: Told) -> None:
+    def carry_out(self, call: ForwardedRequest, action: RequestAction) -> None:
         """One action of the scheduler's on a request."""
-        if isinstance(action, api.Send):
+        if isinstance(action, api.StartAttempt):
             self._send(call, action)
-        elif isinstance(action, (api.Refuse, api.Fail)):
+        elif isinstance(action, (api.ShedRequest, api.FailRequest)):
             self._final(call, action)
 
-    def _send(self, call: Call, action: api.Send) -> None:
+    def _send(self, call: ForwardedRequest, action: api.StartAttempt) -> None:
         number, now = call.attempts, self.clock()
         call.attempts += 1
         end = min(call.end, now + action.timeout_ms) if action.timeout_ms else call.end
-        place = self.places.get(action.node)
+        place = self.places.get(action.endpoint)
         if place is None or end <= now:
-            self._ended(call, number, action.node, wire.Told(Outcome.UNSENT), 0.0, b"")
+            self._ended(call, number, action.endpoint, protocol.Told(AttemptOutcome.NOT_SENT), 0.0, b"")
             return
 
-        def done(attempt: Attempt, told: wire.Told, latency: float) -> None:
+        def done(attempt: Attempt, told: protocol.Told, latency: float) -> None:
             late = attempt.written_at - call.gone_at
             self.counts["sent-after-leave"] += late > 0
             self.counts["sent-late-after-leave"] += late > LATE_MS
-            self._ended(call, number, action.node, told, latency, attempt.body)
+            self._ended(call, number, action.endpoint, told, latency, attempt.body)
 
-        write_by = now + action.write_ms if action.write_ms else float("inf")
+        write_by = now + action.write_timeout_ms if action.write_timeout_ms else float("inf")
         attempt = Attempt(self.stores, place, call.asked, end, done, write_by, call.client.stays)
         call.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
         call.on_call_off = lambda which: attempt.call_off() if which == number else None
         attempt.start()
 
     def _ended(
-        self, call: Call, number: int, node: str, told: wire.Told, latency: float, body: bytes
+        self, call: ForwardedRequest, number: int, node: str, told: protocol.Told, latency: float, body: bytes
     ) -> None:
         outcome = call.last = told.outcome
         call.on_cancel = call.on_call_off = None
         self.counts[outcome.name] += 1
-        served = outcome is Outcome.SERVED and not call.closed
+        served = outcome is AttemptOutcome.SERVED and not call.closed
         self.engine.ended(
             call,
             api.AttemptEnded(
-                request=call.id,
+                request_id=call.id,
                 attempt=number,
-                node=node,
+                endpoint=node,
                 outcome=outcome,
                 latency_ms=latency,
-                closed=served or call.closed,
-                used_percent=told.used,
-                from_others=told.others,
-                load=told.load,
+                request_finished=served or call.closed,
+                volume_usage_percent=told.used,
+                units_via_other_gateways=told.others,
+                load_report=told.load,
             ),
         )
         if served:
             headers: Headers = [(b"content-length", b"%d" % len(body))]
             call.client.answer(200, headers, body)
 
-    def _final(self, call: Call, action: api.Refuse | api.Fail) -> None:
+    def _final(self, call: ForwardedRequest, action: api.ShedRequest | api.FailRequest) -> None:
         up = self.clock() >= call.end
         status, outcome, reason = outcomes.final(action, call.last, up)
         reason = call.fault or reason
         self.counts[f"{outcome}:{reason}"] += 1
-        after = action.retry_after_ms if isinstance(action, api.Refuse) else 0.0
+        after = action.retry_after_ms if isinstance(action, api.ShedRequest) else 0.0
         status, headers, body = answers.error(status, outcome, reason, call.id, outcomes.REASONS[reason])
         if after > 0:
             headers.append((b"retry-after", b"%.3f" % (after / 1000)))
@@ -210,38 +210,42 @@
 
     # The list.
 
-    def _known(self) -> wire.Listing:
+    def _known(self) -> protocol.EndpointListing:
         """The list of an earlier life; none where it can't be read, which is no reason not to start: discovery tells it."""
         try:
-            return wire.listing(self.told.known) if self.told.known else wire.Listing(0, True, ())
-        except wire.ListFault as error:
+            return (
+                protocol.listing(self.told.known)
+                if self.told.known
+                else protocol.EndpointListing(0, True, ())
+            )
+        except protocol.EndpointListError as error:
             self.log.warning("known-refused", where=str(self.told.config), why=str(error))
-            return wire.Listing(0, True, ())
+            return protocol.EndpointListing(0, True, ())
 
-    def _heard(self, news: wire.Listing) -> None:
-        self._listed(news, ListKind.FULL if news.full else ListKind.CHANGES)
+    def _heard(self, news: protocol.EndpointListing) -> None:
+        self._listed(news, EndpointListKind.FULL if news.full else EndpointListKind.CHANGES)
 
-    def _listed(self, news: wire.Listing, kind: ListKind) -> None:
+    def _listed(self, news: protocol.EndpointListing, kind: EndpointListKind) -> None:
         now, unix = self.clock(), time.time() * 1000
-        if kind is not ListKind.CHANGES:
+        if kind is not EndpointListKind.CHANGES:
             self.places = {}
         nodes = []
         for entry in news.entries:
             place = (entry.id, entry.address)
             before = self.places.get(entry.id)
-            if before is not None and (before != place or entry.state is not NodeState.READY):
+            if before is not None and (before != place or entry.state is not EndpointStatus.READY):
                 self.stores.forget(before)
-            if entry.state is NodeState.GONE:
+            if entry.state is EndpointStatus.REMOVED:
                 self.places.pop(entry.id, None)
             else:
                 self.places[entry.id] = place
             nodes.append(
-                api.Node(entry.id, entry.state, entry.shard, entry.zone, self._since(entry, now, unix))
+                api.Endpoint(entry.id, entry.state, entry.shard, entry.zone, self._since(entry, now, unix))
             )
         self._started = {key: at for key, at in self._started.items() if key[0] in self.places}
-        self.engine.post(api.NodeList(kind, tuple(nodes)))
+        self.engine.post(api.EndpointList(kind, tuple(nodes)))
 
-    def _since(self, entry: wire.Entry, now: float, unix: float) -> float:
+    def _since(self, entry: protocol.EndpointEntry, now: float, unix: float) -> float:
         # A start is turned into the engine's time once and kept: turned anew each time, the clocks' drift would make
         # every list look like a restart. One in the future is a clock that is off: it counts as now.
         if not entry.started:
@@ -254,8 +258,8 @@
     def reload(self, tries: int = FAULTY_FILE_TRIES) -> None:
         """Read the configuration again; what can't be used is reported, and the settings before stay."""
         try:
-            told = environment.read(os.environ)
-        except environment.EnvironmentFault as error:
+            told = configuration.read(os.environ)
+        except configuration.ConfigurationError as error:
             if tries > 1:
                 self.loop.call_later(FAULTY_FILE_S, self.reload, tries - 1)
             else:
@@ -273,7 +277,7 @@
         if self._leaving is not None:
             return
         longest = max((kind.deadline_ms for kind in self.told.settings.classes), default=0.0)
-        self._leaving = leaving(self.clock(), longest)
+        self._leaving = shutdown_schedule(self.clock(), longest)
         self.clients.keep_idle = True
         self.log.info("stopping", open=self.clients.busy)
         self._stop_on()
--- a/winchdyke/platform/sockets.py
+++ b/winchdyke/platform/sockets.py
@@ -12,8 +12,8 @@
 import struct
 import time
 
-from winchdyke.gateway.engine import monotonic_ms
-from winchdyke.platform.environment import Address
+from winchdyke.gateway.scheduler_loop import monotonic_ms
+from winchdyke.platform.configuration import Address
 
 STAMPS = getattr(socket, "SO_TIMESTAMPNS", 35)  # Linux' number, which the standard library does not name
 STAMP = struct.Struct("@qq")
--- a/winchdyke/platform/stores.py
+++ b/winchdyke/platform/stores.py
@@ -30,8 +30,8 @@
 
 from winchdyke.gateway.pool import NO_DESCRIPTORS
 from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
-from winchdyke.interface import Outcome
-from winchdyke.platform import sockets, wire
+from winchdyke.interface import AttemptOutcome
+from winchdyke.platform import protocol, sockets
 
 HEAD_MOST = 16 * 1024
 AROUND_MOST = 2 * HEAD_MOST  # bytes of an answer beside its body: what stands ahead of it, head and framing
@@ -108,9 +108,9 @@
         self,
         stores: Stores,
         place: Place,
-        asked: wire.Asked,
+        asked: protocol.ParsedRequest,
         end: float,
-        done: Callable[[Attempt, wire.Told, float], None],
+        done: Callable[[Attempt, protocol.Told, float], None],
         write_by: float = float("inf"),
         wanted: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -144,7 +144,7 @@
             link = stores.dial(self.place)
         except OSError as error:
             own = error.errno in OWN_FAULTS
-            self._finish(wire.Told(Outcome.UNSENT if own else Outcome.DIAL_FAILED))
+            self._finish(protocol.Told(AttemptOutcome.NOT_SENT if own else AttemptOutcome.CONNECT_FAILED))
             return
         link.attempt, self._link = self, link
         self._arm(min(self.end, self.began + stores.connect_ms))
@@ -170,27 +170,27 @@
         if self._open_ended and at < self.end:
             self._spoilt("length")
         elif self._written:
-            self._finish(wire.Told(Outcome.TIMED_OUT))
+            self._finish(protocol.Told(AttemptOutcome.TIMED_OUT))
         else:
             late = not link.up and at < self.end
-            self._finish(wire.Told(Outcome.DIAL_FAILED if late else Outcome.UNSENT))
+            self._finish(protocol.Told(AttemptOutcome.CONNECT_FAILED if late else AttemptOutcome.NOT_SENT))
 
     def cancel(self) -> None:
         """Stop waiting, but for an answer that has come already."""
         if not self.ended and self._link is not None and self._link.up:
             self.readable()
-        self._finish(wire.Told(Outcome.CANCELLED if self._written else Outcome.UNSENT))
+        self._finish(protocol.Told(AttemptOutcome.CANCELLED if self._written else AttemptOutcome.NOT_SENT))
 
     def call_off(self) -> None:
         """Give up what has not been written whole: it never ran."""
         if not self._written:
             if not self.ended:
                 self._stores.counts["called-off"] += 1
-            self._finish(wire.Told(Outcome.UNSENT))
+            self._finish(protocol.Told(AttemptOutcome.NOT_SENT))
 
     def _payload(self) -> bytes:
         codec, asked = self._link.codec, self.asked  # type: ignore[union-attr]
-        headers = wire.onward(asked, self.end - self._stores.clock())
+        headers = protocol.onward(asked, self.end - self._stores.clock())
         payload = codec.request(asked.method, asked.target, headers)
         if asked.body:
             payload += codec.data(asked.body)
@@ -211,7 +211,7 @@
                 link.attempt = None
                 link.close()
                 return False
-            self._finish(wire.Told(Outcome.DIAL_FAILED))  # its last byte was never written
+            self._finish(protocol.Told(AttemptOutcome.CONNECT_FAILED))  # its last byte was never written
             return True
         if sent == len(left):
             self._written, self.written_at = True, self._stores.clock()
@@ -232,7 +232,7 @@
             fault = link.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if fault:
                 own = fault in OWN_FAULTS
-                self._finish(wire.Told(Outcome.UNSENT if own else Outcome.DIAL_FAILED))
+                self._finish(protocol.Told(AttemptOutcome.NOT_SENT if own else AttemptOutcome.CONNECT_FAILED))
                 return
             link.up = True
             self._stores.loop.remove_writer(link.sock.fileno())
@@ -278,31 +278,33 @@
     def _broken(self, why: str) -> None:
         self._stores.counts[f"broken:{why}"] += 1
         # Claimed to have never run only while a part of it is still here.
-        self._finish(wire.Told(Outcome.RESET if self._written else Outcome.DIAL_FAILED))
+        self._finish(
+            protocol.Told(AttemptOutcome.CONNECTION_RESET if self._written else AttemptOutcome.CONNECT_FAILED)
+        )
 
     def _spoilt(self, why: str) -> None:
         self._stores.counts[f"spoilt:{why}"] += 1
-        self._finish(wire.Told(Outcome.RESET))
+        self._finish(protocol.Told(AttemptOutcome.CONNECTION_RESET))
 
     def _read(self, codec: ClientSide) -> bool:
         if self._head is None:
             head = codec.head()
             if isinstance(head, Need):
                 return False
-            self._open_ended = not wire.framed(head)
-            if not self._open_ended and not wire.fits(head, self._stores.answer_most):
+            self._open_ended = not protocol.framed(head)
+            if not self._open_ended and not protocol.fits(head, self._stores.answer_most):
                 self._spoilt("length")
                 return False
             self._head = head
         while not isinstance(piece := codec.body(), Need):
             if isinstance(piece, End):
                 self.body = bytes(self._body)
-                told = wire.told(self._head, self._stores.load_fields)
-                if not self._written and told.outcome is not Outcome.SHED:
+                told = protocol.told(self._head, self._stores.load_fields)
+                if not self._written and told.outcome is not AttemptOutcome.SHED:
                     # Guards against an answer that was made for another request, whatever sent it late: a store begins a request
                     # when its last byte has come, which has not left here. It hurts by a request that is sent anew.
                     self._stores.counts["early"] += 1
-                    told = wire.Told(Outcome.UNSENT)
+                    told = protocol.Told(AttemptOutcome.NOT_SENT)
                 self._finish(told)
                 return True
             self._body += piece
@@ -312,7 +314,7 @@
                 return False
         return False
 
-    def _finish(self, told: wire.Told) -> None:
+    def _finish(self, told: protocol.Told) -> None:
         if self.ended:
             return
         self.ended = True
@@ -320,14 +322,14 @@
         if self._timer is not None:
             self._timer.cancel()
         link, self._link = self._link, None
-        answered = told.outcome in (Outcome.SERVED, Outcome.ERROR, Outcome.SHED)
+        answered = told.outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.SHED)
         if link is not None:
             link.attempt = None
             if answered and self._written and link.codec.reusable:
                 self._stores.keep(link, self._came)
             else:
                 link.close()
-        if told.outcome is Outcome.TIMED_OUT:
+        if told.outcome is AttemptOutcome.TIMED_OUT:
             # What is kept open to a machine that says nothing may be dead too; a new one tells it sooner.
             self._stores.forget(self.place)
         at = self._came if answered else self._stores.clock()
@@ -349,7 +351,7 @@
     ) -> None:
         # An answer is read whole before any of it is passed on. Stores send more than the protocol's 64 KiB at times: what
         # bounds an answer, and all that are being read, is this machine's memory.
-        self.answer_most = max(wire.BODY_MOST, int(memory_mb * 2**20 * ANSWER_PART))
+        self.answer_most = max(protocol.BODY_MOST, int(memory_mb * 2**20 * ANSWER_PART))
         self.held, self.held_most = 0, int(memory_mb * 2**20 * HELD_PART)
         self.loop, self.clock, self.connect_ms, self.load_fields = loop, clock, connect_ms, load_fields
         self.idle_ms, self.most = idle_ms * IDLE_PART, most
--- a/winchdyke/limits/tolls.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -1,4 +1,7 @@
-"""Paying for bodies: waits before one begins, pays as it comes, settles after it. What holds is :mod:`winchdyke.limits.account`."""
+"""Metering of bodies: waits before a body begins, charges it as it passes, and settles afterwards.
+
+The rules are in :mod:`winchdyke.quotas.token_bucket`.
+"""
 
 from __future__ import annotations
 
@@ -9,8 +12,8 @@
 import anyio
 
 from winchdyke.http1 import AnswerHead, Bytes
-from winchdyke.limits.account import Account, OverLimit, Purse, units_of
-from winchdyke.objects.sinks import Sink
+from winchdyke.object_api.sinks import Sink
+from winchdyke.quotas.token_bucket import Account, OverLimit, QuotaBalance, units_of
 
 LEAST_WAIT_MS = 2.0  # between two looks at a debt
 STEP = 16.0  # units of a body of unknown length that are paid for at once
@@ -50,11 +53,14 @@
         return self._known.get((volume, key))
 
 
-class Tolls:
+class ByteMeter:
     """The accounts of one gateway. ``purse`` finds the scheduler's account of a volume, ``clock`` is in milliseconds."""
 
     def __init__(
-        self, clock: Callable[[], float], purse: Callable[[str], Purse | None], largest: Callable[[], float]
+        self,
+        clock: Callable[[], float],
+        purse: Callable[[str], QuotaBalance | None],
+        largest: Callable[[], float],
     ) -> None:
         self._clock, self._purse, self._largest = clock, purse, largest
         self._courses: dict[str, _Course] = {}
@@ -78,7 +84,7 @@
         """The scheduler's word where it has one: it knows the lower limit around an instant, and the most gateways so far."""
         purse = self._purse(volume)
         if purse is not None:
-            rate, gateways = purse.plan.limit, max(purse.gateways, gateways)
+            rate, gateways = purse.plan.limit_units_per_s, max(purse.sharing_gateways, gateways)
         return Terms(rate / gateways, self._largest())
 
     def settle(self) -> None:
@@ -97,21 +103,21 @@
 
     def bill(
         self, volume: str, rate: float, gateways: int, unit_bytes: int, told: float, until: float
-    ) -> Bill:
+    ) -> TransferCharge:
         """Open a request's bill: ``told`` units are the scheduler's, ``until`` (ms) it may wait."""
         course = self._courses.get(volume)
         if course is None:
             course = self._courses[volume] = _Course(Account(self._clock()))
         self._fallback[volume] = Terms(rate / gateways, self._largest())
         course.bills += 1
-        return Bill(self, volume, course, unit_bytes, told, until)
+        return TransferCharge(self, volume, course, unit_bytes, told, until)
 
     def take(self, volume: str, units: float) -> None:
         """What is small comes out of the purse at once, whatever is in it: the scheduler waits until it is full enough again."""
         purse = self._purse(volume)
         if purse is not None:
             purse.refill(self._clock())
-            purse.limit -= units
+            purse.limit_units -= units
 
     async def pay(self, volume: str, course: _Course, units: float, until: float) -> None:
         """Wait in turn until nothing is owed, then owe ``units``. OverLimit where that is not within ``until``."""
@@ -150,11 +156,11 @@
             course.account.give_back(unpaid, self._purse(volume))
 
 
-class Bill:
+class TransferCharge:
     """What one request of a limited course has to pay, and has paid, beyond what the scheduler is told."""
 
     def __init__(
-        self, tolls: Tolls, volume: str, course: _Course, unit_bytes: int, told: float, until: float
+        self, tolls: ByteMeter, volume: str, course: _Course, unit_bytes: int, told: float, until: float
     ) -> None:
         self._tolls, self._volume, self._course = tolls, volume, course
         self._unit_bytes, self._told, self._until = unit_bytes, told, until
@@ -194,10 +200,10 @@
             self._tolls.close(self._volume, self._course, self.paid - used)
 
 
-class Paying:
+class MeteredSink:
     """A sink before another one: what is read from a store is paid for before it is the client's."""
 
-    def __init__(self, bill: Bill, sink: Sink) -> None:
+    def __init__(self, bill: TransferCharge, sink: Sink) -> None:
         self._bill, self._sink = bill, sink
 
     async def begin_stream(self, head: AnswerHead) -> None:
--- a/winchdyke/limits/account.py
+++ b/winchdyke/quotas/token_bucket.py
@@ -36,23 +36,23 @@
         self.wait_ms = wait_ms
 
 
-class Figures(Protocol):
+class PlanLimits(Protocol):
     """A plan, as far as it matters here: units a second, and units."""
 
     @property
-    def limit(self) -> float: ...
+    def limit_units_per_s(self) -> float: ...
     @property
-    def limit_burst(self) -> float: ...
+    def limit_burst_units(self) -> float: ...
 
 
-class Purse(Protocol):
+class QuotaBalance(Protocol):
     """The scheduler's account of a course at this gateway (:class:`winchdyke.policy.Volume`)."""
 
-    limit: float  # the units in it
-    gateways: int
+    limit_units: float  # the units in it
+    sharing_gateways: int
 
     @property
-    def plan(self) -> Figures: ...
+    def plan(self) -> PlanLimits: ...
     def refill(self, now: float) -> None:
         """Fill it up to now (ms)."""
 
@@ -62,19 +62,19 @@
     return float(max(1, math.ceil(length / unit_bytes)))
 
 
-class Reserve(Protocol):
+class ReservationBalance(Protocol):
     """The scheduler's account of a course, as far as its reserve goes."""
 
-    reserve: float
+    reserved_units: float
 
 
-def weigh(account: Reserve, excess: float, told: float) -> None:
+def weigh(account: ReservationBalance, excess: float, told: float) -> None:
     """Let a course's reserve pay for what a request counts beyond what the scheduler was told, as it is sent.
 
     Guards against a course whose large objects are all in its reserve, being told as small ones: it then has several times
     what was promised to it, at the cost of others, whatever made the node short. As with what is told, at most one request stays owed.
     """
-    account.reserve = max(account.reserve - excess, -(told + excess))
+    account.reserved_units = max(account.reserved_units - excess, -(told + excess))
 
 
 @dataclass(slots=True)
@@ -90,7 +90,7 @@
         """Whether nothing is owed."""
         return self.debt <= LEAST
 
-    def settle(self, now: float, purse: Purse | None, rate: float, keep: float) -> None:
+    def settle(self, now: float, purse: QuotaBalance | None, rate: float, keep: float) -> None:
         """Pay off up to ``now`` (ms), at ``rate`` units a second of the whole; without a purse yet, its part of the rate alone.
 
         A clock that goes back is a clock that stands. A limit that is no more (``rate`` 0) leaves nothing to pay.
@@ -104,21 +104,21 @@
         if purse is not None:
             # The purse may be taken below nothing by what came in just now: then that much of the debt stands there.
             purse.refill(now)
-            due += min(self.debt - due, max(0.0, purse.limit - due - keep))
-            purse.limit -= due
+            due += min(self.debt - due, max(0.0, purse.limit_units - due - keep))
+            purse.limit_units -= due
         self.debt -= due
 
     def owe(self, units: float) -> None:
         """A body's excess: what it counts beyond what the scheduler is told."""
         self.debt += units
 
-    def give_back(self, units: float, purse: Purse | None) -> None:
+    def give_back(self, units: float, purse: QuotaBalance | None) -> None:
         """What was paid for and never moved."""
         self.debt -= units
         if self.debt < 0:
             if purse is not None:
-                most = purse.plan.limit_burst / purse.gateways
-                purse.limit = max(purse.limit, min(most, purse.limit - self.debt))
+                most = purse.plan.limit_burst_units / purse.sharing_gateways
+                purse.limit_units = max(purse.limit_units, min(most, purse.limit_units - self.debt))
             self.debt = 0.0
 
     def soonest_ms(self, rate: float) -> float:
--- a/winchdyke/s3/listing.py
+++ b/winchdyke/s3/listing.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from winchdyke.objects.listing import Entry
+from winchdyke.object_api.listing import Entry
 from winchdyke.s3.errors import S3Error
 
 LAST = "\U0010ffff"  # sorts behind all that a key may go on with
--- a/winchdyke/s3/requests.py
+++ b/winchdyke/s3/requests.py
@@ -12,8 +12,8 @@
 
 from winchdyke.auth.sigv4 import query_pairs
 from winchdyke.http1 import RequestHead
-from winchdyke.objects import ranges, routes
-from winchdyke.objects.answers import RequestError
+from winchdyke.object_api import ranges, routes
+from winchdyke.object_api.answers import RequestError
 from winchdyke.s3.errors import S3Error
 
 LIST_MOST = 1000
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -21,13 +21,20 @@
 from winchdyke.auth import sigv4
 from winchdyke.auth.keys import Access, KeysError, Right, may, sees
 from winchdyke.config.model import S3 as Settings
-from winchdyke.gateway.attempts import ClientLeft
+from winchdyke.gateway.attempts import ClientDisconnectedError
 from winchdyke.gateway.clients import ClientConnection
-from winchdyke.gateway.service import Final, Nobody, Record, Service, Snapshot, Source
+from winchdyke.gateway.service import (
+    AccessLogRecord,
+    ConfigSnapshot,
+    FinalResponse,
+    InternalCaller,
+    Service,
+    Source,
+)
 from winchdyke.http1 import AnswerHead, Bytes, Headers, ProtocolError, RequestHead
-from winchdyke.objects import listing as native
-from winchdyke.objects import ranges, routes, storewire
-from winchdyke.objects.answers import RequestError
+from winchdyke.object_api import listing as native
+from winchdyke.object_api import ranges, routes, store_protocol
+from winchdyke.object_api.answers import RequestError
 from winchdyke.s3 import checksums, listing, multipart, requests, xml
 from winchdyke.s3.body import PACKED, Body, Wanted
 from winchdyke.s3.errors import S3Error, of_final
@@ -60,7 +67,7 @@
         """Take a piece."""
         self.data_ += data
         if len(self.data_) > self._most:
-            raise ClientLeft
+            raise ClientDisconnectedError
 
     async def finish(self) -> None:
         """The end."""
@@ -145,7 +152,7 @@
         call = Call(self, connection, head, f"{self._born}{self._count:012x}")
         told: Headers = [(b"x-amz-request-id", call.request.encode())]
         if call.snapshot.version:
-            told.append((storewire.VERSION, str(call.snapshot.version).encode()))
+            told.append((store_protocol.VERSION, str(call.snapshot.version).encode()))
         connection.begin(told, close=service.stopping)
         connection.unread_length = head.length
         service.active += 1
@@ -161,7 +168,7 @@
         except ProtocolError as error:
             code = {413: "EntityTooLarge", 408: "RequestTimeout"}.get(error.status, "IncompleteBody")
             await self._refuse(call, S3Error(code, str(error), 400))
-        except ClientLeft:
+        except ClientDisconnectedError:
             connection.close_after = True
         except Exception as error:
             self._log.error("internal", request=call.request, exc_info=error)
@@ -186,7 +193,7 @@
         self._count += 1
         request = f"{self._born}{self._count:012x}"
         head = RequestHead("GET", f"/{volume}?uploads".encode(), [], 0)
-        call = Call(self, Nobody(), head, request)  # type: ignore[arg-type]
+        call = Call(self, InternalCaller(), head, request)  # type: ignore[arg-type]
         done = 0
         try:
             for upload in multipart.forgotten(
@@ -195,7 +202,7 @@
                 final = await call._do("abort-upload", volume, upload.key, upload=upload.uploadId)
                 done += final.answer is not None and final.answer.head.status == 204
                 self._log.info("forgotten", volume=volume, key=upload.key, upload=upload.uploadId)
-        except (S3Error, RequestError, ClientLeft) as error:
+        except (S3Error, RequestError, ClientDisconnectedError) as error:
             self._log.warning("forgotten", volume=volume, trouble=str(error))  # at the next look
         return done
 
@@ -228,12 +235,12 @@
     def __init__(self, s3: S3, connection: ClientConnection, head: RequestHead, request: str) -> None:
         self.s3, self.connection, self.head, self.request = s3, connection, head, request
         self.service = s3.service
-        self.snapshot: Snapshot = s3.service.snapshot
+        self.snapshot: ConfigSnapshot = s3.service.snapshot
         self.began, self._steps = self.service.clock(), 0
         self.asked: Asked | None = None
         self.rights: list[Right] = []
         self.signed = sigv4.Signed("", sigv4.UNSIGNED)
-        self.record = Record(version=self.snapshot.version)
+        self.record = AccessLogRecord(version=self.snapshot.version)
         self.outcome, self.code, self.who = "served", "", ""
         self.end = float("inf")
 
@@ -320,7 +327,7 @@
         source: Source | None = None,
         sink: object = None,
         **more: object,
-    ) -> Final:
+    ) -> FinalResponse:
         """One operation of the object API, in the time that is left."""
         self._steps += 1
         request = self.request if self._steps == 1 else f"{self.request}.{self._steps}"
@@ -330,7 +337,7 @@
         operation = routes.Operation(name, volume, key, time_left_ms=left, client_request=client, **more)  # type: ignore[arg-type]
         length = source.length if source is not None else 0
         head = RequestHead(operation.store_method, operation.target(), self.head.headers, length)
-        record = Record(version=self.snapshot.version)
+        record = AccessLogRecord(version=self.snapshot.version)
         try:
             kind, final = await self.service.carry(
                 self.connection, head, operation, request, record, self.snapshot, source or Source(_nothing, 0),
@@ -343,7 +350,7 @@
         if self._steps == 1:
             self.end = self.began + kind.rules.deadline_ms
         if final.outcome == "gone":
-            raise ClientLeft
+            raise ClientDisconnectedError
         return final
 
     @asynccontextmanager
@@ -364,13 +371,13 @@
         finally:
             lanes.leave(name)
 
-    def _answered(self, final: Final, missing: str = "NoSuchKey") -> AnswerHead:
+    def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> AnswerHead:
         """The head of a store's whole answer. S3Error where it says no, or where no store said anything."""
         if final.relayed:
             self.outcome = final.outcome
             if final.outcome != "served":
                 self.connection.close_after = True
-            raise ClientLeft  # all that can be said was said
+            raise ClientDisconnectedError  # all that can be said was said
         if final.answer is None:
             self.outcome = final.outcome
             raise of_final(final.status, final.outcome, final.reason, final.text, final.retry_after_ms)
@@ -384,7 +391,7 @@
             raise S3Error("InvalidRequest", f"the store answered {head.status}", 400)
         raise S3Error(text, _WORDS.get(text, text), head.status)
 
-    async def _whole(self, final: Final, sink: Collect, missing: str) -> bytes:
+    async def _whole(self, final: FinalResponse, sink: Collect, missing: str) -> bytes:
         """The body of an answer that is read whole, however large it came."""
         if final.relayed and final.outcome == "served" and sink.head is not None:
             return bytes(sink.data_)
@@ -544,11 +551,11 @@
                 self.connection.close_after = True
             return
         if final.answer is not None and final.answer.head.status == 304:
-            return await self.connection.answer(304, storewire.onward(final.answer.head.headers), b"")
+            return await self.connection.answer(304, store_protocol.onward(final.answer.head.headers), b"")
         self._answered(final)
         assert final.answer is not None
         told = relay.told(final.answer.head)
-        await self.connection.answer(told.status, storewire.onward(told.headers), final.answer.body)
+        await self.connection.answer(told.status, store_protocol.onward(told.headers), final.answer.body)
 
     _HeadObject = _GetObject
 
@@ -560,7 +567,7 @@
         final = await self._with_body("put", asked, source, passed=passed)
         await self._put_answer(final, body, "NoSuchBucket")
 
-    async def _with_body(self, name: str, asked: Asked, source: Source, **more: object) -> Final:
+    async def _with_body(self, name: str, asked: Asked, source: Source, **more: object) -> FinalResponse:
         wrong: list[S3Error] = []
         read = source.read
 
@@ -576,7 +583,7 @@
             raise wrong[0]
         return final
 
-    async def _put_answer(self, final: Final, body: Body, missing: str) -> None:
+    async def _put_answer(self, final: FinalResponse, body: Body, missing: str) -> None:
         head = self._answered(final, missing)
         told: Headers = [(b"etag", self._etag(head).encode())]
         for name, value in body.sums.items():
@@ -621,7 +628,7 @@
         }  # fmt: skip
         await self._say(200, xml.document("DeleteResult", told))
 
-    async def _copied(self, put: Callable[[Source, AnswerHead], Awaitable[Final]]) -> Final:
+    async def _copied(self, put: Callable[[Source, AnswerHead], Awaitable[FinalResponse]]) -> FinalResponse:
         """What the request names is read from its store and handed to ``put`` as it comes."""
         bucket, key, part = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
@@ -634,7 +641,7 @@
             b"x-amz-copy-source-if-unmodified-since": b"if-unmodified-since",
         }  # fmt: skip
         passed = tuple((names[name], value) for name, value in self.head.headers if name in names)
-        pipe, finals = Pipe(), list[Final]()
+        pipe, finals = Pipe(), list[FinalResponse]()
 
         async def get() -> None:
             try:
@@ -678,7 +685,7 @@
                 "InvalidRequest", "a copy onto itself has to change something: REPLACE the metadata"
             )
 
-        async def put(source: Source, head: AnswerHead) -> Final:
+        async def put(source: Source, head: AnswerHead) -> FinalResponse:
             kept = requests.kept(self.head) if word == "REPLACE" else _kept_of(head)
             return await self._do("put", asked.bucket, asked.key, source, passed=kept)
 
@@ -775,7 +782,7 @@
     async def _UploadPartCopy(self, asked: Asked) -> None:
         number, upload = asked.number("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
 
-        async def put(source: Source, _: AnswerHead) -> Final:
+        async def put(source: Source, _: AnswerHead) -> FinalResponse:
             return await self._do("put-part", asked.bucket, asked.key, source, upload=upload, part=number)
 
         head = self._answered(await self._copied(put), "NoSuchUpload")
--- a/winchdyke/settings.py
+++ b/winchdyke/settings.py
@@ -10,11 +10,15 @@
 from winchdyke import interface as api
 
 EFFECTS = {
-    "idempotent": api.Effect.IDEMPOTENT,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.AT_MOST_ONCE,
+    "idempotent": api.RepeatSafety.IDEMPOTENT,
+    "deduplicated": api.RepeatSafety.IDEMPOTENCY_KEY,
+    "at_most_once": api.RepeatSafety.AT_MOST_ONCE,
+}
+SCOPES = {
+    "all": api.DeduplicationScope.ALL,
+    "zone": api.DeduplicationScope.ZONE,
+    "cell": api.DeduplicationScope.SHARD,
 }
-SCOPES = {"all": api.Scope.ALL, "zone": api.Scope.ZONE, "cell": api.Scope.CELL}
 
 
 class SettingsError(ValueError):
@@ -43,61 +47,61 @@
     classes = tuple(
         api.RequestClass(
             name=c["name"],
-            worth=c["worth"],
-            aim_ms=c.get("promise_ms") or c["deadline_ms"],  # no aim: any time is good
+            priority_weight=c["worth"],
+            latency_objective_ms=c.get("promise_ms") or c["deadline_ms"],  # no aim: any time is good
             deadline_ms=c["deadline_ms"],
-            late_share=c.get("late_share", 0.0),
-            effect=word(EFFECTS, c["effect"]),
-            scope=word(SCOPES, c.get("dedup_scope", "all")),
-            memory_ms=c.get("memory_span_ms", 0.0),
+            late_value_ratio=c.get("late_share", 0.0),
+            repeat_safety=word(EFFECTS, c["effect"]),
+            deduplication_scope=word(SCOPES, c.get("dedup_scope", "all")),
+            deduplication_window_ms=c.get("memory_span_ms", 0.0),
             streamed=c.get("streamed", False),
             in_order=c.get("in_order", False),
-            writes=at < len(writes) and bool(writes[at]),
+            modifies_data=at < len(writes) and bool(writes[at]),
         )
         for at, c in enumerate(info["classes"])
     )
     plans = tuple(
         api.Plan(
             name=p["name"],
-            worth_factor=p.get("worth_factor", 1.0),
-            weight=p.get("proportion", 1.0),
-            usual_rate=p.get("usual_rate", 0.0),
-            reserve=p.get("reservation", 0.0),
-            limit=p.get("never_over", 0.0),
-            limit_burst=p.get("limit_burst", 0.0),
+            priority_factor=p.get("worth_factor", 1.0),
+            fair_share_weight=p.get("proportion", 1.0),
+            expected_units_per_s=p.get("usual_rate", 0.0),
+            reserved_units_per_s=p.get("reservation", 0.0),
+            limit_units_per_s=p.get("never_over", 0.0),
+            limit_burst_units=p.get("limit_burst", 0.0),
         )
         for p in info.get("grades", [])
     )
     return api.Settings(
-        gateways=info["balancers"],
-        index=info["index"],
+        gateway_count=info["balancers"],
+        gateway_index=info["index"],
         classes=classes,
         plans=plans,
         zone=info.get("zone", ""),
-        tick_ms=info.get("tick_ms", 1.0),
-        mean_units=domain.get("mean_units") or 1.0,
-        largest_units=domain.get("units_top", 1.0),
-        fair_worth=domain.get("fair_worth", 1.0),
-        idle_worth=domain.get("idle_worth", 1.0),
-        meter_ms=domain.get("metering_ms", 0.0),
-        goal_whole=goal.get("whole", 1.0),
-        goal_worst_class=goal.get("worst_class", 0.0),
-        goal_worst_plan=goal.get("worst_tenant", 0.0),
-        must_ask=info.get("discovery") == "on_request",
+        clock_tick_ms=info.get("tick_ms", 1.0),
+        mean_request_units=domain.get("mean_units") or 1.0,
+        max_request_units=domain.get("units_top", 1.0),
+        fair_share_priority_factor=domain.get("fair_worth", 1.0),
+        excess_priority_factor=domain.get("idle_worth", 1.0),
+        usage_report_interval_ms=domain.get("metering_ms", 0.0),
+        goal_total_weight=goal.get("whole", 1.0),
+        goal_worst_class_weight=goal.get("worst_class", 0.0),
+        goal_worst_plan_weight=goal.get("worst_tenant", 0.0),
+        polls_endpoint_list=info.get("discovery") == "on_request",
         max_attempts=allow.get("max_attempts", 1),
-        may_cancel=allow.get("cancel", False),
-        may_probe=allow.get("may_probe", False),
-        may_tell=allow.get("may_tell", False),
-        second_copies=allow.get("second_copies", False),
+        can_cancel_attempts=allow.get("cancel", False),
+        can_health_check=allow.get("may_probe", False),
+        can_message_peers=allow.get("may_tell", False),
+        can_hedge_requests=allow.get("second_copies", False),
         max_retry_after_ms=allow.get("max_retry_after_ms", 0.0) if allow.get("retry_after") else 0.0,
         connect_timeout_ms=allow.get("connect_timeout_ms", 0.0),
-        cold_from=rules.get("cold_from") or 1.0,
-        warm_after_ms=rules.get("warm_after_ms", 0.0),
-        fall_multiple=rules.get("fall_multiple", 0.0),
-        fall_window_ms=rules.get("tip_after_ms", 0.0),
-        cold_units=domain.get("young_limit", 0.0),
-        settle_ms=rules.get("order_settle_ms", 0.0),
-        extra_window_ms=rules.get("extra_window_ms", 0.0),
-        extra_free=rules.get("extra_free", 0.0),
-        extra_share=rules.get("further_ratio", 0.0),
+        slow_start_initial_capacity=rules.get("cold_from") or 1.0,
+        slow_start_duration_ms=rules.get("warm_after_ms", 0.0),
+        slow_start_overload_factor=rules.get("fall_multiple", 0.0),
+        slow_start_overload_window_ms=rules.get("tip_after_ms", 0.0),
+        slow_start_initial_units=domain.get("young_limit", 0.0),
+        order_settle_ms=rules.get("order_settle_ms", 0.0),
+        retry_budget_window_ms=rules.get("extra_window_ms", 0.0),
+        retry_budget_base=rules.get("extra_free", 0.0),
+        retry_budget_ratio=rules.get("further_ratio", 0.0),
     )
