--- a/benchmarks/fleet_mutants.py
+++ b/benchmarks/fleet_mutants.py
@@ -25,8 +25,8 @@
 from winchdyke.days.members import bounds_of, stops
 from winchdyke.days.script import Event
 from winchdyke.membership import swim as m
-from winchdyke.membership.datagrams import Entry, Kind, State
-from winchdyke.membership.local_health import Health
+from winchdyke.membership.datagrams import MemberRecord, MemberState, MessageKind
+from winchdyke.membership.local_health import LocalHealth
 
 FAULTS_MS, CALM_MS = 12_000.0, 15_000.0  # of trouble, and after it for views to agree
 
@@ -40,12 +40,16 @@
     """An accused process says that it is there, under the incarnation that was accused."""
     before = machine._of_self
 
-    def of_self(self: m.SwimProtocol, entry: Entry, teller: str) -> None:
-        if entry.life != self.life or entry.state == State.ALIVE or entry.incarnation < self.incarnation:
+    def of_self(self: m.SwimProtocol, entry: MemberRecord, teller: str) -> None:
+        if (
+            entry.generation != self.generation
+            or entry.state == MemberState.ALIVE
+            or entry.incarnation < self.incarnation
+        ):
             before(self, entry, teller)
             return
-        self.gossip.tell(self._self())
-        self._tell(teller, Kind.PING, self._number())
+        self.gossip.enqueue(self._self())
+        self._tell(teller, MessageKind.PING, self._number())
 
     machine._of_self = of_self  # type: ignore[method-assign]
 
@@ -57,7 +61,7 @@
 
 def no_local_health(machine: type[m.SwimProtocol]) -> None:
     """A process that misses answers goes on at its own pace."""
-    Health.worse = lambda self, by=1: None  # type: ignore[method-assign,assignment]
+    LocalHealth.degrade = lambda self, by=1: None  # type: ignore[method-assign,assignment]
 
 
 def no_look_at_sleep(machine: type[m.SwimProtocol]) -> None:
@@ -141,7 +145,7 @@
         members = verdict.members
         assert members is not None
         offset = next(each["unix_ms"] - each["t"] for each in seen if each["what"] == "clock")
-        interval, halts = bounds_of(day).interval, stops(seen)
+        interval, halts = bounds_of(day).probe_interval_ms, stops(seen)
         suspected, waking = 0, 0
         for gateway in (f"gateway-{n}" for n in range(gateways)):
             for at, row in _notes(where / f"{gateway}.log", offset):
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -18,10 +18,10 @@
 
 from winchdyke.membership import datagrams, events
 from winchdyke.membership import swim as m
-from winchdyke.membership.bounds import Bounds
-from winchdyke.membership.datagrams import State
-from winchdyke.membership.member_table import Member, said
+from winchdyke.membership.datagrams import MemberState
+from winchdyke.membership.member_table import Member, with_state
 from winchdyke.membership.swim import SwimProtocol
+from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.fleet import Fleet, Links
 
 HOUR = 3_600_000.0
@@ -39,14 +39,14 @@
         pass
 
     def _ask_others(self, probe: m._Probe) -> None:
-        others = [member for member in self.book.there() if member.name != probe.name]
-        helpers = self.random.sample(others, min(self.bounds.helpers, len(others)))
+        others = [member for member in self.table.active_members() if member.name != probe.name]
+        helpers = self.random.sample(others, min(self.config.indirect_probe_count, len(others)))
         probe.asked = tuple(helper.name for helper in helpers)
         for name in probe.asked:
-            self._tell(name, datagrams.Kind.ASK, probe.number, target=probe.name)
+            self._tell(name, datagrams.MessageKind.PING_REQ, probe.number, target=probe.name)
 
     def _expire(self, member: Member) -> None:
-        self._learn(said(member.entry, State.DEAD, self.own.name), self.own.name)
+        self._learn(with_state(member.record, MemberState.DEAD, self.local.name), self.local.name)
 
 
 class Beats(SwimProtocol):
@@ -56,46 +56,56 @@
         pass
 
     def _answer(
-        self, message: datagrams.Envelope, what: events.Arrived, kind: datagrams.Kind, age: int
+        self,
+        message: datagrams.SwimMessage,
+        what: events.MessageReceived,
+        kind: datagrams.MessageKind,
+        age: int,
     ) -> None:
         pass
 
-    def _learn(self, entry: datagrams.Entry, teller: str) -> None:
-        if teller != self.own.name and entry.state != State.ALIVE:
+    def _learn(self, entry: datagrams.MemberRecord, teller: str) -> None:
+        if teller != self.local.name and entry.state != MemberState.ALIVE:
             return
         super()._learn(entry, teller)
 
     def _time(self) -> None:
         if self.now >= self._probe_at:
-            self._probe_at += self.bounds.interval
-            for member in self.book.members.values():
-                if member.state is not State.LEFT:
-                    self._tell(member.name, datagrams.Kind.PING, entries=[self._self()])
-        for member in self.book.members.values():
-            if member.there and self._late(member):
-                self._learn(said(member.entry, State.DEAD, self.own.name), self.own.name)
-            elif member.state is State.DEAD and member.heard > member.since:
-                member.entry, member.since = said(member.entry, State.ALIVE, ""), self.now
-                self.book.version += 1
-        if self.now >= self._seed_at and len(self.book.members) + 1 < self.own.gateways:
+            self._probe_at += self.config.probe_interval_ms
+            for member in self.table.members.values():
+                if member.state is not MemberState.LEFT:
+                    self._tell(member.name, datagrams.MessageKind.PING, entries=[self._self()])
+        for member in self.table.members.values():
+            if member.is_active and self._late(member):
+                self._learn(with_state(member.record, MemberState.DEAD, self.local.name), self.local.name)
+            elif member.state is MemberState.DEAD and member.last_received_ms > member.state_since_ms:
+                member.record, member.state_since_ms = (
+                    with_state(member.record, MemberState.ALIVE, ""),
+                    self.now,
+                )
+                self.table.version += 1
+        if self.now >= self._seed_at and len(self.table.members) + 1 < self.local.gateway_count:
             self._try_seed()
 
     def _late(self, member: Member) -> bool:
-        return self.now - max(member.heard, member.since) > LOST_BEATS * self.bounds.interval
+        return (
+            self.now - max(member.last_received_ms, member.state_since_ms)
+            > LOST_BEATS * self.config.probe_interval_ms
+        )
 
 
 class Phi(Beats):
     """Heartbeats to everybody, judged by each link's own history: dead where one this late is one in 10^8."""
 
-    def __init__(self, own: events.Own, bounds: Bounds, seed: int, now: float) -> None:
+    def __init__(self, own: events.LocalMember, bounds: SwimConfig, seed: int, now: float) -> None:
         super().__init__(own, bounds, seed, now)
         self._gaps: defaultdict[str, deque[float]] = defaultdict(lambda: deque(maxlen=PHI_WINDOW))
         self._last: dict[str, float] = {}
 
-    def _arrived(self, what: events.Arrived) -> None:
+    def _arrived(self, what: events.MessageReceived) -> None:
         super()._arrived(what)
         name = what.message.sender
-        if name in self.book.members and what.message.kind == datagrams.Kind.PING:
+        if name in self.table.members and what.message.kind == datagrams.MessageKind.PING:
             if name in self._last:
                 self._gaps[name].append(self.now - self._last[name])
             self._last[name] = self.now
@@ -105,18 +115,20 @@
         if len(gaps) < 2:
             return super()._late(member)
         mean = statistics.fmean(gaps)
-        deviation = max(PHI_LEAST * self.bounds.interval, statistics.pstdev(gaps, mean))
-        passed = self.now - max(self._last[member.name], member.since)
+        deviation = max(PHI_LEAST * self.config.probe_interval_ms, statistics.pstdev(gaps, mean))
+        passed = self.now - max(self._last[member.name], member.state_since_ms)
         later = 0.5 * math.erfc((passed - mean) / deviation / math.sqrt(2))
         return later < 10.0**-PHI_DEAD
 
 
-SWIM = replace(Bounds(), health_most=0, patience=1.0, sight=-1.0)
-WAYS: dict[str, tuple[type[SwimProtocol], Bounds]] = {
-    "as it is": (SwimProtocol, Bounds()),
+SWIM = replace(
+    SwimConfig(), max_local_health_score=0, max_suspicion_factor=1.0, direct_evidence_intervals=-1.0
+)
+WAYS: dict[str, tuple[type[SwimProtocol], SwimConfig]] = {
+    "as it is": (SwimProtocol, SwimConfig()),
     "plain SWIM": (Plain, SWIM),
-    "heartbeats": (Beats, Bounds()),
-    "phi accrual": (Phi, Bounds()),
+    "heartbeats": (Beats, SwimConfig()),
+    "phi accrual": (Phi, SwimConfig()),
 }
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -37,7 +37,7 @@
             await node.open()
             group.start_soon(node.run)
             nodes.append(node)
-        while any(node.view.alive < count + 1 for node in nodes):
+        while any(node.view.active_count < count + 1 for node in nodes):
             await anyio.sleep(0.1)
         (folder / "peers.ready").touch()
         await anyio.sleep_forever()
--- a/fuzz/datagrams.py
+++ b/fuzz/datagrams.py
@@ -15,11 +15,11 @@
 with atheris.instrument_imports(include=["winchdyke.membership"]):
     from winchdyke.membership import datagrams, events
     from winchdyke.membership import swim as m
-    from winchdyke.membership.bounds import Bounds
+    from winchdyke.membership.swim_config import SwimConfig
 
 SECRET = b"a secret that no input knows...."
 HEAD = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
-BOUNDS = Bounds(members_most=50)
+BOUNDS = SwimConfig(max_members=50)
 
 
 def one(data: bytes) -> None:
@@ -29,29 +29,33 @@
     if data[0] % 4 == 0:
         try:
             datagrams.unseal(data[1:], [SECRET])
-        except datagrams.Dropped as dropped:
+        except datagrams.MessageRejectedError as dropped:
             assert dropped.reason
         else:
             raise AssertionError("taken without the key")
         return
-    machine = m.SwimProtocol(events.Own("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), BOUNDS, 1, 0.0)
+    machine = m.SwimProtocol(events.LocalMember("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), BOUNDS, 1, 0.0)
     now = 0.0
     for body in data[1:].split(b"\xff\xff")[:16]:
         now += 100.0 * (1 + data[0] % 7)
         try:
-            message = datagrams.unseal(HEAD + datagrams._tag(SECRET, HEAD, body) + body, [SECRET])
-        except datagrams.Dropped:
+            message = datagrams.unseal(HEAD + datagrams.message_mac(SECRET, HEAD, body) + body, [SECRET])
+        except datagrams.MessageRejectedError:
             message = None
-        happened: list[events.Arrived | events.Exchanged] = []
+        happened: list[events.MessageReceived | events.StateExchangeFinished] = []
         if message is not None:
             happened.append(
-                events.Arrived(message, "127.0.0.1:2", stream=message.kind == datagrams.Kind.EXCHANGE)
+                events.MessageReceived(
+                    message,
+                    "127.0.0.1:2",
+                    is_state_exchange=message.kind == datagrams.MessageKind.STATE_EXCHANGE,
+                )
             )
         for action in machine.handle(now, happened):
-            if isinstance(action, events.Tell):
-                assert len(datagrams.seal(action.message, SECRET)) <= datagrams.DATAGRAM_MOST
+            if isinstance(action, events.SendDatagram):
+                assert len(datagrams.seal(action.message, SECRET)) <= datagrams.MAX_DATAGRAM_BYTES
         machine.view(now)
-        assert len(machine.book.members) <= BOUNDS.members_most
+        assert len(machine.table.members) <= BOUNDS.max_members
 
 
 def main() -> None:
--- a/tests/test_fleet_checked.py
+++ b/tests/test_fleet_checked.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from winchdyke.membership.datagrams import Entry, State
+from winchdyke.membership.datagrams import MemberRecord, MemberState
 from winchdyke.membership.member_table import Member, MemberTable
 from winchdyke.model.checker import explore
 from winchdyke.model.members import Words
@@ -24,48 +24,54 @@
 class LastWord(MemberTable):
     """Believes whatever it heard last."""
 
-    def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
+    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
         self.members.pop(entry.name, None)
-        return super().learn(entry, now, teller)
+        return super().apply(entry, now, teller)
 
 
 class LifeBlind(MemberTable):
     """Compares incarnations of different lives."""
 
-    def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
+    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
         member = self.members.get(entry.name)
-        if member is not None and entry.order[1:] > member.entry.order[1:]:
+        if member is not None and entry.precedence[1:] > member.record.precedence[1:]:
             del self.members[entry.name]
-        return super().learn(entry, now, teller)
+        return super().apply(entry, now, teller)
 
 
 class DeadIsDead(MemberTable):
     """Lets no refutation clear a death."""
 
-    def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
+    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
         member = self.members.get(entry.name)
-        if member is not None and member.state is State.DEAD and entry.life == member.entry.life:
+        if (
+            member is not None
+            and member.state is MemberState.DEAD
+            and entry.generation == member.record.generation
+        ):
             return None
-        return super().learn(entry, now, teller)
+        return super().apply(entry, now, teller)
 
 
 class FirstWord(MemberTable):
     """Of equal life and incarnation keeps what came first."""
 
-    def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
+    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
         member = self.members.get(entry.name)
-        if member is not None and entry.order[:2] == member.entry.order[:2]:
+        if member is not None and entry.precedence[:2] == member.record.precedence[:2]:
             return None
-        return super().learn(entry, now, teller)
+        return super().apply(entry, now, teller)
 
 
 class Inventive(MemberTable):
     """Raises another's incarnation itself."""
 
-    def learn(self, entry: Entry, now: float, teller: str) -> Member | None:
-        if entry.state == State.DEAD:
-            entry = Entry(entry.name, "", "", 0, entry.life, entry.incarnation + 1, int(State.DEAD), "")
-        return super().learn(entry, now, teller)
+    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
+        if entry.state == MemberState.DEAD:
+            entry = MemberRecord(
+                entry.name, "", "", 0, entry.generation, entry.incarnation + 1, int(MemberState.DEAD), ""
+            )
+        return super().apply(entry, now, teller)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet_members.py
+++ b/tests/test_fleet_members.py
@@ -8,10 +8,10 @@
 
 from winchdyke.membership import datagrams, events
 from winchdyke.membership import swim as m
-from winchdyke.membership.bounds import Bounds
-from winchdyke.membership.datagrams import Entry, Envelope, Kind, State
-from winchdyke.membership.events import Own
+from winchdyke.membership.datagrams import MemberRecord, MemberState, MessageKind, SwimMessage
+from winchdyke.membership.events import LocalMember
 from winchdyke.membership.swim import SwimProtocol
+from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.fleet import Fleet, Links
 
 
@@ -55,17 +55,17 @@
     fleet = settled(members)
     fleet.kill("g1")
     took = fleet.until_agreed(60_000.0)
-    assert took is not None and took <= fleet.bounds.detected(members)
+    assert took is not None and took <= fleet.bounds.detection_bound_ms(members)
 
 
 def test_killed_and_back_within_one_probe_is_a_new_life_and_no_death():
     fleet = settled(8)
-    since, life = fleet.now, fleet.lives["g3"].machine.life
+    since, life = fleet.now, fleet.lives["g3"].machine.generation
     fleet.kill("g3")
     fleet.at(fleet.now + 200.0, lambda: fleet.start("g3"))
     fleet.run(fleet.now + 15_000.0)
     assert fleet.agreed() and not said(fleet, since, "dead")
-    assert fleet.lives["g3"].machine.life > life
+    assert fleet.lives["g3"].machine.generation > life
 
 
 def test_one_deaf_member_dies_in_no_view_and_both_ends_know_their_link():
@@ -113,7 +113,7 @@
     fleet.links.loss = 0.0
     fleet.kill("g1")
     took = fleet.until_agreed(60_000.0)
-    assert took is not None and took <= fleet.bounds.detected(8) / (1 - drift)
+    assert took is not None and took <= fleet.bounds.detection_bound_ms(8) / (1 - drift)
 
 
 def test_datagrams_gone_and_streams_whole_kills_nobody_and_the_other_way_neither():
@@ -164,18 +164,23 @@
 @pytest.mark.parametrize("interval", [50.0, 200.0, 1000.0])
 def test_who_hears_nothing_and_is_never_late_has_not_slept(interval):
     """Where intervals are short, a turn with a probe in it was followed by one that seemed late by a whole look."""
-    bounds = Bounds(interval=interval, timeout=0.4 * interval, pause=max(50.0, interval / 4))
-    machine = SwimProtocol(Own("a", "at-a", "", 0, 1 << 16), bounds, 1, 0.0)
+    bounds = SwimConfig(
+        probe_interval_ms=interval, probe_timeout_ms=0.4 * interval, min_pause_ms=max(50.0, interval / 4)
+    )
+    machine = SwimProtocol(LocalMember("a", "at-a", "", 0, 1 << 16), bounds, 1, 0.0)
     now, noted = 0.0, list[events.Action]()
-    silent = Entry("b", "at-b", "", 1, 1 << 16, 0, int(State.ALIVE))
-    machine.handle(now, [events.Arrived(Envelope("b", 1 << 16, 1, "", int(Kind.ACK), 1, "", -1, [silent]))])
+    silent = MemberRecord("b", "at-b", "", 1, 1 << 16, 0, int(MemberState.ALIVE))
+    machine.handle(
+        now,
+        [events.MessageReceived(SwimMessage("b", 1 << 16, 1, "", int(MessageKind.ACK), 1, "", -1, [silent]))],
+    )
     while now < 60 * interval:
-        now = machine.due
-        noted += [each for each in machine.handle(now, []) if isinstance(each, events.Note)]
-    assert machine.sleep.times == 0 and machine.sleep.slept == 0.0
+        now = machine.next_turn_ms
+        noted += [each for each in machine.handle(now, []) if isinstance(each, events.ReportEvent)]
+    assert machine.pause_detector.pause_count == 0 and machine.pause_detector.total_paused_ms == 0.0
     assert [note.code for note in noted if note.code in ("suspect", "dead")] == ["suspect", "dead"]
-    machine.handle(machine.due + bounds.pause, [])
-    assert machine.sleep.times == 1, "and who is late by so much has"
+    machine.handle(machine.next_turn_ms + bounds.min_pause_ms, [])
+    assert machine.pause_detector.pause_count == 1, "and who is late by so much has"
 
 
 def test_all_but_one_stopped_for_5_s():
@@ -184,7 +189,7 @@
     for name in fleet.names[1:]:
         fleet.pause(name, 5000.0)
     fleet.run(since + 5000.0)
-    assert fleet.until_agreed(fleet.bounds.agreed(8)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
 
 
 def test_a_zone_that_is_cut_off_is_one_event_on_both_sides_and_meets_again_without_a_storm():
@@ -196,15 +201,15 @@
     }
     fleet.run(since + 20_000.0)
     for mine, other in (("g0", 1), ("g1", 0)):
-        event = fleet.lives[mine].machine.view(fleet.now).event
+        event = fleet.lives[mine].machine.view(fleet.now).outage
         assert event is not None and event.zone == f"zone-{other}", event
         assert set(event.members) == sides[other] and "zone" in event.text
     fleet.links.cut = set()
     healed = fleet.now
-    assert fleet.until_agreed(fleet.bounds.agreed(24)) is not None, fleet.differ()[:3]
+    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(24)) is not None, fleet.differ()[:3]
     fleet.run(fleet.now + 5000.0)
     assert max(fleet.rate(healed, fleet.now)) < 20 * quiet + 20_000
-    assert fleet.lives["g0"].machine.view(fleet.now).event is None
+    assert fleet.lives["g0"].machine.view(fleet.now).outage is None
 
 
 def test_seven_in_ten_killed_at_once_are_known_in_time():
@@ -213,8 +218,8 @@
         fleet.kill(name)
     since = fleet.now
     took = fleet.until_agreed(120_000.0)
-    assert took is not None and took <= fleet.bounds.detected(20)
-    event = fleet.lives["g0"].machine.view(fleet.now).event
+    assert took is not None and took <= fleet.bounds.detection_bound_ms(20)
+    event = fleet.lives["g0"].machine.view(fleet.now).outage
     assert event is not None and len(event.members) == 14 and event.since >= since
 
 
@@ -225,7 +230,7 @@
             fleet.at(fleet.now + 2000.0 * n, lambda name=name: fleet.leave(name))
             fleet.at(fleet.now + 2000.0 * n + 1000.0, lambda name=name: fleet.start(name))
     fleet.run(fleet.now + 20_000.0)
-    assert fleet.until_agreed(fleet.bounds.agreed(20)) is not None, fleet.differ()[:3]
+    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(20)) is not None, fleet.differ()[:3]
 
 
 def test_all_restart_at_once():
@@ -234,7 +239,7 @@
         fleet.kill(name)
     for name in fleet.names:
         fleet.start(name)
-    assert fleet.until_agreed(fleet.bounds.agreed(8)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
 
 
 def test_a_leave_is_heard_before_the_process_ends():
@@ -249,9 +254,9 @@
     fleet = Fleet(2, 1, links=Links(datagrams=False, streams=False))
     fleet.run(120_000.0)
     machine = fleet.lives["g0"].machine
-    assert machine.view(fleet.now).alone and machine.counts["exchange-failed"] <= 120 / (0.5 * 10) + 6
+    assert machine.view(fleet.now).is_isolated and machine.counts["exchange-failed"] <= 120 / (0.5 * 10) + 6
     fleet.links = Links()
-    assert fleet.until_agreed(2 * fleet.bounds.retry_most) is not None
+    assert fleet.until_agreed(2 * fleet.bounds.max_reconnect_backoff_ms) is not None
 
 
 def test_a_clock_that_steps_back_between_two_lives_does_not_keep_the_later_one_out():
@@ -263,16 +268,18 @@
     assert any(note.code == "renewed" for _, name, note in fleet.notes if name == "g1")
 
 
-def machine(bounds: Bounds | None = None, **more: object) -> SwimProtocol:
+def machine(bounds: SwimConfig | None = None, **more: object) -> SwimProtocol:
     """A member by itself."""
-    own = Own(
+    own = LocalMember(
         **{"name": "a", "address": "at-a", "zone": "z", "index": 0, "life": 10 << 16, "gateways": 4, **more}
     )  # type: ignore[arg-type]
-    return SwimProtocol(own, bounds or Bounds(), 5, 0.0)
+    return SwimProtocol(own, bounds or SwimConfig(), 5, 0.0)
 
 
-def entry(name: str, state: State = State.ALIVE, life: int = 1, incarnation: int = 0, by: str = "") -> Entry:
-    return Entry(name, f"at-{name}", "z", 1, life, incarnation, int(state), by)
+def entry(
+    name: str, state: MemberState = MemberState.ALIVE, life: int = 1, incarnation: int = 0, by: str = ""
+) -> MemberRecord:
+    return MemberRecord(name, f"at-{name}", "z", 1, life, incarnation, int(state), by)
 
 
 class Peer:
@@ -282,7 +289,11 @@
         self.to, self.name, self.life, self.counter, self.now = to, name, life, 0, 0.0
 
     def say(
-        self, kind: Kind = Kind.PING, number: int = 1, entries: list[Entry] | None = None, **more: object
+        self,
+        kind: MessageKind = MessageKind.PING,
+        number: int = 1,
+        entries: list[MemberRecord] | None = None,
+        **more: object,
     ) -> list[events.Action]:
         self.counter += 1
         mine = [entry(self.name, life=self.life), *(entries or [])]
@@ -293,11 +304,11 @@
             "to": "a",
             "kind": int(kind),
         }
-        message = Envelope(**{**fields, "number": number, "entries": mine, **more})  # type: ignore[arg-type]
-        return self.to.handle(self.now, [events.Arrived(message, f"at-{self.name}")])
+        message = SwimMessage(**{**fields, "number": number, "entries": mine, **more})  # type: ignore[arg-type]
+        return self.to.handle(self.now, [events.MessageReceived(message, f"at-{self.name}")])
 
-    def state(self, name: str) -> State:
-        return self.to.book.members[name].state
+    def state(self, name: str) -> MemberState:
+        return self.to.table.members[name].state
 
     def pass_time(self, until: float) -> list[events.Action]:
         told = []
@@ -311,12 +322,12 @@
     one = machine()
     peer = Peer(one)
     for _ in range(5):
-        told = peer.say(entries=[entry("a", State.SUSPECT, 10 << 16, one.incarnation, "b")])
+        told = peer.say(entries=[entry("a", MemberState.SUSPECT, 10 << 16, one.incarnation, "b")])
         mine = [
             e
             for action in told
-            if isinstance(action, events.Tell)
-            for e in action.message.entries
+            if isinstance(action, events.SendDatagram)
+            for e in action.message.records
             if e.name == "a"
         ]
         assert mine and all(e.incarnation == one.incarnation for e in mine)  # in every message it sends
@@ -326,41 +337,43 @@
 def test_a_late_accusation_of_an_earlier_life_does_nothing():
     one = machine()
     peer = Peer(one)
-    peer.say(entries=[entry("a", State.DEAD, (10 << 16) - 1, 7, "b"), entry("c", life=9)])
+    peer.say(entries=[entry("a", MemberState.DEAD, (10 << 16) - 1, 7, "b"), entry("c", life=9)])
     assert one.incarnation == 0 and one.counts["accused-earlier-life"] == 1
-    peer.say(entries=[entry("c", State.DEAD, 8, 99, "b")])
-    assert peer.state("c") is State.ALIVE
+    peer.say(entries=[entry("c", MemberState.DEAD, 8, 99, "b")])
+    assert peer.state("c") is MemberState.ALIVE
 
 
 def test_counts_and_incarnations_at_their_ends_begin_a_later_life():
     one = machine()
     peer = Peer(one)
-    life = one.life
-    peer.say(entries=[entry("a", State.SUSPECT, life, datagrams.NUMBER_MOST, "b")])
-    assert one.life > life and one.incarnation == 0
-    life, one.counter = one.life, datagrams.NUMBER_MOST
+    life = one.generation
+    peer.say(entries=[entry("a", MemberState.SUSPECT, life, datagrams.MAX_INTEGER, "b")])
+    assert one.generation > life and one.incarnation == 0
+    life, one.message_counter = one.generation, datagrams.MAX_INTEGER
     told = peer.say()
-    assert one.life > life
-    assert all(action.message.counter < 100 for action in told if isinstance(action, events.Tell))
+    assert one.generation > life
+    assert all(
+        action.message.message_counter < 100 for action in told if isinstance(action, events.SendDatagram)
+    )
 
 
 def test_who_answers_probes_for_a_dead_member_does_not_keep_it():
     """An address that passed to another, or a member that takes others' words: an answer counts from the one who was asked."""
-    one = machine(Bounds(helpers=0))
+    one = machine(SwimConfig(indirect_probe_count=0))
     peer = Peer(one)
     peer.say(entries=[entry("c")])
     for _ in range(200):
         for action in peer.pass_time(peer.now + 100.0):
-            if isinstance(action, events.Tell) and action.message.kind == Kind.PING:
-                peer.say(Kind.ACK, action.message.number)  # b, whoever was asked
-    assert peer.state("c") is State.DEAD and peer.state("b") is State.ALIVE
+            if isinstance(action, events.SendDatagram) and action.message.kind == MessageKind.PING:
+                peer.say(MessageKind.ACK, action.message.request_id)  # b, whoever was asked
+    assert peer.state("c") is MemberState.DEAD and peer.state("b") is MemberState.ALIVE
 
 
 def test_a_datagram_for_another_is_not_answered():
     one = machine()
     told = Peer(one).say(to="x")
     assert one.counts["misaddressed"] == 1 and not [
-        a for a in told if isinstance(a, events.Tell) and a.message.kind == Kind.ACK
+        a for a in told if isinstance(a, events.SendDatagram) and a.message.kind == MessageKind.ACK
     ]
 
 
@@ -370,13 +383,13 @@
     peer.say(entries=[entry("c")])
     peer.counter = 0
     peer.say(entries=[entry("d")])
-    assert "d" not in one.book.members and one.counts["replay"] == 1
+    assert "d" not in one.table.members and one.counts["replay"] == 1
 
 
 def test_a_flood_of_valid_datagrams_is_dropped_past_its_rate():
     one = machine()
     peer = Peer(one)
-    answered = sum(isinstance(action, events.Tell) for _ in range(3000) for action in peer.say())
+    answered = sum(isinstance(action, events.SendDatagram) for _ in range(3000) for action in peer.say())
     assert answered < 600 and one.counts["flood"] > 2000
 
 
@@ -384,70 +397,72 @@
     one = machine()
     peer, liar = Peer(one), Peer(one, "l")
     peer.say()
-    liar.say(entries=[entry("b", State.DEAD, 1, 0, "l")])
-    assert peer.state("b") is State.SUSPECT  # a suspicion, which runs only as long as b says nothing
+    liar.say(entries=[entry("b", MemberState.DEAD, 1, 0, "l")])
+    assert peer.state("b") is MemberState.SUSPECT  # a suspicion, which runs only as long as b says nothing
     told = peer.say()
-    accused = [e for a in told if isinstance(a, events.Tell) for e in a.message.entries if e.name == "b"]
-    assert accused and accused[0].state == State.SUSPECT
+    accused = [
+        e for a in told if isinstance(a, events.SendDatagram) for e in a.message.records if e.name == "b"
+    ]
+    assert accused and accused[0].state == MemberState.SUSPECT
     for _ in range(40):
         peer.pass_time(peer.now + 500.0)
         peer.say()
-    assert peer.state("b") is State.ALIVE
+    assert peer.state("b") is MemberState.ALIVE
 
 
 def test_two_processes_with_one_name_the_later_stays_and_the_earlier_says_so_and_leaves():
     one = machine()
     peer = Peer(one)
-    other = Entry("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(State.ALIVE), "")
+    other = MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")
     told = peer.say(entries=[other])
-    asked = [a for a in told if isinstance(a, events.Tell) and a.address == "at-elsewhere"]
+    asked = [a for a in told if isinstance(a, events.SendDatagram) and a.address == "at-elsewhere"]
     assert len(asked) == 1  # is it there? a word alone may be of a process before this one
     twin = Peer(one, "a", 99 << 16)
-    told = twin.say(Kind.ACK, asked[0].message.number)
-    assert [a for a in told if isinstance(a, events.Leave)] and one.left
+    told = twin.say(MessageKind.ACK, asked[0].message.request_id)
+    assert [a for a in told if isinstance(a, events.StopMembership)] and one.has_left
     assert not peer.say()  # nothing is done after it
 
 
 def test_a_later_life_of_this_name_that_does_not_answer_was_before_this_one():
     one = machine()
     peer = Peer(one)
-    peer.say(entries=[Entry("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(State.ALIVE), "")])
+    peer.say(entries=[MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")])
     peer.pass_time(5000.0)
-    assert one.life > 99 << 16 and not one.left
+    assert one.generation > 99 << 16 and not one.has_left
 
 
 def test_an_index_that_the_settings_do_not_know_is_said_and_shown():
     one = machine()
-    told = Peer(one).say(entries=[Entry("x", "at-x", "z", 9, 1, 0, 0, "")])
-    assert "index-unknown" in [a.code for a in told if isinstance(a, events.Note)]
-    assert next(seen.known for seen in one.view(0.0).members if seen.name == "x") is False
+    told = Peer(one).say(entries=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
+    assert "index-unknown" in [a.code for a in told if isinstance(a, events.ReportEvent)]
+    assert next(seen.index_in_settings for seen in one.view(0.0).members if seen.name == "x") is False
 
 
 def test_a_member_that_moves_is_found_at_its_new_address_and_the_settings_word_wins():
     one = machine(at=(("c", "by-settings"),))
     peer = Peer(one)
     peer.say(entries=[entry("c")])
-    peer.say(entries=[Entry("c", "at-new", "z", 1, 2, 0, 0, "")])
-    assert one.book.members["c"].entry.address == "at-new"
-    assert one._address(one.book.members["c"]) == "by-settings"
+    peer.say(entries=[MemberRecord("c", "at-new", "z", 1, 2, 0, 0, "")])
+    assert one.table.members["c"].record.address == "at-new"
+    assert one._address(one.table.members["c"]) == "by-settings"
 
 
 def test_the_book_has_a_bound_and_says_when_it_is_reached():
-    one = machine(Bounds(members_most=10))
+    one = machine(SwimConfig(max_members=10))
     Peer(one).say(entries=[entry(f"x{n}") for n in range(30)])
-    assert len(one.book.members) == 10 and one.book.full == 21
+    assert len(one.table.members) == 10 and one.table.rejected_when_full == 21
 
 
 def test_the_dead_are_forgotten_in_the_end():
-    one = machine(Bounds(forget=60_000.0, helpers=0))
+    one = machine(SwimConfig(departed_retention_ms=60_000.0, indirect_probe_count=0))
     peer = Peer(one)
-    peer.say(entries=[entry("c", State.DEAD)])
+    peer.say(entries=[entry("c", MemberState.DEAD)])
     peer.pass_time(70_000.0)
-    assert "c" not in one.book.members
+    assert "c" not in one.table.members
 
 
 def test_two_hundred_and_fifty_members_of_which_fifty_flap_cost_each_some_kilobytes_a_second():
-    fleet = Fleet(250, 3, Bounds(exchange=60_000.0), start_ms=2000.0)
+    fleet = Fleet(250, 3, SwimConfig(state_exchange_interval_ms=60_000.0), start_ms=2000.0)
     fleet.run(12_000.0)
     for n in range(4):
         for name in fleet.names[200:]:
@@ -455,7 +470,7 @@
             fleet.at(13_000.0 + 2000.0 * n, lambda name=name: fleet.start(name))
     fleet.run(20_000.0)
     rates = fleet.rate(12_000.0, 20_000.0)
-    assert sum(rates) / 250 < 40_000 and fleet.largest <= datagrams.DATAGRAM_MOST
+    assert sum(rates) / 250 < 40_000 and fleet.largest <= datagrams.MAX_DATAGRAM_BYTES
 
 
 KINDS = ["kill", "pause", "cut", "loss", "leave"]
@@ -467,12 +482,13 @@
     """One entry that fits in no datagram must not keep all others from going out."""
     size = len(letter.encode())
     name = letter * (64 // size)
-    top = datagrams.NUMBER_MOST
+    top = datagrams.MAX_INTEGER
     one = machine(name=name, address=name, zone=name, life=top - 5, index=65535)
-    one.incarnation, one.counter = top, top - 1000
+    one.incarnation, one.message_counter = top, top - 1000
     peer = Peer(one, name="b", life=top)
     others = [
-        Entry(f"{n:02d}{letter * (62 // size)}", name, name, 65535, top, top, n % 3, name) for n in range(20)
+        MemberRecord(f"{n:02d}{letter * (62 // size)}", name, name, 65535, top, top, n % 3, name)
+        for n in range(20)
     ]
     seen: set[str] = set()
     for number in range(80):
@@ -480,18 +496,18 @@
             *peer.say(number=top - number, entries=others, to="", target=name),
             *peer.pass_time(peer.now + 1000.0),
         ]:
-            if isinstance(action, events.Tell):
+            if isinstance(action, events.SendDatagram):
                 data = datagrams.seal(action.message, b"k" * 32)
-                assert len(data) <= datagrams.DATAGRAM_MOST
+                assert len(data) <= datagrams.MAX_DATAGRAM_BYTES
                 assert datagrams.unseal(data, [b"k" * 32]) == action.message
-                seen |= {entry.name for entry in action.message.entries}
+                seen |= {entry.name for entry in action.message.records}
     assert len(seen) >= 20
 
 
 class Deafened(SwimProtocol):
     """Refutes nothing."""
 
-    def _of_self(self, entry: Entry, teller: str) -> None:
+    def _of_self(self, entry: MemberRecord, teller: str) -> None:
         pass
 
 
@@ -552,4 +568,4 @@
         fleet.run(fleet.now + length / 2)
     fleet.links = Links()
     fleet.run(fleet.now + 6000.0)
-    assert fleet.until_agreed(fleet.bounds.agreed(5)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(5)) is not None, fleet.differ()
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -26,7 +26,7 @@
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.membership import datagrams, member_cache
 from winchdyke.membership.agent import MembershipAgent, MembershipError
-from winchdyke.membership.resolver import AGAIN_MS, FRESH_MS, MOST, AddressResolver
+from winchdyke.membership.resolver import ADDRESS_TTL_MS, MAX_HOST_NAMES, RETRY_DELAY_MS, AddressResolver
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -57,7 +57,7 @@
 async def running(*nodes: MembershipAgent) -> AsyncIterator[None]:
     async with anyio.create_task_group() as group:
         for node in nodes:
-            if node.machine is None:
+            if node.protocol is None:
                 await node.open()
             group.start_soon(node.run)
         try:
@@ -79,7 +79,7 @@
 
 
 def states(node: MembershipAgent) -> dict[str, str]:
-    return {row["name"]: row["state"] for row in node.standing()["members"]}
+    return {row["name"]: row["state"] for row in node.status()["members"]}
 
 
 def test_two_find_each_other_by_one_seed_and_a_leave_is_heard(tmp_path):
@@ -89,8 +89,8 @@
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),)), clock)
         async with running(one, two):
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
-            await until(lambda: one.standing()["members"][0]["link"] == "both")
-            assert one.standing()["members"][0]["heard_ms"] < 5000
+            await until(lambda: one.status()["members"][0]["link"] == "both")
+            assert one.status()["members"][0]["heard_ms"] < 5000
             two.leave()
             await until(lambda: states(one) == {"two": "left"})
 
@@ -113,7 +113,7 @@
                 for node in (one, two):
                     group.start_soon(follows(node, service).run)
                 await until(lambda: service.refused >= 2)
-                assert states(one) == states(two) == {} and two.standing()["alone"]
+                assert states(one) == states(two) == {} and two.status()["alone"]
                 service.failing = ""
                 await service.set(shown(one), "ready", 0, "")
                 await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
@@ -123,10 +123,10 @@
                     await until(lambda: states(three) == {"one": "alive", "two": "alive"})
                     await service.set(shown(one), "draining", 0, "")
                     await service.set(shown(three), "ready", 0, "")
-                    await until(lambda: two.machine.seeds == three.machine.seeds == (shown(three),))
+                    await until(lambda: two.protocol.seeds == three.protocol.seeds == (shown(three),))
                     service.kill()
                     await until(lambda: third._failures >= 1)
-                    assert three.machine.seeds == (shown(three),), "what was said last goes on counting"
+                    assert three.protocol.seeds == (shown(three),), "what was said last goes on counting"
                     await until(lambda: states(two) == {"one": "alive", "three": "alive"})
             group.cancel_scope.cancel()
 
@@ -162,11 +162,14 @@
         )
         await one.open()
         given = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.2:1"]
-        assert list(one.machine.seeds) == given
-        one.listed(("10.0.0.5:1", "10.0.0.3:1"))
-        assert list(one.machine.seeds) == [*given, "10.0.0.5:1"]
-        one.expect(replace(one.config, peers=()))
-        assert list(one.machine.seeds) == ["10.0.0.3:1", "10.0.0.2:1", "10.0.0.5:1"] and one.machine.at == {}
+        assert list(one.protocol.seeds) == given
+        one.set_listed_seeds(("10.0.0.5:1", "10.0.0.3:1"))
+        assert list(one.protocol.seeds) == [*given, "10.0.0.5:1"]
+        one.update_config(replace(one.config, peers=()))
+        assert (
+            list(one.protocol.seeds) == ["10.0.0.3:1", "10.0.0.2:1", "10.0.0.5:1"]
+            and one.protocol.address_overrides == {}
+        )
         await one.close()
 
     anyio.run(play)
@@ -174,7 +177,7 @@
 
 def follows(node: MembershipAgent, service: ListService) -> Seeds:
     where = ("127.0.0.1", service.port, "/gateways")
-    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.listed)
+    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.set_listed_seeds)
 
 
 def shown(node: MembershipAgent) -> str:
@@ -223,7 +226,7 @@
             assert not sends.hosts, "held, or lost as on the way, while nobody knows the address"
             answers.set()
             await until(lambda: "127.0.0.1" in sends.hosts)
-            await until(lambda: two.standing()["members"][0]["link"] == "both")
+            await until(lambda: two.status()["members"][0]["link"] == "both")
             assert sends.hosts == {"127.0.0.1"}
 
     anyio.run(play)
@@ -231,27 +234,35 @@
 
 def test_names_are_looked_up_one_at_a_time_anew_when_old_and_kept_where_nobody_answers():
     names = AddressResolver()
-    assert names.send("10.0.0.1", "1", b"a", 0.0) == ("10.0.0.1", False)
-    assert names.send("::1", "1", b"a", 0.0) == ("::1", False)
-    assert names.send("gw", "1", b"a", 0.0) == ("", True)
-    assert names.send("gw", "2", b"b", 0.0) == ("", False), "under way already"
+    assert names.resolve("10.0.0.1", "1", b"a", 0.0) == ("10.0.0.1", False)
+    assert names.resolve("::1", "1", b"a", 0.0) == ("::1", False)
+    assert names.resolve("gw", "1", b"a", 0.0) == ("", True)
+    assert names.resolve("gw", "2", b"b", 0.0) == ("", False), "under way already"
     for _ in range(10):
-        names.send("gw", "2", b"c", 0.0)
-    assert names.found("gw", "10.0.0.2", 1.0) == [("1", b"a"), ("2", b"b"), ("2", b"c"), ("2", b"c")]
-    assert names.send("gw", "1", b"d", 2.0) == ("10.0.0.2", False)
-    assert names.send("gw", "1", b"d", 1.0 + FRESH_MS) == ("10.0.0.2", True), (
+        names.resolve("gw", "2", b"c", 0.0)
+    assert names.lookup_finished("gw", "10.0.0.2", 1.0) == [
+        ("1", b"a"),
+        ("2", b"b"),
+        ("2", b"c"),
+        ("2", b"c"),
+    ]
+    assert names.resolve("gw", "1", b"d", 2.0) == ("10.0.0.2", False)
+    assert names.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == ("10.0.0.2", True), (
         "used while it is looked up anew"
     )
-    assert names.found("gw", "", 40_000.0) == []
-    assert names.send("gw", "1", b"d", 40_001.0) == ("10.0.0.2", False), "no name server: as it was"
-    assert names.send("gw", "1", b"d", 40_000.0 + AGAIN_MS) == ("10.0.0.2", True)
-    assert names.found("gw", "10.0.0.3", 43_000.0) == []
-    assert names.send("gw", "1", b"d", 43_001.0) == ("10.0.0.3", False), "it has moved"
-    assert names.send("lost", "1", b"e", 0.0) == ("", True)
-    assert names.found("lost", "", 1.0) == [] and names.send("lost", "1", b"e", 2.0) == ("", False)
-    for number in range(2 * MOST):
-        names.send(f"host-{number}", "1", b"", 0.0)
-    assert len(names._names) == MOST
+    assert names.lookup_finished("gw", "", 40_000.0) == []
+    assert names.resolve("gw", "1", b"d", 40_001.0) == ("10.0.0.2", False), "no name server: as it was"
+    assert names.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == ("10.0.0.2", True)
+    assert names.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
+    assert names.resolve("gw", "1", b"d", 43_001.0) == ("10.0.0.3", False), "it has moved"
+    assert names.resolve("lost", "1", b"e", 0.0) == ("", True)
+    assert names.lookup_finished("lost", "", 1.0) == [] and names.resolve("lost", "1", b"e", 2.0) == (
+        "",
+        False,
+    )
+    for number in range(2 * MAX_HOST_NAMES):
+        names.resolve(f"host-{number}", "1", b"", 0.0)
+    assert len(names._hosts) == MAX_HOST_NAMES
 
 
 def test_a_peer_that_the_settings_gain_in_service_is_joined(tmp_path):
@@ -259,8 +270,8 @@
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
             await anyio.sleep(0.3)
-            assert states(one) == {} and one.standing()["alone"]
-            one.expect(replace(one.config, peers=(("two", Listen(*two.address)),)))
+            assert states(one) == {} and one.status()["alone"]
+            one.update_config(replace(one.config, peers=(("two", Listen(*two.address)),)))
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
     anyio.run(play)
@@ -270,15 +281,15 @@
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
-            await until(lambda: one.machine is not None and two.machine is not None)
-            assert states(one) == {} and one.standing()["alone"]
+            await until(lambda: one.protocol is not None and two.protocol is not None)
+            assert states(one) == {} and one.status()["alone"]
             fleet = replace(one.config.fleet, seeds=(Listen(*two.address),))
             after = replace(one.config, fleet=fleet)
             assert fixed(diff(one.config, after)) == []
             assert fixed(diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))) == [
                 "fleet interval"
             ]
-            one.expect(after)
+            one.update_config(after)
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
     anyio.run(play)
@@ -297,8 +308,8 @@
             sealed = [key.id for key in one._keys.good(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
-            assert states(one) == {"two": "alive"} and one.standing()["members"][0]["heard_ms"] < 1000
-            message = datagrams.Envelope("two", 1, 1, "one", int(datagrams.Kind.PING))
+            assert states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
+            message = datagrams.SwimMessage("two", 1, 1, "one", int(datagrams.MessageKind.PING))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(datagrams.seal(message, base64.b64decode(secret(1))), one.address)
                 await until(lambda: one.counts["dropped:seal"] == 1)
@@ -365,7 +376,7 @@
             config(tmp_path, "two", seeds=(Listen(*one.address),), keep=str(tmp_path / "kept")), clock
         )
         async with running(one, two):
-            await until(lambda: (tmp_path / "kept" / member_cache.FILE).exists() and bool(states(two)))
+            await until(lambda: (tmp_path / "kept" / member_cache.FILE_NAME).exists() and bool(states(two)))
             await until(
                 lambda: bool(
                     (member_cache.load(tmp_path / "kept")[0] or member_cache.KnownMembers("x", 0)).members
@@ -377,10 +388,10 @@
         member_cache.save(tmp_path / "kept", far)
         again = MembershipAgent(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
         await again.open()
-        assert again.machine is not None and again.machine.life > 1 << 60
-        assert again.machine.seeds == (f"127.0.0.1:{one.address[1]}",)
+        assert again.protocol is not None and again.protocol.generation > 1 << 60
+        assert again.protocol.seeds == (f"127.0.0.1:{one.address[1]}",)
         await again.close()
-        (tmp_path / "kept" / member_cache.FILE).write_bytes(b"{cut")
+        (tmp_path / "kept" / member_cache.FILE_NAME).write_bytes(b"{cut")
         assert member_cache.load(tmp_path / "kept")[1].startswith(str(tmp_path))
 
     anyio.run(play)
--- a/tests/test_fleet_wire.py
+++ b/tests/test_fleet_wire.py
@@ -8,19 +8,26 @@
 from hypothesis import strategies as st
 
 from winchdyke.membership import datagrams
-from winchdyke.membership.datagrams import Dropped, Entry, Envelope, Kind, State, Window
+from winchdyke.membership.datagrams import (
+    MemberRecord,
+    MemberState,
+    MessageKind,
+    MessageRejectedError,
+    ReplayWindow,
+    SwimMessage,
+)
 
 SECRET, OTHER = b"s" * 32, b"t" * 32
-ENTRY = Entry("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(State.ALIVE), "g1")
-MESSAGE = Envelope("g0", 7, 1, "g1", int(Kind.PING), 9, "g2", 3, [ENTRY])
-TOP = datagrams.NUMBER_MOST
+ENTRY = MemberRecord("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(MemberState.ALIVE), "g1")
+MESSAGE = SwimMessage("g0", 7, 1, "g1", int(MessageKind.PING), 9, "g2", 3, [ENTRY])
+TOP = datagrams.MAX_INTEGER
 
 
 def reason(data: bytes, secrets: list[bytes] | None = None) -> str:
     """Why it is dropped; "" where it is taken."""
     try:
         datagrams.unseal(data, [SECRET] if secrets is None else secrets)
-    except Dropped as dropped:
+    except MessageRejectedError as dropped:
         return dropped.reason
     return ""
 
@@ -28,7 +35,7 @@
 def sealed(fields: list[object]) -> bytes:
     """Any fields with a good seal: what a faulty member that has the key may send."""
     head, body = datagrams.MAGIC + bytes((datagrams.VERSION, 0)), msgspec.msgpack.encode(fields)
-    return head + datagrams._tag(SECRET, head, body) + body
+    return head + datagrams.message_mac(SECRET, head, body) + body
 
 
 def test_what_is_sealed_is_opened_the_same():
@@ -111,7 +118,7 @@
 
 
 def test_what_is_too_long_is_not_looked_at():
-    assert reason(b"W" * (datagrams.DATAGRAM_MOST + 1)) == "too-long"
+    assert reason(b"W" * (datagrams.MAX_DATAGRAM_BYTES + 1)) == "too-long"
     assert reason(b"WF") == reason(b"") == "not-ours"
 
 
@@ -120,16 +127,16 @@
     assert reason(noise)
     assert reason(datagrams.MAGIC + bytes((datagrams.VERSION, 0)) + noise)
     head = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
-    reason(head + datagrams._tag(SECRET, head, noise) + noise)
+    reason(head + datagrams.message_mac(SECRET, head, noise) + noise)
 
 
 @given(st.lists(st.integers(0, 600), max_size=200))
 def test_each_count_is_taken_once_in_any_order(counts):
-    window, taken = Window(1), set()
+    window, taken = ReplayWindow(1), set()
     for count in counts:
-        if window.takes(count):
+        if window.accept(count):
             assert count not in taken
             taken.add(count)
         else:
-            assert count in taken or count <= window.highest - Window.WIDE
-    assert window.takes(TOP) and not window.takes(TOP) and not window.takes(0)
+            assert count in taken or count <= window.highest - ReplayWindow.SIZE
+    assert window.accept(TOP) and not window.accept(TOP) and not window.accept(0)
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -111,7 +111,7 @@
 class Standing(Protocol):
     """What can tell plain data about itself."""
 
-    def standing(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """For JSON."""
 
 
@@ -175,7 +175,7 @@
                     {"error": "no-fleet", "text": "this gateway knows no others; see fleet, listen"},
                     [],
                 )
-            return 200, self.fleet.standing(), []
+            return 200, self.fleet.status(), []
         if self.trail is None:
             return 404, {"error": "no-changes", "text": "no changes are kept here; see changes, folder"}, []
         try:
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -22,7 +22,7 @@
 import anyio.to_thread
 
 from winchdyke.days.script import Day
-from winchdyke.membership.bounds import Bounds
+from winchdyke.membership.swim_config import SwimConfig
 
 Seen = dict[str, Any]
 HOST_MS = 1500.0  # by which a busy host may run processes late
@@ -50,10 +50,16 @@
     return found
 
 
-def bounds_of(day: Day) -> Bounds:
+def bounds_of(day: Day) -> SwimConfig:
     """The figures that the day's gateways go by."""
     ms = day.fleet
-    return Bounds(interval=ms, timeout=0.4 * ms, exchange=30 * ms, retry=ms, retry_most=10 * ms)
+    return SwimConfig(
+        probe_interval_ms=ms,
+        probe_timeout_ms=0.4 * ms,
+        state_exchange_interval_ms=30 * ms,
+        min_reconnect_backoff_ms=ms,
+        max_reconnect_backoff_ms=10 * ms,
+    )
 
 
 @dataclass
@@ -154,9 +160,9 @@
     def verdict(self) -> Members:
         """Judge the three."""
         found, size = Members(), self.day.gateways
-        false_most = self.bounds.agreed(size) + HOST_MS
-        told_most = self.bounds.detected(size) + HOST_MS
-        found.bounds = [false_most, told_most, self.bounds.agreed(size) + HOST_MS]
+        false_most = self.bounds.convergence_bound_ms(size) + HOST_MS
+        told_most = self.bounds.detection_bound_ms(size) + HOST_MS
+        found.bounds = [false_most, told_most, self.bounds.convergence_bound_ms(size) + HOST_MS]
         for viewer in self.names:
             spans = self._states(viewer)
             for member in self.names:
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -168,7 +168,7 @@
             self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
         self.engine.retell(prepared.settings, plans)
         if self.fleet is not None:
-            self.fleet.expect(prepared.after.config)
+            self.fleet.update_config(prepared.after.config)
 
     def _membership(self) -> EndpointFollower:
         where, name, clock = self.config.nodes, self.config.gateway.name, self.engine.clock
@@ -247,7 +247,9 @@
                 group.start_soon(self.fleet.run)
                 if (where := self.config.fleet.list) is not None:
                     name = self.config.gateway.name
-                    seeds = Seeds(where, self.config.nodes, name, self.engine.clock, self.fleet.listed)
+                    seeds = Seeds(
+                        where, self.config.nodes, name, self.engine.clock, self.fleet.set_listed_seeds
+                    )
                     group.start_soon(seeds.run)
             accepting: list[anyio.CancelScope] = []
             for listener, handle in listeners:
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -25,9 +25,9 @@
 from winchdyke.config.model import Config
 from winchdyke.membership import datagrams, events, member_cache
 from winchdyke.membership import swim as m
-from winchdyke.membership.bounds import Bounds
 from winchdyke.membership.resolver import AddressResolver
-from winchdyke.membership.view import View
+from winchdyke.membership.swim_config import SwimConfig
+from winchdyke.membership.view import MembershipView
 
 LENGTH = struct.Struct(">I")
 STREAMS = 8  # exchanges under way at once, each way
@@ -58,10 +58,10 @@
         self._secrets: list[bytes] = []
         self._udp: socket.socket | None = None
         self._listeners: list[SocketListener] = []
-        self.machine: m.SwimProtocol | None = None
-        self.changed: Callable[[View], None] = lambda _: None
+        self.protocol: m.SwimProtocol | None = None
+        self.on_view_changed: Callable[[MembershipView], None] = lambda _: None
         self._version = -1
-        self._happened: list[events.Arrived | events.Exchanged] = []
+        self._happened: list[events.MessageReceived | events.StateExchangeFinished] = []
         self._wake = anyio.Event()
         self._streams = anyio.Semaphore(STREAMS)
         self._group: TaskGroup | None = None
@@ -69,7 +69,7 @@
         self._kept: tuple[str, ...] = ()  # seeds from the disk
         self._named: tuple[str, ...] = ()  # and from a list service
         self._dropped_at = 0.0
-        self.over = False  # a later process has this name
+        self.stopped = False  # a later process has this name
         self.address = ("", 0)
 
     # Start.
@@ -96,7 +96,7 @@
             ) from error
         self.address = str(host), int(port)
         try:
-            self.machine = self._machine()
+            self.protocol = self._machine()
         except MembershipError:
             await self.close()
             raise
@@ -109,9 +109,9 @@
             ("fleet, advertise", fleet.advertise),
         )
         for what, text in said:
-            if len(text.encode()) > datagrams.NAME_MOST:
+            if len(text.encode()) > datagrams.MAX_NAME_BYTES:
                 raise MembershipError(
-                    f"{what} is {text!r}: other gateways take {datagrams.NAME_MOST} bytes; make it shorter"
+                    f"{what} is {text!r}: other gateways take {datagrams.MAX_NAME_BYTES} bytes; make it shorter"
                 )
         if fleet.advertise and not re.fullmatch(r".+:[0-9]{1,5}", fleet.advertise):
             raise MembershipError(f"fleet, advertise is {fleet.advertise!r}: give HOST:PORT")
@@ -123,22 +123,22 @@
             if wrong:
                 self._log.warning("fleet", trouble=wrong)
             if kept is not None:
-                if kept.own == gateway.name:
-                    life = max(life, (kept.life // m.STEP + 1) * m.STEP)
+                if kept.local_name == gateway.name:
+                    life = max(life, (kept.generation // m.GENERATION_STEP + 1) * m.GENERATION_STEP)
                 self._kept = tuple(each.address for each in kept.members if each.name != gateway.name)
-        own = events.Own(
+        own = events.LocalMember(
             name=gateway.name,
             address=fleet.advertise or _shown(self.address),
             zone=gateway.zone,
             index=gateway.index,
-            life=life | (hash((self.address, time.monotonic_ns())) & (m.STEP - 1)),
-            gateways=gateway.gateways,
+            generation=life | (hash((self.address, time.monotonic_ns())) & (m.GENERATION_STEP - 1)),
+            gateway_count=gateway.gateways,
             seeds=self._seeds(),
-            at=tuple(self._at().items()),
+            address_overrides=tuple(self._at().items()),
         )
-        bounds = Bounds(
-            interval=fleet.interval, timeout=fleet.timeout, exchange=fleet.exchange, forget=fleet.forget,
-            retry=fleet.interval, retry_most=10 * fleet.interval, pause=max(50.0, fleet.interval / 4),
+        bounds = SwimConfig(
+            probe_interval_ms=fleet.interval, probe_timeout_ms=fleet.timeout, state_exchange_interval_ms=fleet.exchange, departed_retention_ms=fleet.forget,
+            min_reconnect_backoff_ms=fleet.interval, max_reconnect_backoff_ms=10 * fleet.interval, min_pause_ms=max(50.0, fleet.interval / 4),
         )  # fmt: skip
         return m.SwimProtocol(own, bounds, time.monotonic_ns() ^ gateway.seed, self.clock())
 
@@ -158,7 +158,7 @@
 
     async def run(self) -> None:
         """Take part until cancelled; :meth:`leave` first to say goodbye."""
-        assert self.machine is not None and self._udp is not None
+        assert self.protocol is not None and self._udp is not None
         async with anyio.create_task_group() as group:
             self._group = group
             group.start_soon(self._listen_udp)
@@ -167,30 +167,30 @@
             group.start_soon(self._keep_keys)
             if self.fleet.keep:
                 group.start_soon(self._keep)
-            while not self.over:
+            while not self.stopped:
                 now = self.clock()
                 self._read()
                 happened, self._happened = self._happened, []
                 self._wake = anyio.Event()
-                self._carry_out(self.machine.handle(now, happened))
+                self._carry_out(self.protocol.handle(now, happened))
                 self._tell()
-                with anyio.move_on_after(max(1.0, self.machine.due - self.clock()) / 1000):
+                with anyio.move_on_after(max(1.0, self.protocol.next_turn_ms - self.clock()) / 1000):
                     await self._wake.wait()
             await anyio.sleep_forever()
 
-    def expect(self, config: Config) -> None:
+    def update_config(self, config: Config) -> None:
         """Other peers and seeds from now on; who is there already stays so until it goes."""
         known = self.config.peers, self.fleet.seeds
-        if self.machine is not None and (config.peers, config.fleet.seeds) != known:
+        if self.protocol is not None and (config.peers, config.fleet.seeds) != known:
             self.config, self.fleet = config, replace(self.fleet, seeds=config.fleet.seeds)
-            self.machine.expect(self._seeds(), self._at())
+            self.protocol.update_addresses(self._seeds(), self._at())
             self._wake.set()
 
-    def listed(self, addresses: tuple[str, ...]) -> None:
+    def set_listed_seeds(self, addresses: tuple[str, ...]) -> None:
         """Gateways that a list service names: seeds too, from now on."""
         self._named = addresses
-        if self.machine is not None:
-            self.machine.expect(self._seeds(), self._at(), soon=False)
+        if self.protocol is not None:
+            self.protocol.update_addresses(self._seeds(), self._at(), soon=False)
             self._wake.set()
 
     def _at(self) -> dict[str, str]:
@@ -202,9 +202,9 @@
 
     def leave(self) -> None:
         """Say goodbye; nothing is done after it."""
-        if self.machine is not None and self._udp is not None:
-            self._carry_out(self.machine.leave(self.clock()))
-            self.over = True
+        if self.protocol is not None and self._udp is not None:
+            self._carry_out(self.protocol.leave(self.clock()))
+            self.stopped = True
 
     async def close(self) -> None:
         """Let the sockets go."""
@@ -216,59 +216,63 @@
         self._listeners = []
 
     @property
-    def view(self) -> View:
+    def view(self) -> MembershipView:
         """What is believed now."""
-        assert self.machine is not None
-        return self.machine.view(self.clock())
+        assert self.protocol is not None
+        return self.protocol.view(self.clock())
 
-    def standing(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """What is believed, as plain data; times are ms ago."""
-        view, now, machine = self.view, self.clock(), self.machine
+        view, now, machine = self.view, self.clock(), self.protocol
         assert machine is not None
         members = [
             {
-                "name": seen.name, "address": seen.address, "zone": seen.zone, "index": seen.index, "life": seen.life,
-                "incarnation": seen.incarnation, "state": seen.word, "since_ms": round(now - seen.since), "by": seen.by,
-                "link": seen.link, "link_since_ms": round(now - seen.link_since) if seen.link != "untried" else None,
-                "heard_ms": self._heard(seen.name, now), "index_known": seen.known,
+                "name": seen.name, "address": seen.address, "zone": seen.zone, "index": seen.index, "life": seen.generation,
+                "incarnation": seen.incarnation, "state": seen.display_state, "since_ms": round(now - seen.state_since_ms), "by": seen.reported_by,
+                "link": seen.link, "link_since_ms": round(now - seen.link_since_ms) if seen.link != "untried" else None,
+                "heard_ms": self._heard(seen.name, now), "index_known": seen.index_in_settings,
             }
             for seen in view.members
         ]  # fmt: skip
-        event = view.event
+        event = view.outage
         return {
-            "own": view.own, "address": machine.own.address, "zone": view.zone, "life": machine.life,
-            "incarnation": machine.incarnation, "version": view.version, "alive": view.alive, "alone": view.alone,
-            "left": self.over, "health": machine.health.score, "slept_ms": round(machine.sleep.slept),
+            "own": view.local_name, "address": machine.local.address, "zone": view.zone, "life": machine.generation,
+            "incarnation": machine.incarnation, "version": view.version, "alive": view.active_count, "alone": view.is_isolated,
+            "left": self.stopped, "health": machine.health.score, "slept_ms": round(machine.pause_detector.total_paused_ms),
             "event": None if event is None else {"text": event.text, "since_ms": round(now - event.since)},
             "members": members, "counts": {**machine.counts, **self.counts}, "history": list(self.history),
         }  # fmt: skip
 
     def _heard(self, name: str, now: float) -> float | None:
         """ms since a datagram came straight from it: newer than the snapshot, which holds until a state changes."""
-        assert self.machine is not None
-        member = self.machine.book.members.get(name)
-        return None if member is None or member.heard < -1e17 else round(now - member.heard)
+        assert self.protocol is not None
+        member = self.protocol.table.members.get(name)
+        return (
+            None
+            if member is None or member.last_received_ms < -1e17
+            else round(now - member.last_received_ms)
+        )
 
     def _tell(self) -> None:
         view = self.view
         if view.version != self._version:
             self._version = view.version
-            self.changed(view)
+            self.on_view_changed(view)
 
     def _carry_out(self, actions: list[events.Action]) -> None:
         for action in actions:
-            if isinstance(action, events.Tell):
+            if isinstance(action, events.SendDatagram):
                 self._send(action)
-            elif isinstance(action, events.Exchange):
+            elif isinstance(action, events.StartStateExchange):
                 assert self._group is not None
                 self._group.start_soon(self._exchange, action)
-            elif isinstance(action, events.Note):
+            elif isinstance(action, events.ReportEvent):
                 self._note(action)
-            elif isinstance(action, events.Leave):
-                self._log.error("fleet", trouble=action.why)
-                self.over = True
+            elif isinstance(action, events.StopMembership):
+                self._log.error("fleet", trouble=action.reason)
+                self.stopped = True
 
-    def _note(self, note: events.Note) -> None:
+    def _note(self, note: events.ReportEvent) -> None:
         row: dict[str, object] = {
             "unix_ms": round(time.time() * 1000),
             "code": note.code,
@@ -294,23 +298,23 @@
             if self._udp is None:
                 return
             try:
-                data, where = self._udp.recvfrom(datagrams.DATAGRAM_MOST + 1)
+                data, where = self._udp.recvfrom(datagrams.MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
                 self.counts["udp-error"] += 1  # the answer of a host to what was sent there before
                 continue
-            if self.over or len(self._happened) >= WAITING:
+            if self.stopped or len(self._happened) >= WAITING:
                 self.counts["dropped:overrun"] += 1
                 continue
-            message = self._opened(data, datagrams.DATAGRAM_MOST)
+            message = self._opened(data, datagrams.MAX_DATAGRAM_BYTES)
             if message is not None:
-                self._happened.append(events.Arrived(message, _shown(where[:2])))
+                self._happened.append(events.MessageReceived(message, _shown(where[:2])))
 
-    def _opened(self, data: bytes, most: int) -> datagrams.Envelope | None:
+    def _opened(self, data: bytes, most: int) -> datagrams.SwimMessage | None:
         try:
             return datagrams.unseal(data, self._secrets, most)
-        except datagrams.Dropped as dropped:
+        except datagrams.MessageRejectedError as dropped:
             self.counts[f"dropped:{dropped.reason}"] += 1
             now = time.monotonic()
             if now >= self._dropped_at + UNSEALED_LOG_S:
@@ -318,13 +322,13 @@
                 self._log.warning("fleet", trouble="a message was dropped", reason=dropped.reason)
             return None
 
-    def _send(self, action: events.Tell) -> None:
+    def _send(self, action: events.SendDatagram) -> None:
         host, _, port = action.address.rpartition(":")
         data = datagrams.seal(action.message, self._secrets[0])
         self.counts["sent"] += 1
         self.counts["sent-bytes"] += len(data)
         host = host.strip("[]")
-        where, ask = self._names.send(host, port, data, self.clock())
+        where, ask = self._names.resolve(host, port, data, self.clock())
         if ask and self._group is not None:
             self._group.start_soon(self._look_up, host)
         if where:
@@ -349,13 +353,13 @@
         if not address:
             self.counts["name-unknown"] += 1
             self._log.warning("fleet", trouble="a host's name has no address", host=host)
-        for port, data in self._names.found(host, address, self.clock()):
+        for port, data in self._names.lookup_finished(host, address, self.clock()):
             self._send_to(address, port, data)
 
     # Exchanges over TCP.
 
-    async def _exchange(self, action: events.Exchange) -> None:
-        message: datagrams.Envelope | None = None
+    async def _exchange(self, action: events.StartStateExchange) -> None:
+        message: datagrams.SwimMessage | None = None
         host, _, port = action.address.rpartition(":")
         try:
             with anyio.move_on_after(STREAM_S):
@@ -366,18 +370,21 @@
                     message = await self._receive(stream)
         except (OSError, ValueError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             pass
-        self._happened.append(events.Exchanged(action.address, action.message.number, message))
+        self._happened.append(
+            events.StateExchangeFinished(action.address, action.message.request_id, message)
+        )
         self._wake.set()
 
-    async def _receive(self, stream: SocketStream) -> datagrams.Envelope | None:
+    async def _receive(self, stream: SocketStream) -> datagrams.SwimMessage | None:
         got = bytearray()
         while len(got) < LENGTH.size or len(got) < LENGTH.size + LENGTH.unpack_from(got)[0]:
-            if len(got) >= LENGTH.size and LENGTH.unpack_from(got)[0] > datagrams.EXCHANGE_MOST:
+            if len(got) >= LENGTH.size and LENGTH.unpack_from(got)[0] > datagrams.MAX_STATE_EXCHANGE_BYTES:
                 self.counts["dropped:too-long"] += 1
                 return None
             got += await stream.receive()
         return self._opened(
-            bytes(got[LENGTH.size : LENGTH.size + LENGTH.unpack_from(got)[0]]), datagrams.EXCHANGE_MOST
+            bytes(got[LENGTH.size : LENGTH.size + LENGTH.unpack_from(got)[0]]),
+            datagrams.MAX_STATE_EXCHANGE_BYTES,
         )
 
     async def _listen_tcp(self, listener: SocketListener) -> None:
@@ -408,13 +415,13 @@
 
     async def _answer(self, stream: SocketStream) -> None:
         message = await self._receive(stream)
-        if message is None or self.over:
+        if message is None or self.stopped:
             return
-        assert self.machine is not None
+        assert self.protocol is not None
         where = _shown(stream.extra(SocketAttribute.remote_address)[:2])
-        actions = self.machine.handle(self.clock(), [events.Arrived(message, where, True)])
-        replies = [action.message for action in actions if isinstance(action, events.Reply)]
-        self._carry_out([action for action in actions if not isinstance(action, events.Reply)])
+        actions = self.protocol.handle(self.clock(), [events.MessageReceived(message, where, True)])
+        replies = [action.message for action in actions if isinstance(action, events.ReplyToStateExchange)]
+        self._carry_out([action for action in actions if not isinstance(action, events.ReplyToStateExchange)])
         for reply in replies[:1]:
             data = datagrams.seal(reply, self._secrets[0])
             self.counts["sent-bytes"] += len(data)
@@ -429,7 +436,7 @@
             self._read_keys()
 
     async def _keep(self) -> None:
-        assert self.machine is not None
+        assert self.protocol is not None
         before: member_cache.KnownMembers | None = None
         while True:
             members = [
@@ -437,7 +444,7 @@
                 for seen in self.view.members
                 if seen.state != "left"
             ]
-            kept = member_cache.KnownMembers(self.config.gateway.name, self.machine.life, members)
+            kept = member_cache.KnownMembers(self.config.gateway.name, self.protocol.generation, members)
             if kept != before:
                 try:
                     await anyio.to_thread.run_sync(member_cache.save, Path(self.fleet.keep), kept)
--- a/winchdyke/membership/dissemination.py
+++ b/winchdyke/membership/dissemination.py
@@ -5,29 +5,31 @@
 from winchdyke.membership import datagrams
 
 
-class Gossip:
+class GossipQueue:
     """Entries that are still to be told. A newer one of a member takes the place of the one before."""
 
     def __init__(self) -> None:
-        self._left: dict[str, tuple[datagrams.Entry, int, int]] = {}  # entry, times sent, bytes
+        self._updates: dict[str, tuple[datagrams.MemberRecord, int, int]] = {}  # entry, times sent, bytes
 
     def __len__(self) -> int:
-        return len(self._left)
+        return len(self._updates)
 
-    def tell(self, entry: datagrams.Entry) -> None:
+    def enqueue(self, entry: datagrams.MemberRecord) -> None:
         """From now on this is told of the member."""
-        self._left[entry.name] = entry, 0, datagrams.size(entry)
+        self._updates[entry.name] = entry, 0, datagrams.encoded_size(entry)
 
-    def forget(self, name: str) -> None:
+    def discard(self, name: str) -> None:
         """Nothing more is told of a member."""
-        self._left.pop(name, None)
+        self._updates.pop(name, None)
 
-    def take(self, room: int, sends: int, first: datagrams.Entry | None = None) -> list[datagrams.Entry]:
+    def select(
+        self, room: int, sends: int, first: datagrams.MemberRecord | None = None
+    ) -> list[datagrams.MemberRecord]:
         """Entries of so many bytes in all at the most; each goes out ``sends`` times. ``first`` goes in any case."""
         # Guards against a refutation that comes too late: a suspect hears its own accusation first (Lifeguard's buddies).
         found = [] if first is None else [first]
-        room -= 0 if first is None else datagrams.size(first)
-        for name, (entry, sent, size) in sorted(self._left.items(), key=lambda item: item[1][1]):
+        room -= 0 if first is None else datagrams.encoded_size(first)
+        for name, (entry, sent, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
             if first is not None and name == first.name:
                 continue
             if size > room:
@@ -35,7 +37,7 @@
             room -= size
             found.append(entry)
             if sent + 1 >= sends:
-                del self._left[name]
+                del self._updates[name]
             else:
-                self._left[name] = entry, sent + 1, size
+                self._updates[name] = entry, sent + 1, size
         return found
--- a/winchdyke/membership/events.py
+++ b/winchdyke/membership/events.py
@@ -4,21 +4,21 @@
 
 from dataclasses import dataclass
 
-from winchdyke.membership.datagrams import Envelope
+from winchdyke.membership.datagrams import SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
+class LocalMember:
     """This member, as it starts. ``life`` is higher than that of any process before it under this name, as far as it can know."""
 
     name: str
     address: str
     zone: str
     index: int
-    life: int
-    gateways: int = 0  # that the settings know; 0: not told
+    generation: int
+    gateway_count: int = 0  # that the settings know; 0: not told
     seeds: tuple[str, ...] = ()  # addresses
-    at: tuple[
+    address_overrides: tuple[
         tuple[str, str], ...
     ] = ()  # where members are reached from here, by name; these win over what is heard
 
@@ -27,30 +27,30 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendDatagram:
     """Send a datagram."""
 
     address: str
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
+class StartStateExchange:
     """Connect, send this over TCP, hand back the answer as :class:`Exchanged`."""
 
     address: str
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class ReplyToStateExchange:
     """Answer the exchange that is being handled."""
 
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class ReportEvent:
     """A line for operators; ``code`` is the reason, ``member`` whom it is about."""
 
     code: str
@@ -59,31 +59,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class StopMembership:
     """A later process has this name: this one is to say so and leave the fleet."""
 
-    why: str
+    reason: str
 
 
-Action = Tell | Exchange | Reply | Note | Leave
+Action = SendDatagram | StartStateExchange | ReplyToStateExchange | ReportEvent | StopMembership
 
 
 # What happens.
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
+class MessageReceived:
     """A datagram, or over TCP the question of an exchange."""
 
-    message: Envelope
+    message: SwimMessage
     address: str = ""
-    stream: bool = False
+    is_state_exchange: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Exchanged:
+class StateExchangeFinished:
     """How an exchange that this one began has ended; None: not at all."""
 
     address: str
-    number: int
-    message: Envelope | None
+    request_id: int
+    message: SwimMessage | None
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -10,8 +10,8 @@
 from winchdyke.durable_files import replace
 from winchdyke.membership.datagrams import Address, Name
 
-FILE = "members.json"
-MOST = 1 << 20
+FILE_NAME = "members.json"
+MAX_FILE_BYTES = 1 << 20
 
 
 class KnownMember(msgspec.Struct):
@@ -24,17 +24,17 @@
 class KnownMembers(msgspec.Struct):
     """What is kept: the last life of this process's name, so that the next one is later whatever the clock says."""
 
-    own: Name
-    life: int
+    local_name: Name
+    generation: int
     members: list[KnownMember] = []
 
 
 def load(folder: Path) -> tuple[KnownMembers | None, str]:
     """What is kept, and what is wrong with it ("": nothing, or there is none yet)."""
-    path = folder / FILE
+    path = folder / FILE_NAME
     try:
         with path.open("rb") as file:
-            return msgspec.json.decode(file.read(MOST), type=KnownMembers), ""
+            return msgspec.json.decode(file.read(MAX_FILE_BYTES), type=KnownMembers), ""
     except FileNotFoundError:
         return None, ""
     except OSError as error:
@@ -46,4 +46,4 @@
 def save(folder: Path, kept: KnownMembers) -> None:
     """Write it whole, synced and renamed. OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    replace(folder / FILE, msgspec.json.encode(kept), folder / f"{FILE}.{os.getpid()}.new")
+    replace(folder / FILE_NAME, msgspec.json.encode(kept), folder / f"{FILE_NAME}.{os.getpid()}.new")
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -11,12 +11,12 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-FRESH_MS = (
+ADDRESS_TTL_MS = (
     30_000.0  # for which an address is taken as the name's; then it is looked up anew, and used meanwhile
 )
-AGAIN_MS = 2_000.0  # between lookups that fail
-HELD = 4  # datagrams that wait for a name's first address; more are lost, as on the way
-MOST = 1024  # names known at once: as many as members
+RETRY_DELAY_MS = 2_000.0  # between lookups that fail
+MAX_QUEUED_DATAGRAMS = 4  # datagrams that wait for a name's first address; more are lost, as on the way
+MAX_HOST_NAMES = 1024  # names known at once: as many as members
 
 
 @dataclass
@@ -27,7 +27,7 @@
     held: list[tuple[str, bytes]] = field(default_factory=list)  # port and datagram
 
 
-def literal(host: str) -> bool:
+def is_ip_address(host: str) -> bool:
     """Whether a host is an address already."""
     try:
         ipaddress.ip_address(host.partition("%")[0])
@@ -40,28 +40,28 @@
     """What is known of hosts' names. Times are ms of the caller's clock."""
 
     def __init__(self) -> None:
-        self._names: OrderedDict[str, _Name] = OrderedDict()
+        self._hosts: OrderedDict[str, _Name] = OrderedDict()
 
-    def send(self, host: str, port: str, data: bytes, now: float) -> tuple[str, bool]:
+    def resolve(self, host: str, port: str, data: bytes, now: float) -> tuple[str, bool]:
         """Where to send something now ("": it is held until the name is known, or lost), and whether to look the name up."""
-        if literal(host):
+        if is_ip_address(host):
             return host, False
-        name = self._names.setdefault(host, _Name())
-        self._names.move_to_end(host)
-        while len(self._names) > MOST:
-            self._names.popitem(last=False)
+        name = self._hosts.setdefault(host, _Name())
+        self._hosts.move_to_end(host)
+        while len(self._hosts) > MAX_HOST_NAMES:
+            self._hosts.popitem(last=False)
         ask = not name.asked and now >= name.due
         name.asked = name.asked or ask
-        if not name.address and name.asked and len(name.held) < HELD:
+        if not name.address and name.asked and len(name.held) < MAX_QUEUED_DATAGRAMS:
             name.held.append((port, data))
         return name.address, ask
 
-    def found(self, host: str, address: str, now: float) -> list[tuple[str, bytes]]:
+    def lookup_finished(self, host: str, address: str, now: float) -> list[tuple[str, bytes]]:
         """A lookup has ended ("": it failed); what was held for it goes now, or is lost."""
-        name = self._names.get(host)
+        name = self._hosts.get(host)
         if name is None:
             return []
         held, name.held, name.asked = name.held, [], False
         name.address = address or name.address  # no name server: the last one known goes on counting
-        name.due = now + (FRESH_MS if address else AGAIN_MS)
+        name.due = now + (ADDRESS_TTL_MS if address else RETRY_DELAY_MS)
         return held if name.address else []
--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -14,9 +14,9 @@
 
 from winchdyke.membership import datagrams as wire
 from winchdyke.membership import events
-from winchdyke.membership.bounds import Bounds
-from winchdyke.membership.events import Own
+from winchdyke.membership.events import LocalMember
 from winchdyke.membership.swim import SwimProtocol
+from winchdyke.membership.swim_config import SwimConfig
 
 UDP_IP, TCP_SETUP = 28, 400  # bytes around a datagram, and of a short TCP connection beside what it carries
 SECRET = b"the model's key, sixteen or more"
@@ -53,7 +53,7 @@
     ended: float | None = None
     paused_until: float = 0.0
     forgets: bool = False  # what comes while it stands still is lost, as where its host has no room for it
-    waiting: list[events.Arrived | events.Exchanged] = field(default_factory=list)
+    waiting: list[events.MessageReceived | events.StateExchangeFinished] = field(default_factory=list)
 
     def clock(self, now: float) -> float:
         """What its own clock shows at a time."""
@@ -82,22 +82,22 @@
         self,
         members: int,
         seed: int,
-        bounds: Bounds | None = None,
+        bounds: SwimConfig | None = None,
         zones: int = 1,
-        make: Callable[[Own, Bounds, int, float], SwimProtocol] = SwimProtocol,
+        make: Callable[[LocalMember, SwimConfig, int, float], SwimProtocol] = SwimProtocol,
         links: Links | None = None,
         start_ms: float = 1000.0,
         drift: float = 0.0,
     ) -> None:
         """``drift``: by what part of it a clock may run fast or slow, drawn for each process."""
-        self.bounds, self.draw, self.make = bounds or Bounds(), random.Random(seed), make
+        self.bounds, self.draw, self.make = bounds or SwimConfig(), random.Random(seed), make
         self.links, self.drift = links or Links(), drift
         self.now, self._order = 0.0, 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self.lives: dict[str, Life] = {}
         self.past: list[Life] = []
         self.told: list[Told] = []
-        self.notes: list[tuple[float, str, events.Note]] = []
+        self.notes: list[tuple[float, str, events.ReportEvent]] = []
         self.bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self.largest = 0
         self._before: dict[str, dict[str, tuple[str, int]]] = defaultdict(dict)
@@ -121,7 +121,7 @@
             return
         index = int(name[1:])
         life = (int(self.now if clock is None else clock) + 1_000_000) << 16 | self.draw.getrandbits(16)
-        own = Own(
+        own = LocalMember(
             name,
             self._address(name),
             self.zones.get(name, "zone-0"),
@@ -176,8 +176,8 @@
         """What is wrong in which view."""
         found = []
         for name, life in self.lives.items():
-            want = sorted((n, other.machine.life) for n, other in self.lives.items() if n != name)
-            have = sorted(life.machine.view(life.clock(self.now)).agrees())
+            want = sorted((n, other.machine.generation) for n, other in self.lives.items() if n != name)
+            have = sorted(life.machine.view(life.clock(self.now)).active_generations())
             if want != have:
                 missing = [n for n, _ in want if n not in dict(have)]
                 extra = [n for n, _ in have if n not in dict(want)]
@@ -207,7 +207,7 @@
         return f"at-{name}"
 
     def _wake(self, life: Life) -> None:
-        self.at(max(life.when(life.machine.due), self.now + 0.01), lambda: self._turn(life))
+        self.at(max(life.when(life.machine.next_turn_ms), self.now + 0.01), lambda: self._turn(life))
 
     def _turn(self, life: Life) -> None:
         if self.lives.get(life.name) is not life or self.now < life.paused_until:
@@ -217,33 +217,33 @@
         if not happened:
             self._wake(life)
 
-    def _hand(self, life: Life, what: events.Arrived | events.Exchanged) -> None:
+    def _hand(self, life: Life, what: events.MessageReceived | events.StateExchangeFinished) -> None:
         if self.lives.get(life.name) is not life:
             return
         if self.now < life.paused_until:
-            if not life.forgets or isinstance(what, events.Exchanged):
+            if not life.forgets or isinstance(what, events.StateExchangeFinished):
                 life.waiting.append(what)
             return
         self._do(life, life.machine.handle(life.clock(self.now), [what]))
 
     def _do(self, life: Life, actions: Iterable[events.Action]) -> None:
         for action in actions:
-            if isinstance(action, events.Tell):
+            if isinstance(action, events.SendDatagram):
                 self._datagram(life.name, action.address, action.message)
-            elif isinstance(action, events.Exchange):
+            elif isinstance(action, events.StartStateExchange):
                 self._stream(life, action.address, action.message)
-            elif isinstance(action, events.Note):
+            elif isinstance(action, events.ReportEvent):
                 self.notes.append((self.now, life.name, action))
-            elif isinstance(action, events.Leave):
+            elif isinstance(action, events.StopMembership):
                 self.kill(life.name)
         view = life.machine.view(life.clock(self.now))
         if view.version != self._versions.get(life.name):
             self._versions[life.name] = view.version
             before = self._before[life.name]
             for member in view.members:
-                if before.get(member.name) != (member.state, member.life):
-                    before[member.name] = member.state, member.life
-                    self.told.append(Told(self.now, life.name, member.name, member.state, member.life))
+                if before.get(member.name) != (member.state, member.generation):
+                    before[member.name] = member.state, member.generation
+                    self.told.append(Told(self.now, life.name, member.name, member.state, member.generation))
 
     def _count(self, name: str, size: int) -> None:
         self.bytes[name][int(self.now / 1000)] += size
@@ -253,9 +253,9 @@
         delay = least + self.draw.expovariate(1 / mean)
         return delay * 100 if self.links.tail and self.draw.random() < self.links.tail else delay
 
-    def _datagram(self, sender: str, address: str, message: wire.Envelope) -> None:
+    def _datagram(self, sender: str, address: str, message: wire.SwimMessage) -> None:
         data, links = wire.seal(message, SECRET), self.links
-        assert len(data) <= wire.DATAGRAM_MOST, f"{len(data)} bytes"
+        assert len(data) <= wire.MAX_DATAGRAM_BYTES, f"{len(data)} bytes"
         self.largest = max(self.largest, len(data))
         self._count(sender, len(data) + UDP_IP)
         to = address.removeprefix("at-")
@@ -274,32 +274,32 @@
     def _datagram_comes(self, to: str, data: bytes, address: str) -> None:
         life = self.lives.get(to)
         if life is not None:
-            self._hand(life, events.Arrived(wire.unseal(data, [SECRET]), address))
+            self._hand(life, events.MessageReceived(wire.unseal(data, [SECRET]), address))
 
-    def _stream(self, life: Life, address: str, message: wire.Envelope) -> None:
+    def _stream(self, life: Life, address: str, message: wire.SwimMessage) -> None:
         links, to = self.links, address.removeprefix("at-")
         size = len(wire.seal(message, SECRET))
         self._count(life.name, size + TCP_SETUP)
 
-        def ended(answer: wire.Envelope | None) -> None:
-            self._hand(life, events.Exchanged(address, message.number, answer))
+        def ended(answer: wire.SwimMessage | None) -> None:
+            self._hand(life, events.StateExchangeFinished(address, message.request_id, answer))
 
         def comes() -> None:
             other = self.lives.get(to)
             there = links.streams and links.passes(life.name, to) and links.passes(to, life.name)
             if not there or other is None or self.now < other.paused_until:
-                self.at(self.now + self.bounds.timeout, lambda: ended(None))
+                self.at(self.now + self.bounds.probe_timeout_ms, lambda: ended(None))
                 return
             told = other.machine.handle(
-                other.clock(self.now), [events.Arrived(message, self._address(life.name), True)]
+                other.clock(self.now), [events.MessageReceived(message, self._address(life.name), True)]
             )
-            replies = [action.message for action in told if isinstance(action, events.Reply)]
+            replies = [action.message for action in told if isinstance(action, events.ReplyToStateExchange)]
             self._do(other, told)
             for reply in replies[:1]:
                 self._count(to, len(wire.seal(reply, SECRET)))
                 self.at(self.now + self._delay(), lambda reply=reply: ended(reply))  # type: ignore[misc]
             if not replies:
-                self.at(self.now + self.bounds.timeout, lambda: ended(None))
+                self.at(self.now + self.bounds.probe_timeout_ms, lambda: ended(None))
 
         # Lost segments are sent again: TCP answers late rather than not at all.
         again = 0.0
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -15,12 +15,12 @@
 import copy
 from collections.abc import Hashable, Iterable
 
-from winchdyke.membership.bounds import Bounds
-from winchdyke.membership.datagrams import Entry, State
-from winchdyke.membership.member_table import MemberTable, said
+from winchdyke.membership.datagrams import MemberRecord, MemberState
+from winchdyke.membership.member_table import MemberTable, with_state
+from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.checker import Broken
 
-BOUNDS = Bounds(sight=-1.0)  # sight depends on time; merging must hold without it
+BOUNDS = SwimConfig(direct_evidence_intervals=-1.0)  # sight depends on time; merging must hold without it
 Word = tuple[int, int, int, int]  # member, life, incarnation, state
 
 
@@ -31,7 +31,7 @@
         self.faults = faults
         self.own: list[tuple[int, int, bool]] = [(1, 0, True)] * members  # life, incarnation, whether it runs
         self.books = [book(str(n), BOUNDS) for n in range(members)]
-        self.words: frozenset[Word] = frozenset((n, 1, 0, int(State.ALIVE)) for n in range(members))
+        self.words: frozenset[Word] = frozenset((n, 1, 0, int(MemberState.ALIVE)) for n in range(members))
         self.heard: list[frozenset[Word]] = [frozenset() for _ in range(members)]
         for n in range(members):
             for word in self.words:
@@ -39,16 +39,16 @@
                     self._hear(n, word)
 
     @staticmethod
-    def _entry(word: Word) -> Entry:
+    def _entry(word: Word) -> MemberRecord:
         member, life, incarnation, state = word
-        return Entry(str(member), "", "", member, life, incarnation, state, "")
+        return MemberRecord(str(member), "", "", member, life, incarnation, state, "")
 
     def _hear(self, viewer: int, word: Word) -> None:
         book, name = self.books[viewer], str(word[0])
-        before = book.members[name].entry.order if name in book.members else (-1, -1, -1)
-        book.learn(self._entry(word), 0.0, "x")
+        before = book.members[name].record.precedence if name in book.members else (-1, -1, -1)
+        book.apply(self._entry(word), 0.0, "x")
         self.heard[viewer] |= {word}
-        if name in book.members and book.members[name].entry.order[:2] < before[:2]:
+        if name in book.members and book.members[name].record.precedence[:2] < before[:2]:
             raise Broken(f"no way back: {viewer} goes back on {name}")
 
     def steps(self) -> Iterable[str]:
@@ -63,9 +63,9 @@
             if self.faults:
                 yield f"end {viewer}"
                 for member in self.books[viewer].members.values():
-                    if member.state is State.ALIVE:
+                    if member.state is MemberState.ALIVE:
                         yield f"accuse {viewer} {member.name}"
-                    elif member.state is State.SUSPECT:
+                    elif member.state is MemberState.SUSPECT:
                         yield f"bury {viewer} {member.name}"
 
     def after(self, step: str) -> Words:
@@ -92,12 +92,12 @@
             world.own[viewer] = life + 1, 0, True
             world.books[viewer] = type(self.books[viewer])(str(viewer), BOUNDS)
             world.heard[viewer] = frozenset()
-            world.words |= {(viewer, life + 1, 0, int(State.ALIVE))}
+            world.words |= {(viewer, life + 1, 0, int(MemberState.ALIVE))}
         else:
             world.faults -= 1
-            state = State.SUSPECT if what == "accuse" else State.DEAD
-            entry = said(world.books[viewer].members[rest[0]].entry, state, who)
-            word = (int(rest[0]), entry.life, entry.incarnation, int(state))
+            state = MemberState.SUSPECT if what == "accuse" else MemberState.DEAD
+            entry = with_state(world.books[viewer].members[rest[0]].record, state, who)
+            word = (int(rest[0]), entry.generation, entry.incarnation, int(state))
             world.words |= {word}
             world._hear(viewer, word)
         world._check()
@@ -107,15 +107,15 @@
         """As the machine does it."""
         life, incarnation, runs = self.own[viewer]
         _, said_life, said_incarnation, state = word
-        if said_life == life and state != State.ALIVE and said_incarnation >= incarnation:
+        if said_life == life and state != MemberState.ALIVE and said_incarnation >= incarnation:
             self.own[viewer] = life, said_incarnation + 1, runs
-            self.words |= {(viewer, life, said_incarnation + 1, int(State.ALIVE))}
+            self.words |= {(viewer, life, said_incarnation + 1, int(MemberState.ALIVE))}
 
     def _check(self) -> None:
         for viewer, book in enumerate(self.books):
             for name, member in book.members.items():
                 life, incarnation, _ = self.own[int(name)]
-                if member.entry.order[:2] > (life, incarnation):
+                if member.record.precedence[:2] > (life, incarnation):
                     raise Broken(f"own voice: {viewer} believes of {name} what it never said")
         for number in range(len(self.books)):
             name = str(number)
@@ -124,18 +124,18 @@
                 if name not in book.members:
                     continue
                 heard = frozenset(word for word in self.heard[viewer] if word[0] == number)
-                order = book.members[name].entry.order
+                order = book.members[name].record.precedence
                 if believed.setdefault(heard, order) != order:
                     raise Broken(f"heard is one: views that heard the same differ on {name}")
             life, incarnation, runs = self.own[number]
             mine = {word for word in self.words if word[0] == number}
-            accused = [word[1:3] for word in mine & self.heard[number] if word[3] != State.ALIVE]
+            accused = [word[1:3] for word in mine & self.heard[number] if word[3] != MemberState.ALIVE]
             if runs and any(word >= (life, incarnation) for word in accused):
                 raise Broken(f"refuted: {name} has heard an accusation and does not stand above it")
 
     def key(self) -> Hashable:
         """Equal for worlds from which the same can follow."""
         books = tuple(
-            tuple(sorted((n, m.entry.order) for n, m in book.members.items())) for book in self.books
+            tuple(sorted((n, m.record.precedence) for n, m in book.members.items())) for book in self.books
         )
         return self.faults, tuple(self.own), books, self.words, tuple(self.heard)
