--- a/benchmarks/fleet_mutants.py
+++ b/benchmarks/membership_mutants.py
@@ -1,6 +1,6 @@
 """Membership on processes with one defence taken out at a time: what tells, on a day that needs the defence.
 
-    python benchmarks/fleet_mutants.py [NAME ...] [--seed 1] [--jobs 2] [--gateways 8]
+    python benchmarks/membership_mutants.py [NAME ...] [--seed 1] [--jobs 2] [--gateways 8]
 
 Each day is played twice, with the gateways as they are and with all of them mutants. Told: the judge's verdict, and by the
 gateways' own lines how often one that ran and could be reached was dead in a view, how often one was suspected by a gateway on its own
@@ -24,49 +24,53 @@
 from winchdyke.days import script
 from winchdyke.days.members import bounds_of, stops
 from winchdyke.days.script import Event
-from winchdyke.membership import swim as m
 from winchdyke.membership.datagrams import MemberRecord, MemberState, MessageKind
 from winchdyke.membership.local_health import LocalHealth
+from winchdyke.membership.log_events import log_event
+from winchdyke.membership.probing import Prober
+from winchdyke.membership.refutation import Refutation
+from winchdyke.membership.swim import SwimProtocol
 
 FAULTS_MS, CALM_MS = 12_000.0, 15_000.0  # of trouble, and after it for views to agree
 
 
-def no_refutation(machine: type[m.SwimProtocol]) -> None:
-    """An accused process says nothing."""
-    machine._of_self = lambda self, entry, teller: None  # type: ignore[method-assign,assignment]
+def without_refutation() -> None:
+    """A suspected process says nothing."""
+    Refutation.handle_record = lambda self, record, reporter: None  # type: ignore[method-assign,assignment]
 
 
-def no_incarnations(machine: type[m.SwimProtocol]) -> None:
-    """An accused process says that it is there, under the incarnation that was accused."""
-    before = machine._of_self
+def without_incarnations() -> None:
+    """A suspected process answers under the incarnation that is suspected."""
+    before = Refutation.handle_record
 
-    def of_self(self: m.SwimProtocol, entry: MemberRecord, teller: str) -> None:
+    def handle_record(self: Refutation, record: MemberRecord, reporter: str) -> None:
+        context = self._context
         if (
-            entry.generation != self.generation
-            or entry.state == MemberState.ALIVE
-            or entry.incarnation < self.incarnation
+            record.generation != context.generation
+            or record.state == MemberState.ALIVE
+            or record.incarnation < context.incarnation
         ):
-            before(self, entry, teller)
+            before(self, record, reporter)
             return
-        self.gossip.enqueue(self._self())
-        self._tell(teller, MessageKind.PING, self._number())
+        context.gossip.enqueue(context.local_record())
+        context.send(reporter, MessageKind.PING, context.new_request_id())
 
-    machine._of_self = of_self  # type: ignore[method-assign]
+    Refutation.handle_record = handle_record  # type: ignore[method-assign]
 
 
-def no_indirect_probes(machine: type[m.SwimProtocol]) -> None:
-    """Nobody is asked to probe in one's place, and TCP is not tried."""
-    machine._ask_others = lambda self, probe: None  # type: ignore[method-assign,assignment]
+def without_indirect_probes() -> None:
+    """No other member is asked to probe, and TCP is not used."""
+    Prober.request_indirect_probes = lambda self, probe: None  # type: ignore[method-assign,assignment]
 
 
-def no_local_health(machine: type[m.SwimProtocol]) -> None:
-    """A process that misses answers goes on at its own pace."""
+def without_local_health() -> None:
+    """A process that misses acks keeps its probe interval and timeouts."""
     LocalHealth.degrade = lambda self, by=1: None  # type: ignore[method-assign,assignment]
 
 
-def no_look_at_sleep(machine: type[m.SwimProtocol]) -> None:
-    """A process that did not run takes what it missed for silence."""
-    machine._woke = lambda self, late: None  # type: ignore[method-assign,assignment]
+def without_pause_detection() -> None:
+    """A process that was paused takes what it missed for silence."""
+    SwimProtocol._handle_pause = lambda self, paused_ms: None  # type: ignore[method-assign,assignment]
 
 
 def _day(seed: int, gateways: int, events: list[Event]) -> script.Day:
@@ -105,16 +109,16 @@
 class Mutant:
     """A defence taken out, and a day that needs it."""
 
-    take_out: Callable[[type[m.SwimProtocol]], None]
+    remove: Callable[[], None]
     day: Callable[[int, int], script.Day]
 
 
 MUTANTS = {
-    "refutation": Mutant(no_refutation, stopped),
-    "incarnations": Mutant(no_incarnations, stopped),
-    "indirect": Mutant(no_indirect_probes, deaf),
-    "health": Mutant(no_local_health, hears_nothing),
-    "sleep": Mutant(no_look_at_sleep, naps),
+    "refutation": Mutant(without_refutation, stopped),
+    "incarnations": Mutant(without_incarnations, stopped),
+    "indirect": Mutant(without_indirect_probes, deaf),
+    "health": Mutant(without_local_health, hears_nothing),
+    "sleep": Mutant(without_pause_detection, naps),
 }
 
 
@@ -148,8 +152,8 @@
         interval, halts = bounds_of(day).probe_interval_ms, stops(seen)
         suspected, waking = 0, 0
         for gateway in (f"gateway-{n}" for n in range(gateways)):
-            for at, row in _notes(where / f"{gateway}.log", offset):
-                if row.get("code") == "suspect" and str(row.get("text", "")).startswith(f"by {gateway},"):
+            for at, row in _suspicions(where / f"{gateway}.log", offset):
+                if str(row.get("text", "")).startswith(f"by {gateway},"):
                     suspected += 1
                     waking += any(until <= at < until + interval for _, until in halts[gateway])
         why = members.broken[0][1] if members.broken else ""
@@ -160,14 +164,15 @@
     return play(*job)
 
 
-def _notes(log: Path, offset: float) -> list[tuple[float, dict[str, Any]]]:
+def _suspicions(log: Path, offset: float) -> list[tuple[float, dict[str, Any]]]:
+    wanted = log_event("suspect", "any")
     found = []
     for line in log.read_bytes().splitlines():
         try:
             row = json.loads(line)
         except ValueError:
             continue
-        if isinstance(row, dict) and row.get("event") == "fleet" and "timestamp" in row:
+        if isinstance(row, dict) and row.get("event") == wanted and "timestamp" in row:
             found.append((row["timestamp"] * 1000 - offset, row))
     return found
 
@@ -176,7 +181,7 @@
     """Be the gateway with a defence out."""
     from winchdyke.cli.main import main as command
 
-    MUTANTS[name].take_out(m.SwimProtocol)
+    MUTANTS[name].remove()
     command(arguments, prog_name="winchdyke")
 
 
--- a/benchmarks/members.py
+++ b/benchmarks/membership_variants.py
@@ -1,6 +1,6 @@
 """Membership in virtual time: as it is, plain SWIM, heartbeats and phi accrual, under loss, pauses, one-sided cuts, a split, drift.
 
-    python -m benchmarks.members [--members 24] [--seeds 3] [--large 250] [--plot docs/figures/members.png]
+    python -m benchmarks.membership_variants [--members 24] [--seeds 3] [--large 250] [--plot docs/figures/members.png]
 
 Simulated figures, all of them: real machines on the model's network (winchdyke/model/fleet.py). For each way: ms until a killed
 member is dead in every view (median and most over seeds), deaths of members that ran (for each member and hour), bytes a second
@@ -16,10 +16,13 @@
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import replace
 
-from winchdyke.membership import datagrams, events
-from winchdyke.membership import swim as m
-from winchdyke.membership.datagrams import MemberState
-from winchdyke.membership.member_table import Member, with_state
+from winchdyke.membership import events
+from winchdyke.membership.datagrams import MemberRecord, MemberState, MessageKind
+from winchdyke.membership.dissemination import Dissemination
+from winchdyke.membership.member import Member
+from winchdyke.membership.member_table import with_state
+from winchdyke.membership.probing import Probe, Prober
+from winchdyke.membership.suspicion import SuspicionMonitor
 from winchdyke.membership.swim import SwimProtocol
 from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.fleet import Fleet, Links
@@ -27,108 +30,125 @@
 HOUR = 3_600_000.0
 LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
 DRIFTS = (0.0, 0.01, 0.05)
-LOST_BEATS = 5.0  # intervals without a heartbeat after which a member is dead
+MAX_MISSED_HEARTBEATS = 5.0  # intervals
 # Phi accrual: the threshold of Hayashibara et al. (2004) that later systems took over, their window and least deviation.
-PHI_DEAD, PHI_WINDOW, PHI_LEAST = 8.0, 200, 0.1
+PHI_DEAD = 8.0
+PHI_WINDOW = 200
+PHI_MIN_DEVIATION_FRACTION = 0.1  # of the probe interval
 
 
-class Plain(SwimProtocol):
-    """SWIM with suspicion, without Lifeguard's parts, the look at sleep, sight, and TCP beside probes."""
+class PlainProber(Prober):
+    """Plain SWIM: asks other members alone, suspects among them, and doesn't use TCP."""
 
-    def _woke(self, late: float) -> None:
-        pass
+    def request_indirect_probes(self, probe: Probe) -> None:
+        members = self._context.table.active_members()
+        self.send_ping_reqs(probe, [member for member in members if member.name != probe.target])
 
-    def _ask_others(self, probe: m._Probe) -> None:
-        others = [member for member in self.table.active_members() if member.name != probe.name]
-        helpers = self.random.sample(others, min(self.config.indirect_probe_count, len(others)))
-        probe.asked = tuple(helper.name for helper in helpers)
-        for name in probe.asked:
-            self._tell(name, datagrams.MessageKind.PING_REQ, probe.number, target=probe.name)
 
-    def _expire(self, member: Member) -> None:
-        self._learn(with_state(member.record, MemberState.DEAD, self.local.name), self.local.name)
+class PlainSuspicion(SuspicionMonitor):
+    """Ends each suspicion in a death, whatever was received meanwhile."""
 
+    def expire(self, member: Member) -> None:
+        self._set_state(member, MemberState.DEAD)
 
-class Beats(SwimProtocol):
-    """A heartbeat to everybody each interval; who is not heard for five of them is dead, by the own ears alone."""
 
-    def _woke(self, late: float) -> None:
-        pass
+class PlainSwim(SwimProtocol):
+    """SWIM with suspicion, without Lifeguard's parts, pause detection, direct evidence, and TCP beside probes."""
 
-    def _answer(
-        self,
-        message: datagrams.SwimMessage,
-        what: events.MessageReceived,
-        kind: datagrams.MessageKind,
-        age: int,
-    ) -> None:
+    suspicion_type = PlainSuspicion
+    prober_type = PlainProber
+
+    def _handle_pause(self, paused_ms: float) -> None:
         pass
 
-    def _learn(self, entry: datagrams.MemberRecord, teller: str) -> None:
-        if teller != self.local.name and entry.state != MemberState.ALIVE:
-            return
-        super()._learn(entry, teller)
-
-    def _time(self) -> None:
-        if self.now >= self._probe_at:
-            self._probe_at += self.config.probe_interval_ms
-            for member in self.table.members.values():
-                if member.state is not MemberState.LEFT:
-                    self._tell(member.name, datagrams.MessageKind.PING, entries=[self._self()])
-        for member in self.table.members.values():
-            if member.is_active and self._late(member):
-                self._learn(with_state(member.record, MemberState.DEAD, self.local.name), self.local.name)
-            elif member.state is MemberState.DEAD and member.last_received_ms > member.state_since_ms:
-                member.record, member.state_since_ms = (
-                    with_state(member.record, MemberState.ALIVE, ""),
-                    self.now,
-                )
-                self.table.version += 1
-        if self.now >= self._seed_at and len(self.table.members) + 1 < self.local.gateway_count:
-            self._try_seed()
-
-    def _late(self, member: Member) -> bool:
-        return (
-            self.now - max(member.last_received_ms, member.state_since_ms)
-            > LOST_BEATS * self.config.probe_interval_ms
-        )
 
+class AliveGossip(Dissemination):
+    """Believes others' reports of members that are alive only."""
 
-class Phi(Beats):
-    """Heartbeats to everybody, judged by each link's own history: dead where one this late is one in 10^8."""
+    def apply(self, record: MemberRecord, reporter: str) -> None:
+        if reporter == self._context.local.name or record.state == MemberState.ALIVE:
+            super().apply(record, reporter)
 
-    def __init__(self, own: events.LocalMember, bounds: SwimConfig, seed: int, now: float) -> None:
-        super().__init__(own, bounds, seed, now)
-        self._gaps: defaultdict[str, deque[float]] = defaultdict(lambda: deque(maxlen=PHI_WINDOW))
-        self._last: dict[str, float] = {}
 
-    def _arrived(self, what: events.MessageReceived) -> None:
-        super()._arrived(what)
-        name = what.message.sender
-        if name in self.table.members and what.message.kind == datagrams.MessageKind.PING:
-            if name in self._last:
-                self._gaps[name].append(self.now - self._last[name])
-            self._last[name] = self.now
+class Heartbeats(SwimProtocol):
+    """A heartbeat to every member each interval; one that is silent for five of them is dead, by direct evidence alone."""
 
-    def _late(self, member: Member) -> bool:
+    dissemination_type = AliveGossip
+
+    def _handle_pause(self, paused_ms: float) -> None:
+        pass
+
+    def _send_ack(self, event: events.MessageReceived) -> None:
+        pass
+
+    def _run_timers(self) -> None:
+        context = self.context
+        now = context.now
+        if now >= self.prober.next_probe_ms:
+            self.prober.next_probe_ms += context.config.probe_interval_ms
+            self._send_heartbeats()
+        for member in context.table.members.values():
+            if member.is_active and self._is_silent(member):
+                dead = with_state(member.record, MemberState.DEAD, self.local.name)
+                self.dissemination.apply(dead, self.local.name)
+            elif member.state is MemberState.DEAD and member.last_received_ms > member.state_since_ms:
+                member.record = with_state(member.record, MemberState.ALIVE, "")
+                member.state_since_ms = now
+                context.table.version += 1
+        if (
+            now >= self.exchanges.reconnect.seed_due_ms
+            and len(context.table.members) + 1 < self.local.gateway_count
+        ):
+            self.exchanges.contact_seed()
+
+    def _send_heartbeats(self) -> None:
+        for member in self.context.table.members.values():
+            if member.state is not MemberState.LEFT:
+                record = self.context.local_record()
+                self.context.send(member.name, MessageKind.PING, records=[record])
+
+    def _is_silent(self, member: Member) -> bool:
+        silent_ms = self.context.now - max(member.last_received_ms, member.state_since_ms)
+        return silent_ms > MAX_MISSED_HEARTBEATS * self.context.config.probe_interval_ms
+
+
+class PhiAccrual(Heartbeats):
+    """Heartbeats to every member, judged by each link's history: dead where one this late has a probability of 10^-8."""
+
+    def __init__(self, local: events.LocalMember, config: SwimConfig, seed: int, now: float) -> None:
+        super().__init__(local, config, seed, now)
+        self._gaps: defaultdict[str, deque[float]] = defaultdict(lambda: deque(maxlen=PHI_WINDOW))
+        self._last_heartbeat_ms: dict[str, float] = {}
+
+    def _handle_message(self, event: events.MessageReceived) -> None:
+        super()._handle_message(event)
+        name = event.message.sender
+        if name in self.table.members and event.message.kind == MessageKind.PING:
+            now = self.context.now
+            if name in self._last_heartbeat_ms:
+                self._gaps[name].append(now - self._last_heartbeat_ms[name])
+            self._last_heartbeat_ms[name] = now
+
+    def _is_silent(self, member: Member) -> bool:
         gaps = self._gaps[member.name]
         if len(gaps) < 2:
-            return super()._late(member)
+            return super()._is_silent(member)
         mean = statistics.fmean(gaps)
-        deviation = max(PHI_LEAST * self.config.probe_interval_ms, statistics.pstdev(gaps, mean))
-        passed = self.now - max(self._last[member.name], member.state_since_ms)
+        min_deviation = PHI_MIN_DEVIATION_FRACTION * self.context.config.probe_interval_ms
+        deviation = max(min_deviation, statistics.pstdev(gaps, mean))
+        passed = self.context.now - max(self._last_heartbeat_ms[member.name], member.state_since_ms)
         later = 0.5 * math.erfc((passed - mean) / deviation / math.sqrt(2))
         return later < 10.0**-PHI_DEAD
 
 
-SWIM = replace(
+PLAIN_CONFIG = replace(
     SwimConfig(), max_local_health_score=0, max_suspicion_factor=1.0, direct_evidence_intervals=-1.0
 )
 WAYS: dict[str, tuple[type[SwimProtocol], SwimConfig]] = {
     "as it is": (SwimProtocol, SwimConfig()),
-    "plain SWIM": (Plain, SWIM),
-    "heartbeats": (Beats, SwimConfig()),
-    "phi accrual": (Phi, SwimConfig()),
+    "plain SWIM": (PlainSwim, PLAIN_CONFIG),
+    "heartbeats": (Heartbeats, SwimConfig()),
+    "phi accrual": (PhiAccrual, SwimConfig()),
 }
 
 
--- a/fuzz/datagrams.py
+++ b/fuzz/datagrams.py
@@ -14,12 +14,13 @@
 
 with atheris.instrument_imports(include=["winchdyke.membership"]):
     from winchdyke.membership import datagrams, events
-    from winchdyke.membership import swim as m
+    from winchdyke.membership.errors import MessageRejectedError
+    from winchdyke.membership.swim import SwimProtocol
     from winchdyke.membership.swim_config import SwimConfig
 
 SECRET = b"a secret that no input knows...."
 HEAD = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
-BOUNDS = SwimConfig(max_members=50)
+CONFIG = SwimConfig(max_members=50)
 
 
 def one(data: bytes) -> None:
@@ -29,18 +30,18 @@
     if data[0] % 4 == 0:
         try:
             datagrams.unseal(data[1:], [SECRET])
-        except datagrams.MessageRejectedError as dropped:
+        except MessageRejectedError as dropped:
             assert dropped.reason
         else:
             raise AssertionError("taken without the key")
         return
-    machine = m.SwimProtocol(events.LocalMember("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), BOUNDS, 1, 0.0)
+    machine = SwimProtocol(events.LocalMember("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), CONFIG, 1, 0.0)
     now = 0.0
     for body in data[1:].split(b"\xff\xff")[:16]:
         now += 100.0 * (1 + data[0] % 7)
         try:
             message = datagrams.unseal(HEAD + datagrams.message_mac(SECRET, HEAD, body) + body, [SECRET])
-        except datagrams.MessageRejectedError:
+        except MessageRejectedError:
             message = None
         happened: list[events.MessageReceived | events.StateExchangeFinished] = []
         if message is not None:
@@ -55,7 +56,7 @@
             if isinstance(action, events.SendDatagram):
                 assert len(datagrams.seal(action.message, SECRET)) <= datagrams.MAX_DATAGRAM_BYTES
         machine.view(now)
-        assert len(machine.table.members) <= BOUNDS.max_members
+        assert len(machine.table.members) <= CONFIG.max_members
 
 
 def main() -> None:
--- a/tests/test_fleet_node.py
+++ b/tests/test_membership_agent.py
@@ -25,8 +25,16 @@
 from winchdyke.config_rollout.hot_reload import fixed
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.membership import datagrams, member_cache
-from winchdyke.membership.agent import MembershipAgent, MembershipError
-from winchdyke.membership.resolver import ADDRESS_TTL_MS, MAX_HOST_NAMES, RETRY_DELAY_MS, AddressResolver
+from winchdyke.membership.agent import MembershipAgent
+from winchdyke.membership.errors import MembershipError
+from winchdyke.membership.resolver import (
+    ADDRESS_TTL_MS,
+    MAX_HOST_NAMES,
+    RETRY_DELAY_MS,
+    AddressResolver,
+    QueuedDatagram,
+    Resolution,
+)
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -220,7 +228,8 @@
         peer = ("one", Listen("gateway-one.example", one.address[1]))
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),), peers=(peer,)), clock)
         await two.open()
-        two._udp = sends = Sends(two._udp)  # type: ignore[assignment]
+        sends = Sends(two.transport._udp)
+        two.transport._udp = sends  # type: ignore[assignment]
         async with running(one, two):
             await until(lambda: states(two) == {"one": "alive"} and bool(asked))
             assert not sends.hosts, "held, or lost as on the way, while nobody knows the address"
@@ -234,32 +243,33 @@
 
 def test_names_are_looked_up_one_at_a_time_anew_when_old_and_kept_where_nobody_answers():
     names = AddressResolver()
-    assert names.resolve("10.0.0.1", "1", b"a", 0.0) == ("10.0.0.1", False)
-    assert names.resolve("::1", "1", b"a", 0.0) == ("::1", False)
-    assert names.resolve("gw", "1", b"a", 0.0) == ("", True)
-    assert names.resolve("gw", "2", b"b", 0.0) == ("", False), "under way already"
+    assert names.resolve("10.0.0.1", "1", b"a", 0.0) == Resolution("10.0.0.1", False)
+    assert names.resolve("::1", "1", b"a", 0.0) == Resolution("::1", False)
+    assert names.resolve("gw", "1", b"a", 0.0) == Resolution("", True)
+    assert names.resolve("gw", "2", b"b", 0.0) == Resolution("", False), "under way already"
     for _ in range(10):
         names.resolve("gw", "2", b"c", 0.0)
     assert names.lookup_finished("gw", "10.0.0.2", 1.0) == [
-        ("1", b"a"),
-        ("2", b"b"),
-        ("2", b"c"),
-        ("2", b"c"),
+        QueuedDatagram("1", b"a"),
+        QueuedDatagram("2", b"b"),
+        QueuedDatagram("2", b"c"),
+        QueuedDatagram("2", b"c"),
     ]
-    assert names.resolve("gw", "1", b"d", 2.0) == ("10.0.0.2", False)
-    assert names.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == ("10.0.0.2", True), (
+    assert names.resolve("gw", "1", b"d", 2.0) == Resolution("10.0.0.2", False)
+    assert names.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == Resolution("10.0.0.2", True), (
         "used while it is looked up anew"
     )
     assert names.lookup_finished("gw", "", 40_000.0) == []
-    assert names.resolve("gw", "1", b"d", 40_001.0) == ("10.0.0.2", False), "no name server: as it was"
-    assert names.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == ("10.0.0.2", True)
-    assert names.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
-    assert names.resolve("gw", "1", b"d", 43_001.0) == ("10.0.0.3", False), "it has moved"
-    assert names.resolve("lost", "1", b"e", 0.0) == ("", True)
-    assert names.lookup_finished("lost", "", 1.0) == [] and names.resolve("lost", "1", b"e", 2.0) == (
-        "",
-        False,
+    assert names.resolve("gw", "1", b"d", 40_001.0) == Resolution("10.0.0.2", False), (
+        "no name server: as it was"
     )
+    assert names.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == Resolution("10.0.0.2", True)
+    assert names.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
+    assert names.resolve("gw", "1", b"d", 43_001.0) == Resolution("10.0.0.3", False), "it has moved"
+    assert names.resolve("lost", "1", b"e", 0.0) == Resolution("", True)
+    assert names.lookup_finished("lost", "", 1.0) == [] and names.resolve(
+        "lost", "1", b"e", 2.0
+    ) == Resolution("", False)
     for number in range(2 * MAX_HOST_NAMES):
         names.resolve(f"host-{number}", "1", b"", 0.0)
     assert len(names._hosts) == MAX_HOST_NAMES
@@ -305,7 +315,7 @@
             for numbers in ((1, 2), (2, 1), (2,)):
                 ring(tmp_path / "keys", *numbers)
                 await anyio.sleep(1.3)
-            sealed = [key.id for key in one._keys.good(time.time() * 1000)]
+            sealed = [key.id for key in one.keys.ring.good(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
             assert states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
@@ -409,7 +419,7 @@
 
 
 def test_the_command_shows_explains_and_watches(monkeypatch):
-    monkeypatch.setattr(command, "_standing", lambda where, key: STANDING)
+    monkeypatch.setattr(command, "_fetch_status", lambda where, key: STANDING)
 
     def said(*words: str) -> str:
         done = CliRunner().invoke(command.command, list(words))
--- a/tests/test_fleet_wire.py
+++ b/tests/test_membership_datagrams.py
@@ -12,10 +12,10 @@
     MemberRecord,
     MemberState,
     MessageKind,
-    MessageRejectedError,
     ReplayWindow,
     SwimMessage,
 )
+from winchdyke.membership.errors import MessageRejectedError
 
 SECRET, OTHER = b"s" * 32, b"t" * 32
 ENTRY = MemberRecord("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(MemberState.ALIVE), "g1")
--- a/tests/test_fleet_day.py
+++ b/tests/test_membership_processes.py
@@ -19,6 +19,7 @@
 from winchdyke.days import script
 from winchdyke.days.members import Views
 from winchdyke.days.run import run_day
+from winchdyke.membership.log_events import log_event
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.record import Record
 from winchdyke.standins.wire import Peer
@@ -65,7 +66,7 @@
             rows = [
                 {"timestamp": at / 1000, "event": "started"}
                 if code == "started"
-                else {"timestamp": at / 1000, "event": "fleet", "code": code, "member": member}
+                else {"timestamp": at / 1000, "event": log_event(code, member), "member": member}
                 for at, member, code in sorted(lines)
             ]
             (self.where / f"{name}.log").write_text("\n".join(map(json.dumps, rows)))
--- a/tests/test_fleet_members.py
+++ b/tests/test_membership_protocol.py
@@ -7,9 +7,10 @@
 from hypothesis import strategies as st
 
 from winchdyke.membership import datagrams, events
-from winchdyke.membership import swim as m
 from winchdyke.membership.datagrams import MemberRecord, MemberState, MessageKind, SwimMessage
 from winchdyke.membership.events import LocalMember
+from winchdyke.membership.probing import Probe, Prober
+from winchdyke.membership.refutation import Refutation
 from winchdyke.membership.swim import SwimProtocol
 from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.fleet import Fleet, Links
@@ -203,7 +204,7 @@
     for mine, other in (("g0", 1), ("g1", 0)):
         event = fleet.lives[mine].machine.view(fleet.now).outage
         assert event is not None and event.zone == f"zone-{other}", event
-        assert set(event.members) == sides[other] and "zone" in event.text
+        assert set(event.members) == sides[other] and "zone" in event.description
     fleet.links.cut = set()
     healed = fleet.now
     assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(24)) is not None, fleet.differ()[:3]
@@ -220,7 +221,7 @@
     took = fleet.until_agreed(120_000.0)
     assert took is not None and took <= fleet.bounds.detection_bound_ms(20)
     event = fleet.lives["g0"].machine.view(fleet.now).outage
-    assert event is not None and len(event.members) == 14 and event.since >= since
+    assert event is not None and len(event.members) == 14 and event.started_at_ms >= since
 
 
 def test_a_rolling_restart_a_tenth_at_a_time_is_followed():
@@ -271,40 +272,56 @@
 def machine(bounds: SwimConfig | None = None, **more: object) -> SwimProtocol:
     """A member by itself."""
     own = LocalMember(
-        **{"name": "a", "address": "at-a", "zone": "z", "index": 0, "life": 10 << 16, "gateways": 4, **more}
+        **{
+            "name": "a",
+            "address": "at-a",
+            "zone": "z",
+            "index": 0,
+            "generation": 10 << 16,
+            "gateway_count": 4,
+            **more,
+        }
     )  # type: ignore[arg-type]
     return SwimProtocol(own, bounds or SwimConfig(), 5, 0.0)
 
 
-def entry(
-    name: str, state: MemberState = MemberState.ALIVE, life: int = 1, incarnation: int = 0, by: str = ""
+def record(
+    name: str,
+    state: MemberState = MemberState.ALIVE,
+    generation: int = 1,
+    incarnation: int = 0,
+    reported_by: str = "",
 ) -> MemberRecord:
-    return MemberRecord(name, f"at-{name}", "z", 1, life, incarnation, int(state), by)
+    return MemberRecord(name, f"at-{name}", "z", 1, generation, incarnation, int(state), reported_by)
 
 
 class Peer:
     """Somebody that speaks to a machine by hand."""
 
-    def __init__(self, to: SwimProtocol, name: str = "b", life: int = 1) -> None:
-        self.to, self.name, self.life, self.counter, self.now = to, name, life, 0, 0.0
+    def __init__(self, to: SwimProtocol, name: str = "b", generation: int = 1) -> None:
+        self.to = to
+        self.name = name
+        self.generation = generation
+        self.counter = 0
+        self.now = 0.0
 
     def say(
         self,
         kind: MessageKind = MessageKind.PING,
-        number: int = 1,
-        entries: list[MemberRecord] | None = None,
+        request_id: int = 1,
+        others: list[MemberRecord] | None = None,
         **more: object,
     ) -> list[events.Action]:
         self.counter += 1
-        mine = [entry(self.name, life=self.life), *(entries or [])]
+        records = [record(self.name, generation=self.generation), *(others or [])]
         fields = {
             "sender": self.name,
-            "life": self.life,
-            "counter": self.counter,
-            "to": "a",
+            "generation": self.generation,
+            "message_counter": self.counter,
+            "recipient": "a",
             "kind": int(kind),
         }
-        message = SwimMessage(**{**fields, "number": number, "entries": mine, **more})  # type: ignore[arg-type]
+        message = SwimMessage(**{**fields, "request_id": request_id, "records": records, **more})  # type: ignore[arg-type]
         return self.to.handle(self.now, [events.MessageReceived(message, f"at-{self.name}")])
 
     def state(self, name: str) -> MemberState:
@@ -322,7 +339,7 @@
     one = machine()
     peer = Peer(one)
     for _ in range(5):
-        told = peer.say(entries=[entry("a", MemberState.SUSPECT, 10 << 16, one.incarnation, "b")])
+        told = peer.say(others=[record("a", MemberState.SUSPECT, 10 << 16, one.incarnation, "b")])
         mine = [
             e
             for action in told
@@ -337,21 +354,22 @@
 def test_a_late_accusation_of_an_earlier_life_does_nothing():
     one = machine()
     peer = Peer(one)
-    peer.say(entries=[entry("a", MemberState.DEAD, (10 << 16) - 1, 7, "b"), entry("c", life=9)])
+    peer.say(others=[record("a", MemberState.DEAD, (10 << 16) - 1, 7, "b"), record("c", generation=9)])
     assert one.incarnation == 0 and one.counts["accused-earlier-life"] == 1
-    peer.say(entries=[entry("c", MemberState.DEAD, 8, 99, "b")])
+    peer.say(others=[record("c", MemberState.DEAD, 8, 99, "b")])
     assert peer.state("c") is MemberState.ALIVE
 
 
 def test_counts_and_incarnations_at_their_ends_begin_a_later_life():
     one = machine()
     peer = Peer(one)
-    life = one.generation
-    peer.say(entries=[entry("a", MemberState.SUSPECT, life, datagrams.MAX_INTEGER, "b")])
-    assert one.generation > life and one.incarnation == 0
-    life, one.message_counter = one.generation, datagrams.MAX_INTEGER
+    generation = one.generation
+    peer.say(others=[record("a", MemberState.SUSPECT, generation, datagrams.MAX_INTEGER, "b")])
+    assert one.generation > generation and one.incarnation == 0
+    generation = one.generation
+    one.context.message_counter = datagrams.MAX_INTEGER
     told = peer.say()
-    assert one.generation > life
+    assert one.generation > generation
     assert all(
         action.message.message_counter < 100 for action in told if isinstance(action, events.SendDatagram)
     )
@@ -361,7 +379,7 @@
     """An address that passed to another, or a member that takes others' words: an answer counts from the one who was asked."""
     one = machine(SwimConfig(indirect_probe_count=0))
     peer = Peer(one)
-    peer.say(entries=[entry("c")])
+    peer.say(others=[record("c")])
     for _ in range(200):
         for action in peer.pass_time(peer.now + 100.0):
             if isinstance(action, events.SendDatagram) and action.message.kind == MessageKind.PING:
@@ -371,7 +389,7 @@
 
 def test_a_datagram_for_another_is_not_answered():
     one = machine()
-    told = Peer(one).say(to="x")
+    told = Peer(one).say(recipient="x")
     assert one.counts["misaddressed"] == 1 and not [
         a for a in told if isinstance(a, events.SendDatagram) and a.message.kind == MessageKind.ACK
     ]
@@ -380,9 +398,9 @@
 def test_a_replay_does_nothing():
     one = machine()
     peer = Peer(one)
-    peer.say(entries=[entry("c")])
+    peer.say(others=[record("c")])
     peer.counter = 0
-    peer.say(entries=[entry("d")])
+    peer.say(others=[record("d")])
     assert "d" not in one.table.members and one.counts["replay"] == 1
 
 
@@ -397,7 +415,7 @@
     one = machine()
     peer, liar = Peer(one), Peer(one, "l")
     peer.say()
-    liar.say(entries=[entry("b", MemberState.DEAD, 1, 0, "l")])
+    liar.say(others=[record("b", MemberState.DEAD, 1, 0, "l")])
     assert peer.state("b") is MemberState.SUSPECT  # a suspicion, which runs only as long as b says nothing
     told = peer.say()
     accused = [
@@ -414,7 +432,7 @@
     one = machine()
     peer = Peer(one)
     other = MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")
-    told = peer.say(entries=[other])
+    told = peer.say(others=[other])
     asked = [a for a in told if isinstance(a, events.SendDatagram) and a.address == "at-elsewhere"]
     assert len(asked) == 1  # is it there? a word alone may be of a process before this one
     twin = Peer(one, "a", 99 << 16)
@@ -426,37 +444,37 @@
 def test_a_later_life_of_this_name_that_does_not_answer_was_before_this_one():
     one = machine()
     peer = Peer(one)
-    peer.say(entries=[MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")])
+    peer.say(others=[MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")])
     peer.pass_time(5000.0)
     assert one.generation > 99 << 16 and not one.has_left
 
 
 def test_an_index_that_the_settings_do_not_know_is_said_and_shown():
     one = machine()
-    told = Peer(one).say(entries=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
+    told = Peer(one).say(others=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
     assert "index-unknown" in [a.code for a in told if isinstance(a, events.ReportEvent)]
     assert next(seen.index_in_settings for seen in one.view(0.0).members if seen.name == "x") is False
 
 
 def test_a_member_that_moves_is_found_at_its_new_address_and_the_settings_word_wins():
-    one = machine(at=(("c", "by-settings"),))
+    one = machine(address_overrides=(("c", "by-settings"),))
     peer = Peer(one)
-    peer.say(entries=[entry("c")])
-    peer.say(entries=[MemberRecord("c", "at-new", "z", 1, 2, 0, 0, "")])
+    peer.say(others=[record("c")])
+    peer.say(others=[MemberRecord("c", "at-new", "z", 1, 2, 0, 0, "")])
     assert one.table.members["c"].record.address == "at-new"
-    assert one._address(one.table.members["c"]) == "by-settings"
+    assert one.context.address_of(one.table.members["c"]) == "by-settings"
 
 
 def test_the_book_has_a_bound_and_says_when_it_is_reached():
     one = machine(SwimConfig(max_members=10))
-    Peer(one).say(entries=[entry(f"x{n}") for n in range(30)])
+    Peer(one).say(others=[record(f"x{n}") for n in range(30)])
     assert len(one.table.members) == 10 and one.table.rejected_when_full == 21
 
 
 def test_the_dead_are_forgotten_in_the_end():
     one = machine(SwimConfig(departed_retention_ms=60_000.0, indirect_probe_count=0))
     peer = Peer(one)
-    peer.say(entries=[entry("c", MemberState.DEAD)])
+    peer.say(others=[record("c", MemberState.DEAD)])
     peer.pass_time(70_000.0)
     assert "c" not in one.table.members
 
@@ -483,9 +501,10 @@
     size = len(letter.encode())
     name = letter * (64 // size)
     top = datagrams.MAX_INTEGER
-    one = machine(name=name, address=name, zone=name, life=top - 5, index=65535)
-    one.incarnation, one.message_counter = top, top - 1000
-    peer = Peer(one, name="b", life=top)
+    one = machine(name=name, address=name, zone=name, generation=top - 5, index=65535)
+    one.context.incarnation = top
+    one.context.message_counter = top - 1000
+    peer = Peer(one, name="b", generation=top)
     others = [
         MemberRecord(f"{n:02d}{letter * (62 // size)}", name, name, 65535, top, top, n % 3, name)
         for n in range(20)
@@ -493,7 +512,7 @@
     seen: set[str] = set()
     for number in range(80):
         for action in [
-            *peer.say(number=top - number, entries=others, to="", target=name),
+            *peer.say(request_id=top - number, others=others, recipient="", target=name),
             *peer.pass_time(peer.now + 1000.0),
         ]:
             if isinstance(action, events.SendDatagram):
@@ -504,24 +523,36 @@
     assert len(seen) >= 20
 
 
-class Deafened(SwimProtocol):
+class SilentRefutation(Refutation):
     """Refutes nothing."""
 
-    def _of_self(self, entry: MemberRecord, teller: str) -> None:
+    def handle_record(self, record: MemberRecord, reporter: str) -> None:
         pass
 
 
-class Lonely(SwimProtocol):
+class WithoutRefutation(SwimProtocol):
+    """A member that does not refute suspicions of itself."""
+
+    refutation_type = SilentRefutation
+
+
+class DirectProber(Prober):
     """Asks nobody to probe in its place."""
 
-    def _ask_others(self, probe: m._Probe) -> None:
+    def request_indirect_probes(self, probe: Probe) -> None:
         pass
 
 
-class Sleepless(SwimProtocol):
-    """Does not look whether it slept."""
+class WithoutIndirectProbes(SwimProtocol):
+    """A member that probes directly only."""
+
+    prober_type = DirectProber
+
+
+class WithoutPauseDetection(SwimProtocol):
+    """A member that takes what it missed in a pause for silence."""
 
-    def _woke(self, late: float) -> None:
+    def _handle_pause(self, paused_ms: float) -> None:
         pass
 
 
@@ -545,9 +576,9 @@
             return float(len([pair for pair in said(fleet, since, "suspect") if pair[0] == "g2"]))
         return dead_for(fleet, since)
 
-    assert lost(SwimProtocol, "deaf") == 0 < lost(Lonely, "deaf")
-    assert lost(SwimProtocol, "deaf and loss") < 15_000 < 60_000 < lost(Deafened, "deaf and loss")
-    assert lost(SwimProtocol, "pauses") == 0 < lost(Sleepless, "pauses")
+    assert lost(SwimProtocol, "deaf") == 0 < lost(WithoutIndirectProbes, "deaf")
+    assert lost(SwimProtocol, "deaf and loss") < 15_000 < 60_000 < lost(WithoutRefutation, "deaf and loss")
+    assert lost(SwimProtocol, "pauses") == 0 < lost(WithoutPauseDetection, "pauses")
 
 
 @settings(max_examples=25, deadline=None)
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``winchdyke fleet``: what a running gateway believes of the others, over its admin socket."""
+"""``winchdyke fleet``: the membership as a running gateway sees it, over its admin API."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     """The gateways that one gateway knows. WHERE is unix:PATH or http://HOST:PORT of its admin API."""
 
 
-def _standing(where: str, key: Path | None) -> dict[str, Any]:
+def _fetch_status(where: str, key: Path | None) -> dict[str, Any]:
     from winchdyke.admin.client import There
     from winchdyke.config_rollout.operations import OperationError
 
@@ -49,28 +49,28 @@
         raise click.ClickException(error.text) from None
 
 
-def _ago(ms: float | None) -> str:
+def _format_age(ms: float | None) -> str:
     if ms is None:
         return "never"
     return f"{ms / 1000:.1f} s" if ms < 120_000 else f"{ms / 60_000:.0f} min"
 
 
-def _lines(found: dict[str, Any]) -> list[str]:
-    more = f", health {found['health']} (its own answers are late)" if found["health"] else ""
+def _status_lines(status: dict[str, Any]) -> list[str]:
+    more = f", health {status['health']} (its own answers are late)" if status["health"] else ""
     lines = [
-        f"{found['own']} at {found['address']}: {found['alive']} of {1 + len(found['members'])} there{more}"
+        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} there{more}"
     ]
-    if found["left"]:
+    if status["left"]:
         lines.append("  it has left the fleet; see history")
-    elif found["alone"]:
+    elif status["alone"]:
         lines.append("  it has heard nobody since its start: are fleet, seeds right, and do they listen?")
-    if found["event"] is not None:
-        lines.append(f"  {found['event']['text']} since {_ago(found['event']['since_ms'])} ago")
+    if status["event"] is not None:
+        lines.append(f"  {status['event']['text']} since {_format_age(status['event']['since_ms'])} ago")
     lines.append(f"{'member':20}{'state':9}{'for':>9}  {'link':9}{'heard':>9}  {'zone':10}{'address':22}by")
-    for row in found["members"]:
+    for row in status["members"]:
         note = "" if row["index_known"] else f"  (index {row['index']} is not in the settings)"
         lines.append(
-            f"{row['name']:20}{row['state']:9}{_ago(row['since_ms']):>9}  {row['link']:9}{_ago(row['heard_ms']):>9}  "
+            f"{row['name']:20}{row['state']:9}{_format_age(row['since_ms']):>9}  {row['link']:9}{_format_age(row['heard_ms']):>9}  "
             f"{row['zone']:10}{row['address']:22}{row['by']}{note}"
         )
     return lines
@@ -82,8 +82,8 @@
 @AS_JSON
 def show(where: str, key: Path | None, as_json: bool) -> None:
     """All members, as the gateway sees them now."""
-    found = _standing(where, key)
-    click.echo(json.dumps(found) if as_json else "\n".join(_lines(found)))
+    status = _fetch_status(where, key)
+    click.echo(json.dumps(status) if as_json else "\n".join(_status_lines(status)))
 
 
 @command.command("watch")
@@ -99,15 +99,15 @@
     while times is None or looks < times:
         if looks:
             time.sleep(every)
-        rows = _standing(where, key)["history"]
+        rows = _fetch_status(where, key)["history"]
         for row in rows:
             if row["unix_ms"] > last:
-                click.echo(_told(row))
+                click.echo(_history_line(row))
         last = max([last, *(row["unix_ms"] for row in rows)])
         looks += 1
 
 
-def _told(row: dict[str, Any]) -> str:
+def _history_line(row: dict[str, Any]) -> str:
     return f"{when(row['unix_ms'], 'never')}  {row['code']:15}{row['member']:20}{row.get('text', '')}"
 
 
@@ -118,9 +118,9 @@
 @AS_JSON
 def history(where: str, key: Path | None, member: str | None, as_json: bool) -> None:
     """What has changed since the gateway's start, the oldest first (the last 500)."""
-    for row in _standing(where, key)["history"]:
+    for row in _fetch_status(where, key)["history"]:
         if member in (None, row["member"]):
-            click.echo(json.dumps(row) if as_json else _told(row))
+            click.echo(json.dumps(row) if as_json else _history_line(row))
 
 
 @command.command("explain")
@@ -130,20 +130,24 @@
 @AS_JSON
 def explain(member: str, where: str, key: Path | None, as_json: bool) -> None:
     """What is believed of MEMBER, by whose word, and what to look at."""
-    found = _standing(where, key)
-    row = next((row for row in found["members"] if row["name"] == member), None)
+    status = _fetch_status(where, key)
+    row = next((row for row in status["members"] if row["name"] == member), None)
     if row is None:
-        names = ", ".join(row["name"] for row in found["members"][:8]) or "nobody"
-        raise click.ClickException(f"{found['own']} knows no {member}; it knows {names}")
-    changes = [entry for entry in found["history"] if entry["member"] == member]
+        names = ", ".join(row["name"] for row in status["members"][:8]) or "nobody"
+        raise click.ClickException(f"{status['own']} knows no {member}; it knows {names}")
+    changes = [entry for entry in status["history"] if entry["member"] == member]
     if as_json:
         means = {"means": STATES[row["state"]], "link_means": LINKS[row["link"]]}
         click.echo(json.dumps({**row, **means, "changes": changes[-10:]}))
         return
-    click.echo(f"{member} at {row['address']}: {row['state']} for {_ago(row['since_ms'])}, by {row['by']}")
+    click.echo(
+        f"{member} at {row['address']}: {row['state']} for {_format_age(row['since_ms'])}, by {row['by']}"
+    )
     click.echo(f"  {STATES[row['state']]}")
     click.echo(f"  link {row['link']}: {LINKS[row['link']]}")
-    click.echo(f"  heard directly {_ago(row['heard_ms'])}{' ago' if row['heard_ms'] is not None else ''}")
+    click.echo(
+        f"  heard directly {_format_age(row['heard_ms'])}{' ago' if row['heard_ms'] is not None else ''}"
+    )
     click.echo(f"  life {row['life']}, incarnation {row['incarnation']}")
     for entry in changes[-5:]:
-        click.echo(f"  {_told(entry)}")
+        click.echo(f"  {_history_line(entry)}")
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -28,12 +28,12 @@
 HOST_MS = 1500.0  # by which a busy host may run processes late
 USABLE = 0.65  # of the datagrams lost at the most, on a link that counts as a way
 TURNS = {
-    "found": "alive",
-    "started-anew": "alive",
-    "alive": "alive",
-    "suspect": "suspect",
-    "dead": "dead",
-    "left": "left",
+    "membership_member_found": "alive",
+    "membership_member_restarted": "alive",
+    "membership_member_alive": "alive",
+    "membership_member_suspect": "suspect",
+    "membership_member_dead": "dead",
+    "membership_member_left": "left",
 }
 Span = tuple[float, float]
 
@@ -140,8 +140,8 @@
                 break  # the day is over, and all are told to stop
             if row.get("event") == "started":
                 found.append((at, "", "began"))
-            elif row.get("event") == "fleet" and row.get("code") in TURNS and row.get("member"):
-                found.append((at, row["member"], TURNS[row["code"]]))
+            elif row.get("event") in TURNS and row.get("member"):
+                found.append((at, row["member"], TURNS[row["event"]]))
         return found
 
     def _faults(self) -> list[tuple[float, float, dict[tuple[str, str], dict[str, Any]]]]:
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -37,7 +37,8 @@
 from winchdyke.http1 import End, Need, RequestHead
 from winchdyke.latency_attribution.ledger import Bounds, Writer
 from winchdyke.latency_attribution.recorder import Recorder
-from winchdyke.membership.agent import MembershipAgent, MembershipError
+from winchdyke.membership.agent import MembershipAgent
+from winchdyke.membership.errors import MembershipError
 from winchdyke.object_api import answers, store_protocol
 from winchdyke.s3.service import S3
 
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -1,14 +1,11 @@
-"""The task that owns a gateway's membership: its UDP socket, its TCP exchanges and its timer. It decides nothing.
+"""The task that runs a gateway's membership: it feeds the protocol with events and carries out its actions.
 
-Datagrams are opened by :mod:`winchdyke.membership.datagrams` and passed to :class:`SwimProtocol`, whose outputs are
-carried out here. Sockets are read before timers: what has arrived is known before a member is declared silent.
+What is decided stands in :class:`~winchdyke.membership.swim.SwimProtocol`. Sockets are read before timers run, so that what has
+arrived is known before a member is judged silent.
 """
 
 from __future__ import annotations
 
-import re
-import socket
-import struct
 import time
 from collections import Counter, deque
 from collections.abc import Callable
@@ -19,443 +16,234 @@
 import anyio
 import anyio.to_thread
 import structlog
-from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 
-from winchdyke.admin.keys import KeysError, Ring
 from winchdyke.config.model import Config
-from winchdyke.membership import datagrams, events, member_cache
-from winchdyke.membership import swim as m
-from winchdyke.membership.resolver import AddressResolver
-from winchdyke.membership.swim_config import SwimConfig
+from winchdyke.membership import member_cache, startup
+from winchdyke.membership.addresses import format_address, format_listen
+from winchdyke.membership.datagrams import SwimMessage
+from winchdyke.membership.errors import MembershipError
+from winchdyke.membership.events import (
+    Action,
+    LocalMember,
+    MessageReceived,
+    ReplyToStateExchange,
+    ReportEvent,
+    SendDatagram,
+    StartStateExchange,
+    StopMembership,
+)
+from winchdyke.membership.log_events import log_event
+from winchdyke.membership.shared_keys import SharedKeys
+from winchdyke.membership.status import membership_status
+from winchdyke.membership.swim import SwimProtocol
+from winchdyke.membership.transport import Transport
 from winchdyke.membership.view import MembershipView
 
-LENGTH = struct.Struct(">I")
-STREAMS = 8  # exchanges under way at once, each way
-STREAM_S = 2.0  # for one exchange to end
-BURST = 256  # datagrams read at one turn
-WAITING = 1024  # that may wait for the next one
-RECEIVE = 1 << 18  # bytes of the socket's own buffer asked for
-SAVE_S = 2.0  # between writes of the members to the disk
-HISTORY = 500  # notes kept for people
-LOOK_UP_S = 5.0  # for a name server to answer
-UNSEALED_LOG_S = 10.0  # between log lines on what was dropped
-
-
-class MembershipError(Exception):
-    """The gateway can't take its place; says why and what to do."""
+KEY_RELOAD_SECONDS = 1.0
+CACHE_WRITE_SECONDS = 2.0
+MIN_TURN_MS = 1.0
+MAX_HISTORY = 500  # events kept for operators
 
 
 class MembershipAgent:
-    """This gateway among the others. ``changed`` is told each new view."""
+    """This gateway's membership."""
 
     def __init__(self, config: Config, clock: Callable[[], float]) -> None:
-        self.config, self.clock, self.fleet = config, clock, config.fleet
-        assert self.fleet.listen is not None
-        self._log = structlog.get_logger("fleet")
+        assert config.fleet.listen is not None
+        self.config = config
+        self.clock = clock
+        self.protocol: SwimProtocol | None = None
         self.counts: Counter[str] = Counter()
-        self.history: deque[dict[str, object]] = deque(maxlen=HISTORY)
-        self._keys = Ring(Path(self.fleet.keys))
-        self._secrets: list[bytes] = []
-        self._udp: socket.socket | None = None
-        self._listeners: list[SocketListener] = []
-        self.protocol: m.SwimProtocol | None = None
-        self.on_view_changed: Callable[[MembershipView], None] = lambda _: None
-        self._version = -1
-        self._happened: list[events.MessageReceived | events.StateExchangeFinished] = []
-        self._wake = anyio.Event()
-        self._streams = anyio.Semaphore(STREAMS)
-        self._group: TaskGroup | None = None
-        self._names = AddressResolver()
-        self._kept: tuple[str, ...] = ()  # seeds from the disk
-        self._named: tuple[str, ...] = ()  # and from a list service
-        self._dropped_at = 0.0
-        self.stopped = False  # a later process has this name
-        self.address = ("", 0)
-
-    # Start.
+        self.history: deque[dict[str, object]] = deque(maxlen=MAX_HISTORY)
+        self.keys = SharedKeys(config.fleet.keys)
+        self.transport = Transport(self.keys, clock, self.counts)
+        self._settings = config.fleet
+        self._log = structlog.get_logger("membership")
+        self._cached_seeds: tuple[str, ...] = ()  # from the disk
+        self._listed_seeds: tuple[str, ...] = ()  # from a list service
+
+    # Start and end.
 
     async def open(self) -> None:
-        """Take the sockets and read the keys. FleetError."""
-        listen = self.fleet.listen
-        assert listen is not None
-        self._read_keys(first=True)
-        try:
-            multi = await anyio.create_tcp_listener(local_host=listen.host, local_port=listen.port)
-            self._listeners = [each for each in multi.listeners if isinstance(each, SocketListener)]
-            where: tuple[str, int] = self._listeners[0].extra(SocketAttribute.local_address)  # type: ignore[assignment]
-            host, port = where[0], where[1]
-            family = socket.AF_INET6 if ":" in str(host) else socket.AF_INET
-            self._udp = socket.socket(family, socket.SOCK_DGRAM)
-            self._udp.setblocking(False)
-            self._udp.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
-            self._udp.bind((host, port))
-        except OSError as error:
-            await self.close()
-            raise MembershipError(
-                f"can't listen at {listen.host}:{listen.port}: {error.strerror}; see fleet, listen"
-            ) from error
-        self.address = str(host), int(port)
+        """Read the keys and bind the sockets. Raises MembershipError."""
+        assert self._settings.listen is not None
+        self.keys.load()
+        await self.transport.open(self._settings.listen)
         try:
-            self.protocol = self._machine()
+            self.protocol = self._create_protocol()
         except MembershipError:
-            await self.close()
+            await self.transport.close()
             raise
 
-    def _machine(self) -> m.SwimProtocol:
-        gateway, fleet = self.config.gateway, self.fleet
-        said = (
-            ("gateway, name", gateway.name),
-            ("gateway, zone", gateway.zone),
-            ("fleet, advertise", fleet.advertise),
-        )
-        for what, text in said:
-            if len(text.encode()) > datagrams.MAX_NAME_BYTES:
-                raise MembershipError(
-                    f"{what} is {text!r}: other gateways take {datagrams.MAX_NAME_BYTES} bytes; make it shorter"
-                )
-        if fleet.advertise and not re.fullmatch(r".+:[0-9]{1,5}", fleet.advertise):
-            raise MembershipError(f"fleet, advertise is {fleet.advertise!r}: give HOST:PORT")
-        if not 0 <= gateway.index <= 65535:
-            raise MembershipError(f"gateway, index is {gateway.index}: other gateways take 0 to 65535")
-        life = int(time.time() * 1000) << 16
-        if fleet.keep:
-            kept, wrong = member_cache.load(Path(fleet.keep))
-            if wrong:
-                self._log.warning("fleet", trouble=wrong)
-            if kept is not None:
-                if kept.local_name == gateway.name:
-                    life = max(life, (kept.generation // m.GENERATION_STEP + 1) * m.GENERATION_STEP)
-                self._kept = tuple(each.address for each in kept.members if each.name != gateway.name)
-        own = events.LocalMember(
-            name=gateway.name,
-            address=fleet.advertise or _shown(self.address),
-            zone=gateway.zone,
-            index=gateway.index,
-            generation=life | (hash((self.address, time.monotonic_ns())) & (m.GENERATION_STEP - 1)),
-            gateway_count=gateway.gateways,
-            seeds=self._seeds(),
-            address_overrides=tuple(self._at().items()),
-        )
-        bounds = SwimConfig(
-            probe_interval_ms=fleet.interval, probe_timeout_ms=fleet.timeout, state_exchange_interval_ms=fleet.exchange, departed_retention_ms=fleet.forget,
-            min_reconnect_backoff_ms=fleet.interval, max_reconnect_backoff_ms=10 * fleet.interval, min_pause_ms=max(50.0, fleet.interval / 4),
-        )  # fmt: skip
-        return m.SwimProtocol(own, bounds, time.monotonic_ns() ^ gateway.seed, self.clock())
-
-    def _read_keys(self, first: bool = False) -> None:
-        try:
-            good = self._keys.good(time.time() * 1000)
-        except KeysError as error:
-            if first:
-                raise MembershipError(f"{error}; see fleet, keys") from error
-            self._log.warning("fleet", trouble=f"{error}; the keys before go on counting")
-            return
-        if not good and first:
-            raise MembershipError(f"{self.fleet.keys} holds no key that counts now; see fleet, keys")
-        self._secrets = [key.raw()[:64] for key in good] or self._secrets
-
-    # The life of it.
-
     async def run(self) -> None:
-        """Take part until cancelled; :meth:`leave` first to say goodbye."""
-        assert self.protocol is not None and self._udp is not None
+        """Take part until cancelled; call :meth:`leave` before that to tell the other members."""
+        assert self.protocol is not None and self.transport.is_open
         async with anyio.create_task_group() as group:
-            self._group = group
-            group.start_soon(self._listen_udp)
-            for listener in self._listeners:
-                group.start_soon(self._listen_tcp, listener)
-            group.start_soon(self._keep_keys)
-            if self.fleet.keep:
-                group.start_soon(self._keep)
+            self.transport.start(group, self._answer_state_exchange)
+            group.start_soon(self._reload_keys)
+            if self._settings.keep:
+                group.start_soon(self._write_cache)
             while not self.stopped:
-                now = self.clock()
-                self._read()
-                happened, self._happened = self._happened, []
-                self._wake = anyio.Event()
-                self._carry_out(self.protocol.handle(now, happened))
-                self._tell()
-                with anyio.move_on_after(max(1.0, self.protocol.next_turn_ms - self.clock()) / 1000):
-                    await self._wake.wait()
+                await self._run_turn(self.protocol)
             await anyio.sleep_forever()
 
+    def leave(self) -> None:
+        """Tell other members that this one leaves, and stop taking part."""
+        if self.protocol is not None and self.transport.is_open:
+            self._execute(self.protocol.leave(self.clock()))
+            self.transport.is_stopped = True
+
+    async def close(self) -> None:
+        """Close the sockets."""
+        await self.transport.close()
+
+    # Addresses.
+
     def update_config(self, config: Config) -> None:
-        """Other peers and seeds from now on; who is there already stays so until it goes."""
-        known = self.config.peers, self.fleet.seeds
-        if self.protocol is not None and (config.peers, config.fleet.seeds) != known:
-            self.config, self.fleet = config, replace(self.fleet, seeds=config.fleet.seeds)
-            self.protocol.update_addresses(self._seeds(), self._at())
-            self._wake.set()
+        """Use other peers and seeds from now on; members stay known until they are gone."""
+        if self.protocol is None:
+            return
+        if (config.peers, config.fleet.seeds) == (self.config.peers, self._settings.seeds):
+            return
+        self.config = config
+        self._settings = replace(self._settings, seeds=config.fleet.seeds)
+        self.protocol.update_addresses(self._seeds(), self._address_overrides())
+        self.transport.wake()
 
     def set_listed_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Gateways that a list service names: seeds too, from now on."""
-        self._named = addresses
+        """Use the gateways that a list service names as seeds, beside all others."""
+        self._listed_seeds = addresses
         if self.protocol is not None:
-            self.protocol.update_addresses(self._seeds(), self._at(), soon=False)
-            self._wake.set()
+            self.protocol.update_addresses(self._seeds(), self._address_overrides(), soon=False)
+            self.transport.wake()
 
-    def _at(self) -> dict[str, str]:
-        return {name: _shown(address) for name, address in self.config.peers}
+    # State.
 
-    def _seeds(self) -> tuple[str, ...]:
-        given = [*map(_shown, self.fleet.seeds), *self._at().values()]
-        return tuple(dict.fromkeys([*given, *self._kept, *self._named]))
-
-    def leave(self) -> None:
-        """Say goodbye; nothing is done after it."""
-        if self.protocol is not None and self._udp is not None:
-            self._carry_out(self.protocol.leave(self.clock()))
-            self.stopped = True
+    @property
+    def address(self) -> tuple[str, int]:
+        """The host and port that the sockets are bound to."""
+        return self.transport.address
 
-    async def close(self) -> None:
-        """Let the sockets go."""
-        if self._udp is not None:
-            self._udp.close()
-            self._udp = None
-        for listener in self._listeners:
-            await listener.aclose()
-        self._listeners = []
+    @property
+    def stopped(self) -> bool:
+        """Whether this member left, or a later process has its name."""
+        return self.transport.is_stopped
 
     @property
     def view(self) -> MembershipView:
-        """What is believed now."""
+        """The present view."""
         assert self.protocol is not None
         return self.protocol.view(self.clock())
 
     def status(self) -> dict[str, Any]:
-        """What is believed, as plain data; times are ms ago."""
-        view, now, machine = self.view, self.clock(), self.protocol
-        assert machine is not None
-        members = [
-            {
-                "name": seen.name, "address": seen.address, "zone": seen.zone, "index": seen.index, "life": seen.generation,
-                "incarnation": seen.incarnation, "state": seen.display_state, "since_ms": round(now - seen.state_since_ms), "by": seen.reported_by,
-                "link": seen.link, "link_since_ms": round(now - seen.link_since_ms) if seen.link != "untried" else None,
-                "heard_ms": self._heard(seen.name, now), "index_known": seen.index_in_settings,
-            }
-            for seen in view.members
-        ]  # fmt: skip
-        event = view.outage
-        return {
-            "own": view.local_name, "address": machine.local.address, "zone": view.zone, "life": machine.generation,
-            "incarnation": machine.incarnation, "version": view.version, "alive": view.active_count, "alone": view.is_isolated,
-            "left": self.stopped, "health": machine.health.score, "slept_ms": round(machine.pause_detector.total_paused_ms),
-            "event": None if event is None else {"text": event.text, "since_ms": round(now - event.since)},
-            "members": members, "counts": {**machine.counts, **self.counts}, "history": list(self.history),
-        }  # fmt: skip
-
-    def _heard(self, name: str, now: float) -> float | None:
-        """ms since a datagram came straight from it: newer than the snapshot, which holds until a state changes."""
+        """Return the status as plain data, for the admin API. Times are ms ago."""
         assert self.protocol is not None
-        member = self.protocol.table.members.get(name)
-        return (
-            None
-            if member is None or member.last_received_ms < -1e17
-            else round(now - member.last_received_ms)
+        status = membership_status(self.protocol, self.view, self.stopped, self.clock())
+        status["counts"] = {**self.protocol.counts, **self.counts}
+        status["history"] = list(self.history)
+        return status
+
+    # Inside.
+
+    def _create_protocol(self) -> SwimProtocol:
+        startup.check_settings(self.config)
+        gateway = self.config.gateway
+        known = self._load_cache()
+        local = LocalMember(
+            name=gateway.name,
+            address=self._settings.advertise or format_address(*self.address),
+            zone=gateway.zone,
+            index=gateway.index,
+            generation=startup.new_generation(gateway.name, self.address, known),
+            gateway_count=gateway.gateways,
+            seeds=self._seeds(),
+            address_overrides=tuple(self._address_overrides().items()),
         )
+        seed = time.monotonic_ns() ^ gateway.seed
+        return SwimProtocol(local, startup.swim_config(self._settings), seed, self.clock())
 
-    def _tell(self) -> None:
-        view = self.view
-        if view.version != self._version:
-            self._version = view.version
-            self.on_view_changed(view)
-
-    def _carry_out(self, actions: list[events.Action]) -> None:
-        for action in actions:
-            if isinstance(action, events.SendDatagram):
-                self._send(action)
-            elif isinstance(action, events.StartStateExchange):
-                assert self._group is not None
-                self._group.start_soon(self._exchange, action)
-            elif isinstance(action, events.ReportEvent):
-                self._note(action)
-            elif isinstance(action, events.StopMembership):
-                self._log.error("fleet", trouble=action.reason)
-                self.stopped = True
-
-    def _note(self, note: events.ReportEvent) -> None:
-        row: dict[str, object] = {
-            "unix_ms": round(time.time() * 1000),
-            "code": note.code,
-            "member": note.member,
-        }
-        if note.text:
-            row["text"] = note.text
-        self.history.append(row)
-        self._log.info("fleet", code=note.code, member=note.member, text=note.text)
-
-    # Datagrams.
-
-    async def _listen_udp(self) -> None:
-        assert self._udp is not None
-        while True:
-            await anyio.wait_readable(self._udp)
-            self._read()
-            self._wake.set()
-            await anyio.sleep(0)
-
-    def _read(self) -> None:
-        for _ in range(BURST):
-            if self._udp is None:
-                return
-            try:
-                data, where = self._udp.recvfrom(datagrams.MAX_DATAGRAM_BYTES + 1)
-            except (BlockingIOError, InterruptedError):
-                return
-            except OSError:
-                self.counts["udp-error"] += 1  # the answer of a host to what was sent there before
-                continue
-            if self.stopped or len(self._happened) >= WAITING:
-                self.counts["dropped:overrun"] += 1
-                continue
-            message = self._opened(data, datagrams.MAX_DATAGRAM_BYTES)
-            if message is not None:
-                self._happened.append(events.MessageReceived(message, _shown(where[:2])))
-
-    def _opened(self, data: bytes, most: int) -> datagrams.SwimMessage | None:
-        try:
-            return datagrams.unseal(data, self._secrets, most)
-        except datagrams.MessageRejectedError as dropped:
-            self.counts[f"dropped:{dropped.reason}"] += 1
-            now = time.monotonic()
-            if now >= self._dropped_at + UNSEALED_LOG_S:
-                self._dropped_at = now
-                self._log.warning("fleet", trouble="a message was dropped", reason=dropped.reason)
+    def _load_cache(self) -> member_cache.KnownMembers | None:
+        """Read the members on disk, whose addresses are seeds."""
+        if not self._settings.keep:
             return None
+        known, problem = member_cache.load(Path(self._settings.keep))
+        if problem:
+            self._log.warning("membership_cache_invalid", reason=problem)
+        if known is not None:
+            name = self.config.gateway.name
+            self._cached_seeds = tuple(member.address for member in known.members if member.name != name)
+        return known
 
-    def _send(self, action: events.SendDatagram) -> None:
-        host, _, port = action.address.rpartition(":")
-        data = datagrams.seal(action.message, self._secrets[0])
-        self.counts["sent"] += 1
-        self.counts["sent-bytes"] += len(data)
-        host = host.strip("[]")
-        where, ask = self._names.resolve(host, port, data, self.clock())
-        if ask and self._group is not None:
-            self._group.start_soon(self._look_up, host)
-        if where:
-            self._send_to(where, port, data)
-
-    def _send_to(self, address: str, port: str, data: bytes) -> None:
-        try:
-            assert self._udp is not None
-            self._udp.sendto(data, (address, int(port)))
-        except (OSError, ValueError, OverflowError):
-            self.counts["send-failed"] += 1  # as if lost on the way
-
-    async def _look_up(self, host: str) -> None:
-        assert self._udp is not None
-        address = ""
-        try:
-            with anyio.move_on_after(LOOK_UP_S):
-                found = await anyio.getaddrinfo(host, None, family=self._udp.family, type=socket.SOCK_DGRAM)
-                address = str(found[0][4][0])
-        except (OSError, UnicodeError, IndexError):
-            pass
-        if not address:
-            self.counts["name-unknown"] += 1
-            self._log.warning("fleet", trouble="a host's name has no address", host=host)
-        for port, data in self._names.lookup_finished(host, address, self.clock()):
-            self._send_to(address, port, data)
-
-    # Exchanges over TCP.
-
-    async def _exchange(self, action: events.StartStateExchange) -> None:
-        message: datagrams.SwimMessage | None = None
-        host, _, port = action.address.rpartition(":")
-        try:
-            with anyio.move_on_after(STREAM_S):
-                async with self._streams, await anyio.connect_tcp(host.strip("[]"), int(port)) as stream:
-                    data = datagrams.seal(action.message, self._secrets[0])
-                    self.counts["sent-bytes"] += len(data)
-                    await stream.send(LENGTH.pack(len(data)) + data)
-                    message = await self._receive(stream)
-        except (OSError, ValueError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            pass
-        self._happened.append(
-            events.StateExchangeFinished(action.address, action.message.request_id, message)
-        )
-        self._wake.set()
-
-    async def _receive(self, stream: SocketStream) -> datagrams.SwimMessage | None:
-        got = bytearray()
-        while len(got) < LENGTH.size or len(got) < LENGTH.size + LENGTH.unpack_from(got)[0]:
-            if len(got) >= LENGTH.size and LENGTH.unpack_from(got)[0] > datagrams.MAX_STATE_EXCHANGE_BYTES:
-                self.counts["dropped:too-long"] += 1
-                return None
-            got += await stream.receive()
-        return self._opened(
-            bytes(got[LENGTH.size : LENGTH.size + LENGTH.unpack_from(got)[0]]),
-            datagrams.MAX_STATE_EXCHANGE_BYTES,
-        )
+    def _address_overrides(self) -> dict[str, str]:
+        return {name: format_listen(address) for name, address in self.config.peers}
 
-    async def _listen_tcp(self, listener: SocketListener) -> None:
-        places = anyio.Semaphore(STREAMS)
+    def _seeds(self) -> tuple[str, ...]:
+        """All seeds once: of the settings, peers, the disk, a list service."""
+        configured = [*map(format_listen, self._settings.seeds), *self._address_overrides().values()]
+        return tuple(dict.fromkeys([*configured, *self._cached_seeds, *self._listed_seeds]))
+
+    async def _run_turn(self, protocol: SwimProtocol) -> None:
+        now = self.clock()
+        events = self.transport.take_events()
+        self._execute(protocol.handle(now, events))
+        wait_ms = max(MIN_TURN_MS, protocol.next_turn_ms - self.clock())
+        with anyio.move_on_after(wait_ms / 1000):
+            await self.transport.wait_for_event()
+
+    def _answer_state_exchange(self, event: MessageReceived) -> SwimMessage | None:
+        assert self.protocol is not None
+        actions = self.protocol.handle(self.clock(), [event])
+        self._execute(actions)
+        replies = [action.message for action in actions if isinstance(action, ReplyToStateExchange)]
+        return replies[0] if replies else None
 
-        async def one(stream: SocketStream) -> None:
-            try:
-                with anyio.move_on_after(STREAM_S):
-                    async with stream:
-                        await self._answer(stream)
-            except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
-                pass
-            finally:
-                places.release()
+    def _execute(self, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, SendDatagram):
+                self.transport.send(action)
+            elif isinstance(action, StartStateExchange):
+                self.transport.start_state_exchange(action)
+            elif isinstance(action, ReportEvent):
+                self._report(action)
+            elif isinstance(action, StopMembership):
+                self._log.error("membership_stopped", reason=action.reason)
+                self.transport.is_stopped = True
+
+    def _report(self, event: ReportEvent) -> None:
+        entry: dict[str, object] = {
+            "unix_ms": round(time.time() * 1000),
+            "code": event.code,
+            "member": event.member,
+        }
+        if event.text:
+            entry["text"] = event.text
+        self.history.append(entry)
+        self._log.info(log_event(event.code, event.member), member=event.member, text=event.text)
 
-        assert self._group is not None
+    async def _reload_keys(self) -> None:
         while True:
-            await places.acquire()
-            try:
-                stream = await listener.accept()
-            except OSError:
-                places.release()
-                await anyio.sleep(0.05)
-                continue
-            except anyio.ClosedResourceError:
-                return
-            self._group.start_soon(one, stream)
-
-    async def _answer(self, stream: SocketStream) -> None:
-        message = await self._receive(stream)
-        if message is None or self.stopped:
-            return
-        assert self.protocol is not None
-        where = _shown(stream.extra(SocketAttribute.remote_address)[:2])
-        actions = self.protocol.handle(self.clock(), [events.MessageReceived(message, where, True)])
-        replies = [action.message for action in actions if isinstance(action, events.ReplyToStateExchange)]
-        self._carry_out([action for action in actions if not isinstance(action, events.ReplyToStateExchange)])
-        for reply in replies[:1]:
-            data = datagrams.seal(reply, self._secrets[0])
-            self.counts["sent-bytes"] += len(data)
-            await stream.send(LENGTH.pack(len(data)) + data)
-        self._tell()
-
-    # Files.
-
-    async def _keep_keys(self) -> None:
-        while True:
-            await anyio.sleep(1.0)
-            self._read_keys()
+            await anyio.sleep(KEY_RELOAD_SECONDS)
+            self.keys.reload()
 
-    async def _keep(self) -> None:
-        assert self.protocol is not None
-        before: member_cache.KnownMembers | None = None
+    async def _write_cache(self) -> None:
+        written: member_cache.KnownMembers | None = None
         while True:
-            members = [
-                member_cache.KnownMember(seen.name, seen.address)
-                for seen in self.view.members
-                if seen.state != "left"
-            ]
-            kept = member_cache.KnownMembers(self.config.gateway.name, self.protocol.generation, members)
-            if kept != before:
+            known = self._known_members()
+            if known != written:
                 try:
-                    await anyio.to_thread.run_sync(member_cache.save, Path(self.fleet.keep), kept)
-                    before = kept
+                    await anyio.to_thread.run_sync(member_cache.save, Path(self._settings.keep), known)
+                    written = known
                 except OSError as error:
                     self._log.warning(
-                        "fleet", trouble=f"members can't be kept: {error.strerror}; see fleet, keep"
+                        "membership_cache_write_failed", error=f"{error.strerror}; see fleet, keep"
                     )
-            await anyio.sleep(SAVE_S)
+            await anyio.sleep(CACHE_WRITE_SECONDS)
 
-
-def _shown(address: object) -> str:
-    host, port = (address.host, address.port) if hasattr(address, "host") else address[:2]  # type: ignore[index,attr-defined]
-    return f"[{host}]:{port}" if ":" in str(host) else f"{host}:{port}"
+    def _known_members(self) -> member_cache.KnownMembers:
+        assert self.protocol is not None
+        members = [
+            member_cache.KnownMember(member.name, member.address)
+            for member in self.view.members
+            if member.state != "left"
+        ]
+        return member_cache.KnownMembers(self.config.gateway.name, self.protocol.generation, members)
--- a/winchdyke/membership/datagrams.py
+++ b/winchdyke/membership/datagrams.py
@@ -1,12 +1,12 @@
-"""Datagrams between gateways: msgpack under 1,200 bytes, sealed by keyed BLAKE2, every field bounded. Pure.
+"""The wire format between gateways: authenticated msgpack with a bound on every field. Pure.
 
-A sealed message is ``WF``, a version byte, a byte kept at 0, 16 bytes of BLAKE2b keyed with the fleet's secret over all else,
-then the msgpack of an :class:`Envelope`. Arrays, not maps: a later version may add fields at an end, which are passed over here.
-What can't be used raises :class:`Dropped` with the reason that it is counted under, and is never answered: whoever has no key
-learns nothing, not even that somebody listens.
+A sealed message is ``WF``, a version byte, a reserved byte (0), 16 bytes of BLAKE2b keyed with the gateways' shared secret over
+everything else, then the msgpack of a :class:`SwimMessage`. Structs are encoded as arrays, so that the position of a field is
+part of the format and its name is not; a later version may append fields, which this one skips. A message that can't be used raises
+:class:`MessageRejectedError` and is never answered: a sender without the key learns nothing, not even that somebody listens.
 
-Replays need no clock: each life of a sender counts its messages, and :class:`Window` takes each count once (the scheme of
-RFC 4303, section 3.4.3).
+Replays are rejected without a clock: each generation of a sender numbers its messages, and :class:`ReplayWindow` accepts each
+number once (the scheme of RFC 4303, section 3.4.3).
 """
 
 from __future__ import annotations
@@ -19,15 +19,17 @@
 
 import msgspec
 
-MAGIC, VERSION, MAC_BYTES = b"WF", 1, 16
+from winchdyke.membership.errors import MessageRejectedError
+
+MAGIC = b"WF"
+VERSION = 1
+MAC_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 2 + MAC_BYTES
-MAX_RECORD_BYTES = 4 * (64 + 2) + 3 * 9 + 6  # bytes of the largest entry
-MAX_DATAGRAM_BYTES = (
-    1200  # bytes: under the least path MTU that IPv6 promises (1,280) with its headers and UDP's
-)
-MAX_STATE_EXCHANGE_BYTES = 1 << 20  # bytes of a full exchange
-MAX_NAME_BYTES, MAX_ADDRESS_BYTES = 64, 64
-MAX_RECORDS = 4096  # of a full exchange; a datagram's are bounded by its bytes
+MAX_DATAGRAM_BYTES = 1200  # below IPv6's minimum path MTU (1,280) with the headers of IPv6 and UDP
+MAX_STATE_EXCHANGE_BYTES = 1 << 20
+MAX_NAME_BYTES = 64
+MAX_ADDRESS_BYTES = 64
+MAX_RECORDS = 4096  # in a state exchange; a datagram's are bounded by its bytes
 MAX_INTEGER = (1 << 63) - 1
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
@@ -37,7 +39,7 @@
 
 
 class MemberState(IntEnum):
-    """What is said of a member. Of equal life and incarnation the higher one wins."""
+    """A member's state. Of records of equal generation and incarnation the higher state wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -46,17 +48,21 @@
 
 
 class MessageKind(IntEnum):
-    """What a message is."""
+    """What a message is for."""
 
-    PING = 1  # answered by ACK with its number
+    PING = 1  # answered by an ACK with its request id
     ACK = 2
-    PING_REQ = 3  # ping ``target`` for me: answered by ACK if it answers, by NACK if it has not after a part of the time
+    PING_REQ = 3  # asks for a ping of ``target``: ACK if that answers, NACK if it has not after a part of the timeout
     NACK = 4
-    STATE_EXCHANGE = 5  # over TCP: all that I know, answered with all that the other knows
+    STATE_EXCHANGE = 5  # over TCP: all records of the sender, answered with all records of the receiver
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What is said of one member: its life (told at its start), its word against accusations (incarnation), by whom."""
+    """One member as some member reports it.
+
+    ``generation`` tells the processes of one name apart; ``incarnation`` counts the refutations of one process, and is raised by
+    that process only; ``reported_by`` is who set the state ("": the member itself).
+    """
 
     name: Name
     address: Address
@@ -69,13 +75,16 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """What wins over what: a later life, then a higher incarnation, then the worse word."""
+        """The order in which records of one member win: later generation, higher incarnation, worse state."""
         return self.generation, self.incarnation, self.state
 
 
 class SwimMessage(msgspec.Struct, array_like=True, frozen=True):
-    """One message. ``to`` is whom it is meant for ("": whoever is there); ``age`` is the ms since the one named by the ping
-    it answers was heard directly (-1: never)."""
+    """One message.
+
+    ``recipient`` is whom it is meant for ("": whoever is at the address). ``target_silence_ms`` is the time since the answering
+    member directly received a message from the member that the ping names (-1: never).
+    """
 
     sender: Name
     generation: UnsignedInteger
@@ -88,79 +97,82 @@
     records: Annotated[list[MemberRecord], msgspec.Meta(max_length=MAX_RECORDS)] = []
 
 
-class MessageRejectedError(Exception):
-    """A message that is not used; ``reason`` is what it is counted under."""
-
-    def __init__(self, reason: str) -> None:
-        super().__init__(reason)
-        self.reason = reason
-
-
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(SwimMessage)
-KINDS = frozenset(MessageKind)
+_KNOWN_KINDS = frozenset(MessageKind)
 
 
-def encoded_size(entry: MemberRecord) -> int:
-    """Bytes that an entry takes in a message."""
-    return len(_encoder.encode(entry))
+def encoded_size(record: MemberRecord) -> int:
+    """Return the bytes that a record takes in a message."""
+    return len(_encoder.encode(record))
 
 
-def message_mac(secret: bytes, head: bytes, body: bytes) -> bytes:
-    return blake2b(head + body, key=secret, digest_size=MAC_BYTES).digest()
+def message_mac(secret: bytes, header: bytes, body: bytes) -> bytes:
+    """Return the authentication code over the header's first bytes and the body."""
+    return blake2b(header + body, key=secret, digest_size=MAC_BYTES).digest()
 
 
-def seal(envelope: SwimMessage, secret: bytes) -> bytes:
-    """The bytes that go out; ``secret`` is 16 to 64 bytes."""
-    head, body = MAGIC + bytes((VERSION, 0)), _encoder.encode(envelope)
-    return head + message_mac(secret, head, body) + body
+def seal(message: SwimMessage, secret: bytes) -> bytes:
+    """Encode and authenticate a message with a secret of 16 to 64 bytes."""
+    header = MAGIC + bytes((VERSION, 0))
+    body = _encoder.encode(message)
+    return header + message_mac(secret, header, body) + body
 
 
-def unseal(data: bytes, secrets: Sequence[bytes], most: int = MAX_DATAGRAM_BYTES) -> SwimMessage:
-    """What was sealed with one of the secrets. Dropped."""
-    if len(data) > most:
+def unseal(data: bytes, secrets: Sequence[bytes], max_bytes: int = MAX_DATAGRAM_BYTES) -> SwimMessage:
+    """Return the message that was sealed with one of the secrets.
+
+    Raises MessageRejectedError with the reason ``too-long``, ``not-ours``, ``version``, ``seal``, ``fields`` or ``kind``.
+    """
+    if len(data) > max_bytes:
         raise MessageRejectedError("too-long")
     if len(data) < HEADER_BYTES or data[:2] != MAGIC:
         raise MessageRejectedError("not-ours")
     if data[2] != VERSION:
         raise MessageRejectedError("version")
-    head, tag, body = (
-        data[: HEADER_BYTES - MAC_BYTES],
-        data[HEADER_BYTES - MAC_BYTES : HEADER_BYTES],
-        data[HEADER_BYTES:],
-    )
-    if not any(hmac.compare_digest(message_mac(secret, head, body), tag) for secret in secrets):
+    header = data[: HEADER_BYTES - MAC_BYTES]
+    mac = data[HEADER_BYTES - MAC_BYTES : HEADER_BYTES]
+    body = data[HEADER_BYTES:]
+    if not any(hmac.compare_digest(message_mac(secret, header, body), mac) for secret in secrets):
         raise MessageRejectedError("seal")
+    return _decode(body)
+
+
+def _decode(body: bytes) -> SwimMessage:
     try:
-        envelope = _decoder.decode(body)
+        message = _decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
         raise MessageRejectedError("fields") from None
-    for entry in envelope.records:
-        # The bounds above count characters; what rides on in datagrams is bounded in bytes.
-        if any(
-            len(text.encode()) > MAX_NAME_BYTES
-            for text in (entry.name, entry.address, entry.zone, entry.reported_by)
-        ):
-            raise MessageRejectedError("fields")
-    if envelope.kind not in KINDS:
-        raise MessageRejectedError("kind")  # a later version's: its entries are left alone, too
-    return envelope
+    if any(_is_oversized(record) for record in message.records):
+        raise MessageRejectedError("fields")
+    if message.kind not in _KNOWN_KINDS:
+        raise MessageRejectedError("kind")  # of a later version, whose records may mean something else
+    return message
+
+
+def _is_oversized(record: MemberRecord) -> bool:
+    """Whether a text exceeds its bound in bytes; the decoder's bounds count characters."""
+    texts = (record.name, record.address, record.zone, record.reported_by)
+    return any(len(text.encode()) > MAX_NAME_BYTES for text in texts)
 
 
 class ReplayWindow:
-    """Which counts of one life have come: each is taken once, and none that lies far behind the highest."""
+    """Accepts each message counter of one generation once, and none far behind the highest (RFC 4303, section 3.4.3)."""
 
-    __slots__ = ("_bits", "highest", "generation")
-    SIZE = 256  # counts behind the highest that may still come: reordered datagrams
+    __slots__ = ("_bits", "generation", "highest")
+    SIZE = 256  # counters behind the highest that are still accepted, for reordered datagrams
 
-    def __init__(self, life: int) -> None:
-        self.generation, self.highest, self._bits = life, -1, 0
+    def __init__(self, generation: int) -> None:
+        self.generation = generation
+        self.highest = -1
+        self._bits = 0
 
     def accept(self, counter: int) -> bool:
-        """Whether this count is new; it is not from then on."""
+        """Return whether the counter is new, and mark it as received."""
         ahead = counter - self.highest
         if ahead > 0:
-            self._bits = ((self._bits << ahead) if ahead < self.SIZE else 0) & ((1 << self.SIZE) - 1) | 1
+            shifted = (self._bits << ahead) if ahead < self.SIZE else 0
+            self._bits = shifted & ((1 << self.SIZE) - 1) | 1
             self.highest = counter
             return True
         if -ahead >= self.SIZE or self._bits >> -ahead & 1:
--- a/winchdyke/membership/dissemination.py
+++ b/winchdyke/membership/dissemination.py
@@ -1,43 +1,68 @@
-"""Which entries ride on the next message: those that were sent least often, as many as fit. Pure."""
+"""Dissemination: merges received records into the table, passes changes on, and reports them to operators. Pure."""
 
 from __future__ import annotations
 
-from winchdyke.membership import datagrams
-
-
-class GossipQueue:
-    """Entries that are still to be told. A newer one of a member takes the place of the one before."""
-
-    def __init__(self) -> None:
-        self._updates: dict[str, tuple[datagrams.MemberRecord, int, int]] = {}  # entry, times sent, bytes
-
-    def __len__(self) -> int:
-        return len(self._updates)
-
-    def enqueue(self, entry: datagrams.MemberRecord) -> None:
-        """From now on this is told of the member."""
-        self._updates[entry.name] = entry, 0, datagrams.encoded_size(entry)
-
-    def discard(self, name: str) -> None:
-        """Nothing more is told of a member."""
-        self._updates.pop(name, None)
-
-    def select(
-        self, room: int, sends: int, first: datagrams.MemberRecord | None = None
-    ) -> list[datagrams.MemberRecord]:
-        """Entries of so many bytes in all at the most; each goes out ``sends`` times. ``first`` goes in any case."""
-        # Guards against a refutation that comes too late: a suspect hears its own accusation first (Lifeguard's buddies).
-        found = [] if first is None else [first]
-        room -= 0 if first is None else datagrams.encoded_size(first)
-        for name, (entry, sent, size) in sorted(self._updates.items(), key=lambda item: item[1][1]):
-            if first is not None and name == first.name:
-                continue
-            if size > room:
-                break  # the least told goes next time: to pass it over would let small ones starve it
-            room -= size
-            found.append(entry)
-            if sent + 1 >= sends:
-                del self._updates[name]
-            else:
-                self._updates[name] = entry, sent + 1, size
-        return found
+from collections.abc import Callable
+
+from winchdyke.membership.datagrams import MemberRecord, MemberState
+from winchdyke.membership.member import Member
+from winchdyke.membership.refutation import Refutation
+from winchdyke.membership.swim_context import SwimContext
+
+_STATE_CODES = {
+    MemberState.ALIVE: "alive",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "dead",
+    MemberState.LEFT: "left",
+}
+
+
+class Dissemination:
+    """Every record passes through here once, whether received or made by this member."""
+
+    def __init__(
+        self, context: SwimContext, refutation: Refutation, on_member_dead: Callable[[], None]
+    ) -> None:
+        self._context = context
+        self._refutation = refutation
+        self._on_member_dead = on_member_dead
+
+    def apply(self, record: MemberRecord, reporter: str) -> None:
+        """Merge a record that a member reported; pass it on where it is new."""
+        context = self._context
+        if record.name == context.local.name:
+            self._refutation.handle_record(record, reporter)
+            return
+        known = context.table.members.get(record.name)
+        before = None if known is None else known.record
+        member = context.table.apply(record, context.now, reporter)
+        if member is None:
+            return
+        context.gossip.enqueue(member.record)
+        if before is None:
+            self._report_found(member, reporter)
+        else:
+            self._report_change(before, member, reporter)
+        if member.state is MemberState.DEAD:
+            self._on_member_dead()
+
+    def _report_found(self, member: Member, reporter: str) -> None:
+        context = self._context
+        record = member.record
+        if member.is_active:
+            context.report("found", member.name, f"at {record.address}, told by {reporter}")
+        if record.index >= context.local.gateway_count > 0:
+            context.report(
+                "index-unknown", member.name, f"index {record.index}, of {context.local.gateway_count}"
+            )
+
+    def _report_change(self, before: MemberRecord, member: Member, reporter: str) -> None:
+        context = self._context
+        record = member.record
+        if record.generation > before.generation:
+            context.report("started-anew", member.name)
+        if record.address != before.address:
+            context.report("moved", member.name, f"from {before.address} to {record.address}")
+        if record.state != before.state:
+            text = f"by {record.reported_by or member.name}, told by {reporter}"
+            context.report(_STATE_CODES[member.state], member.name, text)
--- a/winchdyke/membership/events.py
+++ b/winchdyke/membership/events.py
@@ -1,4 +1,4 @@
-"""What a :class:`~winchdyke.membership.swim.Machine` starts from, what happens to it, and what it gives back to be done."""
+"""The inputs and outputs of :class:`~winchdyke.membership.swim.SwimProtocol`: events that happen, actions to carry out."""
 
 from __future__ import annotations
 
@@ -9,26 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """This member, as it starts. ``life`` is higher than that of any process before it under this name, as far as it can know."""
+    """This member at its start.
+
+    ``generation`` is higher than that of any earlier process of this name, as far as this one can know. ``address_overrides``
+    maps members' names to the addresses that reach them from here; these win over the addresses that members advertise.
+    """
 
     name: str
     address: str
     zone: str
     index: int
     generation: int
-    gateway_count: int = 0  # that the settings know; 0: not told
+    gateway_count: int = 0  # in the settings; 0: unknown
     seeds: tuple[str, ...] = ()  # addresses
-    address_overrides: tuple[
-        tuple[str, str], ...
-    ] = ()  # where members are reached from here, by name; these win over what is heard
+    address_overrides: tuple[tuple[str, str], ...] = ()
 
 
-# What is to be done.
+# Actions.
 
 
 @dataclass(frozen=True, slots=True)
 class SendDatagram:
-    """Send a datagram."""
+    """Send a message as one datagram."""
 
     address: str
     message: SwimMessage
@@ -36,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartStateExchange:
-    """Connect, send this over TCP, hand back the answer as :class:`Exchanged`."""
+    """Connect over TCP, send the message, and hand back the answer as :class:`StateExchangeFinished`."""
 
     address: str
     message: SwimMessage
@@ -44,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyToStateExchange:
-    """Answer the exchange that is being handled."""
+    """Answer the state exchange whose request is being handled."""
 
     message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
 class ReportEvent:
-    """A line for operators; ``code`` is the reason, ``member`` whom it is about."""
+    """Report a change to operators. ``code`` names it, ``member`` is whom it is about."""
 
     code: str
     member: str = ""
@@ -60,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopMembership:
-    """A later process has this name: this one is to say so and leave the fleet."""
+    """Stop taking part: a later process has this name."""
 
     reason: str
 
@@ -68,12 +70,12 @@
 Action = SendDatagram | StartStateExchange | ReplyToStateExchange | ReportEvent | StopMembership
 
 
-# What happens.
+# Events.
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A datagram, or over TCP the question of an exchange."""
+    """A datagram, or the request of a state exchange over TCP."""
 
     message: SwimMessage
     address: str = ""
@@ -82,8 +84,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StateExchangeFinished:
-    """How an exchange that this one began has ended; None: not at all."""
+    """The end of a state exchange that this member started; ``message`` is None where it failed."""
 
     address: str
     request_id: int
     message: SwimMessage | None
+
+
+Event = MessageReceived | StateExchangeFinished
--- a/winchdyke/membership/local_health.py
+++ b/winchdyke/membership/local_health.py
@@ -1,49 +1,24 @@
-"""How well this process itself does: Lifeguard's local health, and sleep told by the own clock. Pure."""
+"""Lifeguard's local health: how reliable this process's own observations are. Pure."""
 
 from __future__ import annotations
 
 
 class LocalHealth:
-    """0 is well; each step lengthens the own interval and time-outs by one of them, never others' lives."""
+    """A score from 0 (healthy) to ``max_score``. It lengthens this process's own probe interval and timeouts only."""
 
-    def __init__(self, most: int) -> None:
-        self.max_score, self.score = most, 0
+    def __init__(self, max_score: int) -> None:
+        self.max_score = max_score
+        self.score = 0
 
     def degrade(self, by: int = 1) -> None:
-        """Something was missed that the process itself may have missed: an answer, a helper's word, its own good name."""
+        """Count a missed ack, a missing nack, or a suspicion of this process itself."""
         self.score = min(self.max_score, self.score + by)
 
     def improve(self) -> None:
-        """An answer came in time."""
+        """Count an ack that came in time."""
         self.score = max(0, self.score - 1)
 
     @property
     def multiplier(self) -> float:
-        """What own times are multiplied by."""
+        """The local health multiplier of the probe interval and the probe timeout."""
         return 1.0 + self.score
-
-
-class PauseDetector:
-    """Tells by the own clock that the process did not run: it was stopped, throttled, or its loop stood still."""
-
-    def __init__(self, now: float, least: float) -> None:
-        self.min_pause_ms, self._expected_by_ms = least, now
-        self.total_paused_ms = 0.0  # ms in all
-        self.pause_count = 0
-
-    def expect_turn_by(self, due: float) -> None:
-        """At the end of a turn: when the next one comes at the latest.
-
-        Guards against a turn's own work taken for sleep: told at the beginning, a probe that was due then and went since
-        left the next turn as late as the whole look is long, and a process that heard nothing slept by its own word.
-        """
-        self._expected_by_ms = due
-
-    def check(self, now: float) -> float:
-        """At the beginning of a turn: ms overslept, 0 where that is no sleep."""
-        late = now - self._expected_by_ms
-        if late < self.min_pause_ms:
-            return 0.0
-        self.total_paused_ms += late
-        self.pause_count += 1
-        return late
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -1,4 +1,4 @@
-"""The members on the disk, for a start at which no seed answers: names and addresses, nothing of who is alive."""
+"""Known members on disk, for a start at which no seed answers. Holds names and addresses, not who is alive."""
 
 from __future__ import annotations
 
@@ -15,22 +15,25 @@
 
 
 class KnownMember(msgspec.Struct):
-    """A member that was there, and where."""
+    """A member that was active, and its address."""
 
     name: Name
     address: Address
 
 
 class KnownMembers(msgspec.Struct):
-    """What is kept: the last life of this process's name, so that the next one is later whatever the clock says."""
+    """The file's content.
 
-    local_name: Name
-    generation: int
+    The last generation of this gateway is stored so that the next one is later even if the system clock was set back.
+    """
+
+    local_name: Name = msgspec.field(name="own")
+    generation: int = msgspec.field(name="life")
     members: list[KnownMember] = []
 
 
 def load(folder: Path) -> tuple[KnownMembers | None, str]:
-    """What is kept, and what is wrong with it ("": nothing, or there is none yet)."""
+    """Return the stored members, or None, and what is wrong with the file ("": nothing, or there is none yet)."""
     path = folder / FILE_NAME
     try:
         with path.open("rb") as file:
@@ -43,7 +46,7 @@
         return None, f"{path} is no list of members ({error}); it is written anew, and seeds are asked alone"
 
 
-def save(folder: Path, kept: KnownMembers) -> None:
-    """Write it whole, synced and renamed. OSError."""
+def save(folder: Path, known: KnownMembers) -> None:
+    """Write the file atomically and durably. Raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    replace(folder / FILE_NAME, msgspec.json.encode(kept), folder / f"{FILE_NAME}.{os.getpid()}.new")
+    replace(folder / FILE_NAME, msgspec.json.encode(known), folder / f"{FILE_NAME}.{os.getpid()}.new")
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -1,8 +1,7 @@
-"""Which address a host's name has, looked up beside the loop: what is sent waits for no name server. Pure.
+"""The addresses of host names, looked up in the background. Pure.
 
-A datagram that is sent to a name makes the system look it up there and then, and a name server that does not answer holds the
-whole process for seconds: its members, and each live request. Guards against that; it hurts where a name has just moved, by
-``FRESH_MS`` at the most.
+A datagram sent to a host name makes the system look it up within the call, and a name server that does not answer blocks the whole
+event loop for seconds. Names are therefore looked up beside the loop, and datagrams are sent to known addresses only.
 """
 
 from __future__ import annotations
@@ -11,24 +10,38 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-ADDRESS_TTL_MS = (
-    30_000.0  # for which an address is taken as the name's; then it is looked up anew, and used meanwhile
-)
-RETRY_DELAY_MS = 2_000.0  # between lookups that fail
-MAX_QUEUED_DATAGRAMS = 4  # datagrams that wait for a name's first address; more are lost, as on the way
-MAX_HOST_NAMES = 1024  # names known at once: as many as members
+ADDRESS_TTL_MS = 30_000.0  # then it is looked up again, and used meanwhile
+RETRY_DELAY_MS = 2_000.0  # after a failed lookup
+MAX_QUEUED_DATAGRAMS = 4  # per name without an address; more are dropped
+MAX_HOST_NAMES = 1024
+
+
+@dataclass(frozen=True, slots=True)
+class QueuedDatagram:
+    """A datagram that waits for its host's address."""
+
+    port: str
+    data: bytes
+
+
+@dataclass(frozen=True, slots=True)
+class Resolution:
+    """Where to send now ("": nowhere, the datagram is queued or dropped), and whether the caller is to look the name up."""
+
+    address: str
+    needs_lookup: bool
 
 
 @dataclass
-class _Name:
+class _HostName:
     address: str = ""
-    due: float = 0.0  # when to look it up again
-    asked: bool = False
-    held: list[tuple[str, bytes]] = field(default_factory=list)  # port and datagram
+    next_lookup_ms: float = 0.0
+    lookup_in_progress: bool = False
+    queued: list[QueuedDatagram] = field(default_factory=list)
 
 
 def is_ip_address(host: str) -> bool:
-    """Whether a host is an address already."""
+    """Return whether a host is an IP address, with or without a scope."""
     try:
         ipaddress.ip_address(host.partition("%")[0])
     except ValueError:
@@ -37,31 +50,33 @@
 
 
 class AddressResolver:
-    """What is known of hosts' names. Times are ms of the caller's clock."""
+    """Known addresses by host name. Times are ms of the caller's clock."""
 
     def __init__(self) -> None:
-        self._hosts: OrderedDict[str, _Name] = OrderedDict()
+        self._hosts: OrderedDict[str, _HostName] = OrderedDict()
 
-    def resolve(self, host: str, port: str, data: bytes, now: float) -> tuple[str, bool]:
-        """Where to send something now ("": it is held until the name is known, or lost), and whether to look the name up."""
+    def resolve(self, host: str, port: str, data: bytes, now: float) -> Resolution:
+        """Return where to send a datagram now; queue it where the host's address is not known yet."""
         if is_ip_address(host):
-            return host, False
-        name = self._hosts.setdefault(host, _Name())
+            return Resolution(host, needs_lookup=False)
+        name = self._hosts.setdefault(host, _HostName())
         self._hosts.move_to_end(host)
         while len(self._hosts) > MAX_HOST_NAMES:
             self._hosts.popitem(last=False)
-        ask = not name.asked and now >= name.due
-        name.asked = name.asked or ask
-        if not name.address and name.asked and len(name.held) < MAX_QUEUED_DATAGRAMS:
-            name.held.append((port, data))
-        return name.address, ask
-
-    def lookup_finished(self, host: str, address: str, now: float) -> list[tuple[str, bytes]]:
-        """A lookup has ended ("": it failed); what was held for it goes now, or is lost."""
+        needs_lookup = not name.lookup_in_progress and now >= name.next_lookup_ms
+        name.lookup_in_progress = name.lookup_in_progress or needs_lookup
+        if not name.address and name.lookup_in_progress and len(name.queued) < MAX_QUEUED_DATAGRAMS:
+            name.queued.append(QueuedDatagram(port, data))
+        return Resolution(name.address, needs_lookup)
+
+    def lookup_finished(self, host: str, address: str, now: float) -> list[QueuedDatagram]:
+        """Note the result of a lookup ("": it failed); return the queued datagrams, to be sent now."""
         name = self._hosts.get(host)
         if name is None:
             return []
-        held, name.held, name.asked = name.held, [], False
-        name.address = address or name.address  # no name server: the last one known goes on counting
-        name.due = now + (ADDRESS_TTL_MS if address else RETRY_DELAY_MS)
-        return held if name.address else []
+        queued = name.queued
+        name.queued = []
+        name.lookup_in_progress = False
+        name.address = address or name.address  # the last one known stays in use while no name server answers
+        name.next_lookup_ms = now + (ADDRESS_TTL_MS if address else RETRY_DELAY_MS)
+        return queued if name.address else []
--- /dev/null
+++ b/winchdyke/membership/shared_keys.py
@@ -0,0 +1,52 @@
+"""The shared secrets that authenticate messages, reloaded as their file changes."""
+
+from __future__ import annotations
+
+import time
+from pathlib import Path
+
+import structlog
+
+from winchdyke.admin.keys import KeysError, Ring
+from winchdyke.membership.errors import MembershipError
+
+MAX_SECRET_BYTES = 64  # of BLAKE2b's key
+
+
+class SharedKeys:
+    """The secrets in use: the first seals, all of them open."""
+
+    def __init__(self, path: str) -> None:
+        self.ring = Ring(Path(path))
+        self.secrets: list[bytes] = []
+        self._path = path
+        self._log = structlog.get_logger("membership")
+
+    @property
+    def sealing_secret(self) -> bytes:
+        """The secret for outgoing messages."""
+        return self.secrets[0]
+
+    def load(self) -> None:
+        """Read the file at the start. Raises MembershipError where it holds no valid key."""
+        try:
+            keys = self.ring.good(_unix_ms())
+        except KeysError as error:
+            raise MembershipError(f"{error}; see fleet, keys") from error
+        if not keys:
+            raise MembershipError(f"{self._path} holds no key that counts now; see fleet, keys")
+        self.secrets = [key.raw()[:MAX_SECRET_BYTES] for key in keys]
+
+    def reload(self) -> None:
+        """Read the file again; the secrets in use stay where it holds no valid key."""
+        try:
+            keys = self.ring.good(_unix_ms())
+        except KeysError as error:
+            self._log.warning("membership_key_reload_failed", error=f"{error}; the earlier keys stay in use")
+            return
+        if keys:
+            self.secrets = [key.raw()[:MAX_SECRET_BYTES] for key in keys]
+
+
+def _unix_ms() -> float:
+    return time.time() * 1000
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -1,4 +1,4 @@
-"""The snapshot that readers get, and the large events that it names. Immutable, with a version and its time. Pure."""
+"""Immutable snapshots of membership for readers, and the detection of outages that concern many members. Pure."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 from dataclasses import dataclass
 
 from winchdyke.membership.datagrams import MemberState
-from winchdyke.membership.member_table import LinkState, Member
+from winchdyke.membership.member import LinkState, Member
 
-OUTAGE_GAP_MS = 20_000.0  # what turns within so long of the one before belongs to one event
-MIN_OUTAGE_FRACTION, MIN_OUTAGE_MEMBERS = 0.3, 3  # part of all members, and how many, that make an event
+OUTAGE_GAP_MS = 20_000.0  # between two members of one outage
+MIN_OUTAGE_FRACTION = 0.3  # of all members
+MIN_OUTAGE_MEMBERS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member as it is believed to be. Times are ms on the gateway's monotonic clock; -1 where there was none."""
+    """One member as this gateway sees it. Times are ms on the gateway's monotonic clock; -1: never."""
 
     name: str
     address: str
@@ -24,98 +25,128 @@
     incarnation: int
     state: str
     state_since_ms: float
-    reported_by: str  # who says so; the member itself where it is alive
+    reported_by: str  # who set the state; the member itself where it is alive
     link: str
     link_since_ms: float
     last_received_ms: float
-    index_in_settings: bool  # whether the settings know its index
+    index_in_settings: bool
+
+    @property
+    def is_active(self) -> bool:
+        """Whether it is alive or suspect."""
+        return self.state in ("alive", "suspect")
 
     @property
     def display_state(self) -> str:
-        """One word for people: the state, and ``cut`` where it is alive and not both ways within hearing."""
-        cut = self.state == "alive" and self.link in ("deaf", "mute", "cut")
-        return "cut" if cut else self.state
+        """The state as shown to operators: ``cut`` where it is alive and the link is not bidirectional."""
+        link_is_broken = self.link in ("deaf", "mute", "cut")
+        return "cut" if self.state == "alive" and link_is_broken else self.state
 
 
 @dataclass(frozen=True, slots=True)
 class Outage:
-    """Many members out of reach at about one time: one event, not one for each."""
+    """Many members that became unreachable at about the same time."""
 
     started_at_ms: float
     members: tuple[str, ...]
-    total_members: int  # members in all then, the own among them
-    zone: str  # where all of them stand in one zone that has no other, else ""
+    total_members: int  # at that time, the local one included
+    zone: str  # where the members are all of one other zone, else ""
 
     @property
     def description(self) -> str:
-        """For people."""
-        where = f"zone {self.zone}" if self.zone else f"{len(self.members)} of {self.total_members} members"
-        return f"{where} unreachable"
+        """One phrase for operators."""
+        if self.zone:
+            return f"zone {self.zone} unreachable"
+        return f"{len(self.members)} of {self.total_members} members unreachable"
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """What one gateway believes, at one time."""
+    """The membership as one gateway sees it at one time."""
 
     local_name: str
     version: int
     created_at_ms: float
     zone: str
-    members: tuple[MemberView, ...]  # by name, the own not among them
+    members: tuple[MemberView, ...]  # by name, without the local one
     outage: Outage | None
     local_health_score: int
-    is_isolated: bool  # nobody was ever heard
+    is_isolated: bool  # no other member was ever heard of
 
     @property
     def active_count(self) -> int:
-        """Members that count, the own among them."""
-        return 1 + sum(member_view.state in ("alive", "suspect") for member_view in self.members)
+        """The number of members that are alive or suspect, the local one included."""
+        return 1 + sum(member.is_active for member in self.members)
 
     def active_generations(self) -> tuple[tuple[str, int], ...]:
-        """What two views have in common once they agree: the names that count, with their lives, the own without."""
-        return tuple(
-            (member_view.name, member_view.generation)
-            for member_view in self.members
-            if member_view.state in ("alive", "suspect")
-        )
+        """Return the names and generations of active members without the local one: equal once two views converge."""
+        return tuple((member.name, member.generation) for member in self.members if member.is_active)
 
 
-def member_view(member: Member, gateways: int) -> MemberView:
-    """A member for readers."""
-    entry = member.record
+def member_view(member: Member, gateway_count: int) -> MemberView:
+    """Return the view of one member; ``gateway_count`` is that of the settings, 0: unknown."""
+    record = member.record
     return MemberView(
-        entry.name, entry.address, entry.zone, entry.index, entry.generation, entry.incarnation,
-        MemberState(entry.state).name.lower(), member.state_since_ms, entry.reported_by or entry.name, member.link_state.value,
-        member.link_since_ms, member.last_received_ms if member.last_received_ms > -1e17 else -1.0, entry.index < gateways or not gateways,
-    )  # fmt: skip
-
-
-def detect_outage(members: Iterable[Member], zone: str) -> Outage | None:
-    """The event under way, if there is one: enough members suspect or dead whose trouble began close together."""
-    everyone = [member for member in members if member.state is not MemberState.LEFT]
-    lost = sorted((member for member in everyone if _lost(member)), key=_trouble)
-    most: list[Member] = []
-    run: list[Member] = []
-    for member in lost:
-        if run and _trouble(member) - _trouble(run[-1]) > OUTAGE_GAP_MS:
-            run = []
-        run.append(member)
-        most = run if len(run) > len(most) else most
-    of = 1 + len(everyone)
-    if len(most) < max(MIN_OUTAGE_MEMBERS, MIN_OUTAGE_FRACTION * of):
-        return None
-    zones = {member.record.zone for member in most}
-    whole = zones.pop() if len(zones) == 1 else ""
-    if whole and (whole == zone or any(m.record.zone == whole and not _lost(m) for m in everyone)):
-        whole = ""
-    return Outage(_trouble(most[0]), tuple(sorted(member.name for member in most)), of, whole)
+        name=record.name,
+        address=record.address,
+        zone=record.zone,
+        index=record.index,
+        generation=record.generation,
+        incarnation=record.incarnation,
+        state=member.state.name.lower(),
+        state_since_ms=member.state_since_ms,
+        reported_by=record.reported_by or record.name,
+        link=member.link_state.value,
+        link_since_ms=member.link_since_ms,
+        last_received_ms=member.last_received_ms if member.was_received else -1.0,
+        index_in_settings=record.index < gateway_count or not gateway_count,
+    )
 
 
-def _trouble(member: Member) -> float:
+def detect_outage(members: Iterable[Member], local_zone: str) -> Outage | None:
+    """Return the outage under way: enough members that became unreachable shortly after one another."""
+    present = [member for member in members if member.state is not MemberState.LEFT]
+    affected = _largest_cluster(present)
+    total_members = 1 + len(present)
+    if len(affected) < max(MIN_OUTAGE_MEMBERS, MIN_OUTAGE_FRACTION * total_members):
+        return None
+    names = tuple(sorted(member.name for member in affected))
+    zone = _unreachable_zone(affected, present, local_zone)
+    return Outage(_unreachable_since_ms(affected[0]), names, total_members, zone)
+
+
+def _largest_cluster(members: list[Member]) -> list[Member]:
+    """Return the longest run of unreachable members without a gap over ``OUTAGE_GAP_MS``, the earliest of equal ones."""
+    unreachable = sorted((member for member in members if _is_unreachable(member)), key=_unreachable_since_ms)
+    largest: list[Member] = []
+    cluster: list[Member] = []
+    for member in unreachable:
+        if cluster and _unreachable_since_ms(member) - _unreachable_since_ms(cluster[-1]) > OUTAGE_GAP_MS:
+            cluster = []
+        cluster.append(member)
+        if len(cluster) > len(largest):
+            largest = cluster
+    return largest
+
+
+def _unreachable_zone(affected: list[Member], present: list[Member], local_zone: str) -> str:
+    """Return the zone that is unreachable as a whole, or ""."""
+    zones = {member.record.zone for member in affected}
+    if len(zones) != 1:
+        return ""
+    zone = zones.pop()
+    if zone == local_zone:
+        return ""
+    if any(member.record.zone == zone and not _is_unreachable(member) for member in present):
+        return ""
+    return zone
+
+
+def _unreachable_since_ms(member: Member) -> float:
     return member.link_since_ms if member.state is MemberState.ALIVE else member.unreachable_since_ms
 
 
-def _lost(member: Member) -> bool:
+def _is_unreachable(member: Member) -> bool:
     return (
         member.state in (MemberState.SUSPECT, MemberState.DEAD) or member.link_state is LinkState.UNREACHABLE
     )
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -2,7 +2,7 @@
 
 Every word that was ever said may arrive anywhere, at any time, as often as it likes, or never: it stays in the world. Members
 accuse each other, let accusations run out, hear of their own, refute, end and start anew (later lives). The code under test is
-:class:`~winchdyke.membership.member_table.Book` as it runs. Invariants, at each step:
+:class:`~winchdyke.membership.member_table.MemberTable` as it runs. Invariants, at each step:
 
     own voice     nobody believes of a member a life or incarnation that it has not taken itself
     no way back   what a view believes of a member never goes back to an earlier (life, incarnation)
