--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -55,7 +55,7 @@
     for number, name in enumerate(names):
         engine.take(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
     engine.turn()
-    print(f"{len(engine._scheduler.volumes)} accounts")
+    print(f"{len(engine._scheduler.quotas)} accounts")
     for what, config in (("one volume", one), ("all volumes", every)):
         pauses = []
         for _ in range(chosen.rounds):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -33,11 +33,11 @@
 @pytest.mark.parametrize(
     ("trick", "outcome"),
     [
-        ("die-mid-head", "RESET"),
-        ("die-mid-answer", "RESET"),
-        ("short-answer", "RESET"),
-        ("no-http", "RESET"),
-        ("reset-after-run", "RESET"),
+        ("die-mid-head", "CONNECTION_RESET"),
+        ("die-mid-answer", "CONNECTION_RESET"),
+        ("short-answer", "CONNECTION_RESET"),
+        ("no-http", "CONNECTION_RESET"),
+        ("reset-after-run", "CONNECTION_RESET"),
         ("shed", "SHED"),
         ("error", "ERROR"),
     ],
@@ -51,11 +51,11 @@
 @pytest.mark.parametrize(
     ("trick", "class_name", "outcomes", "status"),
     [
-        ("reset-after-run", "once", ["RESET"], 502),  # may have run: never again
+        ("reset-after-run", "once", ["CONNECTION_RESET"], 502),  # may have run: never again
         ("error", "once", ["ERROR"], 502),
         ("shed", "once", ["SHED", "SERVED"], 200),  # proven not to have run
         ("early-shed", "once", ["SHED", "SERVED"], 200),
-        ("reset-after-run", "submit", ["RESET", "SERVED"], 200),  # its store drops the repeat
+        ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),  # its store drops the repeat
     ],
 )
 def test_a_write_goes_again_only_where_its_class_allows(trick, class_name, outcomes, status):
@@ -69,7 +69,7 @@
         async with rig() as it:
             it.where(READ).kill()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms")
-            assert set(it.outcomes) == {"DIAL_FAILED"}
+            assert set(it.outcomes) == {"CONNECT_FAILED"}
             assert (reply.status, reply.headers["winchdyke-outcome"]) == (503, "refused")
 
     run()
@@ -87,7 +87,7 @@
             monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", none_left)
             reply = await it.ask("GET", READ, peer=peer)
             monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", real)
-            assert set(it.outcomes) == {"UNSENT"}
+            assert set(it.outcomes) == {"NOT_SENT"}
             assert (reply.status, reply.reason) == (503, "unsent")
             assert (await it.ask("GET", READ, peer=peer)).status == 404
 
@@ -122,7 +122,7 @@
             await store.start(it.group)
             it.ended.clear()
             reply = await it.ask("PUT", READ, b"y", winchdyke_class="once")
-            assert it.outcomes == ["RESET"]
+            assert it.outcomes == ["CONNECTION_RESET"]
             assert reply.status == 502
 
     run()
@@ -148,7 +148,7 @@
         async with rig() as it:
             it.where(READ).tricks.append("die-on-accept")
             assert (await it.ask("GET", READ)).status == 404
-            assert it.outcomes[0] in ("RESET", "UNSENT", "DIAL_FAILED")
+            assert it.outcomes[0] in ("CONNECTION_RESET", "NOT_SENT", "CONNECT_FAILED")
             assert it.outcomes[-1] == "SERVED"
 
     run()
@@ -160,7 +160,7 @@
         async with rig() as it:
             it.where(READ).tricks.append("die-mid-request")
             reply = await it.ask("PUT", READ, b"x" * 900_000)
-            assert it.outcomes == ["RESET", "SERVED"]
+            assert it.outcomes == ["CONNECTION_RESET", "SERVED"]
             assert reply.status == 201
             assert len(it.where(READ).shelf.objects["school-1", "object"][0]) == 900_000
 
@@ -177,8 +177,8 @@
             with pytest.raises(LOST):
                 await it.ask("GET", READ)
             await it.until(lambda: bool(it.ended))
-            assert it.outcomes == ["RESET"]
-            assert it.ended[0].closed
+            assert it.outcomes == ["CONNECTION_RESET"]
+            assert it.ended[0].request_finished
             assert any(type(event).__name__ == "StreamStarted" for event in it.events)
 
     run()
@@ -214,7 +214,7 @@
 
 def test_a_range_that_is_not_the_one_asked_for_is_not_passed_on():
     outcomes, reply = anyio.run(lambda: _first("wrong-range", range="bytes=5-9"))
-    assert outcomes == ["RESET", "SERVED"]
+    assert outcomes == ["CONNECTION_RESET", "SERVED"]
     assert (reply.status, reply.headers["content-range"]) == (206, "bytes 5-9/3000")
 
 
@@ -241,11 +241,11 @@
         async with rig(settings()) as it:
             await it.ask("PUT", READ, b"x")
             event = it.ended[0]
-            assert event.used_percent is not None
-            assert len(event.load) == 2
+            assert event.volume_usage_percent is not None
+            assert len(event.load_report) == 2
             it.where(READ)._others["school-1"]["dev"] = 5.0
             await it.ask("GET", READ)
-            assert it.ended[1].from_others == 5.0
+            assert it.ended[1].units_via_other_gateways == 5.0
 
     run()
 
@@ -336,7 +336,7 @@
                 monkeypatch.setattr(Scheduler, "handle", bounded)
             it.group.start_soon(later)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
-            assert it.outcomes == ["UNSENT", "SERVED"] and reply.status == 201
+            assert it.outcomes == ["NOT_SENT", "SERVED"] and reply.status == 201
             assert len([seen for seen in it.record.seen if seen["what"] == "whole"]) == 1
 
     run()
--- a/tests/test_change_cases.py
+++ b/tests/test_change_cases.py
@@ -179,8 +179,10 @@
             # What was made on top of the version that was undone takes none of it along.
             found = await do(it, Stage(3))
             await serves(it, found["version"])
-            plans = {plan.name: plan.weight for plan in it.gateway.engine._scheduler.cfg.plans}
-            base = {plan.name: plan.weight for plan in settings().plans}
+            plans = {
+                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+            }
+            base = {plan.name: plan.fair_share_weight for plan in settings().plans}
             assert plans == base | {"basic": 8.0}
 
     run()
@@ -266,8 +268,10 @@
             other.do(Stage(2))
             await anyio.sleep(0.8)
             assert it.gateway.service.snapshot.version == 1
-            weights = {plan.name: plan.weight for plan in it.gateway.engine._scheduler.cfg.plans}
-            assert weights == {plan.name: plan.weight for plan in settings().plans}
+            weights = {
+                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+            }
+            assert weights == {plan.name: plan.fair_share_weight for plan in settings().plans}
             assert (await it.ask("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
             assert other.trail.verify() == []
             with pytest.raises(ChangeLogError, match="full"):
@@ -358,9 +362,9 @@
     async def second():
         async with rig(with_changes(tmp_path)) as it:
             assert it.gateway.service.snapshot.version == 2
-            assert {plan.name: plan.weight for plan in it.gateway.engine._scheduler.cfg.plans}[
-                "school"
-            ] == 9.0
+            assert {
+                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+            }["school"] == 9.0
             assert "entry 3" in it.gateway.live.trail.entries()[0].note
 
     second()
@@ -552,7 +556,7 @@
             assert it.gateway.engine.counts["faults"] == 0
             heads = [seen for seen in it.record.seen if seen["what"] == "head"]
             assert all(str(seen["version"]) == told[seen["request"]] for seen in heads)
-            volumes = it.gateway.engine._scheduler.volumes
+            volumes = it.gateway.engine._scheduler.quotas
             assert {volumes[f"contest-{number}"].plan.name for number in range(3)} == {"basic"}
 
     run()
@@ -585,7 +589,7 @@
                 since = it.record.seen[-1]["t"]
                 await anyio.sleep(1.5)
                 stop = True
-            assert it.gateway.engine._scheduler.volumes["school-1"].plan.name == "small"
+            assert it.gateway.engine._scheduler.quotas["school-1"].plan.name == "small"
             heads = [seen for seen in it.record.seen if seen["what"] == "head"]
             late = [seen for seen in heads if seen["t"] > since + 50]
             span = (it.record.seen[-1]["t"] - since) / 1000
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -323,9 +323,9 @@
                 )
                 assert "applied" in await cli("apply", folder, "2")
                 assert it.gateway.live.pause_ms < 100
-                assert {p.name: p for p in it.gateway.engine._scheduler.cfg.plans}[
+                assert {p.name: p for p in it.gateway.engine._scheduler.settings.plans}[
                     "school"
-                ].usual_rate == 90.0
+                ].expected_units_per_s == 90.0
                 await cli("set", folder, "volume", "school-*", "plan=contest")
                 assert "undone" not in await cli("apply", folder, "3", "--confirm-within", "700ms")
                 await it.until(lambda: it.gateway.service.snapshot.version == 3)
@@ -441,7 +441,9 @@
             clash = await cli("apply", folder, "3", ends=1)
             assert "yours" in clash and "theirs" in clash
             assert "merged" in await cli("apply", folder, "4")
-            plans = {plan.name: plan.weight for plan in it.gateway.engine._scheduler.cfg.plans}
+            plans = {
+                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+            }
             assert (plans["school"], plans["basic"]) == (3.0, 5.0)
 
     run()
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -61,7 +61,9 @@
     assert config.kind_for("get", None).rules.name == "fetch"
     assert config.kind_for("get", "export").rules.name == "export"
     assert config.kind_for("put", "export") is None
-    assert "once" in ONCE and config.kind_for("put", "once").rules.effect is api.RepeatSafety.AT_MOST_ONCE
+    assert (
+        "once" in ONCE and config.kind_for("put", "once").rules.repeat_safety is api.RepeatSafety.AT_MOST_ONCE
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -103,7 +103,9 @@
                     store.sendall(GOOD)
                     status, _, said = await asked
                 assert status != 200 and said != b"good"
-                assert not it.gateway.counts["SERVED"] and not it.gateway.counts["RESET"], "it never ran"
+                assert not it.gateway.counts["SERVED"] and not it.gateway.counts["CONNECTION_RESET"], (
+                    "it never ran"
+                )
 
     asyncio.run(play())
 
@@ -206,7 +208,7 @@
     for _ in range(30):
         gateway.run(50.0)
         for _, send in gateway.sends[ended:]:
-            gateway.end(send.request, AttemptOutcome.SERVED)
+            gateway.end(send.request_id, AttemptOutcome.SERVED)
         ended = len(gateway.sends)
     came = sorted((at, 4.0) for at, send in gateway.sends if (at, send) not in failed)
     level, last = CAPPED.limit_burst_units, 0.0
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -101,7 +101,7 @@
             writer.write(it.request(**LONG))
             await until(lambda: bool(dials.held))
             leave(writer, how)
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["UNSENT"] == 1)
+            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["NOT_SENT"] == 1)
             dials.go()
             await settled(it)
             assert not it.store.seen and not it.gateway.engine._scheduler.requests
@@ -144,7 +144,7 @@
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["UNSENT"] == 1)
+            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["NOT_SENT"] == 1)
             dials.go()
             await settled(it)
             assert not it.store.seen
@@ -198,7 +198,7 @@
             asked = asyncio.ensure_future(it.ask(**LONG))
             await until(lambda: bool(dials.held))
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.counts["UNSENT"] == 1)
+            await until(lambda: it.gateway.counts["NOT_SENT"] == 1)
             dials.go()
             assert (await asked)[0] == 503 and not it.store.seen
 
@@ -338,7 +338,7 @@
     async def play() -> None:
         async with site(tmp_path, reset) as it:
             assert (await it.ask(**{"Req-Kind": "write"}))[0] in (200, 502)
-            assert it.gateway.counts["RESET"] == 1 and not it.gateway.counts["DIAL_FAILED"]
+            assert it.gateway.counts["CONNECTION_RESET"] == 1 and not it.gateway.counts["CONNECT_FAILED"]
             assert (await it.ask())[2] == b"good"
 
     asyncio.run(play())
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -157,7 +157,9 @@
             assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
             await it.until(lambda: not it.gateway.service.active)
             # What was out is heard to its end, so that the window knows; nothing else is sent.
-            assert all(event.outcome is api.AttemptOutcome.SERVED and event.closed for event in it.ended)
+            assert all(
+                event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
+            )
             await anyio.sleep(0.2)
             assert [seen["client"] for seen in it.record.seen if seen["what"] == "head"] == heads
             assert (await it.ask("GET", READ)).status in (200, 404)
@@ -178,7 +180,7 @@
             await peer.stream.receive()
             await peer.reset()
             await it.until(lambda: bool(it.ended))
-            assert (it.outcomes, it.ended[0].closed) == (["CANCELLED"], True)
+            assert (it.outcomes, it.ended[0].request_finished) == (["CANCELLED"], True)
 
     run()
 
@@ -220,7 +222,7 @@
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
-                lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.EndpointStatus.DRAINING
+                lambda: it.gateway.engine.nodes[it.stores[0].name].status is api.EndpointStatus.DRAINING
             )
 
     run()
@@ -500,7 +502,7 @@
             old = it.where(READ)
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
-            await it.until(lambda: it.gateway.engine.nodes[old.name].state is api.EndpointStatus.DRAINING)
+            await it.until(lambda: it.gateway.engine.nodes[old.name].status is api.EndpointStatus.DRAINING)
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
             fresh = type(old)(old.spec, old.shelf, it.rack, it.meter, it.record)
@@ -508,7 +510,7 @@
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
             await it.until(lambda: fresh.name in it.gateway.engine.nodes)
             assert (await it.ask("GET", READ)).body == b"x"
-            assert {event.node for event in it.ended[before:]} == {fresh.name}
+            assert {event.endpoint for event in it.ended[before:]} == {fresh.name}
 
     run()
 
@@ -577,7 +579,7 @@
             kinds = [event.kind for event in it.events if isinstance(event, api.EndpointList)]
             assert api.EndpointListKind.CACHED in kinds
             await it.until(
-                lambda: it.gateway.engine.nodes[it.stores[0].name].state is api.EndpointStatus.DRAINING
+                lambda: it.gateway.engine.nodes[it.stores[0].name].status is api.EndpointStatus.DRAINING
             )
 
     run()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -241,7 +241,7 @@
             assert (await ask(it, dialect, "PUT", "/school-1/o", data)).status < 300
             it.gateway.service.tolls._courses.clear()  # the put is not what is looked at
             purse = it.gateway.engine.purse("school-1")
-            purse.limit = 60.0
+            purse.limit_units = 60.0
             more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
             first = await ask(it, dialect, "GET", "/school-1/o", **more)
             assert len(first.body) == (250 if more else 300) * UNIT
@@ -480,12 +480,12 @@
             body = b"x" * (50 * UNIT)
             assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
             account = it.gateway.engine.purse("contest-1")
-            assert account.plan.reserve and not account.plan.limit
+            assert account.plan.reserved_units_per_s and not account.plan.limit_units_per_s
             if asked != "put":
-                account.reserve = 10.0
+                account.reserved_units = 10.0
                 more = {"range": f"bytes=0-{len(body) - 1}"} if asked == "range" else {}
                 assert len((await it.ask("GET", "/contest-1/o", **more)).body) == len(body)
-            assert -50.0 <= account.reserve < -30.0, account.reserve
+            assert -50.0 <= account.reserved_units < -30.0, account.reserved_units
 
     run()
 
@@ -501,10 +501,10 @@
             service, account = it.gateway.service, it.gateway.engine.purse("school-1")
             for _ in range(2):  # the second time its size is known beforehand
                 account.refill(it.gateway.engine.clock())
-                account.limit, before = 50.0, it.gateway.engine.clock()
+                account.limit_units, before = 50.0, it.gateway.engine.clock()
                 assert len((await it.ask("GET", "/school-1/o")).body) == len(body)
-                filled = RATE * (account.at - before) / 1000
-                assert 50.0 - 8.0 - 0.5 <= account.limit <= 50.0 - 8.0 + filled + 0.5
+                filled = RATE * (account.refilled_at_ms - before) / 1000
+                assert 50.0 - 8.0 - 0.5 <= account.limit_units <= 50.0 - 8.0 + filled + 0.5
             assert service.tolls.debt("school-1") == 0
 
     run()
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -115,9 +115,9 @@
     for at in range(20):
         gateway.ask(f"a{at}", key=f"a{at}")
         gateway.run(100.0)
-        for held in [held for held in gateway.scheduler.requests.values() if held.out]:
+        for held in [held for held in gateway.scheduler.requests.values() if held.attempts_in_flight]:
             outcome = AttemptOutcome.CONNECT_FAILED if at < 10 else AttemptOutcome.SERVED
-            gateway.end(held.request.id, outcome)
+            gateway.end(held.request.request_id, outcome)
     assert any("answers again" in line for line in gateway.logs)
     for name in list(gateway.scheduler.requests):
         gateway.give(api.ClientDisconnected(name))
@@ -144,7 +144,7 @@
 def test_a_new_object_goes_where_it_is_served_soonest(gateway):
     gateway.give(*[request(f"r{n}") for n in range(10)])
     gateway.ask("new", request_class="write", shard=-1)
-    assert gateway.sends[-1][1].node == "n1"
+    assert gateway.sends[-1][1].endpoint == "n1"
 
 
 REFUSED = api.ShedRequest("a", SETTINGS.max_retry_after_ms)
@@ -183,7 +183,10 @@
     """A keyed request that may have run can only wait while its repeats are known."""
     gateway = make(max_attempts=9)
     gateway.ask("a", request_class="write", time_left_ms=9000.0)
-    gateway.scheduler.nodes["n0"].lost, gateway.scheduler.nodes["n0"].trial = gateway.now, 1e9
+    (
+        gateway.scheduler.endpoints["n0"].suspected_since_ms,
+        gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
+    ) = gateway.now, 1e9
     gateway.give(api.AttemptEnded("a", 0, "n0", AttemptOutcome.CONNECTION_RESET, 1.0, False))
     gateway.run(3900.0)
     assert "a" not in gateway.answers
@@ -201,7 +204,10 @@
 def test_what_has_waited_a_whole_aim_is_given_up_and_told_when_to_come_back(gateway):
     """Issue 10: a seventh of what was sent was past its aim, at nodes that others waited for."""
     gateway.ask("a")
-    gateway.scheduler.nodes["n0"].lost, gateway.scheduler.nodes["n0"].trial = gateway.now, 1e9
+    (
+        gateway.scheduler.endpoints["n0"].suspected_since_ms,
+        gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
+    ) = gateway.now, 1e9
     gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(9)])
     gateway.run(250.0)
     assert not gateway.answers
@@ -215,7 +221,10 @@
 
 def test_what_is_late_goes_at_once_where_a_queue_stands(gateway):
     gateway.ask("a")
-    gateway.scheduler.nodes["n0"].lost, gateway.scheduler.nodes["n0"].trial = gateway.now, 1e9
+    (
+        gateway.scheduler.endpoints["n0"].suspected_since_ms,
+        gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
+    ) = gateway.now, 1e9
     for at in range(40):
         gateway.ask(f"r{at}", key=f"k{at}")
         gateway.run(25.0)
@@ -249,8 +258,8 @@
             gateway.ask(f"r{at}", key=f"k{at}", sharing_gateways=hosts or gateways)
         gateway.run(50.0)
         for held in list(gateway.scheduler.requests.values()):
-            if held.out:
-                gateway.end(held.request.id, AttemptOutcome.SERVED)
+            if held.attempts_in_flight:
+                gateway.end(held.request.request_id, AttemptOutcome.SERVED)
     return 2.0 * (len(gateway.sends) - before)
 
 
@@ -275,8 +284,8 @@
             one.ask(f"r{number}", key=f"k{number}", units=1.0, sharing_gateways=6)
             one.run(50.0)
             for held in list(one.scheduler.requests.values()):
-                if held.out:
-                    one.end(held.request.id, AttemptOutcome.SERVED, latency_ms=latency)
+                if held.attempts_in_flight:
+                    one.end(held.request.request_id, AttemptOutcome.SERVED, latency_ms=latency)
         return len(one.sends)
 
     assert sent(10.0) > 2 * sent(900.0) > 0
@@ -299,7 +308,7 @@
 
 def test_new_objects_are_trials_where_every_node_is_suspect(gateway):
     """With new objects alone nothing was sent to suspect nodes, and so none was ever well again."""
-    for view in gateway.scheduler.nodes.values():
+    for view in gateway.scheduler.endpoints.values():
         gateway.scheduler.suspect(view)
     gateway.run(500.0)
     gateway.ask("new", request_class="write", shard=-1)
@@ -326,7 +335,7 @@
         request("stale", key="s", time_left_ms=2000.0), request("hurried", key="h", time_left_ms=400.0)
     )
     held = gateway.scheduler.requests
-    assert held["hurried"].aim == gateway.now + 300.0
+    assert held["hurried"].objective_at_ms == gateway.now + 300.0
 
 
 def test_a_second_try_counts_from_its_first(gateway):
@@ -335,7 +344,7 @@
     assert isinstance(gateway.answers["a"], api.ShedRequest)
     gateway.run(100.0)
     gateway.ask("again", key="x", time_left_ms=1900.0)
-    assert gateway.scheduler.requests["again"].aim == began + 300.0
+    assert gateway.scheduler.requests["again"].objective_at_ms == began + 300.0
 
 
 def test_another_clients_request_for_the_same_key_is_not_a_second_try(gateway):
@@ -343,17 +352,20 @@
     gateway.ask("a", shard=5, key="x")
     gateway.run(100.0)
     gateway.ask("other", key="x", time_left_ms=2000.0)
-    assert gateway.scheduler.requests["other"].aim == gateway.now + 300.0
+    assert gateway.scheduler.requests["other"].objective_at_ms == gateway.now + 300.0
 
 
 def test_what_cannot_be_done_in_its_time_is_not_sent(gateway):
     gateway.ask("a", units=8.0, time_left_ms=20.0)
     assert not gateway.sent("a")
     assert gateway.answers["a"] == api.ShedRequest("a", SETTINGS.max_retry_after_ms)
-    gateway.scheduler.nodes["n0"].lost, gateway.scheduler.nodes["n0"].trial = gateway.now, 1e9
+    (
+        gateway.scheduler.endpoints["n0"].suspected_since_ms,
+        gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
+    ) = gateway.now, 1e9
     gateway.ask("b", units=8.0, time_left_ms=250.0, key="other")
     assert "b" not in gateway.answers
-    gateway.run(250.0 - 8.0 * gateway.scheduler.cost["read"] + SWEEP_INTERVAL_MS)
+    gateway.run(250.0 - 8.0 * gateway.scheduler.unit_cost_ms["read"] + SWEEP_INTERVAL_MS)
     assert gateway.answers["b"] == api.ShedRequest("b", SETTINGS.max_retry_after_ms)
 
 
@@ -362,7 +374,7 @@
     gateway = Gateway(gateway_count=gateways)
     gateway.nodes()
     gateway.ask("a", sharing_gateways=gateways)
-    return gateway.scheduler.nodes["n0"].window
+    return gateway.scheduler.endpoints["n0"].concurrency_limit
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 6, 7, 12, 250])
@@ -387,9 +399,9 @@
                 one.ask(f"r{at}", key=f"k{at}", sharing_gateways=volume)
             one.run(50.0)
             for held in list(one.scheduler.requests.values()):
-                if held.out and one.now - held.sent[-1][1] >= 300.0:
-                    one.end(held.request.id, AttemptOutcome.SERVED)
-            busy += sum(held.out for held in one.scheduler.requests.values()) * (at >= 100)
+                if held.attempts_in_flight and one.now - held.attempts[-1][1] >= 300.0:
+                    one.end(held.request.request_id, AttemptOutcome.SERVED)
+            busy += sum(held.attempts_in_flight for held in one.scheduler.requests.values()) * (at >= 100)
         out += busy / 60
     return out
 
@@ -409,11 +421,11 @@
     gateway.nodes()
     gateway.ask("a", sharing_gateways=20)
     gateway.run(700.0)
-    window = gateway.scheduler.nodes["n0"].window
-    assert window.size == window.floor < INITIAL_LIMIT / window.crowd
+    window = gateway.scheduler.endpoints["n0"].concurrency_limit
+    assert window.limit == window.min_limit < INITIAL_LIMIT / window.sharing_gateways
     gateway.end("a", AttemptOutcome.SERVED)
     assert any("answers again" in line for line in gateway.logs)
-    assert window.size < INITIAL_LIMIT / window.crowd
+    assert window.limit < INITIAL_LIMIT / window.sharing_gateways
 
 
 def test_averages_follow_the_answers_of_all_that_share_a_node_not_ones_own():
@@ -432,13 +444,13 @@
     """Incident i353827: twelve gateways with a request each stood ten deep at a node of two cores."""
     gateway = Gateway(gateway_count=12)
     gateway.nodes()
-    view = gateway.scheduler.nodes["n0"]
-    view.window.size, view.window.latency = 0.5, 100.0
+    view = gateway.scheduler.endpoints["n0"]
+    view.concurrency_limit.limit, view.concurrency_limit.mean_latency_ms = 0.5, 100.0
     gateway.run(200.0)
     gateway.give(request("a"), request("b"))
     gateway.run(40.0)
     gateway.end("a", AttemptOutcome.SERVED)
-    view.window.latency = 100.0
+    view.concurrency_limit.mean_latency_ms = 100.0
     gateway.run(60.0)
     assert not gateway.sent("b")
     gateway.run(80.0)
@@ -449,20 +461,20 @@
     """Days of the grown sites: rare requests of full worth waited out pauses of seconds."""
     gateway = Gateway(gateway_count=12)
     gateway.nodes()
-    window = gateway.scheduler.nodes["n0"].window
+    window = gateway.scheduler.endpoints["n0"].concurrency_limit
     gateway.run(1000.0)
     gateway.give(request("open"), request("full", plan="gold", volume="v2", key="f"))
     gateway.end("full", AttemptOutcome.SERVED)
     gateway.end("open", AttemptOutcome.SERVED)
-    window.size, window.latency = 0.1, 100.0
+    window.limit, window.mean_latency_ms = 0.1, 100.0
     gateway.run(1000.0)
     gateway.give(request("more"))
     gateway.end("more", AttemptOutcome.SERVED)
-    window.size, window.latency = 0.1, 100.0
+    window.limit, window.mean_latency_ms = 0.1, 100.0
     gateway.give(request("idle", key="i"), request("gold", plan="gold", volume="v2", key="g"))
     assert gateway.sent("gold") and not gateway.sent("idle")
     gateway.end("gold", AttemptOutcome.SERVED)
-    window.size, window.latency = 0.1, 400.0
+    window.limit, window.mean_latency_ms = 0.1, 400.0
     gateway.run(2000.0)
     gateway.give(request("late", plan="gold", volume="v2", key="l"))
     assert not gateway.sent("late")
@@ -491,13 +503,13 @@
             names = [f"{now:.0f}-{index}-{n}" for n in range(2)]
             one.give(*[request(name, units=2.0, key=name, sharing_gateways=gateways) for name in names])
             one.run(every)
-            fresh += [(at, index, send.request) for at, send in one.sends[known[index] :]]
+            fresh += [(at, index, send.request_id) for at, send in one.sends[known[index] :]]
             known[index] = len(one.sends)
         for at, index, name in sorted(fresh):
             sent.append(at)
             free = max(free, at) + 2.0 / able * 1000.0
             heapq.heappush(due, (free, index, name))
-    window = SETTINGS.fall_window_ms
+    window = SETTINGS.slow_start_overload_window_ms
     return [2.0 * sum(at - window < other <= at for other in sent) for at in sent]
 
 
@@ -511,7 +523,11 @@
     """
     most = max(sent_to_a_cold_node(gateways, able))
     # The stated units or the rule's, and three of them for chance and for requests that overdraw.
-    assert 0 < most <= max(SETTINGS.cold_units, SETTINGS.fall_multiple * able) + 3 * 2.0
+    assert (
+        0
+        < most
+        <= max(SETTINGS.slow_start_initial_units, SETTINGS.slow_start_overload_factor * able) + 3 * 2.0
+    )
 
 
 @pytest.mark.parametrize("window", [500.0, 1000.0, 3000.0])
@@ -534,7 +550,7 @@
                 view.slow_start_credit_units -= 0.5
                 sent += 0.5 * (now >= 10_000)
     multiple = sent / 20.0 / 40.0
-    assert cfg.fall_multiple * 0.8 < multiple <= cfg.fall_multiple * 1.02
+    assert cfg.slow_start_overload_factor * 0.8 < multiple <= cfg.slow_start_overload_factor * 1.02
 
 
 def test_trials_are_spread_over_the_gateways_that_share_a_node():
@@ -547,8 +563,8 @@
             gateway.ask(f"r{at}", key=f"k{at}", sharing_gateways=sharing)
             gateway.run(100.0)
             for held in list(gateway.scheduler.requests.values()):
-                if held.out:
-                    gateway.end(held.request.id, AttemptOutcome.CONNECT_FAILED, closed=False)
+                if held.attempts_in_flight:
+                    gateway.end(held.request.request_id, AttemptOutcome.CONNECT_FAILED, closed=False)
         return len(gateway.sends)
 
     assert trials(24) < trials(2) / 2
@@ -585,17 +601,17 @@
         gateway = Gateway(seed=index)
         gateway.nodes(*[node(f"n{at}", at) for at in range(8)])
         gateway.ask("new", request_class="write", shard=-1)
-        chosen.add(gateway.sends[0][1].node)
+        chosen.add(gateway.sends[0][1].endpoint)
     assert len(chosen) > 4
 
 
 def test_a_new_object_that_may_have_run_stays_with_its_shard(gateway):
     gateway.ask("new", request_class="write", shard=-1)
-    first = gateway.sends[-1][1].node
+    first = gateway.sends[-1][1].endpoint
     gateway.give(*[request(f"r{n}", shard=int(first[1])) for n in range(9)])
     gateway.end("new", AttemptOutcome.ERROR, closed=False)
     gateway.run(600.0)
-    assert {send.node for _, send in gateway.sends if send.request == "new"} == {first}
+    assert {send.endpoint for _, send in gateway.sends if send.request_id == "new"} == {first}
 
 
 def overtaken(gateway: Gateway) -> None:
@@ -640,15 +656,15 @@
     gateway = make((node("n0", 0),))
     gateway.ask("lost", key="lost")
     gateway.run(700.0)
-    window = gateway.scheduler.nodes["n0"].window
-    assert window.size == window.floor
+    window = gateway.scheduler.endpoints["n0"].concurrency_limit
+    assert window.limit == window.min_limit
     while not gateway.sent("trial"):
         gateway.scheduler.requests.pop("trial", None)
         gateway.answers.pop("trial", None)
         gateway.ask("trial", key="trial")
         gateway.run(50.0)
     gateway.end("trial", AttemptOutcome.SERVED, latency_ms=10.0)
-    assert window.size == INITIAL_LIMIT
+    assert window.limit == INITIAL_LIMIT
 
 
 def test_nodes_that_left_are_forgotten(gateway):
@@ -658,13 +674,13 @@
         gateway.give(
             api.EndpointList(api.EndpointListKind.CHANGES, (node(f"m{at}", 1, api.EndpointStatus.REMOVED),))
         )
-    assert set(gateway.scheduler.nodes) == {"n0", "n1"}
-    assert set(gateway.scheduler.shards[1].nodes) == {"n1"}
+    assert set(gateway.scheduler.endpoints) == {"n0", "n1"}
+    assert set(gateway.scheduler.shards[1].endpoints) == {"n1"}
     gateway.ask("a")
     gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0, api.EndpointStatus.REMOVED),)))
     gateway.end("a", AttemptOutcome.SERVED)
     gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, ()))
-    assert set(gateway.scheduler.nodes) == {"n1"}
+    assert set(gateway.scheduler.endpoints) == {"n1"}
 
 
 def test_what_a_volume_asks_beyond_its_limit_is_answered_at_once_not_held_for_an_aim(make):
@@ -674,14 +690,14 @@
     for at in range(40):
         gateway.ask(f"r{at}", plan="capped", key=f"k{at}", units=4.0)
     gateway.run(30.0)
-    held = [h for h in gateway.scheduler.requests.values() if not h.sent]
-    volume = held[0].volume if held else None
+    held = [h for h in gateway.scheduler.requests.values() if not h.attempts]
+    volume = held[0].quota if held else None
     assert len(gateway.sends) >= 3
     assert sum(isinstance(answer, api.ShedRequest) for answer in gateway.answers.values()) >= 30
     assert all(
         answer.retry_after_ms for answer in gateway.answers.values() if isinstance(answer, api.ShedRequest)
     )
-    room = 0.0 if volume is None else volume.limit + 10.0 * 0.3
+    room = 0.0 if volume is None else volume.limit_units + 10.0 * 0.3
     assert sum(h.request.units for h in held) <= room, "what is held can go within its aim"
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -85,7 +85,7 @@
     assert not gateway.sent("a")
     gateway.nodes(node("n2", 0), kind=api.EndpointListKind.CHANGES)
     gateway.run(30.0)
-    assert [send.node for _, send in gateway.sends] == ["n2"]
+    assert [send.endpoint for _, send in gateway.sends] == ["n2"]
 
 
 def test_a_full_list_removes_what_it_does_not_name(gateway):
@@ -114,24 +114,27 @@
         gateway.run(float(gap))
         units[f"r{at}"] = size
         gateway.ask(f"r{at}", units=float(size))
-        for name in [send.request for _, send in gateway.sends if send.request in units]:
-            if gateway.scheduler.requests.get(name) and gateway.scheduler.requests[name].out:
+        for name in [send.request_id for _, send in gateway.sends if send.request_id in units]:
+            if gateway.scheduler.requests.get(name) and gateway.scheduler.requests[name].attempts_in_flight:
                 gateway.end(name, AttemptOutcome.SERVED)
                 served.append((gateway.now, units[name]))
-    window = SETTINGS.fall_window_ms
+    window = SETTINGS.slow_start_overload_window_ms
 
     def proved(when: float) -> float:
         """Units that it serves in a window, by what it served until then, all in good time; half of it forgotten in a window."""
         return math.log(2) * sum(size * 0.5 ** ((when - at) / window) for at, size in served if at <= when)
 
     for at, _ in gateway.sends:
-        got = [units[s.request] for when, s in gateway.sends if at - window < when <= at]
-        climb = 1 + (1 / SETTINGS.cold_from - 1) * (at - start) / SETTINGS.warm_after_ms
-        part = SETTINGS.cold_units * climb / SETTINGS.gateways
+        got = [units[s.request_id] for when, s in gateway.sends if at - window < when <= at]
+        climb = (
+            1
+            + (1 / SETTINGS.slow_start_initial_capacity - 1) * (at - start) / SETTINGS.slow_start_duration_ms
+        )
+        part = SETTINGS.slow_start_initial_units * climb / SETTINGS.gateway_count
         lately = [at - window, *(when for when, _ in served if at - window < when <= at)]
-        learnt = SETTINGS.fall_multiple * max(map(proved, lately))
+        learnt = SETTINGS.slow_start_overload_factor * max(map(proved, lately))
         # One request larger than the credit may overdraw it, by less than itself.
-        assert sum(got) <= max(part, learnt) + SETTINGS.largest_units
+        assert sum(got) <= max(part, learnt) + SETTINGS.max_request_units
 
 
 def test_a_cold_node_gets_no_burst_on_news_of_its_start(make):
@@ -165,15 +168,17 @@
         taken.append(gateway.now)
         gateway.ask(f"r{at}")
         for held in list(gateway.scheduler.requests.values()):
-            if held.out and not held.done:
-                gateway.end(held.request.id, AttemptOutcome.SHED if sheds else AttemptOutcome.SERVED)
+            if held.attempts_in_flight and not held.finished:
+                gateway.end(held.request.request_id, AttemptOutcome.SHED if sheds else AttemptOutcome.SERVED)
     seen: Counter[str] = Counter()
     for when, send in gateway.sends:
-        seen[send.request] += 1
-        if seen[send.request] > 1:
+        seen[send.request_id] += 1
+        if seen[send.request_id] > 1:
             extras.append(when)
             inside = sum(when - 5000.0 < t <= when for t in extras)
-            most = SETTINGS.extra_free + SETTINGS.extra_share * sum(when - 5000.0 < t <= when for t in taken)
+            most = SETTINGS.retry_budget_base + SETTINGS.retry_budget_ratio * sum(
+                when - 5000.0 < t <= when for t in taken
+            )
             assert inside <= most
 
 
@@ -187,9 +192,9 @@
         gateway.run(float(gap))
         gateway.ask(f"r{at}", plan="capped", units=float(size), sharing_gateways=2)
         for held in list(gateway.scheduler.requests.values()):
-            if held.out:
+            if held.attempts_in_flight:
                 sent.append((gateway.now, held.request.units))
-                gateway.end(held.request.id, AttemptOutcome.SERVED)
+                gateway.end(held.request.request_id, AttemptOutcome.SERVED)
     # The part fills at half the limit from an empty store, whatever an earlier life has spent.
     for at, _ in sent:
         assert sum(units for when, units in sent if when <= at) <= 5.0 * (at - start) / 1000 + 0.001
@@ -207,9 +212,9 @@
             one.ask(f"r{at}", plan="capped", units=float(1 + at % 3), sharing_gateways=gateways)
             one.run(150.0)
             for held in list(one.scheduler.requests.values()):
-                if held.out:
-                    sent.append((held.sent[-1][1], held.request.units))
-                    one.end(held.request.id, AttemptOutcome.SERVED)
+                if held.attempts_in_flight:
+                    sent.append((held.attempts[-1][1], held.request.units))
+                    one.end(held.request.request_id, AttemptOutcome.SERVED)
     assert sent
     for at, _ in sent:
         assert sum(units for when, units in sent if when <= at) <= 400.0 * (at - start) / 1000 + 0.001
@@ -241,7 +246,7 @@
     states = {0: EndpointStatus.READY, 1: EndpointStatus.READY}
 
     def out() -> list[str]:
-        return [h.request.id for h in gateway.scheduler.requests.values() if h.out]
+        return [h.request.request_id for h in gateway.scheduler.requests.values() if h.attempts_in_flight]
 
     for kind, first, second in steps:
         before = len(gateway.sends)
@@ -253,7 +258,7 @@
             case "end" if out():
                 name = out()[second % len(out())]
                 closed = first is AttemptOutcome.SERVED or name in gone
-                if not first.never_ran:
+                if not first.proves_no_effect:
                     ran[name] += 1
                 if closed:
                     finished.add(name)
@@ -282,9 +287,9 @@
                     }[first]
                 )
         for _, send in gateway.sends[before:]:
-            assert states[int(send.node[1])] is EndpointStatus.READY
-            assert send.request not in finished | gone
-            assert kinds[send.request] != "once" or not ran[send.request]
+            assert states[int(send.endpoint[1])] is EndpointStatus.READY
+            assert send.request_id not in finished | gone
+            assert kinds[send.request_id] != "once" or not ran[send.request_id]
     while out():
         name = out()[0]
         finished |= {name} & gone
