--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -1,4 +1,4 @@
-"""A gateway's place in the fleet on real sockets: joining, keys, strangers, the disk, the command."""
+"""The membership agent on real sockets: joining, keys, unauthenticated senders, the member cache, the command."""
 
 from __future__ import annotations
 
@@ -90,7 +90,7 @@
     return {row["name"]: row["state"] for row in node.status()["members"]}
 
 
-def test_two_find_each_other_by_one_seed_and_a_leave_is_heard(tmp_path):
+def test_two_gateways_join_through_one_seed_and_a_leave_is_received(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
@@ -105,7 +105,7 @@
     anyio.run(play)
 
 
-def test_gateways_that_a_list_service_names_find_each_other_also_where_it_fails_first_and_later_for_good(
+def test_seeds_from_a_list_service_are_joined_though_it_fails_at_first_and_for_good_later(
     tmp_path,
 ):
     """One is named while two is alone; then three is, in service; then the service is down and the fleet stays."""
@@ -141,7 +141,7 @@
     anyio.run(play)
 
 
-def test_a_gateway_that_serves_follows_the_list_of_its_settings(tmp_path):
+def test_a_serving_gateway_takes_seeds_from_the_list_of_its_settings(tmp_path):
     async def play() -> None:
         async with anyio.create_task_group() as group:
             service = ListService(Record())
@@ -158,7 +158,7 @@
     anyio.run(play)
 
 
-def test_seeds_of_settings_peers_disk_and_list_stand_beside_each_other_and_none_drives_out_another(tmp_path):
+def test_seeds_of_settings_peers_disk_and_list_add_up(tmp_path):
     async def play() -> None:
         member_cache.save(
             tmp_path / "keep",
@@ -206,7 +206,7 @@
         return getattr(self.inner, name)
 
 
-def test_a_peer_with_a_name_is_joined_and_no_datagram_waits_for_a_name_server(tmp_path, monkeypatch):
+def test_a_peer_with_a_host_name_is_joined_and_no_send_blocks_on_a_name_server(tmp_path, monkeypatch):
     """The system looks a name up within sendto: with a name server that is silent, no request is served meanwhile."""
     asked = list[str]()
     answers = anyio.Event()
@@ -241,7 +241,7 @@
     anyio.run(play)
 
 
-def test_names_are_looked_up_one_at_a_time_anew_when_old_and_kept_where_nobody_answers():
+def test_host_names_are_looked_up_once_at_a_time_and_stay_known_while_lookups_fail():
     names = AddressResolver()
     assert names.resolve("10.0.0.1", "1", b"a", 0.0) == Resolution("10.0.0.1", False)
     assert names.resolve("::1", "1", b"a", 0.0) == Resolution("::1", False)
@@ -275,7 +275,7 @@
     assert len(names._hosts) == MAX_HOST_NAMES
 
 
-def test_a_peer_that_the_settings_gain_in_service_is_joined(tmp_path):
+def test_a_peer_added_in_service_is_joined(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
@@ -287,7 +287,7 @@
     anyio.run(play)
 
 
-def test_seeds_that_the_settings_gain_in_service_are_asked_and_other_keys_of_the_block_need_a_start(tmp_path):
+def test_seeds_added_in_service_are_contacted_and_other_keys_of_the_block_need_a_restart(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
@@ -305,7 +305,7 @@
     anyio.run(play)
 
 
-def test_a_key_is_changed_under_way_and_a_withdrawn_one_opens_nothing(tmp_path):
+def test_keys_rotate_in_service_and_a_withdrawn_key_opens_nothing(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         await one.open()
@@ -327,7 +327,7 @@
     anyio.run(play)
 
 
-def test_strangers_are_counted_and_told_nothing(tmp_path):
+def test_unauthenticated_datagrams_are_counted_and_not_answered(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         async with running(one):
@@ -357,7 +357,7 @@
     anyio.run(play)
 
 
-def test_what_can_not_be_started_says_why_and_what_to_do(tmp_path):
+def test_a_failed_start_says_why_and_what_to_do(tmp_path):
     async def play() -> None:
         with pytest.raises(MembershipError, match="see fleet, keys"):
             await MembershipAgent(config(tmp_path, "one", keys=str(tmp_path / "none")), clock).open()
@@ -378,7 +378,7 @@
     anyio.run(play)
 
 
-def test_members_kept_on_the_disk_are_found_without_seeds_and_lives_only_go_up(tmp_path):
+def test_cached_members_are_joined_without_seeds_and_generations_only_rise(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
@@ -438,6 +438,6 @@
     assert failed.exit_code == 1 and "knows no none; it knows two" in failed.output
 
 
-def test_the_command_says_where_nobody_answers(tmp_path):
+def test_the_command_reports_a_gateway_that_does_not_answer(tmp_path):
     done = CliRunner().invoke(command.command, ["show", f"unix:{tmp_path}/none"])
     assert done.exit_code == 1 and "no gateway answers" in done.output and "Traceback" not in done.output
--- a/tests/test_membership_datagrams.py
+++ b/tests/test_membership_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways: every field at and past its bound, seals, replays, versions side by side."""
+"""The wire format between gateways: every field at and past its bound, authentication, replays, mixed versions."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from winchdyke.membership.errors import MessageRejectedError
 
 SECRET, OTHER = b"s" * 32, b"t" * 32
-ENTRY = MemberRecord("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(MemberState.ALIVE), "g1")
-MESSAGE = SwimMessage("g0", 7, 1, "g1", int(MessageKind.PING), 9, "g2", 3, [ENTRY])
+RECORD = MemberRecord("g1", "10.0.0.1:7", "hall", 1, 5, 0, int(MemberState.ALIVE), "g1")
+MESSAGE = SwimMessage("g0", 7, 1, "g1", int(MessageKind.PING), 9, "g2", 3, [RECORD])
 TOP = datagrams.MAX_INTEGER
 
 
@@ -38,7 +38,7 @@
     return head + datagrams.message_mac(SECRET, head, body) + body
 
 
-def test_what_is_sealed_is_opened_the_same():
+def test_a_sealed_message_is_unsealed_unchanged():
     assert datagrams.unseal(datagrams.seal(MESSAGE, SECRET), [OTHER, SECRET]) == MESSAGE
 
 
@@ -49,7 +49,7 @@
     assert reason(bytes(data)) in ("not-ours", "version", "seal")
 
 
-def test_two_keys_count_during_a_change_and_a_withdrawn_one_does_not():
+def test_two_keys_are_valid_during_a_rotation_and_a_withdrawn_one_is_not():
     old, new = datagrams.seal(MESSAGE, SECRET), datagrams.seal(MESSAGE, OTHER)
     assert reason(old, [OTHER, SECRET]) == reason(new, [OTHER, SECRET]) == ""
     assert reason(old, [OTHER]) == "seal"
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("at, good, bad", FIELDS)
-def test_each_field_is_taken_at_its_bound_and_dropped_past_it(at, good, bad):
+def test_each_field_is_accepted_at_its_bound_and_rejected_past_it(at, good, bad):
     for value, want in [*((value, "") for value in good), *((value, "fields") for value in bad)]:
         fields = msgspec.to_builtins(MESSAGE)
         fields[at] = value
@@ -87,16 +87,16 @@
 
 
 @pytest.mark.parametrize("at, good, bad", INNER)
-def test_each_field_of_an_entry_is_taken_at_its_bound_and_dropped_past_it(at, good, bad):
+def test_each_field_of_a_record_is_accepted_at_its_bound_and_rejected_past_it(at, good, bad):
     for value, want in [*((value, "") for value in good), *((value, "fields") for value in bad)]:
-        fields, entry = msgspec.to_builtins(MESSAGE), msgspec.to_builtins(ENTRY)
+        fields, entry = msgspec.to_builtins(MESSAGE), msgspec.to_builtins(RECORD)
         entry[at] = value
         fields[8] = [entry]
         assert reason(sealed(fields)) == want, value
 
 
-def test_bounds_of_entries_are_in_bytes():
-    entry = msgspec.to_builtins(ENTRY)
+def test_bounds_of_texts_are_in_bytes():
+    entry = msgspec.to_builtins(RECORD)
     for at in (0, 1, 2, 7):
         for text, want in (("\u20ac" * 21, ""), ("\u20ac" * 22, "fields")):
             fields = msgspec.to_builtins(MESSAGE)
@@ -107,7 +107,7 @@
 def test_two_versions_side_by_side():
     """A later version adds fields at ends, and kinds: the first are passed over, the second dropped and counted."""
     fields = msgspec.to_builtins(MESSAGE)
-    fields[8] = [[*msgspec.to_builtins(ENTRY), "more", 5]]
+    fields[8] = [[*msgspec.to_builtins(RECORD), "more", 5]]
     assert datagrams.unseal(sealed([*fields, {"new": 1}]), [SECRET]) == MESSAGE
     fields[4] = 77
     assert reason(sealed(fields)) == "kind"
@@ -117,13 +117,13 @@
     assert reason(bytes(data)) == "version"
 
 
-def test_what_is_too_long_is_not_looked_at():
+def test_a_message_that_is_too_long_is_rejected_unparsed():
     assert reason(b"W" * (datagrams.MAX_DATAGRAM_BYTES + 1)) == "too-long"
     assert reason(b"WF") == reason(b"") == "not-ours"
 
 
 @given(st.binary(max_size=200))
-def test_noise_is_dropped_and_nothing_else_is_raised(noise):
+def test_noise_is_rejected_and_nothing_else_is_raised(noise):
     assert reason(noise)
     assert reason(datagrams.MAGIC + bytes((datagrams.VERSION, 0)) + noise)
     head = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
@@ -131,7 +131,7 @@
 
 
 @given(st.lists(st.integers(0, 600), max_size=200))
-def test_each_count_is_taken_once_in_any_order(counts):
+def test_each_message_counter_is_accepted_once_in_any_order(counts):
     window, taken = ReplayWindow(1), set()
     for count in counts:
         if window.accept(count):
--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -1,4 +1,4 @@
-"""The merging of words on members, over all states of a small world; and mutants of it, each told."""
+"""The merging of member records, over all states of a small model; and mutants of it, each detected."""
 
 from __future__ import annotations
 
@@ -10,80 +10,80 @@
 from winchdyke.model.members import Words
 
 
-def test_two_members_are_explored_whole_and_nothing_is_broken():
+def test_two_members_are_explored_completely_without_a_violation():
     found = explore(Words(2, 3))
     assert found.whole and not found.broken, found.trace
     assert found.states > 1000
 
 
-def test_three_members_to_a_depth():
+def test_three_members_are_explored_to_a_depth_without_a_violation():
     found = explore(Words(3, 2), most=4000)
     assert not found.broken, found.trace
 
 
-class LastWord(MemberTable):
-    """Believes whatever it heard last."""
+class LastRecordWins(MemberTable):
+    """Takes whatever record came last."""
 
-    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
-        self.members.pop(entry.name, None)
-        return super().apply(entry, now, teller)
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        self.members.pop(record.name, None)
+        return super().apply(record, now, reporter)
 
 
-class LifeBlind(MemberTable):
-    """Compares incarnations of different lives."""
+class IgnoresGenerations(MemberTable):
+    """Compares incarnations of different generations."""
 
-    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
-        member = self.members.get(entry.name)
-        if member is not None and entry.precedence[1:] > member.record.precedence[1:]:
-            del self.members[entry.name]
-        return super().apply(entry, now, teller)
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
+        if member is not None and record.precedence[1:] > member.record.precedence[1:]:
+            del self.members[record.name]
+        return super().apply(record, now, reporter)
 
 
-class DeadIsDead(MemberTable):
+class DeathIsFinal(MemberTable):
     """Lets no refutation clear a death."""
 
-    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
-        member = self.members.get(entry.name)
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
         if (
             member is not None
             and member.state is MemberState.DEAD
-            and entry.generation == member.record.generation
+            and record.generation == member.record.generation
         ):
             return None
-        return super().apply(entry, now, teller)
+        return super().apply(record, now, reporter)
 
 
-class FirstWord(MemberTable):
-    """Of equal life and incarnation keeps what came first."""
+class FirstRecordWins(MemberTable):
+    """Of equal generation and incarnation keeps the record that came first."""
 
-    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
-        member = self.members.get(entry.name)
-        if member is not None and entry.precedence[:2] == member.record.precedence[:2]:
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
+        if member is not None and record.precedence[:2] == member.record.precedence[:2]:
             return None
-        return super().apply(entry, now, teller)
+        return super().apply(record, now, reporter)
 
 
-class Inventive(MemberTable):
-    """Raises another's incarnation itself."""
+class RaisesIncarnations(MemberTable):
+    """Raises another member's incarnation."""
 
-    def apply(self, entry: MemberRecord, now: float, teller: str) -> Member | None:
-        if entry.state == MemberState.DEAD:
-            entry = MemberRecord(
-                entry.name, "", "", 0, entry.generation, entry.incarnation + 1, int(MemberState.DEAD), ""
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        if record.state == MemberState.DEAD:
+            record = MemberRecord(
+                record.name, "", "", 0, record.generation, record.incarnation + 1, int(MemberState.DEAD), ""
             )
-        return super().apply(entry, now, teller)
+        return super().apply(record, now, reporter)
 
 
 @pytest.mark.parametrize(
     "mutant, told",
     [
-        (LastWord, "heard is one"),
-        (LifeBlind, "no way back"),
-        (DeadIsDead, "heard is one"),
-        (FirstWord, "heard is one"),
-        (Inventive, "own voice"),
+        (LastRecordWins, "heard is one"),
+        (IgnoresGenerations, "no way back"),
+        (DeathIsFinal, "heard is one"),
+        (FirstRecordWins, "heard is one"),
+        (RaisesIncarnations, "own voice"),
     ],
 )
-def test_each_mutant_of_the_order_is_told(mutant, told):
+def test_each_mutant_of_the_merge_is_detected(mutant, told):
     found = explore(Words(3, 3, mutant), most=60_000)
     assert found.broken.startswith(told), found
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""Membership in virtual time: real machines on a network that loses, delays, cuts and copies. Each hard case once."""
+"""The SWIM protocol in virtual time, on a network that loses, delays, duplicates and partitions."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 def settled(members: int, seed: int = 1, **more: object) -> Fleet:
-    """A fleet whose views agree."""
+    """Return members whose views have converged."""
     fleet = Fleet(members, seed, **more)  # type: ignore[arg-type]
     fleet.run(1500.0)
     assert fleet.until_agreed(20_000.0) is not None, fleet.differ()
     return fleet
 
 
-def said(fleet: Fleet, since: float, state: str, member: str = "") -> set[tuple[str, str]]:
-    """(viewer, member) of views that turned to a state."""
+def transitions(fleet: Fleet, since: float, state: str, member: str = "") -> set[tuple[str, str]]:
+    """Return the (viewer, member) pairs whose state changed to ``state``."""
     return {
         (t.viewer, t.member)
         for t in fleet.told
@@ -33,14 +33,14 @@
     }
 
 
-def links(fleet: Fleet, viewer: str, member: str) -> str:
-    """How a viewer says that it and a member hear each other."""
+def link_state(fleet: Fleet, viewer: str, member: str) -> str:
+    """Return the state of the link to a member, as the viewer sees it."""
     view = fleet.lives[viewer].machine.view(fleet.now)
     return next(seen.link for seen in view.members if seen.name == member)
 
 
-def dead_for(fleet: Fleet, since: float) -> float:
-    """The longest time for which a view held a member dead whose process ran all the while."""
+def longest_false_death_ms(fleet: Fleet, since: float) -> float:
+    """Return the longest time for which a view held a running member dead."""
     longest, began = 0.0, dict[tuple[str, str], float]()
     for told in [t for t in fleet.told if t.at >= since]:
         key = told.viewer, told.member
@@ -59,47 +59,47 @@
     assert took is not None and took <= fleet.bounds.detection_bound_ms(members)
 
 
-def test_killed_and_back_within_one_probe_is_a_new_life_and_no_death():
+def test_a_restart_within_one_probe_is_a_new_generation_and_no_death():
     fleet = settled(8)
     since, life = fleet.now, fleet.lives["g3"].machine.generation
     fleet.kill("g3")
     fleet.at(fleet.now + 200.0, lambda: fleet.start("g3"))
     fleet.run(fleet.now + 15_000.0)
-    assert fleet.agreed() and not said(fleet, since, "dead")
+    assert fleet.agreed() and not transitions(fleet, since, "dead")
     assert fleet.lives["g3"].machine.generation > life
 
 
-def test_one_deaf_member_dies_in_no_view_and_both_ends_know_their_link():
+def test_an_asymmetric_partition_kills_no_member_and_both_ends_know_the_link_state():
     """A hears B, B does not hear A: straight words pass one way alone, and a third keeps both alive."""
     fleet = settled(3)
     since = fleet.now
     fleet.links.cut = {("g0", "g1")}
     fleet.run(since + 60_000.0)
-    assert not said(fleet, since, "dead") and not said(fleet, since, "suspect")
-    assert links(fleet, "g0", "g1") == "deaf" and links(fleet, "g1", "g0") == "mute"
+    assert not transitions(fleet, since, "dead") and not transitions(fleet, since, "suspect")
+    assert link_state(fleet, "g0", "g1") == "deaf" and link_state(fleet, "g1", "g0") == "mute"
     fleet.links.cut = set()
     fleet.run(fleet.now + 10_000.0)
-    assert links(fleet, "g0", "g1") == links(fleet, "g1", "g0") == "both"
+    assert link_state(fleet, "g0", "g1") == link_state(fleet, "g1", "g0") == "both"
 
 
-def test_two_deaf_to_each_other_are_kept_by_a_third():
+def test_two_members_that_reach_each_other_only_through_a_third_stay_alive():
     fleet = settled(3)
     since = fleet.now
     fleet.links.cut = {("g0", "g1"), ("g1", "g0")}
     fleet.run(since + 60_000.0)
-    assert not said(fleet, since, "dead") and links(fleet, "g0", "g1") == "cut"
+    assert not transitions(fleet, since, "dead") and link_state(fleet, "g0", "g1") == "cut"
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_a_fifth_of_all_datagrams_lost_for_ten_minutes_kills_nobody(seed):
+def test_twenty_percent_datagram_loss_for_ten_minutes_causes_no_death(seed):
     fleet = settled(8, seed)
     since = fleet.now
     fleet.links.loss = 0.2
     fleet.run(since + 600_000.0)
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
 
 
-def test_clocks_that_run_apart_by_a_hundredth_kill_nobody_and_tell_a_kill_in_time():
+def test_one_percent_clock_drift_causes_no_death_and_no_late_detection():
     """Bounds are in the viewers' own milliseconds: a slow clock stretches them by its own part, and nothing more."""
     drift = 0.01
     fleet = settled(8, 3, drift=drift)
@@ -110,60 +110,60 @@
     fleet.run(since + 600_000.0)
     shown = [life.clock(fleet.now) - fleet.now for life in fleet.lives.values()]
     assert max(shown) - min(shown) > 5_000.0, "seconds apart by now"
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
     fleet.links.loss = 0.0
     fleet.kill("g1")
     took = fleet.until_agreed(60_000.0)
     assert took is not None and took <= fleet.bounds.detection_bound_ms(8) / (1 - drift)
 
 
-def test_datagrams_gone_and_streams_whole_kills_nobody_and_the_other_way_neither():
+def test_loss_of_all_datagrams_or_of_all_streams_causes_no_death():
     fleet = settled(5)
     since = fleet.now
     fleet.links.datagrams = False
     fleet.run(since + 60_000.0)
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
     fleet.links.datagrams, fleet.links.streams = True, False
     fleet.run(fleet.now + 60_000.0)
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
     fleet.links.streams, fleet.links.large_lost = True, 300
     fleet.run(fleet.now + 60_000.0)
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
 
 
-def test_copies_delay_and_a_tail_change_nothing():
+def test_duplicated_and_delayed_datagrams_cause_no_death():
     fleet = settled(8)
     since = fleet.now
     fleet.links.copies, fleet.links.delay, fleet.links.tail = 0.3, (5.0, 20.0), 0.02
     fleet.run(since + 120_000.0)
-    assert not said(fleet, since, "dead")
+    assert not transitions(fleet, since, "dead")
     assert sum(life.machine.counts["replay"] for life in fleet.lives.values()) > 100
 
 
-def test_a_member_that_is_stopped_for_3_s_every_10_s_is_never_dead_for_long():
+def test_a_member_paused_for_3_s_every_10_s_is_never_dead():
     fleet = settled(8)
     since = fleet.now
     for n in range(12):
         fleet.at(since + 10_000.0 * n, lambda: fleet.pause("g2", 3000.0))
     fleet.run(since + 120_000.0)
-    assert not said(fleet, since, "dead")  # 3 s are less than any suspicion takes
+    assert not transitions(fleet, since, "dead")  # 3 s are less than any suspicion takes
     others = [t for t in fleet.told if t.at >= since and t.viewer == "g2" and t.state in ("suspect", "dead")]
     assert not [t for t in others if t.state == "dead"]
 
 
 @pytest.mark.parametrize("length", [50.0, 1000.0, 5000.0, 60_000.0])
-def test_who_was_stopped_judges_nobody_by_what_it_missed(length):
+def test_a_paused_member_declares_no_member_dead_for_messages_it_missed(length):
     fleet = settled(8)
     since = fleet.now
     fleet.pause("g4", length)
     fleet.run(since + length + 20_000.0)
     assert not [t for t in fleet.told if t.at >= since and t.viewer == "g4" and t.state == "dead"]
     assert fleet.agreed(), fleet.differ()
-    assert dead_for(fleet, since) <= length
+    assert longest_false_death_ms(fleet, since) <= length
 
 
 @pytest.mark.parametrize("interval", [50.0, 200.0, 1000.0])
-def test_who_hears_nothing_and_is_never_late_has_not_slept(interval):
+def test_a_member_that_receives_nothing_detects_no_pause(interval):
     """Where intervals are short, a turn with a probe in it was followed by one that seemed late by a whole look."""
     bounds = SwimConfig(
         probe_interval_ms=interval, probe_timeout_ms=0.4 * interval, min_pause_ms=max(50.0, interval / 4)
@@ -184,7 +184,7 @@
     assert machine.pause_detector.pause_count == 1, "and who is late by so much has"
 
 
-def test_all_but_one_stopped_for_5_s():
+def test_views_converge_after_all_members_but_one_were_paused():
     fleet = settled(8)
     since = fleet.now
     for name in fleet.names[1:]:
@@ -193,7 +193,7 @@
     assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
 
 
-def test_a_zone_that_is_cut_off_is_one_event_on_both_sides_and_meets_again_without_a_storm():
+def test_a_zone_partition_is_one_outage_on_both_sides_and_heals_at_a_bounded_rate():
     fleet = settled(24, zones=2)
     since, quiet = fleet.now, max(fleet.rate(fleet.now - 5000, fleet.now))
     sides = [{n for n in fleet.names if fleet.zones[n] == zone} for zone in ("zone-0", "zone-1")]
@@ -213,7 +213,7 @@
     assert fleet.lives["g0"].machine.view(fleet.now).outage is None
 
 
-def test_seven_in_ten_killed_at_once_are_known_in_time():
+def test_seventy_percent_killed_at_once_are_detected_in_time():
     fleet = settled(20)
     for name in fleet.names[6:]:
         fleet.kill(name)
@@ -224,7 +224,7 @@
     assert event is not None and len(event.members) == 14 and event.started_at_ms >= since
 
 
-def test_a_rolling_restart_a_tenth_at_a_time_is_followed():
+def test_views_converge_after_a_rolling_restart():
     fleet = settled(20)
     for n in range(10):
         for name in fleet.names[2 * n : 2 * n + 2]:
@@ -234,7 +234,7 @@
     assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(20)) is not None, fleet.differ()[:3]
 
 
-def test_all_restart_at_once():
+def test_views_converge_after_all_members_restart_at_once():
     fleet = settled(8)
     for name in fleet.names:
         fleet.kill(name)
@@ -243,7 +243,7 @@
     assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
 
 
-def test_a_leave_is_heard_before_the_process_ends():
+def test_a_leave_reaches_all_members_before_the_process_ends():
     fleet = settled(8)
     fleet.leave("g5")
     fleet.run(fleet.now + 5000.0)
@@ -251,7 +251,7 @@
     assert all(next(s.state for s in view.members if s.name == "g5") == "left" for view in views)
 
 
-def test_a_start_at_which_no_seed_answers_tries_on_at_a_bounded_rate():
+def test_a_start_without_reachable_seeds_retries_at_a_bounded_rate():
     fleet = Fleet(2, 1, links=Links(datagrams=False, streams=False))
     fleet.run(120_000.0)
     machine = fleet.lives["g0"].machine
@@ -260,7 +260,7 @@
     assert fleet.until_agreed(2 * fleet.bounds.max_reconnect_backoff_ms) is not None
 
 
-def test_a_clock_that_steps_back_between_two_lives_does_not_keep_the_later_one_out():
+def test_a_clock_set_back_before_a_restart_does_not_keep_the_new_process_out():
     fleet = settled(4)
     fleet.kill("g1")
     fleet.now += 100.0
@@ -269,8 +269,8 @@
     assert any(note.code == "renewed" for _, name, note in fleet.notes if name == "g1")
 
 
-def machine(bounds: SwimConfig | None = None, **more: object) -> SwimProtocol:
-    """A member by itself."""
+def new_protocol(bounds: SwimConfig | None = None, **more: object) -> SwimProtocol:
+    """Return the protocol of member "a"."""
     own = LocalMember(
         **{
             "name": "a",
@@ -296,7 +296,7 @@
 
 
 class Peer:
-    """Somebody that speaks to a machine by hand."""
+    """Sends messages to a protocol in the name of one member."""
 
     def __init__(self, to: SwimProtocol, name: str = "b", generation: int = 1) -> None:
         self.to = to
@@ -305,7 +305,7 @@
         self.counter = 0
         self.now = 0.0
 
-    def say(
+    def send(
         self,
         kind: MessageKind = MessageKind.PING,
         request_id: int = 1,
@@ -335,11 +335,11 @@
         return told
 
 
-def test_a_refutation_that_is_lost_five_times_still_clears_the_name():
-    one = machine()
+def test_a_refutation_lost_five_times_is_sent_again():
+    one = new_protocol()
     peer = Peer(one)
     for _ in range(5):
-        told = peer.say(others=[record("a", MemberState.SUSPECT, 10 << 16, one.incarnation, "b")])
+        told = peer.send(others=[record("a", MemberState.SUSPECT, 10 << 16, one.incarnation, "b")])
         mine = [
             e
             for action in told
@@ -351,135 +351,135 @@
     assert one.incarnation == 5 and one.counts["refuted"] == 5
 
 
-def test_a_late_accusation_of_an_earlier_life_does_nothing():
-    one = machine()
+def test_a_late_suspicion_of_an_earlier_generation_is_ignored():
+    one = new_protocol()
     peer = Peer(one)
-    peer.say(others=[record("a", MemberState.DEAD, (10 << 16) - 1, 7, "b"), record("c", generation=9)])
+    peer.send(others=[record("a", MemberState.DEAD, (10 << 16) - 1, 7, "b"), record("c", generation=9)])
     assert one.incarnation == 0 and one.counts["accused-earlier-life"] == 1
-    peer.say(others=[record("c", MemberState.DEAD, 8, 99, "b")])
+    peer.send(others=[record("c", MemberState.DEAD, 8, 99, "b")])
     assert peer.state("c") is MemberState.ALIVE
 
 
-def test_counts_and_incarnations_at_their_ends_begin_a_later_life():
-    one = machine()
+def test_exhausted_message_counters_and_incarnations_start_a_later_generation():
+    one = new_protocol()
     peer = Peer(one)
     generation = one.generation
-    peer.say(others=[record("a", MemberState.SUSPECT, generation, datagrams.MAX_INTEGER, "b")])
+    peer.send(others=[record("a", MemberState.SUSPECT, generation, datagrams.MAX_INTEGER, "b")])
     assert one.generation > generation and one.incarnation == 0
     generation = one.generation
     one.context.message_counter = datagrams.MAX_INTEGER
-    told = peer.say()
+    told = peer.send()
     assert one.generation > generation
     assert all(
         action.message.message_counter < 100 for action in told if isinstance(action, events.SendDatagram)
     )
 
 
-def test_who_answers_probes_for_a_dead_member_does_not_keep_it():
+def test_an_ack_from_another_member_does_not_keep_a_dead_one_alive():
     """An address that passed to another, or a member that takes others' words: an answer counts from the one who was asked."""
-    one = machine(SwimConfig(indirect_probe_count=0))
+    one = new_protocol(SwimConfig(indirect_probe_count=0))
     peer = Peer(one)
-    peer.say(others=[record("c")])
+    peer.send(others=[record("c")])
     for _ in range(200):
         for action in peer.pass_time(peer.now + 100.0):
             if isinstance(action, events.SendDatagram) and action.message.kind == MessageKind.PING:
-                peer.say(MessageKind.ACK, action.message.request_id)  # b, whoever was asked
+                peer.send(MessageKind.ACK, action.message.request_id)  # b, whoever was asked
     assert peer.state("c") is MemberState.DEAD and peer.state("b") is MemberState.ALIVE
 
 
-def test_a_datagram_for_another_is_not_answered():
-    one = machine()
-    told = Peer(one).say(recipient="x")
+def test_a_datagram_for_another_recipient_is_not_answered():
+    one = new_protocol()
+    told = Peer(one).send(recipient="x")
     assert one.counts["misaddressed"] == 1 and not [
         a for a in told if isinstance(a, events.SendDatagram) and a.message.kind == MessageKind.ACK
     ]
 
 
-def test_a_replay_does_nothing():
-    one = machine()
+def test_a_replayed_message_is_ignored():
+    one = new_protocol()
     peer = Peer(one)
-    peer.say(others=[record("c")])
+    peer.send(others=[record("c")])
     peer.counter = 0
-    peer.say(others=[record("d")])
+    peer.send(others=[record("d")])
     assert "d" not in one.table.members and one.counts["replay"] == 1
 
 
 def test_a_flood_of_valid_datagrams_is_dropped_past_its_rate():
-    one = machine()
+    one = new_protocol()
     peer = Peer(one)
-    answered = sum(isinstance(action, events.SendDatagram) for _ in range(3000) for action in peer.say())
+    answered = sum(isinstance(action, events.SendDatagram) for _ in range(3000) for action in peer.send())
     assert answered < 600 and one.counts["flood"] > 2000
 
 
-def test_hearsay_of_a_death_is_not_believed_of_whom_was_just_heard_and_it_is_told():
-    one = machine()
+def test_gossip_of_a_death_is_a_suspicion_where_direct_evidence_contradicts_it():
+    one = new_protocol()
     peer, liar = Peer(one), Peer(one, "l")
-    peer.say()
-    liar.say(others=[record("b", MemberState.DEAD, 1, 0, "l")])
+    peer.send()
+    liar.send(others=[record("b", MemberState.DEAD, 1, 0, "l")])
     assert peer.state("b") is MemberState.SUSPECT  # a suspicion, which runs only as long as b says nothing
-    told = peer.say()
+    told = peer.send()
     accused = [
         e for a in told if isinstance(a, events.SendDatagram) for e in a.message.records if e.name == "b"
     ]
     assert accused and accused[0].state == MemberState.SUSPECT
     for _ in range(40):
         peer.pass_time(peer.now + 500.0)
-        peer.say()
+        peer.send()
     assert peer.state("b") is MemberState.ALIVE
 
 
-def test_two_processes_with_one_name_the_later_stays_and_the_earlier_says_so_and_leaves():
-    one = machine()
+def test_of_two_processes_with_one_name_the_earlier_reports_it_and_leaves():
+    one = new_protocol()
     peer = Peer(one)
     other = MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")
-    told = peer.say(others=[other])
+    told = peer.send(others=[other])
     asked = [a for a in told if isinstance(a, events.SendDatagram) and a.address == "at-elsewhere"]
     assert len(asked) == 1  # is it there? a word alone may be of a process before this one
     twin = Peer(one, "a", 99 << 16)
-    told = twin.say(MessageKind.ACK, asked[0].message.request_id)
+    told = twin.send(MessageKind.ACK, asked[0].message.request_id)
     assert [a for a in told if isinstance(a, events.StopMembership)] and one.has_left
-    assert not peer.say()  # nothing is done after it
+    assert not peer.send()  # nothing is done after it
 
 
-def test_a_later_life_of_this_name_that_does_not_answer_was_before_this_one():
-    one = machine()
+def test_a_later_generation_of_this_name_that_does_not_answer_belongs_to_an_earlier_process():
+    one = new_protocol()
     peer = Peer(one)
-    peer.say(others=[MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")])
+    peer.send(others=[MemberRecord("a", "at-elsewhere", "z", 0, 99 << 16, 0, int(MemberState.ALIVE), "")])
     peer.pass_time(5000.0)
     assert one.generation > 99 << 16 and not one.has_left
 
 
-def test_an_index_that_the_settings_do_not_know_is_said_and_shown():
-    one = machine()
-    told = Peer(one).say(others=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
+def test_an_index_that_the_settings_do_not_know_is_reported_and_shown():
+    one = new_protocol()
+    told = Peer(one).send(others=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
     assert "index-unknown" in [a.code for a in told if isinstance(a, events.ReportEvent)]
     assert next(seen.index_in_settings for seen in one.view(0.0).members if seen.name == "x") is False
 
 
-def test_a_member_that_moves_is_found_at_its_new_address_and_the_settings_word_wins():
-    one = machine(address_overrides=(("c", "by-settings"),))
+def test_a_member_is_sent_to_at_its_new_address_unless_the_settings_override_it():
+    one = new_protocol(address_overrides=(("c", "by-settings"),))
     peer = Peer(one)
-    peer.say(others=[record("c")])
-    peer.say(others=[MemberRecord("c", "at-new", "z", 1, 2, 0, 0, "")])
+    peer.send(others=[record("c")])
+    peer.send(others=[MemberRecord("c", "at-new", "z", 1, 2, 0, 0, "")])
     assert one.table.members["c"].record.address == "at-new"
     assert one.context.address_of(one.table.members["c"]) == "by-settings"
 
 
-def test_the_book_has_a_bound_and_says_when_it_is_reached():
-    one = machine(SwimConfig(max_members=10))
-    Peer(one).say(others=[record(f"x{n}") for n in range(30)])
+def test_the_member_table_is_bounded_and_counts_rejected_members():
+    one = new_protocol(SwimConfig(max_members=10))
+    Peer(one).send(others=[record(f"x{n}") for n in range(30)])
     assert len(one.table.members) == 10 and one.table.rejected_when_full == 21
 
 
-def test_the_dead_are_forgotten_in_the_end():
-    one = machine(SwimConfig(departed_retention_ms=60_000.0, indirect_probe_count=0))
+def test_dead_members_are_removed_after_the_retention_time():
+    one = new_protocol(SwimConfig(departed_retention_ms=60_000.0, indirect_probe_count=0))
     peer = Peer(one)
-    peer.say(others=[record("c", MemberState.DEAD)])
+    peer.send(others=[record("c", MemberState.DEAD)])
     peer.pass_time(70_000.0)
     assert "c" not in one.table.members
 
 
-def test_two_hundred_and_fifty_members_of_which_fifty_flap_cost_each_some_kilobytes_a_second():
+def test_fifty_flapping_members_of_250_cost_a_bounded_rate_of_bytes():
     fleet = Fleet(250, 3, SwimConfig(state_exchange_interval_ms=60_000.0), start_ms=2000.0)
     fleet.run(12_000.0)
     for n in range(4):
@@ -501,7 +501,7 @@
     size = len(letter.encode())
     name = letter * (64 // size)
     top = datagrams.MAX_INTEGER
-    one = machine(name=name, address=name, zone=name, generation=top - 5, index=65535)
+    one = new_protocol(name=name, address=name, zone=name, generation=top - 5, index=65535)
     one.context.incarnation = top
     one.context.message_counter = top - 1000
     peer = Peer(one, name="b", generation=top)
@@ -512,7 +512,7 @@
     seen: set[str] = set()
     for number in range(80):
         for action in [
-            *peer.say(request_id=top - number, others=others, recipient="", target=name),
+            *peer.send(request_id=top - number, others=others, recipient="", target=name),
             *peer.pass_time(peer.now + 1000.0),
         ]:
             if isinstance(action, events.SendDatagram):
@@ -556,7 +556,7 @@
         pass
 
 
-def test_without_each_defence_members_die_that_live():
+def test_the_checks_detect_each_defence_that_is_taken_out():
     """The judge of these tests is seen to fail: refutation, indirect probes, and the look at the own sleep, each taken out."""
 
     def lost(make: type[SwimProtocol], trouble: str) -> float:
@@ -573,8 +573,8 @@
             fleet.links.loss = 0.0 if trouble == "deaf" else 0.35
         fleet.run(since + 200_000.0)
         if trouble == "pauses":
-            return float(len([pair for pair in said(fleet, since, "suspect") if pair[0] == "g2"]))
-        return dead_for(fleet, since)
+            return float(len([pair for pair in transitions(fleet, since, "suspect") if pair[0] == "g2"]))
+        return longest_false_death_ms(fleet, since)
 
     assert lost(SwimProtocol, "deaf") == 0 < lost(WithoutIndirectProbes, "deaf")
     assert lost(SwimProtocol, "deaf and loss") < 15_000 < 60_000 < lost(WithoutRefutation, "deaf and loss")
@@ -583,7 +583,7 @@
 
 @settings(max_examples=25, deadline=None)
 @given(st.integers(0, 10_000), st.lists(TROUBLE, max_size=8))
-def test_whatever_happened_views_agree_once_it_is_over(seed, troubles):
+def test_views_converge_after_any_faults_are_over(seed, troubles):
     fleet = settled(5, seed)
     for kind, one, other, length in troubles:
         a, b = fleet.names[one], fleet.names[other]
