--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -557,7 +557,7 @@
                 raise ArithmeticError("by design")
 
             with monkeypatch.context() as patched:
-                patched.setattr("winchdyke.gateway.pool.Pool.get", fault)
+                patched.setattr("winchdyke.gateway.pool.ConnectionPool.get", fault)
                 answer = await it.ask("PUT", READ, b"x")
             assert (answer.status, answer.reason) == (500, "internal")
             assert b"ArithmeticError" not in answer.body
