--- a/winchdyke/benchlink.py
+++ b/winchdyke/benchlink.py
@@ -1,7 +1,8 @@
-"""The bench's wire to the module's interface and back: ``python -m winchdyke.benchlink``.
+"""The adapter between the simulator's wire and the scheduler: ``python -m winchdyke.benchlink``.
 
-Hosts any number of instances, each with a scheduler of its own; nothing is shared between them and nothing
-is decided here. Malformed input ends the program with one plain line on standard error.
+Hosts any number of gateway instances, each with a scheduler of its own; they share nothing, and nothing is decided here.
+The names of the wire are mapped to those of :mod:`winchdyke.interface` here and nowhere else. Malformed input ends the
+program with one plain line on standard error.
 """
 
 from __future__ import annotations
@@ -13,10 +14,14 @@
 
 from winchdyke import interface as api
 from winchdyke.scheduling import Scheduler
-from winchdyke.settings import settings_of, word
+from winchdyke.settings import enum_value, settings_of
 
-STATES = {"0": api.EndpointStatus.REMOVED, "1": api.EndpointStatus.READY, "2": api.EndpointStatus.DRAINING}
-KINDS = {
+ENDPOINT_STATUS = {
+    "0": api.EndpointStatus.REMOVED,
+    "1": api.EndpointStatus.READY,
+    "2": api.EndpointStatus.DRAINING,
+}
+LIST_KINDS = {
     "0": api.EndpointListKind.FAILED,
     "1": api.EndpointListKind.CHANGES,
     "2": api.EndpointListKind.CACHED,
@@ -32,182 +37,223 @@
     "revoked": api.AttemptOutcome.CANCELLED,
     "unused": api.AttemptOutcome.NOT_SENT,
 }
-REPEAT_BIT = 2
+ABSENT = "-"
+RETRY_FLAG = 2  # bit of a request's flags
 
 
 class WireError(Exception):
     """Input that the wire's description does not allow."""
 
 
-def number(text: str) -> float:
+def read_number(text: str) -> float:
     """A number of the wire, where an absent one is 0."""
-    return 0.0 if text == "-" else float(text)
+    return 0.0 if text == ABSENT else float(text)
 
 
-def report(text: str) -> tuple[float, ...]:
-    """A load report's values, in the order that the settings name."""
-    return () if text == "-" else tuple(number(part) for part in text.split(","))
+def read_load_report(text: str) -> tuple[float, ...]:
+    """The values of a load report, in the order that the settings name."""
+    if text == ABSENT:
+        return ()
+    return tuple(read_number(part) for part in text.split(","))
 
 
-def node(row: list[str]) -> api.Endpoint:
-    """An entry of the node list."""
+def read_endpoint(row: list[str]) -> api.Endpoint:
+    """An entry of the endpoint list."""
     if row[0] != "M":
         raise WireError(f"expected a list entry, got {row[0]!r}")
     return api.Endpoint(
         name=row[4],
-        status=word(STATES, row[6]),
-        shard=int(number(row[7])),
+        status=enum_value(ENDPOINT_STATUS, row[6]),
+        shard=int(read_number(row[7])),
         zone=row[2],
-        started_at_ms=number(row[3]),
+        started_at_ms=read_number(row[3]),
     )
 
 
-def demand(row: list[str]) -> api.Request:
+def read_request(row: list[str]) -> api.Request:
     """A client's request."""
     return api.Request(
         request_id=row[2],
         request_class=row[3],
         plan=row[4],
-        key="" if row[5] == "-" else row[5],
-        time_left_ms=number(row[6]),
+        key="" if row[5] == ABSENT else row[5],
+        time_left_ms=read_number(row[6]),
         volume=row[7],
-        units=number(row[8]),
-        shard=int(number(row[9])),
-        sharing_gateways=int(number(row[10])),
-        is_retry=bool(int(number(row[11])) & REPEAT_BIT),
+        units=read_number(row[8]),
+        shard=int(read_number(row[9])),
+        sharing_gateways=int(read_number(row[10])),
+        is_retry=bool(int(read_number(row[11])) & RETRY_FLAG),
     )
 
 
-def ended(row: list[str]) -> api.AttemptEnded:
-    """The end of an attempt."""
-    used = number(row[8])
+def read_stream_started(row: list[str]) -> api.StreamStarted:
+    """The start of a streamed response."""
+    return api.StreamStarted(request_id=row[2], attempt=int(row[3]))
+
+
+def read_attempt_ended(row: list[str]) -> api.AttemptEnded:
+    """The end of an attempt. The wire gives the volume's use as percent plus one, so that 0 is absent."""
+    usage = read_number(row[8])
     return api.AttemptEnded(
         request_id=row[2],
         attempt=int(row[3]),
         endpoint=row[4],
-        outcome=word(OUTCOMES, row[5]),
-        latency_ms=number(row[6]),
+        outcome=enum_value(OUTCOMES, row[5]),
+        latency_ms=read_number(row[6]),
         request_finished=row[7] == "1",
-        volume_usage_percent=used - 1 if used else None,
-        units_via_other_gateways=number(row[9]),
-        load_report=report(row[10]),
+        volume_usage_percent=usage - 1 if usage else None,
+        units_via_other_gateways=read_number(row[9]),
+        load_report=read_load_report(row[10]),
     )
 
 
-def peer(row: list[str]) -> api.PeerMessage:
-    """A message of another gateway; what is not base64 is passed on as empty."""
+def read_client_disconnected(row: list[str]) -> api.ClientDisconnected:
+    """The disconnection of a client."""
+    return api.ClientDisconnected(request_id=row[2])
+
+
+def read_timer_fired(row: list[str]) -> api.TimerFired:
+    """The expiry of a timer."""
+    return api.TimerFired(timer_id=int(row[2]))
+
+
+def read_health_check_ended(row: list[str]) -> api.HealthCheckEnded:
+    """The result of a health check."""
+    outcome = enum_value(OUTCOMES, row[3])
+    return api.HealthCheckEnded(row[2], outcome, read_number(row[4]), read_load_report(row[5]))
+
+
+def read_peer_message(row: list[str]) -> api.PeerMessage:
+    """A message of another gateway; one that is not base64 is passed on as empty."""
     import base64
     import binascii
 
     try:
-        data = b"" if row[3] == "-" else base64.b64decode(row[3], validate=True)
+        payload = b"" if row[3] == ABSENT else base64.b64decode(row[3], validate=True)
     except binascii.Error:
-        data = b""
-    return api.PeerMessage(sender_index=int(row[2]), payload=data)
+        payload = b""
+    return api.PeerMessage(sender_index=int(row[2]), payload=payload)
 
 
 READERS: dict[str, Callable[[list[str]], api.Event]] = {
-    "DEMAND": demand,
-    "FLOWING": lambda row: api.StreamStarted(request_id=row[2], attempt=int(row[3])),
-    "CLOSED_ATTEMPT": ended,
-    "VANISHED": lambda row: api.ClientDisconnected(request_id=row[2]),
-    "TIMEOUT_FIRED": lambda row: api.TimerFired(timer_id=int(row[2])),
-    "PONG": lambda row: api.HealthCheckEnded(row[2], word(OUTCOMES, row[3]), number(row[4]), report(row[5])),
-    "PEER": peer,
+    "DEMAND": read_request,
+    "FLOWING": read_stream_started,
+    "CLOSED_ATTEMPT": read_attempt_ended,
+    "VANISHED": read_client_disconnected,
+    "TIMEOUT_FIRED": read_timer_fired,
+    "PONG": read_health_check_ended,
+    "PEER": read_peer_message,
 }
 
 
-def written(who: str, action: api.Action) -> str:
+def write_action(instance: str, action: api.Action) -> str:
     """An action as a line of the wire."""
     match action:
-        case api.StartAttempt(request, name, timeout):
-            parts = ["ISSUE", who, request, name, f"{timeout:.3f}"]
-        case api.ShedRequest(request, after):
-            parts = ["REFUSE", who, request, f"{after:.3f}"]
-        case api.FailRequest(request):
-            parts = ["DROP_REQUEST", who, request]
-        case api.SetTimer(tag, after):
-            parts = ["DEFER", who, str(tag), f"{after:.3f}"]
-        case api.CancelAttempt(request, attempt):
-            parts = ["UNDO_SEND", who, request, str(attempt)]
+        case api.StartAttempt(request_id, endpoint, timeout_ms):
+            fields = ["ISSUE", instance, request_id, endpoint, f"{timeout_ms:.3f}"]
+        case api.ShedRequest(request_id, retry_after_ms):
+            fields = ["REFUSE", instance, request_id, f"{retry_after_ms:.3f}"]
+        case api.FailRequest(request_id):
+            fields = ["DROP_REQUEST", instance, request_id]
+        case api.SetTimer(timer_id, after_ms):
+            fields = ["DEFER", instance, str(timer_id), f"{after_ms:.3f}"]
+        case api.CancelAttempt(request_id, attempt):
+            fields = ["UNDO_SEND", instance, request_id, str(attempt)]
         case api.WatchEndpoints():
-            parts = ["TAIL", who, "1"]
-        case api.LogMessage(text):
-            parts = ["LOG", who, " ".join(text.split())]
-    return "\t".join(parts)
+            fields = ["TAIL", instance, "1"]
+        case api.LogMessage(message):
+            fields = ["LOG", instance, " ".join(message.split())]
+    return "\t".join(fields)
 
 
-class Link:
-    """The instances of one process, and the batch that is being read."""
+class Adapter:
+    """The instances of one process, and the batch of events that is being read."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self.schedulers: dict[str, Scheduler] = {}
         self.events: dict[str, list[api.Event]] = {}
 
-    def read(self, row: list[str], more: Iterator[str]) -> None:
-        """Take in one message; a node list reads its entries from ``more``."""
-        kind, who = row[0], row[1]
+    def read_message(self, row: list[str], lines: Iterator[str]) -> None:
+        """Take in one message; an endpoint list reads its entries from ``lines``."""
+        kind = row[0]
+        instance = row[1]
         if kind == "POWER_ON":
-            self.schedulers[who] = Scheduler(
-                settings_of(json.loads("\t".join(row[3:]))), seed=int(row[2]), now=self.now
-            )
-            self.events[who] = []
+            self._start(instance, row)
         elif kind == "KILLED":
-            self.schedulers.pop(who, None)
-            self.events.pop(who, None)
-        elif who not in self.schedulers:
-            raise WireError(f"instance {who!r} is not running")
+            self.schedulers.pop(instance, None)
+            self.events.pop(instance, None)
+        elif instance not in self.schedulers:
+            raise WireError(f"instance {instance!r} is not running")
         elif kind == "MEMBERS":
-            nodes = tuple(node(next(more, "").rstrip("\r\n").split("\t")) for _ in range(int(number(row[4]))))
-            self.events.setdefault(who, []).append(api.EndpointList(word(KINDS, row[2]), nodes))
-        elif kind == "DEMAND" and row[3] not in self.schedulers[who].classes:
+            self._add_event(instance, _read_endpoint_list(row, lines))
+        elif kind == "DEMAND" and row[3] not in self.schedulers[instance].classes:
             raise WireError(f"unknown class {row[3]!r}")
         elif kind in READERS:
-            self.events.setdefault(who, []).append(READERS[kind](row))
+            self._add_event(instance, READERS[kind](row))
         else:
             raise WireError("unknown message")
 
-    def answer(self) -> list[str]:
+    def reply(self) -> list[str]:
         """Let each instance that had events decide; the lines of the reply."""
-        lines = []
-        for who, events in self.events.items():
-            actions = self.schedulers[who].handle(self.now, events)
-            # A send is written as it is decided here: there is nothing to call off before it.
-            lines += [
-                written(who, action) for action in actions if not isinstance(action, api.AbandonAttempt)
-            ]
+        lines: list[str] = []
+        for instance, events in self.events.items():
+            for action in self.schedulers[instance].handle(self.now, events):
+                # On this wire an attempt is written as it is decided: there is nothing to abandon.
+                if not isinstance(action, api.AbandonAttempt):
+                    lines.append(write_action(instance, action))
         self.events = {}
         return lines
 
+    def _start(self, instance: str, row: list[str]) -> None:
+        settings = settings_of(json.loads("\t".join(row[3:])))
+        self.schedulers[instance] = Scheduler(settings, seed=int(row[2]), now=self.now)
+        self.events[instance] = []
+
+    def _add_event(self, instance: str, event: api.Event) -> None:
+        self.events.setdefault(instance, []).append(event)
+
+
+def _read_endpoint_list(row: list[str], lines: Iterator[str]) -> api.EndpointList:
+    count = int(read_number(row[4]))
+    endpoints = tuple(read_endpoint(next(lines, "").rstrip("\r\n").split("\t")) for _ in range(count))
+    return api.EndpointList(enum_value(LIST_KINDS, row[2]), endpoints)
+
+
+class _NumberedLines:
+    """The lines of a stream, and the number of the last one that was read."""
+
+    def __init__(self, source: TextIO) -> None:
+        self.number = 0
+        self._source = source
+
+    def __iter__(self) -> Iterator[str]:
+        for line in self._source:
+            self.number += 1
+            yield line
+
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends."""
-    link, count = Link(), 0
-
-    def counted() -> Iterator[str]:
-        nonlocal count
-        for text in source:
-            count += 1
-            yield text
-
-    lines = counted()
-    for text in lines:
-        row = text.rstrip("\r\n").split("\t")
+    """Answer batches until the input ends. WireError, with the line's number, where the input is malformed."""
+    adapter = Adapter()
+    numbered = _NumberedLines(source)
+    lines = iter(numbered)
+    for line in lines:
+        row = line.rstrip("\r\n").split("\t")
         try:
             if row[0] == "CLOCK":
-                link.now = float(row[1])
+                adapter.now = float(row[1])
             elif row[0] == "FLUSH":
-                sink.write("\n".join([*link.answer(), "NEXT\n"]))
+                sink.write("\n".join([*adapter.reply(), "NEXT\n"]))
                 sink.flush()
             elif row != [""]:
-                link.read(row, lines)
+                adapter.read_message(row, lines)
         except (WireError, ValueError, TypeError, AttributeError) as error:
-            raise WireError(f"line {count}: {row[0] or 'empty message'}: {error}") from error
+            raise WireError(f"line {numbered.number}: {row[0] or 'empty message'}: {error}") from error
         except IndexError as error:
-            raise WireError(f"line {count}: {row[0]}: a field is missing") from error
+            raise WireError(f"line {numbered.number}: {row[0]}: a field is missing") from error
         except KeyError as error:
-            raise WireError(f"line {count}: {row[0]}: {error} is missing or unknown") from error
+            raise WireError(f"line {numbered.number}: {row[0]}: {error} is missing or unknown") from error
 
 
 def main() -> int:
