--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -34,29 +34,29 @@
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
         """Send it on, and the answer back."""
-        connection.begin([], close=False)
-        connection.unread_length = head.length
+        connection.begin_request([], close=False)
+        connection.declared_body_bytes = head.length
         body = None
         if head.length != 0:
-            body = ReplayBody(connection.body, head.length, self.bodies, keep=False)
+            body = ReplayBody(connection.read_body, head.length, self.bodies, replayable=False)
         node = self.nodes[hash(head.target) % len(self.nodes)]
         attempt = Attempt(self.pool, self.clock, 30_000.0, connection, lambda: None, lambda _: True)
         ended = await attempt.run(
             node, OutgoingRequest(head.method, head.target, head.headers, body), 30_000.0
         )
-        if ended.answer is not None:
-            await connection.pass_on(ended.answer.head, ended.answer.body)
-        elif not ended.relayed:
-            await connection.answer(*answers.error(502, "failed", "store-reset", "-", ""))
+        if ended.response is not None:
+            await connection.respond_from_upstream(ended.response.head, ended.response.body)
+        elif not ended.streamed:
+            await connection.respond(*answers.error(502, "failed", "store-reset", "-", ""))
 
 
 async def main(ports: list[str]) -> None:
-    logs.set_up("none")
+    logs.configure("none")
     config = parse(defaults(), "defaults.conf")
     nodes = dataclasses.replace(config.nodes, must_ask=True)
     gateway = Gateway(dataclasses.replace(config, nodes=nodes))
     gateway.service = PassThrough(gateway, [f"127.0.0.1:{port}" for port in ports])
-    gateway.membership.ask = gateway.engine.watch = lambda: None  # type: ignore[method-assign]
+    gateway.membership.ask = gateway.engine.on_watch_endpoints = lambda: None  # type: ignore[method-assign]
     await gateway.run(lambda: print(gateway.address[1], flush=True))
 
 
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -22,7 +22,7 @@
 
 async def run(folder: Path, count: int, seed: int) -> None:
     """Take part until killed."""
-    logs.set_up("none")
+    logs.configure("none")
     base = load_file(BASE).config
     async with anyio.create_task_group() as group:
         nodes = []
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -27,14 +27,17 @@
 
 def swapped(engine: SchedulerLoop, old: Config, config: Config) -> float:
     """Milliseconds for which the loop stands in one swap, as the daemon does it; the rest is made beside it."""
-    plans, settings = moved(engine.accounts(), Going(old, old), Going(config, config)), config.settings()
+    plans, settings = (
+        moved(engine.volumes_with_quota(), Going(old, old), Going(config, config)),
+        config.settings(),
+    )
     names = list(plans)
     for at in range(0, len(names), SLICE):  # between these others run
-        engine.freshen(names[at : at + SLICE])
+        engine.refill_quotas(names[at : at + SLICE])
     began = time.perf_counter()
-    engine.accounts(len(engine.accounts()))
+    engine.volumes_with_quota(len(engine.volumes_with_quota()))
     ConfigSnapshot(config, 1)
-    engine.retell(settings, plans)
+    engine.replace_plans(settings, plans)
     return (time.perf_counter() - began) * 1000
 
 
@@ -53,8 +56,8 @@
     print(f"{len(names)} volumes; {len(diff(base, one))} and {len(diff(base, every))} values changed")
     engine = SchedulerLoop(base.settings(), 1)
     for number, name in enumerate(names):
-        engine.take(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
-    engine.turn()
+        engine.submit(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
+    engine.process_events()
     print(f"{len(engine._scheduler.volumes)} accounts")
     for what, config in (("one volume", one), ("all volumes", every)):
         pauses = []
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -85,7 +85,7 @@
         group.start_soon(gateway.run, ready.set)
         await ready.wait()
         for number in range(4000):
-            gateway.engine.take(
+            gateway.engine.submit(
                 api.Request(f"r{number}", "fetch", "basic", f"course-x{number}", "k", 1.0, 0, 1, 900.0)
             )
         await anyio.sleep(2)
@@ -129,7 +129,7 @@
     words.add_argument("--volumes", type=int, default=5000)
     words.add_argument("--applies", type=int, default=10)
     chosen = words.parse_args()
-    logs.set_up("none")
+    logs.configure("none")
     many_settings.PLANS = ("basic",)
     plain = parse(defaults() + "\n" + many_settings.many(chosen.volumes, 0))
     for what in ("one volume", "all volumes"):
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -21,7 +21,7 @@
 from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
 from winchdyke.standins.wire import LOST, Peer
 
-logs.set_up("none")
+logs.configure("none")
 INI = resources.files("winchdyke.config").joinpath("defaults.ini").read_text()
 ONCE = """
 [class once]
@@ -88,7 +88,7 @@
     def watch(self) -> None:
         """Keep what the engine is told."""
         engine = self.gateway.engine
-        told, posted = engine.ended, engine.post
+        told, posted = engine.attempt_ended, engine.post
 
         def ended(ticket: Any, event: api.AttemptEnded) -> None:
             self.ended.append(event)
@@ -98,7 +98,7 @@
             self.events.append(event)
             posted(event)
 
-        engine.ended, engine.post = ended, post  # type: ignore[method-assign]
+        engine.attempt_ended, engine.post = ended, post  # type: ignore[method-assign]
 
     async def connect(self) -> Peer:
         """A client's connection to the gateway."""
@@ -204,7 +204,7 @@
         group.start_soon(made.gateway.run, ready.set)
         await ready.wait()
         if listing:
-            await made.until(lambda: len(made.gateway.engine.nodes) == stores)
+            await made.until(lambda: len(made.gateway.engine.endpoints) == stores)
         try:
             yield made
         finally:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -268,8 +268,8 @@
             await anyio.sleep(0.05)
             pool = ConnectionPool(100.0, 1000.0, 4, lambda: 0.0)
             with pytest.raises(ConnectError) as caught:
-                await pool.get(f"127.0.0.1:{blocker.getsockname()[1]}")
-            assert not caught.value.own
+                await pool.acquire(f"127.0.0.1:{blocker.getsockname()[1]}")
+            assert not caught.value.local_exhaustion
         finally:
             for sock in (*fillers, blocker):
                 sock.close()
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize("order", ["it is called off", "its time to be written ends"])
 def test_a_connection_comes_up_after_what_a_send_was_decided_on_and_nothing_is_written(monkeypatch, order):
     """As on the platform: a store that had been told to drain got what a late connection brought."""
-    get, handle = ConnectionPool.get, Scheduler.handle
+    get, handle = ConnectionPool.acquire, Scheduler.handle
 
     @played
     async def run():
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -384,19 +384,19 @@
     """On the path that the gateway takes: engine, recorder and shadow, with a node that does not answer."""
     config = rig_settings()
     engine = SchedulerLoop(config.settings(), 1)
-    engine.observe()
+    engine.start_observing()
     kept: list[object] = []
     writer = SimpleNamespace(put=kept.append)
     recorder = Recorder("g", writer, lambda: engine.observer)  # type: ignore[arg-type]
     engine.post(
         api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))
     )
-    engine.turn()
+    engine.process_events()
     tickets, courses = [], []
     for number in range(10_000):
         name = f"r{number}"
         request = api.Request(name, "fetch", "school", f"school-{number % 50}", name, 1.0, 0, 1, 3000.0)
-        tickets.append(engine.take(request))
+        tickets.append(engine.submit(request))
     tracemalloc.start()
     try:
         before = tracemalloc.get_traced_memory()[0]
@@ -404,7 +404,7 @@
             course = recorder.begin()
             course.phase("held")
             courses.append(course)
-            recorder.hold(ticket.id, 0, "fetch", engine.clock())
+            recorder.hold(ticket.request_id, 0, "fetch", engine.clock())
         accounts_only = tracemalloc.get_traced_memory()[0] - before
         engine.observer.look(engine.clock())
         waiting = tracemalloc.get_traced_memory()[0] - before
@@ -414,9 +414,9 @@
         f"{accounts_only / 10_000:.0f} and then {waiting / 10_000:.0f} bytes for each that waits"
     )
     for ticket, course in zip(tickets, courses, strict=True):
-        recorder.release(course, ticket.id, course.marks[-2], engine.clock())
+        recorder.release(course, ticket.request_id, course.marks[-2], engine.clock())
         recorder.end(
-            course, request=ticket.id, volume="v", class_name="fetch", key="", units=1.0, outcome="served", reason="ok",
+            course, request=ticket.request_id, volume="v", class_name="fetch", key="", units=1.0, outcome="served", reason="ok",
             status=200, client_request="", deadline_ms=3000.0,
         )  # fmt: skip
     observer = engine.observer
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -432,12 +432,12 @@
     engine = SchedulerLoop(
         api.Settings(1, 0, (), (api.Plan("p", 1, 1, 5, 0, 10.0, 20.0),)), 1, Scheduler, lambda: 0.0
     )
-    tolls = ByteMeter(lambda: 0.0, engine.purse, lambda: 8.0)
+    tolls = ByteMeter(lambda: 0.0, engine.quota_of, lambda: 8.0)
 
     async def run() -> None:
         bill = tolls.bill("v", 10.0, 1, UNIT, 8.0, 0.0)
         await bill.before(100 * UNIT)
-        engine._fault(RuntimeError("x"))
+        engine._replace_scheduler(RuntimeError("x"))
         assert tolls.debt("v") == units_of(100 * UNIT, UNIT) - 8.0
         bill.moved = 100 * UNIT
         bill.close()
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -24,7 +24,7 @@
 from winchdyke.platform.clients import State
 from winchdyke.platform.service import Gateway
 
-logs.set_up("none")
+logs.configure("none")
 Say = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
@@ -325,7 +325,7 @@
                 said = await asyncio.wait_for(reader.read(), 3.0)
             assert not said or said.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
             assert not said.startswith((b"HTTP/1.1 429", b"HTTP/1.1 503"))
-            assert not it.store.seen and not it.gateway.engine.tickets
+            assert not it.store.seen and not it.gateway.engine.open_requests
             writer.close()
 
     asyncio.run(play())
@@ -411,9 +411,9 @@
             await until(lambda: bool(it.store.seen))
             writer.close()
             await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.departed and not it.gateway.engine.tickets
+            assert it.gateway.engine.disconnected_requests and not it.gateway.engine.open_requests
             assert (await it.ask())[0] == 200 and it.store.connections <= 2
-            assert not it.gateway.engine.departed and not it.gateway.engine._scheduler.requests
+            assert not it.gateway.engine.disconnected_requests and not it.gateway.engine._scheduler.requests
 
     asyncio.run(play())
 
--- a/tests/test_engine.py
+++ b/tests/test_scheduler_loop.py
@@ -46,9 +46,9 @@
     ]
     for event in events:
         engine.post(event)
-    engine.turn()
+    engine.process_events()
     assert script.batches == [(1000.0, events)]
-    engine.turn()
+    engine.process_events()
     assert len(script.batches) == 1, "nothing came: nothing to decide"
 
 
@@ -58,24 +58,24 @@
         [api.SetTimer(7, 30.0), api.SetTimer(8, 10.0), api.SetTimer(9, 10.0), api.SetTimer(5, 90.0)]
     ]
     engine.post(api.ClientDisconnected("x"))
-    engine.turn()
+    engine.process_events()
     now[0] = 1031.0
-    engine.turn()
+    engine.process_events()
     assert script.batches[1] == (1031.0, [api.TimerFired(8), api.TimerFired(9), api.TimerFired(7)])
     now[0] = 1089.0
-    engine.turn()
+    engine.process_events()
     assert len(script.batches) == 2
 
 
 def test_actions_reach_whoever_holds_the_request():
     engine, script, _ = made()
     watched = []
-    engine.watch = lambda: watched.append(True)
-    tickets = {name: engine.take(request(name)) for name in "abc"}
+    engine.on_watch_endpoints = lambda: watched.append(True)
+    tickets = {name: engine.submit(request(name)) for name in "abc"}
     cancelled = []
     tickets["a"].on_cancel = cancelled.append
     called_off = []
-    tickets["a"].on_call_off = called_off.append
+    tickets["a"].on_abandon = called_off.append
     script.answers = [
         [
             api.StartAttempt("a", "n1", 50.0),
@@ -90,28 +90,28 @@
             api.StartAttempt("nobody", "n1"),
         ]
     ]
-    engine.turn()
+    engine.process_events()
     assert list(tickets["a"].actions) == [api.StartAttempt("a", "n1", 50.0)]
     assert list(tickets["b"].actions) == [api.ShedRequest("b", 250.0)]
     assert list(tickets["c"].actions) == [api.FailRequest("c")]
     assert (cancelled, called_off, watched) == ([0], [0], [True])
-    assert set(engine.tickets) == {"a"}
-    assert (tickets["a"].attempts_out, tickets["b"].closed, tickets["c"].closed) == (1, True, True)
+    assert set(engine.open_requests) == {"a"}
+    assert (tickets["a"].attempts_in_flight, tickets["b"].finished, tickets["c"].finished) == (1, True, True)
 
 
 def test_a_request_taken_twice_is_an_error_of_the_caller():
     engine, _, _ = made()
-    engine.take(request("a"))
+    engine.submit(request("a"))
     with pytest.raises(ValueError, match="held already"):
-        engine.take(request("a"))
+        engine.submit(request("a"))
 
 
 def test_a_client_that_goes_twice_is_told_once():
     engine, script, _ = made()
-    ticket = engine.take(request("a"))
-    engine.gone(ticket)
-    engine.gone(ticket)
-    engine.turn()
+    ticket = engine.submit(request("a"))
+    engine.client_disconnected(ticket)
+    engine.client_disconnected(ticket)
+    engine.process_events()
     assert script.batches[0][1] == [request("a"), api.ClientDisconnected("a")]
 
 
@@ -133,14 +133,14 @@
     engine = SchedulerLoop(SETTINGS, 1, make, lambda: now[0])
     node = api.Endpoint("n", api.EndpointStatus.READY, 0)
     engine.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
-    ticket = engine.take(request("a"))
-    engine.turn()
+    ticket = engine.submit(request("a"))
+    engine.process_events()
     engine.post(api.ClientDisconnected("nobody"))
-    engine.turn()
+    engine.process_events()
     assert list(ticket.actions) == [api.FailRequest("a")]
-    assert ticket.fault == "engine-fault" and not engine.tickets
+    assert ticket.override_reason == "engine-fault" and not engine.open_requests
     now[0] = 100.0
-    engine.turn()
+    engine.process_events()
     assert schedulers[1].batches == [(100.0, [api.EndpointList(api.EndpointListKind.CACHED, (node,))])]
 
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -24,7 +24,7 @@
 
 from winchdyke.config.model import Tls
 from winchdyke.gateway import tls
-from winchdyke.gateway.tls import Certificates, TlsError, load
+from winchdyke.gateway.tls import CertificateReloader, TlsError, load_server_context
 
 DAY = datetime.timedelta(days=1)
 
@@ -193,7 +193,7 @@
     issuer = Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "one")
     now = time.time()
-    assert Certificates(settings_of(certificate, key)).context()
+    assert CertificateReloader(settings_of(certificate, key)).current_context()
     for settings, at, said in [
         (settings_of(tmp_path / "none", key), now, "can't be read"),
         (settings_of(key, key), now, "no certificate in PEM"),
@@ -204,7 +204,7 @@
         (settings_of(certificate, key, clients=str(key)), now, "issuers"),
     ]:
         with pytest.raises(TlsError, match=said):
-            load(settings, at)
+            load_server_context(settings, at)
 
 
 def test_stores_over_tls_and_one_whose_certificate_is_anothers(tmp_path):
@@ -233,4 +233,4 @@
 
     run()
     with pytest.raises(TlsError, match="stores' issuers"):
-        tls.load_stores(str(key))
+        tls.load_store_context(str(key))
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -130,11 +130,11 @@
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
         """Answer one request."""
-        connection.unread_length = head.length
+        connection.declared_body_bytes = head.length
         try:
             status, found, more = await self._answer(connection, head)
         except ProtocolError as error:
-            connection.close_after = True
+            connection.close_after_response = True
             status, found, more = error.status, {"error": error.reason, "text": str(error)}, []
         except Exception as error:
             self._log.error("internal", exc_info=error)
@@ -147,7 +147,7 @@
             (b"cache-control", b"no-store"),
             *more,
         ]
-        await connection.answer(status, headers, body)
+        await connection.respond(status, headers, body)
 
     async def _answer(
         self, connection: ClientConnection, head: RequestHead
@@ -165,7 +165,7 @@
         try:
             who, origin = self._person(stream, head, body)
         except _Refused as refused:
-            connection.close_after = True
+            connection.close_after_response = True
             self._log.warning("refused", code=refused.found["error"], peer=refused.peer)
             return refused.status, refused.found, refused.headers
         if path == FLEET:
@@ -191,7 +191,7 @@
     async def _body(self, connection: ClientConnection) -> bytes:
         got = bytearray()
         with anyio.move_on_after(BODY_S) as late:
-            while data := await connection.body():
+            while data := await connection.read_body():
                 got += data
                 if len(got) > BODY:
                     raise ProtocolError(413, "too-large", f"{BODY} bytes at the most")
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -57,7 +57,7 @@
     async def run() -> None:
         async with anyio.create_task_group() as group:
             config = dev_config(await stand_ins(group, STORES), "127.0.0.1", port)
-            logs.set_up("none" if quiet else config.log.form)
+            logs.configure("none" if quiet else config.log.form)
 
             def started(gateway: daemon.Gateway) -> None:
                 host, chosen = gateway.address
--- a/winchdyke/cli/serve.py
+++ b/winchdyke/cli/serve.py
@@ -19,7 +19,7 @@
     from winchdyke.gateway import daemon, logs
 
     config = settings_from(file)
-    logs.set_up(config.log.form, config.log.access)
+    logs.configure(config.log.form, config.log.access)
     try:
         anyio.run(daemon.serve, config)
     except daemon.StartError as error:
--- a/winchdyke/discovery/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -17,7 +17,7 @@
 from winchdyke.config.model import Discovery
 from winchdyke.discovery.endpoint_view import Entry
 from winchdyke.discovery.list_protocol import ListError, Reader, ReceivedList
-from winchdyke.gateway.attempts import LOST
+from winchdyke.gateway.attempts import CONNECTION_ERRORS
 from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
 
 LIST_BYTES = 16 << 20
@@ -89,7 +89,7 @@
                     if heard is not None:
                         await tell(self.name, heard)
                     await anyio.sleep(max(GAP_S, self._allowance.wait_s(time.monotonic())))
-            except (*LOST, ProtocolError, ListError) as error:
+            except (*CONNECTION_ERRORS, ProtocolError, ListError) as error:
                 self._asked, self._token, self._index = anyio.Event(), "", 0
                 await fail(self.name, str(error) or type(error).__name__)
 
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -1,14 +1,17 @@
-"""One attempt at one store: sent, waited for, and its end told truly (the table is in ``gateway/outcomes.py``)."""
+"""One attempt of a request at one store: written, waited for, and its outcome classified.
+
+The outcomes are defined in :mod:`winchdyke.gateway.outcomes`.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Awaitable, Callable
 from dataclasses import dataclass, field
 
 import anyio
 from anyio.abc import TaskGroup
 
-from winchdyke.gateway.bodies import BodyStoreFull, ReplayBody
+from winchdyke.gateway.bodies import BodyStoreFullError, ReplayBody
 from winchdyke.gateway.pool import ConnectError, Connection, ConnectionPool
 from winchdyke.http1 import AnswerHead, Bytes, End, Headers, Need, ProtocolError
 from winchdyke.interface import AttemptOutcome
@@ -16,18 +19,18 @@
 from winchdyke.object_api.sinks import Sink
 from winchdyke.quotas.token_bucket import OverLimit
 
-WHOLE = 64 * 1024  # an answer up to this many bytes is read whole before any of it is the client's
-CHUNK = 256 * 1024  # what the transport reads at once; less would be cut out of that, with a copy
-LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024  # a larger response is streamed
+RECEIVE_BYTES = 256 * 1024  # the transport's own read size: a smaller one would copy each read into pieces
+CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class ClientDisconnectedError(Exception):
-    """The client's connection is gone."""
+    """The client's connection is lost."""
 
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request as a store gets it."""
+    """A request as it is written to a store."""
 
     method: str
     target: bytes
@@ -37,7 +40,7 @@
 
 @dataclass(slots=True)
 class UpstreamResponse:
-    """A whole answer."""
+    """A store's complete response."""
 
     head: AnswerHead
     body: bytes
@@ -45,20 +48,41 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended. ``relayed``: a part of its answer is the client's; ``fault``: what the client did."""
+    """How an attempt ended.
+
+    Attributes:
+        outcome: Its outcome.
+        latency_ms: Time from its start to its end, without time spent waiting for the client.
+        report: The load report in the response's head.
+        response: The complete response, where it was buffered.
+        streamed: Whether a part of the response has been passed to the client.
+        status: The response's status; 0 where there was none.
+        body_bytes: Bytes of the response's body.
+        error: What ended it at the client's side, or in the gateway itself.
+    """
 
     outcome: AttemptOutcome
     latency_ms: float = 0.0
-    told: store_protocol.Told = field(default_factory=store_protocol.Told)
-    answer: UpstreamResponse | None = None
-    relayed: bool = False
+    report: store_protocol.Told = field(default_factory=store_protocol.Told)
+    response: UpstreamResponse | None = None
+    streamed: bool = False
     status: int = 0
-    moved: int = 0
-    fault: Exception | None = None
+    body_bytes: int = 0
+    error: Exception | None = None
 
 
 class Attempt:
-    """One attempt while it runs. ``cancel`` ends it from outside."""
+    """One attempt while it runs.
+
+    Args:
+        pool: Where the connection is taken from.
+        clock: Monotonic time in milliseconds.
+        stream_idle_ms: The longest pause between two chunks of a streamed response.
+        sink: Receives a streamed response.
+        on_stream_start: Called before the first chunk of a streamed response is passed on.
+        is_expected: Whether a response's head answers the request.
+        enter_phase: Called with the name of each phase that begins.
+    """
 
     def __init__(
         self,
@@ -66,230 +90,266 @@
         clock: Callable[[], float],
         stream_idle_ms: float,
         sink: Sink,
-        on_stream: Callable[[], None],
-        fits: Callable[[AnswerHead], bool],
-        phase: Callable[[str], None] = lambda _: None,
+        on_stream_start: Callable[[], None],
+        is_expected: Callable[[AnswerHead], bool],
+        enter_phase: Callable[[str], None] = lambda _: None,
     ) -> None:
-        self._pool, self._clock, self._stream_idle = pool, clock, stream_idle_ms
-        self._sink, self._on_stream, self._fits = sink, on_stream, fits
-        self._phase = phase
+        self._pool = pool
+        self._clock = clock
+        self._stream_idle_ms = stream_idle_ms
+        self._sink = sink
+        self._on_stream_start = on_stream_start
+        self._is_expected = is_expected
+        self._enter_phase = enter_phase
         self._scope = anyio.CancelScope()
-        self._cancelled = self._on_client = False
-        self._sent = self._all_sent = False
-        self._blocked = self._block_began = 0.0  # time spent on the client, which is not the store's
-        self._fault: Exception | None = None
-        self._ended: AttemptResult | None = None
+        self._cancelled = False
+        self._write_started = False
+        self._write_completed = False
+        self._waiting_on_client = False
+        self._client_wait_since_ms = 0.0
+        self._client_wait_ms = 0.0
+        self._client_error: Exception | None = None
+        self._result: AttemptResult | None = None
 
     @property
-    def all_sent(self) -> bool:
-        """Whether the whole request has been handed to the socket."""
-        return self._all_sent
+    def write_completed(self) -> bool:
+        """Whether the complete request has been passed to the socket."""
+        return self._write_completed
 
     def cancel(self) -> None:
-        """Stop waiting for it."""
+        """Stop waiting for the attempt."""
         self._cancelled = True
         self._scope.cancel()
 
-    def call_off(self) -> None:
-        """Give it up where nothing of it has been handed to the socket."""
-        if not self._sent:
+    def abandon(self) -> None:
+        """Give the attempt up where no byte of it has been passed to the socket."""
+        if not self._write_started:
             self._scope.cancel()
 
     async def run(
-        self, node: str, out: OutgoingRequest, timeout_ms: float, write_ms: float = 0.0
+        self, endpoint: str, request: OutgoingRequest, timeout_ms: float, write_timeout_ms: float = 0.0
     ) -> AttemptResult:
-        """Carry it out; never raises but when the task itself is cancelled."""
-        began = self._clock()
+        """Carry the attempt out; raises only where the task itself is cancelled.
+
+        Args:
+            endpoint: Address of the store.
+            request: What to write.
+            timeout_ms: The attempt's time limit, up to the start of a streamed response.
+            write_timeout_ms: Nothing is written where connecting took longer than this; 0: no such limit.
+        """
+        started_at_ms = self._clock()
         connection: Connection | None = None
+        result: AttemptResult | None = None
         self._scope.deadline = anyio.current_time() + max(0.0, timeout_ms) / 1000
-        ended: AttemptResult | None = None
-        self._phase("dial")
+        self._enter_phase("dial")
         try:
             with self._scope:
-                connection = await self._pool.get(node)
-                if not write_ms or self._clock() < began + write_ms:
-                    ended = await self._exchange(connection, out)
+                connection = await self._pool.acquire(endpoint)
+                if not write_timeout_ms or self._clock() < started_at_ms + write_timeout_ms:
+                    result = await self._exchange(connection, request)
                 else:
-                    ended = AttemptResult(AttemptOutcome.NOT_SENT)  # what it was decided on holds no longer
+                    result = AttemptResult(AttemptOutcome.NOT_SENT)
         except ConnectError as error:
-            ended = AttemptResult(AttemptOutcome.NOT_SENT if error.own else AttemptOutcome.CONNECT_FAILED)
-        except LOST:
-            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET if self._sent else AttemptOutcome.NOT_SENT)
+            own_fault = error.local_exhaustion
+            result = AttemptResult(AttemptOutcome.NOT_SENT if own_fault else AttemptOutcome.CONNECT_FAILED)
+        except CONNECTION_ERRORS:
+            result = AttemptResult(self._outcome_of_lost_connection())
         except ProtocolError:
-            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET)
+            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)
         finally:
-            if connection is not None and (ended is None or not connection.codec.reusable):
+            if connection is not None and (result is None or not connection.codec.reusable):
                 await connection.close()
-        if ended is None:
-            ended = self._ended or AttemptResult(self._cut_short())
+        if result is None:
+            result = self._result or AttemptResult(self._outcome_when_interrupted())
         if connection is not None and connection.codec.reusable:
-            await self._pool.put(connection)
-        ended.fault = ended.fault or self._fault
-        ended.latency_ms = self._clock() - began - self._blocked
-        return ended
+            await self._pool.release(connection)
+        result.error = result.error or self._client_error
+        result.latency_ms = self._clock() - started_at_ms - self._client_wait_ms
+        return result
+
+    def _outcome_of_lost_connection(self) -> AttemptOutcome:
+        return AttemptOutcome.CONNECTION_RESET if self._write_started else AttemptOutcome.NOT_SENT
 
-    def _cut_short(self) -> AttemptOutcome:
-        if not self._sent:
+    def _outcome_when_interrupted(self) -> AttemptOutcome:
+        if not self._write_started:
             return AttemptOutcome.NOT_SENT
-        # Time spent on a client that trickles its body is not the store's: a time-out would make it suspect.
-        return AttemptOutcome.CANCELLED if self._cancelled or self._on_client else AttemptOutcome.TIMED_OUT
-
-    async def _exchange(self, connection: Connection, out: OutgoingRequest) -> AttemptResult:
-        codec, body = connection.codec, out.body
-        payload = codec.request(out.method, out.target, out.headers)
-        ready = b"" if body is None else body.in_memory
-        if ready is None:
+        # A timeout makes the endpoint suspect, which a client that sends its body slowly must not do.
+        if self._cancelled or self._waiting_on_client:
+            return AttemptOutcome.CANCELLED
+        return AttemptOutcome.TIMED_OUT
+
+    # Writing the request
+
+    async def _exchange(self, connection: Connection, request: OutgoingRequest) -> AttemptResult:
+        codec = connection.codec
+        body = request.body
+        payload = codec.request(request.method, request.target, request.headers)
+        buffered = b"" if body is None else body.in_memory
+        if buffered is None:
             assert body is not None
-            return await self._exchange_streamed(connection, payload, body)
-        payload += (codec.data(ready) if ready else b"") + codec.end()
-        self._sent = True
-        self._phase("send")
+            return await self._exchange_streaming(connection, payload, body)
+        payload += (codec.data(buffered) if buffered else b"") + codec.end()
+        self._write_started = True
+        self._enter_phase("send")
         try:
             await connection.stream.send(payload)
-            self._all_sent = True
-            self._phase("store")
-        except LOST:
-            pass  # it may have answered before it closed
-        return await self._answer(connection)
+            self._write_completed = True
+            self._enter_phase("store")
+        except CONNECTION_ERRORS:
+            pass  # the store may have responded before it closed the connection
+        return await self._read_response(connection)
 
-    async def _exchange_streamed(
+    async def _exchange_streaming(
         self, connection: Connection, head: bytes, body: ReplayBody
     ) -> AttemptResult:
         async with anyio.create_task_group() as group:
-            group.start_soon(self._write, connection, head, body, group)
+            group.start_soon(self._write_request, connection, head, body, group)
             try:
-                ended = await self._answer(connection)
-            except (*LOST, ProtocolError):
-                ended = AttemptResult(
-                    AttemptOutcome.CONNECTION_RESET if self._sent else AttemptOutcome.NOT_SENT
-                )
-            self._ended = ended
+                result = await self._read_response(connection)
+            except (*CONNECTION_ERRORS, ProtocolError):
+                result = AttemptResult(self._outcome_of_lost_connection())
+            self._result = result
             group.cancel_scope.cancel()
-        if self._fault is not None:
-            return AttemptResult(AttemptOutcome.CANCELLED if self._sent else AttemptOutcome.NOT_SENT)
-        assert self._ended is not None
-        return self._ended
+        if self._client_error is not None:
+            return AttemptResult(AttemptOutcome.CANCELLED if self._write_started else AttemptOutcome.NOT_SENT)
+        assert self._result is not None
+        return self._result
 
-    async def _write(self, connection: Connection, head: bytes, body: ReplayBody, group: TaskGroup) -> None:
-        codec, chunks = connection.codec, body.chunks()
+    async def _write_request(
+        self, connection: Connection, head: bytes, body: ReplayBody, group: TaskGroup
+    ) -> None:
+        codec = connection.codec
+        chunks = body.chunks()
         try:
             while True:
-                self._wait_on_client(True)
+                self._begin_client_wait()
                 try:
                     data = await anext(chunks, b"")
                 finally:
-                    self._wait_on_client(False)
+                    self._end_client_wait()
                 if not data:
                     break
-                self._sent = True
-                piece = codec.data(data)
-                await connection.stream.send(head + piece if head else piece)  # type: ignore[arg-type]
+                self._write_started = True
+                encoded = codec.data(data)
+                await connection.stream.send(head + encoded if head else encoded)  # type: ignore[arg-type]
                 head = b""
-            self._sent = True
+            self._write_started = True
             await connection.stream.send(head + codec.end())
-            self._all_sent = True
-            self._phase("store")
-        except (ClientDisconnectedError, ProtocolError, BodyStoreFull, OverLimit) as error:
-            self._fault = error
+            self._write_completed = True
+            self._enter_phase("store")
+        except (ClientDisconnectedError, ProtocolError, BodyStoreFullError, OverLimit) as error:
+            self._client_error = error
             group.cancel_scope.cancel()
-        except LOST:
-            pass  # what reads the answer tells
+        except CONNECTION_ERRORS:
+            pass  # reading the response meets the same error
         finally:
-            await chunks.aclose()  # type: ignore[attr-defined]
+            await chunks.aclose()
+
+    def _begin_client_wait(self) -> None:
+        now = self._clock()
+        self._enter_phase("body")
+        self._client_wait_since_ms = now
+        self._waiting_on_client = True
 
-    def _wait_on_client(self, waits: bool) -> None:
+    def _end_client_wait(self) -> None:
         now = self._clock()
-        self._phase("body" if waits else "send")
-        if waits:
-            self._block_began = now
-        else:
-            self._blocked += now - self._block_began
-        self._on_client = waits or (self._on_client and self._scope.cancel_called)
-
-    async def _answer(self, connection: Connection) -> AttemptResult:
+        self._enter_phase("send")
+        self._client_wait_ms += now - self._client_wait_since_ms
+        # Stays set where the wait was interrupted, for the classification of the outcome.
+        self._waiting_on_client = self._waiting_on_client and self._scope.cancel_called
+
+    # Reading the response
+
+    async def _read_response(self, connection: Connection) -> AttemptResult:
         codec = connection.codec
         while isinstance(head := codec.head(), Need):
             codec.feed(await self._receive(connection))
-        self._phase("answer")
-        if not self._fits(head):
+        self._enter_phase("answer")
+        if not self._is_expected(head):
             raise ProtocolError(502, "store-range", "the store's range is not the one asked for")
-        told = store_protocol.told(head)
-        held = bytearray()
-        while len(held) <= WHOLE and (head.length is None or head.length <= WHOLE):
-            piece = await self._piece(connection)
-            if isinstance(piece, End):
-                return self._judge(head, told, bytes(held))
-            held += piece
+        report = store_protocol.told(head)
+        body = bytearray()
+        while len(body) <= MAX_BUFFERED_RESPONSE_BYTES and (
+            head.length is None or head.length <= MAX_BUFFERED_RESPONSE_BYTES
+        ):
+            chunk = await self._read_body_chunk(connection)
+            if isinstance(chunk, End):
+                return self._complete_response(head, report, bytes(body))
+            body += chunk
         if head.status >= 500:
-            return self._judge(head, told, b"")
-        while not held:
-            piece = await self._piece(connection)
-            if isinstance(piece, End):
-                return self._judge(head, told, b"")
-            held += piece
-        return await self._relay(connection, head, told, bytes(held))
+            return self._complete_response(head, report, b"")
+        while not body:
+            chunk = await self._read_body_chunk(connection)
+            if isinstance(chunk, End):
+                return self._complete_response(head, report, b"")
+            body += chunk
+        return await self._stream_response(connection, head, report, bytes(body))
 
     @staticmethod
-    def _judge(head: AnswerHead, told: store_protocol.Told, body: bytes) -> AttemptResult:
+    def _complete_response(head: AnswerHead, report: store_protocol.Told, body: bytes) -> AttemptResult:
         if store_protocol.never_ran(head):
-            return AttemptResult(AttemptOutcome.SHED, told=told, status=head.status)
+            return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)
         if head.status >= 500:
-            return AttemptResult(AttemptOutcome.ERROR, told=told, status=head.status)
+            return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)
         return AttemptResult(
             AttemptOutcome.SERVED,
-            told=told,
-            answer=UpstreamResponse(head, body),
+            report=report,
+            response=UpstreamResponse(head, body),
             status=head.status,
-            moved=len(body),
+            body_bytes=len(body),
         )
 
-    async def _relay(
-        self, connection: Connection, head: AnswerHead, told: store_protocol.Told, first: bytes
+    async def _stream_response(
+        self, connection: Connection, head: AnswerHead, report: store_protocol.Told, first_chunk: bytes
     ) -> AttemptResult:
-        self._scope.deadline = float("inf")  # from here on it is the client's
-        self._on_stream()
-        moved = 0
-        ended = self._ended = AttemptResult(
-            AttemptOutcome.CONNECTION_RESET, told=told, relayed=True, status=head.status
+        self._scope.deadline = float("inf")  # from here on the client's pace decides
+        self._on_stream_start()
+        body_bytes = 0
+        result = AttemptResult(
+            AttemptOutcome.CONNECTION_RESET, report=report, streamed=True, status=head.status
         )
+        self._result = result
         try:
-            await self._to_client(self._sink.begin_stream(head))
-            piece: Bytes | End = first
-            while not isinstance(piece, End):
-                await self._to_client(self._sink.data(piece))
-                moved += len(piece)
-                with anyio.fail_after(self._stream_idle / 1000):
-                    piece = await self._piece(connection)
-            await self._to_client(self._sink.finish())
-            ended.outcome = AttemptOutcome.SERVED
+            await self._send_to_client(self._sink.begin_stream(head))
+            chunk: Bytes | End = first_chunk
+            while not isinstance(chunk, End):
+                await self._send_to_client(self._sink.data(chunk))
+                body_bytes += len(chunk)
+                with anyio.fail_after(self._stream_idle_ms / 1000):
+                    chunk = await self._read_body_chunk(connection)
+            await self._send_to_client(self._sink.finish())
+            result.outcome = AttemptOutcome.SERVED
         except ClientDisconnectedError as error:
-            ended.outcome, ended.fault = AttemptOutcome.CANCELLED, error
-        except OverLimit as error:  # nothing of it was said to the client where it had not begun
-            ended.outcome, ended.fault, ended.relayed = AttemptOutcome.CANCELLED, error, moved > 0
-        except (*LOST, ProtocolError):
+            result.outcome = AttemptOutcome.CANCELLED
+            result.error = error
+        except OverLimit as error:
+            result.outcome = AttemptOutcome.CANCELLED
+            result.error = error
+            result.streamed = body_bytes > 0  # the head is sent with the first chunk
+        except (*CONNECTION_ERRORS, ProtocolError):
             pass
-        ended.moved = moved
-        return ended
+        result.body_bytes = body_bytes
+        return result
 
-    async def _to_client(self, step: object) -> None:
-        began = self._clock()
-        self._phase("client")
+    async def _send_to_client(self, sending: Awaitable[None]) -> None:
+        started_at_ms = self._clock()
+        self._enter_phase("client")
         try:
-            await step  # type: ignore[misc]
+            await sending
         finally:
-            self._blocked += self._clock() - began
-            self._phase("answer")
+            self._client_wait_ms += self._clock() - started_at_ms
+            self._enter_phase("answer")
 
-    async def _piece(self, connection: Connection) -> Bytes | End:
+    async def _read_body_chunk(self, connection: Connection) -> Bytes | End:
         while True:
-            piece = connection.codec.body()
-            if not isinstance(piece, Need):
-                return piece
+            chunk = connection.codec.body()
+            if not isinstance(chunk, Need):
+                return chunk
             connection.codec.feed(await self._receive(connection))
 
     @staticmethod
     async def _receive(connection: Connection) -> bytes:
         try:
-            return await connection.stream.receive(CHUNK)
+            return await connection.stream.receive(RECEIVE_BYTES)
         except anyio.EndOfStream:
-            return b""  # the parser knows whether the answer may end here
+            return b""  # the parser knows whether the response may end here
--- a/winchdyke/gateway/bodies.py
+++ b/winchdyke/gateway/bodies.py
@@ -1,14 +1,14 @@
-"""Bodies that may have to be sent again: kept in memory up to a size, beyond it in a temporary file.
+"""Request bodies that may have to be sent again: in memory up to a size, beyond it in a temporary file.
 
-All bodies together stay under one bound, counted before a body is read; where it is full a request is refused
-before its body is asked for.
+All retained bodies share one limit, which is checked before a body is read: where it is reached, a request is rejected
+before its client is asked for the body.
 """
 
 from __future__ import annotations
 
 import os
 import tempfile
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncGenerator, Awaitable, Callable
 from concurrent.futures import Future, ThreadPoolExecutor
 from typing import IO
 
@@ -16,91 +16,121 @@
 
 from winchdyke.http1 import Bytes
 
-BATCH = 1 << 20  # bytes handed to a file at once, off the event loop
-WRITERS = ThreadPoolExecutor(4, thread_name_prefix="winchdyke-body")
+FILE_BATCH_BYTES = 1 << 20  # written to a file at once, by a thread
+FILE_WRITERS = ThreadPoolExecutor(4, thread_name_prefix="winchdyke-body")
 
 
-def _write(file: IO[bytes], chunks: list[Bytes]) -> None:
-    left = sum(len(chunk) for chunk in chunks)
-    done = os.writev(file.fileno(), chunks)
-    if done < left:  # a file takes all but where the disk is full; then this raises
-        rest = b"".join(chunks)[done:]
-        while rest:
-            rest = rest[os.write(file.fileno(), rest) :]
+def _write_all(file: IO[bytes], chunks: list[Bytes]) -> None:
+    size = sum(len(chunk) for chunk in chunks)
+    written = os.writev(file.fileno(), chunks)
+    if written == size:
+        return
+    # A short write means a full disk, on which one of the next writes raises OSError.
+    rest: Bytes = b"".join(chunks)[written:]
+    while rest:
+        rest = rest[os.write(file.fileno(), rest) :]
 
 
-class BodyStoreFull(Exception):
-    """No room is left for bodies."""
+class BodyStoreFullError(Exception):
+    """No capacity is left for bodies, in the store's limit or on the disk."""
 
 
 class BodyStore:
-    """The bound on all kept bodies together, in bytes."""
+    """The shared limit of all retained bodies.
 
-    def __init__(self, most: int, memory_each: int) -> None:
-        self.most, self.memory_each, self.used = most, memory_each, 0
+    Args:
+        max_bytes: Bytes that may be retained in total.
+        memory_bytes_per_body: Bytes of one body that are kept in memory.
+    """
+
+    def __init__(self, max_bytes: int, memory_bytes_per_body: int) -> None:
+        self.max_bytes = max_bytes
+        self.memory_bytes_per_body = memory_bytes_per_body
+        self.used_bytes = 0
+
+    def reserve(self, size: int) -> None:
+        """Reserve bytes.
 
-    def take(self, size: int) -> None:
-        """Set room aside; BodyStoreFull where there is none."""
-        if self.used + size > self.most:
-            raise BodyStoreFull
-        self.used += size
+        Raises:
+            BodyStoreFullError: The limit would be exceeded; nothing is reserved.
+        """
+        if self.used_bytes + size > self.max_bytes:
+            raise BodyStoreFullError
+        self.used_bytes += size
 
-    def give_back(self, size: int) -> None:
-        """Free room."""
-        self.used -= size
+    def release(self, size: int) -> None:
+        """Release reserved bytes."""
+        self.used_bytes -= size
 
 
 class ReplayBody:
     """A request's body, read from the client once and given out any number of times from its start.
 
-    ``read`` gives the next bytes, empty at the end. A chunked body (``length`` None) takes room as it comes.
+    Args:
+        read: Returns the next bytes from the client; empty at the end.
+        length: The body's length in bytes; None: unknown, so that capacity is reserved as it arrives.
+        store: The limit it counts against.
+        replayable: Whether it is retained; else it can be given out once only.
+
+    Raises:
+        BodyStoreFullError: No capacity is left for a body of this length.
     """
 
     def __init__(
-        self, read: Callable[[], Awaitable[Bytes]], length: int | None, store: BodyStore, keep: bool = True
+        self,
+        read: Callable[[], Awaitable[Bytes]],
+        length: int | None,
+        store: BodyStore,
+        replayable: bool = True,
     ) -> None:
-        self._read, self.length, self._store, self._keep = read, length, store, keep
-        self._room = length or 0 if keep else 0
-        store.take(self._room)
+        self._read = read
+        self.length = length
+        self._store = store
+        self._replayable = replayable
+        self._reserved_bytes = length or 0 if replayable else 0
+        store.reserve(self._reserved_bytes)
+        self.received_bytes = 0
+        self.complete = length == 0
         self._memory = bytearray()
         self._file: IO[bytes] | None = None
-        self._pending: list[Bytes] = []  # for the file, not yet handed over
-        self._pending_size = 0
-        self._writing: Future[None] | None = (
-            None  # at most one batch is being written while the next one comes
-        )
-        self.got, self.whole = 0, length == 0
-
-    async def _more(self) -> Bytes:
+        self._unwritten_chunks: list[Bytes] = []
+        self._unwritten_bytes = 0
+        # One batch at most is written while the next one is received.
+        self._write_in_progress: Future[None] | None = None
+
+    async def _read_more(self) -> Bytes:
         data = await self._read()
         if not data:
-            self.whole = True
+            self.complete = True
             return b""
-        self.got += len(data)
-        if not self._keep:
-            return data
-        if self.got > self._room:
-            self._store.take(self.got - self._room)
-            self._room = self.got
-        if self._file is None and self.got <= self._store.memory_each:
-            self._memory += data
-            return data
-        if self._file is None:
-            try:
-                self._file = tempfile.TemporaryFile(prefix="winchdyke-body-", buffering=0)  # noqa: SIM115
-            except OSError as error:
-                raise BodyStoreFull from error
-        self._pending.append(data)
-        self._pending_size += len(data)
-        if self._pending_size >= BATCH:
-            await self._written()
-            self._writing = WRITERS.submit(_write, self._file, self._pending)
-            self._pending, self._pending_size = [], 0
+        self.received_bytes += len(data)
+        if self._replayable:
+            self._retain(data)
+        if self._file is not None and self._unwritten_bytes >= FILE_BATCH_BYTES:
+            await self._wait_for_write()
+            self._start_write(self._file)
         return data
 
-    async def _written(self) -> None:
-        """Wait until what was handed over is in the file."""
-        writing, self._writing = self._writing, None
+    def _retain(self, data: Bytes) -> None:
+        if self.received_bytes > self._reserved_bytes:
+            self._store.reserve(self.received_bytes - self._reserved_bytes)
+            self._reserved_bytes = self.received_bytes
+        if self._file is None:
+            if self.received_bytes <= self._store.memory_bytes_per_body:
+                self._memory += data
+                return
+            self._file = _open_temporary_file()
+        self._unwritten_chunks.append(data)
+        self._unwritten_bytes += len(data)
+
+    def _start_write(self, file: IO[bytes]) -> None:
+        self._write_in_progress = FILE_WRITERS.submit(_write_all, file, self._unwritten_chunks)
+        self._unwritten_chunks = []
+        self._unwritten_bytes = 0
+
+    async def _wait_for_write(self) -> None:
+        writing = self._write_in_progress
+        self._write_in_progress = None
         if writing is None:
             return
         try:
@@ -109,47 +139,62 @@
             else:
                 await anyio.to_thread.run_sync(writing.result)
         except OSError as error:
-            raise BodyStoreFull from error
+            raise BodyStoreFullError from error
+
+    async def chunks(self) -> AsyncGenerator[Bytes, None]:
+        """Yield the body from its start: what is retained, then what still arrives.
 
-    async def chunks(self) -> AsyncIterator[Bytes]:
-        """The body from its start: what is kept, then what still comes."""
-        if self.got and not self._keep:
-            raise BodyStoreFull
+        Raises:
+            BodyStoreFullError: No capacity is left, or the body is not replayable and has been read before.
+        """
+        if self.received_bytes and not self._replayable:
+            raise BodyStoreFullError
         if self._memory:
             yield bytes(self._memory)
-        at = len(self._memory)
-        if self._file is not None and at < self.got:
-            await self._written()
-            if self._pending:
-                self._writing = WRITERS.submit(_write, self._file, self._pending)
-                self._pending, self._pending_size = [], 0
-                await self._written()
+        in_memory_bytes = len(self._memory)
+        if self._file is not None and in_memory_bytes < self.received_bytes:
+            await self._wait_for_write()
+            if self._unwritten_chunks:
+                self._start_write(self._file)
+                await self._wait_for_write()
             self._file.seek(0)
-            left = self.got - at
+            left = self.received_bytes - in_memory_bytes
             while left:
-                kept = await anyio.to_thread.run_sync(self._file.read, min(BATCH, left))
-                left -= len(kept)
-                yield kept
-            self._file.seek(0, 2)
-        while not self.whole:
-            data = await self._more()
+                batch = await anyio.to_thread.run_sync(self._file.read, min(FILE_BATCH_BYTES, left))
+                left -= len(batch)
+                yield batch
+            self._file.seek(0, os.SEEK_END)
+        while not self.complete:
+            data = await self._read_more()
             if data:
                 yield data
 
     @property
     def in_memory(self) -> bytes | None:
-        """The whole body where it is at hand without reading; else None."""
-        return bytes(self._memory) if self.whole and self._file is None and self._keep else None
+        """The complete body where it is in memory; else None."""
+        if not self.complete or self._file is not None or not self._replayable:
+            return None
+        return bytes(self._memory)
 
     def close(self) -> None:
-        """Let go of all that is kept."""
-        self._store.give_back(self._room)
-        self._room, self._keep = 0, False
+        """Release the capacity, and delete what is retained."""
+        self._store.release(self._reserved_bytes)
+        self._reserved_bytes = 0
+        self._replayable = False
         self._memory.clear()
-        self._pending.clear()
-        file, self._file = self._file, None
-        if file is not None:
-            # A batch may still be under way in a thread: the file is closed after it.
-            WRITERS.submit(file.close) if self._writing is None else self._writing.add_done_callback(
-                lambda _: file.close()
-            )
+        self._unwritten_chunks.clear()
+        file = self._file
+        self._file = None
+        if file is None:
+            return
+        if self._write_in_progress is None:
+            FILE_WRITERS.submit(file.close)
+        else:
+            self._write_in_progress.add_done_callback(lambda _: file.close())
+
+
+def _open_temporary_file() -> IO[bytes]:
+    try:
+        return tempfile.TemporaryFile(prefix="winchdyke-body-", buffering=0)
+    except OSError as error:
+        raise BodyStoreFullError from error
--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -1,6 +1,6 @@
-"""One client's connection: its requests one after another, read and answered over the parser's seam.
+"""One client's connection: reads its requests one after another, and writes the responses.
 
-A reader task takes in bytes as they come, up to a bound, so that a client's leaving is seen while its request waits.
+A receiving task reads ahead up to a limit, so that a disconnect is noticed while the request waits.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from anyio.streams.tls import TLSStream
 
 from winchdyke.config.model import Limits
-from winchdyke.gateway.attempts import CHUNK, LOST, ClientDisconnectedError
+from winchdyke.gateway.attempts import CONNECTION_ERRORS, RECEIVE_BYTES, ClientDisconnectedError
 from winchdyke.http1 import (
     NEED,
     AnswerHead,
@@ -28,258 +28,313 @@
 from winchdyke.object_api import answers
 from winchdyke.object_api.store_protocol import onward
 
-AHEAD = 128 * 1024  # bytes read beyond what has been asked for
-DRAIN = 64 * 1024  # of a body that nobody wants, to keep the connection
-LINGER_S = 1.0  # to let a client read its answer before the connection is closed under its unread body
+MAX_READ_AHEAD_BYTES = 128 * 1024
+MAX_DISCARDED_BODY_BYTES = 64 * 1024  # of an unwanted body, so that its connection can be kept
+LINGER_SECONDS = 1.0  # for the client to read its response before a connection with an unread body is closed
+
+RequestHandler = Callable[["ClientConnection", RequestHead], Awaitable[None]]
 
 
 class ClientConnection:
-    """A connection, and the answer that is under way on it."""
+    """A connection, and the request that is being processed on it. Its response may be streamed: it is a ``Sink``.
+
+    Attributes:
+        codec: HTTP parser and serializer of the connection.
+        timeout_at_ms: When the present wait for the client takes too long; infinite where none is under way.
+        on_disconnect: Called once the client has disconnected.
+        disconnected: Whether the client has disconnected.
+        idle: Whether no request has begun to arrive.
+        close_after_response: Whether the connection is closed after the present response.
+        extra_headers: Headers of the response to the present request.
+        response_status: Status of that response; 0 before it.
+        response_bytes: Bytes of its body that have been sent.
+        declared_body_bytes: Length of the present request's body; None: unknown.
+    """
 
     def __init__(self, stream: SocketStream, limits: Limits, clock: Callable[[], float]) -> None:
-        self._stream, self._limits, self._clock = stream, limits, clock
-        self.due = float("inf")  # when what is under way with the client takes too long
-        self._expired = self._sending = False
         self.codec = ServerSide(limits.header_bytes)
-        self.on_gone: Callable[[], None] | None = None
-        self.eof = self.close_after = self.idle = False
-        self.status = self.moved = 0
-        self._ahead, self._heard = 0, False
-        self._fed, self._wanted = anyio.Event(), anyio.Event()
-        self.extra: Headers = []
+        self.timeout_at_ms = float("inf")
+        self.on_disconnect: Callable[[], None] | None = None
+        self.disconnected = False
+        self.idle = False
+        self.close_after_response = False
+        self.extra_headers: Headers = []
+        self.response_status = 0
+        self.response_bytes = 0
+        self.declared_body_bytes: int | None = 0
+        self._stream = stream
+        self._limits = limits
+        self._clock = clock
+        self._timed_out = False
+        self._sending = False
+        self._unsent_head = b""
+        self._unread_bytes = 0
+        self._received_any = False
+        self._data_arrived = anyio.Event()
+        self._reading_resumed = anyio.Event()
         self._scope = anyio.CancelScope()
-        self._poll = select.poll()  # for errors and hang-ups alone, which are always told
-        self._poll.register(stream.extra(SocketAttribute.raw_socket).fileno(), 0)
+        # Registered for no events: errors and hang-ups are always reported.
+        self._reset_poll = select.poll()
+        self._reset_poll.register(stream.extra(SocketAttribute.raw_socket).fileno(), 0)
 
     @property
     def stream(self) -> SocketStream:
-        """What it is on: for who is at its other end."""
+        """The socket, for the addresses of both ends."""
         return self._stream
 
-    async def run(self, handle: Callable[[ClientConnection, RequestHead], Awaitable[None]]) -> None:
-        """Serve the connection to its end."""
+    # The connection
+
+    async def run(self, handle: RequestHandler) -> None:
+        """Process the connection's requests with ``handle`` until it is closed."""
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._read)
+                group.start_soon(self._receive_loop)
                 with self._scope:
-                    await self._serve(handle)
+                    await self._serve_requests(handle)
                 group.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(self._stream)
 
-    def look(self) -> None:
-        """See whether a client whose bytes wait unread has reset the connection; ``on_gone`` is told."""
-        # Guards against sending for a client that has left behind an upload nobody reads yet: the reader is paused,
-        # and a paused transport hears of no reset. A close in good order still shows only once all is read.
-        if self.eof or self._ahead <= AHEAD or not self._poll.poll(0):
+    def check_for_reset(self) -> None:
+        """Notice a reset by a client whose data is unread, and call ``on_disconnect``.
+
+        While receiving is paused, the transport does not report a reset. An orderly close is noticed only once all data
+        before it has been read.
+        """
+        if self.disconnected or self._unread_bytes <= MAX_READ_AHEAD_BYTES or not self._reset_poll.poll(0):
             return
-        self.eof = True
-        self._fed.set()
-        if self.on_gone is not None:
-            self.on_gone()
+        self._set_disconnected()
+
+    def _set_disconnected(self) -> None:
+        self.disconnected = True
+        self._data_arrived.set()
+        if self.on_disconnect is not None:
+            self.on_disconnect()
 
-    async def refuse(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer without reading, and close."""
+    async def reject(self, status: int, headers: Headers, body: bytes) -> None:
+        """Respond without reading a request, and close."""
         try:
-            with anyio.move_on_after(LINGER_S):
+            with anyio.move_on_after(LINGER_SECONDS):
                 await self._stream.send(ServerSide(1024).unasked(status, headers, body))
-                await self._no_more()
+                await self._send_eof()
                 while True:
                     await self._stream.receive()
-        except LOST:
+        except CONNECTION_ERRORS:
             pass
         finally:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(self._stream)
 
-    async def _no_more(self) -> None:
-        """Say that nothing more comes; a secured stream can't, and is closed once the client has had time to read."""
-        if not isinstance(self._stream, TLSStream):
-            await self._stream.send_eof()
-
-    def hang_up(self) -> None:
-        """Close where nothing is under way; else after the answer."""
-        self.close_after = True
-        # Guards against cutting off a request that has arrived and was not yet read, on a host that is behind: it is
-        # answered first. What is on its way as the socket closes is cut still, as HTTP allows.
-        waiting = select.poll()
-        waiting.register(self._stream.extra(SocketAttribute.raw_socket).fileno(), select.POLLIN)
-        if self.idle and not any(event & select.POLLIN for _, event in waiting.poll(0)):
+    def close_when_idle(self) -> None:
+        """Close now where no request is being processed or waits in the socket; else after the response."""
+        self.close_after_response = True
+        if self.idle and not self._has_unread_data():
             self._scope.cancel()
 
-    async def _serve(self, handle: Callable[[ClientConnection, RequestHead], Awaitable[None]]) -> None:
-        while not self.close_after:
+    def _has_unread_data(self) -> bool:
+        poll = select.poll()
+        poll.register(self._stream.extra(SocketAttribute.raw_socket).fileno(), select.POLLIN)
+        return any(event & select.POLLIN for _, event in poll.poll(0))
+
+    async def expire(self) -> None:
+        """End the present wait for the client: a head gets an error response, a response is cut."""
+        self._timed_out = True
+        self.timeout_at_ms = float("inf")
+        self._data_arrived.set()
+        if self._sending:
+            await anyio.aclose_forcefully(self._stream)
+
+    # Requests
+
+    async def _serve_requests(self, handle: RequestHandler) -> None:
+        while not self.close_after_response:
             try:
                 head = await self._next_head()
             except ProtocolError as error:
-                self.close_after = True
-                await self.answer(*answers.error(error.status, "refused", error.reason, "-", str(error)))
+                self.close_after_response = True
+                await self.respond(*answers.error(error.status, "refused", error.reason, "-", str(error)))
                 await self._linger()
                 return
             if head is None:
                 return
-            self.begin([], close=False)
+            self.begin_request([], close=False)
             await handle(self, head)
-            if not await self._settle():
+            if not await self._finish_exchange():
                 return
 
-    async def _settle(self) -> bool:
-        """After an answer: whether the connection can carry the next request."""
-        if self.eof or self.codec.can_answer:
+    async def _next_head(self) -> RequestHead | None:
+        # Timeouts are found by a sweep over all connections, which costs less than a timer for each wait.
+        head = self.codec.head() if self._unread_bytes else NEED
+        if head is NEED and not self.disconnected:
+            self.idle = True
+            self.timeout_at_ms = self._clock() + self._limits.idle_timeout
+            while head is NEED and not self.disconnected and not self._timed_out:
+                await self._wait_for_data()
+                if self.idle and not self._timed_out:
+                    self.idle = False
+                    self.timeout_at_ms = self._clock() + self._limits.header_timeout
+                head = self.codec.head()
+            self.idle = False
+            self.timeout_at_ms = float("inf")
+            if head is NEED and not self.disconnected and self._received_any:
+                raise ProtocolError(408, "head-slow", "the request's head did not arrive in time")
+        self._received_any = False
+        return head if isinstance(head, RequestHead) else None
+
+    async def _finish_exchange(self) -> bool:
+        """Discard what is left of the request; return whether the connection can carry the next one."""
+        if self.disconnected or self.codec.can_answer:
             return False
-        if not self.codec.body_done and not self.close_after:
-            with anyio.move_on_after(LINGER_S):
-                taken = 0
-                while taken <= DRAIN and (data := await self.body()):
-                    taken += len(data)
-        if self.close_after or not self.codec.reusable:
+        if not self.codec.body_done and not self.close_after_response:
+            with anyio.move_on_after(LINGER_SECONDS):
+                discarded = 0
+                while discarded <= MAX_DISCARDED_BODY_BYTES and (data := await self.read_body()):
+                    discarded += len(data)
+        if self.close_after_response or not self.codec.reusable:
             await self._linger()
             return False
         self.codec.next_cycle()
         return True
 
     async def _linger(self) -> None:
-        # Guards against a reset that takes the answer from a client still sending, from whatever cause it was
-        # answered early. It hurts by a second's hold on the connection.
+        """Read on for a while before the connection is closed.
+
+        Closing a socket with unread data resets the connection, and the reset may discard a response that the client has
+        not read.
+        """
         try:
-            with anyio.move_on_after(LINGER_S):
-                await self._no_more()
-                while not self.eof:
-                    self._ahead = 0
-                    self._wanted.set()
-                    await self._until_fed()
-        except LOST:
+            with anyio.move_on_after(LINGER_SECONDS):
+                await self._send_eof()
+                while not self.disconnected:
+                    self._unread_bytes = 0
+                    self._reading_resumed.set()
+                    await self._wait_for_data()
+        except CONNECTION_ERRORS:
             pass
 
-    async def _read(self) -> None:
+    async def _send_eof(self) -> None:
+        """Close the sending side, which TLS can't do alone."""
+        if not isinstance(self._stream, TLSStream):
+            await self._stream.send_eof()
+
+    # Receiving
+
+    async def _receive_loop(self) -> None:
         try:
             while True:
-                while self._ahead > AHEAD:
-                    self._wanted = anyio.Event()
-                    await self._wanted.wait()
-                data = await self._stream.receive(CHUNK)
-                self._ahead += len(data)
-                self._heard = True
-                if not self.close_after or not self.codec.body_done:
+                while self._unread_bytes > MAX_READ_AHEAD_BYTES:
+                    self._reading_resumed = anyio.Event()
+                    await self._reading_resumed.wait()
+                data = await self._stream.receive(RECEIVE_BYTES)
+                self._unread_bytes += len(data)
+                self._received_any = True
+                if not self.close_after_response or not self.codec.body_done:
                     self.codec.feed(data)
-                self._fed.set()
-        except LOST:
-            self.eof = True
-            self._fed.set()
-            if self.on_gone is not None:
-                self.on_gone()
-
-    async def _until_fed(self) -> None:
-        self._ahead = 0
-        self._wanted.set()
-        self._fed = anyio.Event()
-        await self._fed.wait()
-
-    async def expire(self) -> None:
-        """What is under way with the client has taken too long: a head is told so, an answer is cut."""
-        self._expired, self.due = True, float("inf")
-        self._fed.set()
-        if self._sending:
-            await anyio.aclose_forcefully(self._stream)
-
-    async def _next_head(self) -> RequestHead | None:
-        # One sweep over all connections looks at ``due``: cheaper than a timer for each step of each request.
-        head = self.codec.head() if self._ahead else NEED
-        if head is NEED and not self.eof:
-            self.idle = True
-            self.due = self._clock() + self._limits.idle_timeout
-            while head is NEED and not self.eof and not self._expired:
-                await self._until_fed()
-                if self.idle and not self._expired:
-                    self.idle = False
-                    self.due = self._clock() + self._limits.header_timeout
-                head = self.codec.head()
-            self.idle, self.due = False, float("inf")
-            if head is NEED and not self.eof and self._heard:
-                raise ProtocolError(408, "head-slow", "the request's head did not arrive in time")
-        self._heard = False
-        return head if isinstance(head, RequestHead) else None
-
-    async def body(self) -> Bytes:
-        """More of the request's body; empty at its end. ClientLeft, or ProtocolError where it is malformed."""
+                self._data_arrived.set()
+        except CONNECTION_ERRORS:
+            self._set_disconnected()
+
+    async def _wait_for_data(self) -> None:
+        self._unread_bytes = 0
+        self._reading_resumed.set()
+        self._data_arrived = anyio.Event()
+        await self._data_arrived.wait()
+
+    async def read_body(self) -> Bytes:
+        """Return the next bytes of the request's body; empty at its end.
+
+        Raises:
+            ClientDisconnectedError: The client disconnected before the end.
+            ProtocolError: The body is malformed.
+        """
         if self.codec.waiting_for_continue:
             await self._send(self.codec.go_on())
         while True:
-            piece = self.codec.body()
-            if not isinstance(piece, (Need, End)):
-                self._ahead = max(0, self._ahead - len(piece))
-                self._wanted.set()
-                return piece
-            if isinstance(piece, End):
+            chunk = self.codec.body()
+            if not isinstance(chunk, (Need, End)):
+                self._unread_bytes = max(0, self._unread_bytes - len(chunk))
+                self._reading_resumed.set()
+                return chunk
+            if isinstance(chunk, End):
                 return b""
-            if self.eof:
+            if self.disconnected:
                 raise ClientDisconnectedError
-            await self._until_fed()
-
-    async def _send(self, data: Bytes) -> None:
-        self._sending, self.due = True, self._clock() + self._limits.stream_idle
-        try:
-            await self._stream.send(data)  # type: ignore[arg-type]
-        except LOST as error:
-            self.close_after = True
-            raise ClientDisconnectedError from error
-        finally:
-            self._sending, self.due = False, float("inf")
-        if self._expired:
-            self.close_after = True
-            raise ClientDisconnectedError
-
-    def begin(self, extra: Headers, close: bool) -> None:
-        """Set the headers that every answer to this request carries."""
-        self.extra, self.status, self.moved = extra, 0, 0
-        self.close_after = self.close_after or close
-
-    def _head(self, status: int, headers: Headers) -> bytes:
-        unread = self.codec.waiting_for_continue or not self.codec.body_done
-        if unread and (self.codec.waiting_for_continue or self._stopped_short()):
-            self.close_after = True
-        closing: Headers = [(b"connection", b"close")] if self.close_after else []
-        self.status = status
-        return self.codec.answer(status, headers + self.extra + closing)
+            await self._wait_for_data()
 
-    def _stopped_short(self) -> bool:
-        return self.unread_length is None or self.unread_length > DRAIN
+    # Responses
 
-    unread_length: int | None = 0  # of the present request's body, as stated
+    def begin_request(self, extra_headers: Headers, close: bool) -> None:
+        """Reset the response's state, and set the headers that the response carries whatever it is."""
+        self.extra_headers = extra_headers
+        self.response_status = 0
+        self.response_bytes = 0
+        self.close_after_response = self.close_after_response or close
 
-    async def answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """A whole answer in one piece; a client that has left is no error here."""
+    async def respond(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response; no error where the client has disconnected."""
         if not self.codec.can_answer:
             return
+        response = self._response_head(status, headers)
+        if body:
+            response += self.codec.data(body)
+        response += self.codec.end()
         try:
-            sent = self._head(status, headers) + (self.codec.data(body) if body else b"") + self.codec.end()
-            await self._send(sent)
-            self.moved = len(body)
+            await self._send(response)
         except ClientDisconnectedError:
-            pass
-
-    async def pass_on(self, head: AnswerHead, body: bytes) -> None:
-        """A store's whole answer."""
-        await self.answer(head.status, onward(head.headers), body)
+            return
+        self.response_bytes = len(body)
 
-    # The sink of an answer that streams.
+    async def respond_from_upstream(self, head: AnswerHead, body: bytes) -> None:
+        """Send a store's complete response."""
+        await self.respond(head.status, onward(head.headers), body)
 
     async def begin_stream(self, head: AnswerHead) -> None:
-        """The head; it is sent with the first piece of the body."""
-        headers = onward(head.headers)
-        self._pending = self._head(head.status, headers)
-
-    _pending = b""
+        """Begin a streamed response; its head is sent with the first chunk of the body."""
+        self._unsent_head = self._response_head(head.status, onward(head.headers))
 
     async def data(self, data: Bytes) -> None:
-        """A piece of the body."""
-        sent = self.codec.data(data)
-        await self._send(self._pending + sent if self._pending else sent)
-        self._pending = b""
-        self.moved += len(data)
+        """Send a chunk of a streamed response.
+
+        Raises:
+            ClientDisconnectedError: The client has disconnected, or takes its response too slowly.
+        """
+        encoded = self.codec.data(data)
+        await self._send(self._unsent_head + encoded if self._unsent_head else encoded)
+        self._unsent_head = b""
+        self.response_bytes += len(data)
 
     async def finish(self) -> None:
-        """The end of the body."""
+        """End a streamed response.
+
+        Raises:
+            ClientDisconnectedError: The client has disconnected.
+        """
         if tail := self.codec.end():
             await self._send(tail)
+
+    def _response_head(self, status: int, headers: Headers) -> bytes:
+        body_unread = self.codec.waiting_for_continue or not self.codec.body_done
+        if body_unread and (self.codec.waiting_for_continue or self._too_much_unread()):
+            self.close_after_response = True
+        self.response_status = status
+        closing: Headers = [(b"connection", b"close")] if self.close_after_response else []
+        return self.codec.answer(status, headers + self.extra_headers + closing)
+
+    def _too_much_unread(self) -> bool:
+        return self.declared_body_bytes is None or self.declared_body_bytes > MAX_DISCARDED_BODY_BYTES
+
+    async def _send(self, data: Bytes) -> None:
+        self._sending = True
+        self.timeout_at_ms = self._clock() + self._limits.stream_idle
+        try:
+            await self._stream.send(data)  # type: ignore[arg-type]
+        except CONNECTION_ERRORS as error:
+            self.close_after_response = True
+            raise ClientDisconnectedError from error
+        finally:
+            self._sending = False
+            self.timeout_at_ms = float("inf")
+        if self._timed_out:
+            self.close_after_response = True
+            raise ClientDisconnectedError
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -27,12 +27,12 @@
 from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
-from winchdyke.gateway.attempts import LOST
+from winchdyke.gateway.attempts import CONNECTION_ERRORS
 from winchdyke.gateway.clients import ClientConnection
-from winchdyke.gateway.pool import NO_DESCRIPTORS, ConnectError, Connection, ConnectionPool
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS, ConnectError, Connection, ConnectionPool
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import ConfigSnapshot, Service
-from winchdyke.gateway.tls import Certificates, TlsError, load_stores
+from winchdyke.gateway.tls import CertificateReloader, TlsError, load_store_context
 from winchdyke.gateway.writeback import WriteBack, WriteBackError
 from winchdyke.http1 import End, Need, RequestHead
 from winchdyke.latency_attribution.ledger import Bounds, Writer
@@ -71,12 +71,12 @@
         self.ledger = self._ledger()
         recorder = None
         if self.ledger is not None:
-            self.engine.observe()
+            self.engine.start_observing()
             recorder = Recorder(config.gateway.name, self.ledger, lambda: self.engine.observer)
         self.service = Service(config, self.engine, self.pool, self.engine.clock, recorder)
         self.membership = self._membership()
-        self.engine.watch = self.membership.ask
-        self.pool.greet = self._greet
+        self.engine.on_watch_endpoints = self.membership.ask
+        self.pool.verify_identity = self._greet
         self.service.on_word, self.service.on_refused = self.membership.heard, self.membership.refused
         self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
         self.live = self._live()
@@ -87,10 +87,10 @@
         self.s3: S3 | None = None
         self._shaking = 0  # handshakes under way
         try:
-            self.certificates = Certificates(config.tls) if config.tls.certificate else None
+            self.certificates = CertificateReloader(config.tls) if config.tls.certificate else None
             if config.tls.stores:
-                secured = load_stores(config.tls.stores)
-                self.pool.secure = lambda: secured
+                secured = load_store_context(config.tls.stores)
+                self.pool.tls_context = lambda: secured
         except TlsError as error:
             raise StartError(str(error)) from error
         self._connections: set[ClientConnection] = set()
@@ -134,10 +134,10 @@
                 Path(self.config.changes.folder),
                 self.config,
                 self._swap,
-                self.engine.accounts,
+                self.engine.volumes_with_quota,
                 self.engine.clock,
                 self._dead,
-                self.engine.freshen,
+                self.engine.refill_quotas,
             )
             watch, clock = live.watch, self.engine.clock
             self.service.on_end = lambda volume, shard, outcome, took: watch.ended(
@@ -160,13 +160,13 @@
     def _swap(self, prepared: Prepared) -> None:
         """Other settings from this instant on: nothing else runs while this does."""
         # Guards against what was asked under the old version and is decided by the new one: its plan may be gone by then.
-        self.engine.turn()
+        self.engine.process_events()
         plans = prepared.plans
-        if new := self.engine.accounts(prepared.known):  # that have come since it was prepared
+        if new := self.engine.volumes_with_quota(prepared.known):  # that have come since it was prepared
             plans = {**plans, **moved(new, prepared.before, prepared.after)}
         if self.service.snapshot.version != prepared.version:
             self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
-        self.engine.retell(prepared.settings, plans)
+        self.engine.replace_plans(prepared.settings, plans)
         if self.fleet is not None:
             self.fleet.expect(prepared.after.config)
 
@@ -195,23 +195,25 @@
         while not isinstance(piece := codec.body(), End):
             if isinstance(piece, Need):
                 codec.feed(await connection.stream.receive())
-        if not self.membership.heard(connection.node, store_protocol.told(head).word or EndpointEvidence()):
-            raise ConnectError(f"{connection.node}: not the store that is meant, or it drains", False)
+        if not self.membership.heard(
+            connection.endpoint, store_protocol.told(head).word or EndpointEvidence()
+        ):
+            raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
 
     async def _trial(self, node: str) -> bool:
         try:
-            connection = await self.pool.get(node)
+            connection = await self.pool.acquire(node)
         except ConnectError:
             self.membership.refused(node)
             return False
-        await self.pool.put(connection)
+        await self.pool.release(connection)
         return True
 
     async def _listed(self, news: api.EndpointList) -> None:
         self.engine.post(news)
         if news.kind is api.EndpointListKind.FULL:
             listed = {node.name for node in news.endpoints}
-            await self.pool.forget(listed)
+            await self.pool.close_idle_except(listed)
             self._log.info("nodes", listed=len(listed))
 
     def stop(self) -> None:
@@ -242,7 +244,7 @@
             if self.live is not None:
                 group.start_soon(self.live.run)
             if self.writeback is not None:
-                group.start_soon(self.writeback.run, self.engine.held)
+                group.start_soon(self.writeback.run, self.engine.queue_lengths)
             if self.fleet is not None:
                 group.start_soon(self.fleet.run)
                 if (where := self.config.fleet.list) is not None:
@@ -284,9 +286,7 @@
                 "failed": self.ledger.failed,
             }
             self._log.info("ledger", **kept)
-        self._log.info(
-            "stopped", pool=str(self.pool), **{key.lower(): n for key, n in self.engine.counts.items()}
-        )
+        self._log.info("stopped", pool=str(self.pool), **self.engine.counts)
 
     async def _listen(self) -> list[tuple[SocketListener, Handle]]:
         asked = [(f"listener {name}", where, self.service.handle) for name, where in self.config.listeners]
@@ -352,7 +352,7 @@
                         stream = await listener.accept()
                     except OSError as error:
                         places.release()
-                        if error.errno not in (*NO_DESCRIPTORS, errno.ECONNABORTED):
+                        if error.errno not in (*RESOURCE_EXHAUSTION_ERRNOS, errno.ECONNABORTED):
                             raise
                         await anyio.sleep(ACCEPT_PAUSE_S)
                         continue
@@ -369,7 +369,7 @@
                     try:
                         stream = await listener.accept()
                     except OSError as error:
-                        if error.errno not in (*NO_DESCRIPTORS, errno.ECONNABORTED):
+                        if error.errno not in (*RESOURCE_EXHAUSTION_ERRNOS, errno.ECONNABORTED):
                             raise
                         self._log.warning("accept", error=error.strerror)
                         await anyio.sleep(ACCEPT_PAUSE_S)
@@ -385,7 +385,7 @@
                 if none_left.cancelled_caught:
                     return
 
-    async def _shaken(self, stream: SocketStream, certificates: Certificates) -> SocketStream | None:
+    async def _shaken(self, stream: SocketStream, certificates: CertificateReloader) -> SocketStream | None:
         """The stream secured; None where that failed, took too long, or too many do so at once."""
         secured: TLSStream | None = None
         if len(self._connections) + self._shaking < self.config.limits.connections:
@@ -395,10 +395,10 @@
                     secured = await TLSStream.wrap(
                         stream,
                         server_side=True,
-                        ssl_context=certificates.context(),
+                        ssl_context=certificates.current_context(),
                         standard_compatible=False,
                     )
-            except (*LOST, ssl.SSLError):
+            except (*CONNECTION_ERRORS, ssl.SSLError):
                 pass
             finally:
                 self._shaking -= 1
@@ -415,10 +415,10 @@
             stream = secured
         connection = ClientConnection(stream, self.config.limits, self.engine.clock)
         if len(self._connections) >= self.config.limits.connections:
-            connection.close_after = True
+            connection.close_after_response = True
             text = "this gateway holds as many connections as it may; come back later"
             after = self.engine.settings.max_retry_after_ms
-            await connection.refuse(*answers.error(503, "refused", "too-many-connections", "-", text, after))
+            await connection.reject(*answers.error(503, "refused", "too-many-connections", "-", text, after))
             return
         self._connections.add(connection)
         try:
@@ -434,10 +434,10 @@
             await anyio.sleep(SWEEP_S)
             now = self.engine.clock()
             for connection in [*self._connections, *self._admins]:
-                connection.look()
-                if connection.due <= now:
+                connection.check_for_reset()
+                if connection.timeout_at_ms <= now:
                     await connection.expire()
-            self.engine.answer_overdue(now)
+            self.engine.finish_overdue(now)
             self.service.tolls.settle()
             if self.service.recorder is not None and now >= told + TELL_MS:
                 told = now
@@ -452,7 +452,7 @@
         with anyio.move_on_after(longest + STOP_SLACK_S):
             while self._connections or self._admins:
                 for connection in [*self._connections, *self._admins]:
-                    connection.hang_up()
+                    connection.close_when_idle()
                 await anyio.sleep(0.01)
         if self._connections:
             self._log.warning("stop-cut", connections=len(self._connections))
--- a/winchdyke/gateway/outcomes.py
+++ b/winchdyke/gateway/outcomes.py
@@ -1,26 +1,27 @@
-"""How things ended, in words: the outcomes of attempts and the reason codes of answers. Pure tables.
+"""The meaning of attempt outcomes, and the reason codes and status of final responses. Pure tables.
 
-The repeat rule rests on what an attempt is known to have done, so the table below claims ``never ran`` only where
-that is certain:
+Whether a request may be repeated rests on what its attempt is known to have done. "Never executed" in the table below is
+stated only where that is certain:
 
-=====================  ==================================================================  ===========
-outcome                what happened                                                       never ran
-=====================  ==================================================================  ===========
-``DIAL_FAILED``        no connection was made: refused, unreachable or too slow            yes
-``UNSENT``             not one byte of the request was handed to the socket: time up,      yes
-                       client gone or no file descriptor left before that
-``SHED``               the store answered with ``Winchdyke-Not-Run: 1``                    yes
-``RESET``              the connection broke, or the answer was no HTTP or cut short,       no
-                       after a byte of the request may have left; so a kept-alive
-                       connection that the store closes as it is reused
-``ERROR``              a whole answer of status 5xx without that header                    no
-``TIMED_OUT``          the attempt's time was up after a byte may have left                no
-``CANCELLED``          the scheduler called it off, or the client's body broke off         no
-``SERVED``             any other whole answer, also 404, 412 or 416                        no
-=====================  ==================================================================  ===========
+======================  =================================================================  ==============
+outcome                 what happened                                                      never executed
+======================  =================================================================  ==============
+``CONNECT_FAILED``      no connection was made: refused, unreachable or too slow           yes
+``NOT_SENT``            not one byte of the request was passed to the socket: time limit,  yes
+                        client disconnected or no file descriptor left before that
+``SHED``                the store responded with ``Winchdyke-Not-Run: 1``                  yes
+``CONNECTION_RESET``    the connection was lost, or the response was not HTTP or cut       no
+                        short, after a byte of the request may have been sent; this
+                        includes a keep-alive connection that the store closes as it is
+                        used again
+``ERROR``               a complete response of status 5xx without that header              no
+``TIMED_OUT``           the attempt's time limit passed after a byte may have been sent    no
+``CANCELLED``           the scheduler cancelled it, or the client's body was cut short     no
+``SERVED``              any other complete response, also 404, 412 or 416                  no
+======================  =================================================================  ==============
 
-Once a byte of an answer's body is the client's, the request is over whatever comes: a store that dies then shows at
-the client as a connection cut before the stated end.
+Once a byte of a response's body has been passed to the client, the request is finished: a store that fails then appears
+to the client as a connection closed before the declared end.
 """
 
 from __future__ import annotations
@@ -28,7 +29,8 @@
 from winchdyke import interface as api
 from winchdyke.interface import AttemptOutcome
 
-CODES = {
+# The reason code of a final response after an attempt with this outcome.
+OUTCOME_CODES = {
     AttemptOutcome.SERVED: "served",
     AttemptOutcome.ERROR: "store-error",
     AttemptOutcome.SHED: "store-shed",
@@ -39,7 +41,8 @@
     AttemptOutcome.NOT_SENT: "unsent",
 }
 
-REASONS = {
+# What the reason codes mean, as clients are told.
+REASON_TEXTS = {
     "ok": "the store's answer was passed on",
     "held-out": "held at this gateway and given up before any attempt: no room, no time, no node or over the limit",
     "over-limit": "the limit of the course is used up by large objects; nothing was done",
@@ -78,14 +81,19 @@
 }
 
 
-def final(
-    action: api.ShedRequest | api.FailRequest, last: AttemptOutcome | None, time_up: bool
+def final_status(
+    action: api.ShedRequest | api.FailRequest, last_outcome: AttemptOutcome | None, deadline_passed: bool
 ) -> tuple[int, str, str]:
-    """The status, outcome and reason code of a final answer that the scheduler gave.
+    """Return the status, outcome and reason code of the final response to a request that was not served.
 
-    ``last`` is the outcome of the last attempt (None: there was none).
+    Args:
+        action: The scheduler's action.
+        last_outcome: The outcome of the last attempt; None where there was none.
+        deadline_passed: Whether the client's deadline has passed.
     """
-    reason = "held-out" if last is None else CODES[last]
+    reason = "held-out" if last_outcome is None else OUTCOME_CODES[last_outcome]
     if isinstance(action, api.ShedRequest):
         return 503, "refused", reason
-    return (504 if last is AttemptOutcome.TIMED_OUT or time_up else 502), "failed", reason
+    if last_outcome is AttemptOutcome.TIMED_OUT or deadline_passed:
+        return 504, "failed", reason
+    return 502, "failed", reason
--- a/winchdyke/gateway/pool.py
+++ b/winchdyke/gateway/pool.py
@@ -1,4 +1,4 @@
-"""Connections to stores, kept alive between attempts. One list of idle connections for each node."""
+"""Connections to stores, kept alive between attempts."""
 
 from __future__ import annotations
 
@@ -13,56 +13,72 @@
 
 from winchdyke.http1 import ClientSide, ProtocolError
 
-NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-ANSWER_HEAD = 64 * 1024
-GREET_MS = (
-    1000.0  # for a store's word on who it is, where connecting has less: a host that is behind is not gone
-)
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
+RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+MAX_RESPONSE_HEAD_BYTES = 64 * 1024
+# A busy host answers late: the identity check may take longer than connecting, which the host's kernel answers.
+MIN_IDENTITY_CHECK_TIMEOUT_MS = 1000.0
+HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class ConnectError(Exception):
-    """No connection was made; ``own`` tells that this host had no means left to make one."""
+    """No connection was made.
 
-    def __init__(self, text: str, own: bool) -> None:
+    Attributes:
+        local_exhaustion: Whether this host had no file descriptor or memory left for one.
+    """
+
+    def __init__(self, text: str, local_exhaustion: bool) -> None:
         super().__init__(text)
-        self.own = own
+        self.local_exhaustion = local_exhaustion
 
 
 class Connection:
-    """One connection to a store."""
-
-    __slots__ = ("_poll", "codec", "node", "on_close", "stream", "used", "used_at")
-
-    def __init__(self, node: str, stream: SocketStream) -> None:
-        self.node, self.stream, self.codec = node, stream, ClientSide(ANSWER_HEAD)
-        self.used, self.used_at = 0, 0.0
+    """One connection to a store.
+
+    Attributes:
+        endpoint: Address of the store.
+        stream: The socket.
+        codec: HTTP parser and serializer of the connection.
+        exchanges: Completed exchanges.
+        idle_since_ms: When the last exchange ended.
+        on_close: Called as the connection is closed.
+    """
+
+    __slots__ = ("_poll", "codec", "endpoint", "exchanges", "idle_since_ms", "on_close", "stream")
+
+    def __init__(self, endpoint: str, stream: SocketStream) -> None:
+        self.endpoint = endpoint
+        self.stream = stream
+        self.codec = ClientSide(MAX_RESPONSE_HEAD_BYTES)
+        self.exchanges = 0
+        self.idle_since_ms = 0.0
+        self.on_close: Callable[[Connection], None] = lambda _: None
         self._poll = select.poll()
         self._poll.register(
             stream.extra(SocketAttribute.raw_socket).fileno(), select.POLLIN | select.POLLRDHUP
         )
-        self.on_close: Callable[[Connection], None] = lambda _: None
 
-    def stale(self) -> bool:
-        """Whether the store closed it, or said something unasked, while it was idle."""
+    def is_readable_or_closed(self) -> bool:
+        """Whether the store has closed an idle connection or sent anything on it: it must not be used again."""
         return bool(self._poll.poll(0))
 
-    def ended(self) -> bool:
-        """Whether the store's side has ended, whatever else it has said."""
-        return any(event & ENDED for _, event in self._poll.poll(0))
+    def peer_hung_up(self) -> bool:
+        """Whether the store has closed its side, even if there is unread data before."""
+        return any(event & HANG_UP_EVENTS for _, event in self._poll.poll(0))
 
     async def close(self) -> None:
-        """Close at once, whatever is under way."""
+        """Close at once, also during an exchange."""
         self.on_close(self)
         await anyio.aclose_forcefully(self.stream)
 
 
-def _errnos(error: BaseException | None) -> set[int]:
+def _error_numbers(error: BaseException | None) -> set[int]:
+    """Return the errno of an exception and of all that it was caused by."""
     found: set[int] = set()
     while error is not None:
         if isinstance(error, BaseExceptionGroup):
             for inner in error.exceptions:
-                found |= _errnos(inner)
+                found |= _error_numbers(inner)
         if isinstance(error, OSError) and error.errno:
             found.add(error.errno)
         error = error.__cause__ or error.__context__
@@ -70,93 +86,126 @@
 
 
 class ConnectionPool:
-    """The idle connections of one gateway."""
-
-    def __init__(self, connect_ms: float, idle_ms: float, per_node: int, clock: Callable[[], float]) -> None:
-        self.connect_ms, self.idle_ms, self.per_node, self._clock = connect_ms, idle_ms, per_node, clock
+    """The connections of one gateway to its stores.
+
+    Args:
+        connect_timeout_ms: The time allowed for a new connection.
+        max_idle_ms: An idle connection that is older is not used again.
+        max_idle_per_endpoint: Idle connections kept for an endpoint.
+        clock: Monotonic time in milliseconds.
+
+    Attributes:
+        verify_identity: Asks a store who it is on a new connection; raises ConnectError where it isn't the expected one.
+        tls_context: Gives the TLS context for stores; None: connections are not encrypted.
+        connections_opened: Connections opened so far.
+        connections_reused: Attempts so far that took an idle connection.
+    """
+
+    def __init__(
+        self,
+        connect_timeout_ms: float,
+        max_idle_ms: float,
+        max_idle_per_endpoint: int,
+        clock: Callable[[], float],
+    ) -> None:
+        self.connect_timeout_ms = connect_timeout_ms
+        self.max_idle_ms = max_idle_ms
+        self.max_idle_per_endpoint = max_idle_per_endpoint
+        self.verify_identity: Callable[[Connection], Awaitable[None]] | None = None
+        self.tls_context: Callable[[], ssl.SSLContext] | None = None
+        self.connections_opened = 0
+        self.connections_reused = 0
+        self._clock = clock
         self._idle: defaultdict[str, deque[Connection]] = defaultdict(deque)
         self._open: defaultdict[str, set[Connection]] = defaultdict(set)
-        self.greet: Callable[[Connection], Awaitable[None]] | None = None
-        self.secure: Callable[[], ssl.SSLContext] | None = (
-            None  # TLS to stores, whose certificates are for their addresses
-        )
-        self.dialled = self.reused = 0
 
     def __str__(self) -> str:
-        idle = sum(len(line) for line in self._idle.values())
-        return f"pool: {idle} idle at {len(self._idle)} nodes, {self.dialled} dialled, {self.reused} reused"
-
-    async def get(self, node: str) -> Connection:
-        """A connection to a node: an idle one that is still open, or a new one. DialError where none is made."""
-        line = self._idle[node]
-        while line:
-            connection = line.pop()
-            if self._clock() - connection.used_at < self.idle_ms and not connection.stale():
-                self.reused += 1
+        idle = sum(len(connections) for connections in self._idle.values())
+        return (
+            f"pool: {idle} idle at {len(self._idle)} endpoints, "
+            f"{self.connections_opened} opened, {self.connections_reused} reused"
+        )
+
+    async def acquire(self, endpoint: str) -> Connection:
+        """Return an idle connection to an endpoint that is still usable, or a new one.
+
+        Raises:
+            ConnectError: No connection could be made.
+        """
+        idle = self._idle[endpoint]
+        while idle:
+            connection = idle.pop()
+            idle_ms = self._clock() - connection.idle_since_ms
+            if idle_ms < self.max_idle_ms and not connection.is_readable_or_closed():
+                self.connections_reused += 1
                 return connection
             await connection.close()
-        host, _, port = node.rpartition(":")
+        return await self._open_connection(endpoint)
+
+    async def _open_connection(self, endpoint: str) -> Connection:
+        host, _, port = endpoint.rpartition(":")
         try:
-            with anyio.fail_after(self.connect_ms / 1000):
-                stream = await self._dial(host, int(port))
+            with anyio.fail_after(self.connect_timeout_ms / 1000):
+                stream = await self._connect(host, int(port))
         except (OSError, ValueError, ExceptionGroup) as error:
-            own = bool(_errnos(error).intersection(NO_DESCRIPTORS))
-            raise ConnectError(f"{node}: {error}", own) from error
-        self.dialled += 1
-        connection = Connection(node, stream)
-        # Guards against an address that another store has taken, whatever the list says: nothing of one process
-        # is left open once another answers there, so only the first connection must ask. It costs that one a
-        # round trip; it would miss a host that went without a word and came back with its connections kept.
-        if self.greet is not None and all(other.ended() for other in self._open[node]):
-            await self._greeted(connection)
-        self._open[node].add(connection)
-        connection.on_close = self._closed
+            local_exhaustion = bool(_error_numbers(error).intersection(RESOURCE_EXHAUSTION_ERRNOS))
+            raise ConnectError(f"{endpoint}: {error}", local_exhaustion) from error
+        self.connections_opened += 1
+        connection = Connection(endpoint, stream)
+        # Another store may have taken over the address. It can't while a connection to the one before is open, so that
+        # only the first connection has to ask.
+        if self.verify_identity is not None and all(other.peer_hung_up() for other in self._open[endpoint]):
+            await self._check_identity(connection)
+        self._open[endpoint].add(connection)
+        connection.on_close = self._on_connection_closed
         return connection
 
-    async def _dial(self, host: str, port: int) -> SocketStream:
-        if self.secure is None:
+    async def _connect(self, host: str, port: int) -> SocketStream:
+        if self.tls_context is None:
             return await anyio.connect_tcp(host, port)
-        made = await anyio.connect_tcp(
-            host, port, tls=True, ssl_context=self.secure(), tls_standard_compatible=False
+        stream = await anyio.connect_tcp(
+            host, port, tls=True, ssl_context=self.tls_context(), tls_standard_compatible=False
         )
-        return made  # type: ignore[return-value]
+        return stream  # type: ignore[return-value]
 
-    def _closed(self, connection: Connection) -> None:
-        self._open[connection.node].discard(connection)
+    def _on_connection_closed(self, connection: Connection) -> None:
+        self._open[connection.endpoint].discard(connection)
 
-    async def _greeted(self, connection: Connection) -> None:
-        assert self.greet is not None
+    async def _check_identity(self, connection: Connection) -> None:
+        assert self.verify_identity is not None
+        timeout_ms = max(self.connect_timeout_ms, MIN_IDENTITY_CHECK_TIMEOUT_MS)
         try:
-            with anyio.fail_after(max(self.connect_ms, GREET_MS) / 1000):
-                await self.greet(connection)
+            with anyio.fail_after(timeout_ms / 1000):
+                await self.verify_identity(connection)
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError, ProtocolError) as error:
             await connection.close()
-            raise ConnectError(f"{connection.node}: {error or 'no answer to who it is'}", False) from error
+            reason = error or "no response to the identity check"
+            raise ConnectError(f"{connection.endpoint}: {reason}", False) from error
         except BaseException:
             await connection.close()
             raise
         if not connection.codec.reusable:
             await connection.close()
-            raise ConnectError(f"{connection.node}: closes after it said who it is", False)
+            raise ConnectError(f"{connection.endpoint}: closes after the identity check", False)
         connection.codec.next_cycle()
 
-    async def put(self, connection: Connection) -> None:
-        """Keep a connection whose exchange is over; it is closed where it can't serve again."""
-        line = self._idle[connection.node]
-        if not connection.codec.reusable or len(line) >= self.per_node:
+    async def release(self, connection: Connection) -> None:
+        """Keep a connection whose exchange has ended, or close it where it can't be used again."""
+        idle = self._idle[connection.endpoint]
+        if not connection.codec.reusable or len(idle) >= self.max_idle_per_endpoint:
             await connection.close()
             return
         connection.codec.next_cycle()
-        connection.used += 1
-        connection.used_at = self._clock()
-        line.append(connection)
-
-    async def forget(self, nodes: set[str]) -> None:
-        """Close what is idle at nodes that are no longer listed."""
-        for node in [node for node in self._idle if node not in nodes]:
-            for connection in self._idle.pop(node):
+        connection.exchanges += 1
+        connection.idle_since_ms = self._clock()
+        idle.append(connection)
+
+    async def close_idle_except(self, endpoints: set[str]) -> None:
+        """Close the idle connections to all other endpoints."""
+        for endpoint in [endpoint for endpoint in self._idle if endpoint not in endpoints]:
+            for connection in self._idle.pop(endpoint):
                 await connection.close()
 
     async def close(self) -> None:
-        """Close all."""
-        await self.forget(set())
+        """Close all idle connections."""
+        await self.close_idle_except(set())
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -1,7 +1,8 @@
-"""One task owns the Scheduler: events in, actions out, timers. It decides nothing.
+"""Drives the scheduler of one gateway: collects events, fires timers and carries out the actions that are returned.
 
-Whoever has taken a request holds a :class:`Ticket` and is told through it what to do; all else that happens is
-posted as an event. Events that have come together by the time the task runs are handed over together.
+Nothing is decided here. Whoever submits a request holds a :class:`RequestHandle` and receives the actions for it;
+everything else that happens is posted as an event. All events that have been posted by the time the loop runs are
+passed to the scheduler in one batch.
 """
 
 from __future__ import annotations
@@ -19,68 +20,99 @@
 from winchdyke import interface as api
 from winchdyke.policy import Scheduler, VolumeQuota
 
-# Accounts and changes bring the configuration language along, a third of a start's time: read in where they are used.
+# Imported where it is used: it brings along the configuration language, a third of the start-up time.
 if TYPE_CHECKING:
     from winchdyke.latency_attribution.why import Observer
 
 RequestAction = api.StartAttempt | api.ShedRequest | api.FailRequest | api.CancelAttempt
-GONE_KEPT = 64  # nodes that have left whose entries are kept
-OVERDUE_MS = 200.0  # past a request's time after which the engine answers without the scheduler
+FinalAction = api.ShedRequest | api.FailRequest
+Timer = tuple[float, int, int]  # due time in ms, number in order of creation, the scheduler's timer id
+
+MAX_REMOVED_ENDPOINTS = 64
+OVERDUE_GRACE_MS = 200.0
+
+# Names under which the actions are counted; the log event ``stopped`` shows them.
+ACTION_COUNTERS: dict[type[api.Action], str] = {
+    api.StartAttempt: "attempts_started",
+    api.ShedRequest: "requests_shed",
+    api.FailRequest: "requests_failed",
+    api.SetTimer: "timers_set",
+    api.CancelAttempt: "attempts_cancelled",
+    api.AbandonAttempt: "attempts_abandoned",
+    api.WatchEndpoints: "endpoint_watches_requested",
+    api.LogMessage: "messages_logged",
+}
 
 
 def monotonic_ms() -> float:
-    """The gateway's clock: milliseconds."""
+    """Return the gateway's monotonic clock, in milliseconds."""
     return time.monotonic() * 1000
 
 
 class BatchScheduler(Protocol):
-    """What the engine needs of the scheduler."""
+    """What the loop needs of a scheduler."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Actions that answer the events."""
+        """Return the actions that answer a batch of events; ``now`` is in milliseconds."""
 
 
 class RequestHandle:
-    """One request that has been taken, and what the scheduler says of it, in order."""
+    """One submitted request, and the scheduler's actions for it in order.
+
+    Attributes:
+        request_id: Identifies the request in events and actions.
+        deadline_ms: The client's deadline, on the gateway's clock.
+        actions: Actions that have not been taken yet.
+        attempts_started: Attempts that the holder has started.
+        attempts_in_flight: Attempts that the scheduler has started and that have not ended.
+        client_disconnected: Whether the client disconnected before the final answer.
+        finished: Whether the request needs no further answer.
+        override_reason: Reason code where the loop answered in the scheduler's place; else empty.
+        on_cancel: Called to cancel an attempt by its index; -1 for whichever is running.
+        on_abandon: Called to give up an attempt by its index where nothing of it has been written.
+    """
 
     __slots__ = (
         "_wake",
         "actions",
-        "attempts",
-        "attempts_out",
-        "closed",
-        "end",
-        "fault",
-        "gone",
-        "id",
-        "on_call_off",
+        "attempts_in_flight",
+        "attempts_started",
+        "client_disconnected",
+        "deadline_ms",
+        "finished",
+        "on_abandon",
         "on_cancel",
+        "override_reason",
+        "request_id",
     )
 
-    def __init__(self, request: str, end: float) -> None:
-        self.id, self.end = request, end
+    def __init__(self, request_id: str, deadline_ms: float) -> None:
+        self.request_id = request_id
+        self.deadline_ms = deadline_ms
         self.actions: deque[RequestAction] = deque()
-        self.attempts = self.attempts_out = 0
-        self.gone = self.closed = False
-        self.fault = ""  # why the engine answered in the scheduler's place
+        self.attempts_started = 0
+        self.attempts_in_flight = 0
+        self.client_disconnected = False
+        self.finished = False
+        self.override_reason = ""
         self.on_cancel: Callable[[int], None] | None = None
-        self.on_call_off: Callable[[int], None] | None = None
+        self.on_abandon: Callable[[int], None] | None = None
         self._wake: anyio.Event | None = None
 
-    def tell(self, action: RequestAction) -> None:
-        """Put an action where the holder finds it."""
+    def deliver(self, action: RequestAction) -> None:
+        """Queue an action and wake the holder."""
         self.actions.append(action)
         self.wake()
 
     def wake(self) -> None:
-        """Let the holder look."""
+        """Wake the holder where it waits for an action."""
         if self._wake is not None:
             self._wake.set()
 
-    async def next(self) -> RequestAction | None:
-        """The next action; None once the client has gone and none is left."""
+    async def next_action(self) -> RequestAction | None:
+        """Wait for the next action; None once the client has disconnected and no action is left."""
         while not self.actions:
-            if self.gone:
+            if self.client_disconnected:
                 return None
             self._wake = anyio.Event()
             await self._wake.wait()
@@ -88,248 +120,309 @@
 
 
 class SchedulerLoop:
-    """The scheduler of one gateway, with its clock and its timers."""
+    """The scheduler of one gateway, with its clock, its timers and the requests that it has to answer.
+
+    Attributes:
+        settings: What the scheduler is configured with.
+        clock: Monotonic time in milliseconds.
+        observing: Whether the reasons for queueing are observed.
+        observer: Observes why requests are queued; None where that is not asked for.
+        open_requests: Submitted requests that have no final answer yet, by id.
+        disconnected_requests: Requests whose client has disconnected and whose attempts go on, by id.
+        counts: Actions by ``ACTION_COUNTERS``, and what the loop did in the scheduler's place.
+        endpoints: The endpoint list as the scheduler has it, by name.
+        on_watch_endpoints: Called where the scheduler requests changes of the endpoint list.
+        on_event_posted: Called for each posted event in place of waking :meth:`run`, where another loop calls
+            :meth:`process_events`.
+    """
 
     def __init__(
         self,
         settings: api.Settings,
         seed: int,
-        make: Callable[[api.Settings, int, float], BatchScheduler] = Scheduler,
+        scheduler_factory: Callable[[api.Settings, int, float], BatchScheduler] = Scheduler,
         clock: Callable[[], float] = monotonic_ms,
     ) -> None:
-        self.settings, self.clock = settings, clock
+        self.settings = settings
+        self.clock = clock
         self.observing = False
         self.observer: Observer | None = None
-        self._make, self._seed, self._starts = make, seed, 0
-        self.tickets: dict[str, RequestHandle] = {}
-        self.departed: dict[str, RequestHandle] = {}  # whose clients have left and whose attempts go on
+        self.open_requests: dict[str, RequestHandle] = {}
+        self.disconnected_requests: dict[str, RequestHandle] = {}
         self.counts: Counter[str] = Counter()
-        self.watch: Callable[[], None] = lambda: None
-        self.on_post: Callable[[], None] | None = None  # told in place of the task, where turns are another's
-        self.nodes: dict[str, api.Endpoint] = {}
-        self._inbox: list[api.Event] = []
-        self._timers: list[tuple[float, int, int]] = []
-        self._timer_number = 0
+        self.endpoints: dict[str, api.Endpoint] = {}
+        self.on_watch_endpoints: Callable[[], None] = lambda: None
+        self.on_event_posted: Callable[[], None] | None = None
+        self._scheduler_factory = scheduler_factory
+        self._seed = seed
+        self._schedulers_created = 0
+        self._pending_events: list[api.Event] = []
+        self._timers: list[Timer] = []
+        self._timers_created = 0
         self._wake = anyio.Event()
-        self._log = structlog.get_logger("engine")
-        self._scheduler = self._begin()
+        self._log = structlog.get_logger("scheduler_loop")
+        self._scheduler = self._new_scheduler()
 
-    def _begin(self) -> BatchScheduler:
-        self._starts += 1
-        return self._make(self.settings, self._seed + self._starts - 1, self.clock())
+    # Configuration and inspection
 
-    def observe(self) -> None:
-        """From now on see why requests are held."""
+    def start_observing(self) -> None:
+        """Observe from now on why requests are queued."""
         self.observing = True
-        self._see()
+        self._attach_observer()
 
-    def accounts(self, since: int = 0) -> list[str]:
-        """The volumes that have accounts, in order of their coming; those from a place on."""
+    def volumes_with_quota(self, start: int = 0) -> list[str]:
+        """Return the volumes that have a quota, in the order of their first request, from index ``start`` on."""
         scheduler = self._scheduler
-        return list(islice(scheduler.quotas, since, None)) if isinstance(scheduler, Scheduler) else []
+        if not isinstance(scheduler, Scheduler):
+            return []
+        return list(islice(scheduler.quotas, start, None))
 
-    def retell(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
-        """Go by other plans from the next batch on; how many accounts changed theirs."""
+    def replace_plans(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
+        """Apply other plans from the next batch on; return how many volumes' quotas changed."""
         from winchdyke.config_rollout.hot_reload import retell
 
         self.settings = settings
         scheduler = self._scheduler
-        return retell(scheduler, settings, plans, self.clock()) if isinstance(scheduler, Scheduler) else 0
+        if not isinstance(scheduler, Scheduler):
+            return 0
+        return retell(scheduler, settings, plans, self.clock())
 
-    def freshen(self, names: list[str]) -> None:
-        """Fill accounts up to now."""
+    def refill_quotas(self, volumes: list[str]) -> None:
+        """Refill the quotas of some volumes up to the present time."""
         from winchdyke.config_rollout.hot_reload import freshen
 
         if isinstance(self._scheduler, Scheduler):
-            freshen(self._scheduler, names, self.clock())
+            freshen(self._scheduler, volumes, self.clock())
 
-    def purse(self, volume: str) -> VolumeQuota | None:
-        """The scheduler's account of a volume; None where it has not heard of it."""
+    def quota_of(self, volume: str) -> VolumeQuota | None:
+        """Return the scheduler's quota of a volume; None where it has had no request of it."""
         scheduler = self._scheduler
-        return scheduler.quotas.get(volume) if isinstance(scheduler, Scheduler) else None
+        if not isinstance(scheduler, Scheduler):
+            return None
+        return scheduler.quotas.get(volume)
 
-    def held(self) -> dict[int, int]:
-        """How many requests wait for each shard."""
+    def queue_lengths(self) -> dict[int, int]:
+        """Return how many requests are queued for each shard that has any."""
         scheduler = self._scheduler
         if not isinstance(scheduler, Scheduler):
             return {}
-        return {number: len(scheduler.shards[number].queue) for number in scheduler.shards_with_queue}
+        return {shard: len(scheduler.shards[shard].queue) for shard in scheduler.shards_with_queue}
 
-    def _see(self) -> None:
-        scheduler, self.observer = self._scheduler, None
-        if self.observing and isinstance(scheduler, Scheduler):
-            from winchdyke.latency_attribution.why import Observer
+    # Events
 
-            self.observer = Observer(scheduler)
+    def submit(self, request: api.Request, handle: RequestHandle | None = None) -> RequestHandle:
+        """Pass a request to the scheduler, which owes it exactly one final answer from now on.
 
-    def take(self, request: api.Request, ticket: RequestHandle | None = None) -> RequestHandle:
-        """Hand a request to the scheduler, which owes it exactly one final answer from now on."""
-        if request.request_id in self.tickets:
-            raise ValueError(f"request {request.request_id} is held already")
-        ticket = ticket or RequestHandle(request.request_id, self.clock() + request.time_left_ms)
-        self.tickets[request.request_id] = ticket
+        Raises:
+            ValueError: A request with this id is open.
+        """
+        if request.request_id in self.open_requests:
+            raise ValueError(f"request {request.request_id} is open already")
+        handle = handle or RequestHandle(request.request_id, self.clock() + request.time_left_ms)
+        self.open_requests[request.request_id] = handle
         self.post(request)
-        return ticket
+        return handle
 
     def post(self, event: api.Event) -> None:
-        """Hand over an event; it is decided on at the task's next turn, with all that came meanwhile."""
-        self._inbox.append(event)
-        if self.on_post is None:
+        """Queue an event for the next batch."""
+        self._pending_events.append(event)
+        if self.on_event_posted is None:
             self._wake.set()
         else:
-            self.on_post()
-
-    def gone(self, ticket: RequestHandle) -> None:
-        """The client has left."""
-        if not ticket.closed:
-            ticket.closed = ticket.gone = True
-            self.tickets.pop(ticket.id, None)
-            if ticket.attempts_out:
-                self.departed[ticket.id] = ticket
-            self.post(api.ClientDisconnected(ticket.id))
-            ticket.wake()
-
-    def ended(self, ticket: RequestHandle, event: api.AttemptEnded) -> None:
-        """An attempt has ended; where that finishes the request its ticket is closed."""
-        ticket.attempts_out -= 1
-        if not ticket.attempts_out:
-            self.departed.pop(ticket.id, None)
-        if event.request_finished and not ticket.closed:
-            ticket.closed = True
-            self.tickets.pop(ticket.id, None)
+            self.on_event_posted()
+
+    def client_disconnected(self, handle: RequestHandle) -> None:
+        """Record that the client of a request has disconnected; no effect on a finished request."""
+        if handle.finished:
+            return
+        handle.finished = True
+        handle.client_disconnected = True
+        self.open_requests.pop(handle.request_id, None)
+        if handle.attempts_in_flight:
+            self.disconnected_requests[handle.request_id] = handle
+        self.post(api.ClientDisconnected(handle.request_id))
+        handle.wake()
+
+    def attempt_ended(self, handle: RequestHandle, event: api.AttemptEnded) -> None:
+        """Record the end of an attempt, which may finish its request."""
+        handle.attempts_in_flight -= 1
+        if not handle.attempts_in_flight:
+            self.disconnected_requests.pop(handle.request_id, None)
+        if event.request_finished and not handle.finished:
+            handle.finished = True
+            self.open_requests.pop(handle.request_id, None)
         self.post(event)
 
+    # The loop
+
     async def run(self) -> None:
-        """Decide until cancelled."""
+        """Process events until cancelled."""
         while True:
-            if not self._inbox and not self._due():
+            if self._pending_events or self._timer_due():
+                await anyio.sleep(
+                    0
+                )  # other tasks that are ready post their events first, so that they share a batch
+            else:
                 self._wake = anyio.Event()
                 if self._timers:
                     with anyio.move_on_after(max(0.0, self._timers[0][0] - self.clock()) / 1000):
                         await self._wake.wait()
                 else:
                     await self._wake.wait()
-            else:
-                await anyio.sleep(0)  # let all that is ready now be said, and handed over together
-            self.turn()
+            self.process_events()
 
     @property
-    def next_due(self) -> float | None:
-        """When the next timer comes due, on the engine's clock; None where there is none."""
+    def next_timer_at_ms(self) -> float | None:
+        """When the next timer is due, on the gateway's clock; None where none is set."""
         return self._timers[0][0] if self._timers else None
 
-    def _due(self) -> bool:
+    def _timer_due(self) -> bool:
         return bool(self._timers) and self._timers[0][0] <= self.clock()
 
-    def turn(self) -> None:
-        """Hand over what has come, and carry out what is decided."""
-        now, timers = self.clock(), self._timers
-        events, self._inbox = self._inbox, []
+    def process_events(self) -> None:
+        """Pass all posted events and due timers to the scheduler, and carry out its actions."""
+        now = self.clock()
+        timers = self._timers
+        events = self._pending_events
+        self._pending_events = []
         while timers and timers[0][0] <= now:
             events.append(api.TimerFired(heapq.heappop(timers)[2]))
         if not events:
             return
         for event in events:
             if isinstance(event, api.EndpointList):
-                self._remember(event)
+                self._record_endpoints(event)
         try:
             for action in self._scheduler.handle(now, events):
-                self._carry_out(now, action)
+                self._execute(now, action)
             if self.observer is not None:
                 self.observer.look(now)
         except Exception as error:
-            self._fault(error)
-
-    def _remember(self, news: api.EndpointList) -> None:
-        if news.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
-            self.nodes = {}
-        for node in news.endpoints:
-            self.nodes.pop(node.name, None)
-            self.nodes[node.name] = node
-        # Where stores are ever new, what is gone must not be kept for good; what just went may still be asked for its shard.
-        gone = [name for name, node in self.nodes.items() if node.status is api.EndpointStatus.REMOVED]
-        for name in gone[:-GONE_KEPT]:
-            del self.nodes[name]
-
-    def _carry_out(self, now: float, action: api.Action) -> None:
-        self.counts[type(action).__name__] += 1
-        if isinstance(action, (api.StartAttempt, api.ShedRequest, api.FailRequest)):
-            ticket = self.tickets.get(action.request_id)
-            if ticket is None:  # it left in this very turn
-                if isinstance(action, api.StartAttempt):
-                    gone = api.AttemptEnded(
-                        action.request_id, 0, action.endpoint, api.AttemptOutcome.NOT_SENT, 0.0, True
-                    )
-                    self.post(gone)
-                return
-            if isinstance(action, api.StartAttempt):
-                ticket.attempts_out += 1
-            else:
-                ticket.closed = True
-                del self.tickets[action.request_id]
-            ticket.tell(action)
+            self._replace_scheduler(error)
+
+    def _record_endpoints(self, event: api.EndpointList) -> None:
+        if event.kind in (api.EndpointListKind.FULL, api.EndpointListKind.CACHED):
+            self.endpoints = {}
+        for endpoint in event.endpoints:
+            self.endpoints.pop(endpoint.name, None)
+            self.endpoints[endpoint.name] = endpoint
+        # The newest removed endpoints stay: their shard may still be looked up for an attempt in flight.
+        removed = [
+            name for name, endpoint in self.endpoints.items() if endpoint.status is api.EndpointStatus.REMOVED
+        ]
+        for name in removed[:-MAX_REMOVED_ENDPOINTS]:
+            del self.endpoints[name]
+
+    # Actions
+
+    def _execute(self, now: float, action: api.Action) -> None:
+        self.counts[ACTION_COUNTERS[type(action)]] += 1
+        if isinstance(action, api.StartAttempt):
+            self._start_attempt(action)
+        elif isinstance(action, (api.ShedRequest, api.FailRequest)):
+            self._finish_request(action)
         elif isinstance(action, api.SetTimer):
-            self._timer_number += 1
-            heapq.heappush(
-                self._timers, (now + max(0.0, action.after_ms), self._timer_number, action.timer_id)
-            )
+            self._timers_created += 1
+            due_at_ms = now + max(0.0, action.after_ms)
+            heapq.heappush(self._timers, (due_at_ms, self._timers_created, action.timer_id))
         elif isinstance(action, api.CancelAttempt):
-            ticket = self.tickets.get(action.request_id) or self.departed.get(action.request_id)
-            if ticket is not None and ticket.on_cancel is not None:
-                ticket.on_cancel(action.attempt)
+            handle = self._handle_of(action.request_id)
+            if handle is not None and handle.on_cancel is not None:
+                handle.on_cancel(action.attempt)
         elif isinstance(action, api.AbandonAttempt):
-            ticket = self.tickets.get(action.request_id) or self.departed.get(action.request_id)
-            if ticket is not None and ticket.on_call_off is not None:
-                ticket.on_call_off(action.attempt)
+            handle = self._handle_of(action.request_id)
+            if handle is not None and handle.on_abandon is not None:
+                handle.on_abandon(action.attempt)
         elif isinstance(action, api.WatchEndpoints):
-            self.watch()
+            self.on_watch_endpoints()
         else:
-            self._log.info("scheduler", text=action.message)
-
-    def _fault(self, error: Exception) -> None:
-        # Guards against a request that waits for a scheduler that has failed, whatever the cause: all that it held
-        # is answered, and a new one begins empty, as after a kill: limits and cold nodes with no credit. It hurts
-        # where one bad request faults it again and again: each time all others fail with it.
-        self.counts["faults"] += 1
-        self._log.error("engine-fault", error=repr(error), held=len(self.tickets), exc_info=error)
-        self._inbox, self._timers = (
-            [event for event in self._inbox if isinstance(event, api.EndpointList)],
-            [],
-        )
-        for ticket in list(self.tickets.values()):
-            self._answer(ticket, "engine-fault")
-        self._scheduler = self._begin()
-        self._see()
-        self.post(api.EndpointList(api.EndpointListKind.CACHED, tuple(self.nodes.values())))
-
-    def _answer(
-        self, ticket: RequestHandle, why: str, action: api.ShedRequest | api.FailRequest | None = None
-    ) -> None:
-        del self.tickets[ticket.id]
-        ticket.closed, ticket.fault = True, why
-        ticket.actions.clear()
-        ticket.tell(action or api.FailRequest(ticket.id))
-        if ticket.on_cancel is not None:
-            ticket.on_cancel(-1)
-
-    def answer_all(self, why: str) -> None:
-        """Answer all that is held, whatever the scheduler would say, and call off its attempts: the process ends."""
-        for ticket in list(self.tickets.values()):
-            if ticket.on_cancel is not None:
-                ticket.on_cancel(
-                    -1
-                )  # an answer that lies in the socket is its client's: looked for before another is made
-            if ticket.closed:
+            self._log.info("scheduler_message", message=action.message)
+
+    def _start_attempt(self, action: api.StartAttempt) -> None:
+        handle = self.open_requests.get(action.request_id)
+        if handle is None:  # the client disconnected while this batch was processed
+            not_sent = api.AttemptOutcome.NOT_SENT
+            self.post(api.AttemptEnded(action.request_id, 0, action.endpoint, not_sent, 0.0, True))
+            return
+        handle.attempts_in_flight += 1
+        handle.deliver(action)
+
+    def _finish_request(self, action: FinalAction) -> None:
+        handle = self.open_requests.get(action.request_id)
+        if handle is None:
+            return
+        handle.finished = True
+        del self.open_requests[action.request_id]
+        handle.deliver(action)
+
+    def _handle_of(self, request_id: str) -> RequestHandle | None:
+        return self.open_requests.get(request_id) or self.disconnected_requests.get(request_id)
+
+    # Answers in the scheduler's place
+
+    def finish_all(self, reason: str) -> None:
+        """Give every open request a final answer and cancel its attempts, because the process ends.
+
+        Args:
+            reason: The reason code of the answers.
+        """
+        for handle in list(self.open_requests.values()):
+            if handle.on_cancel is not None:
+                # A response that is in the socket already is delivered first, and finishes the request.
+                handle.on_cancel(-1)
+            if handle.finished:
                 continue
-            self.counts[why] += 1
-            self._answer(
-                ticket, why, api.FailRequest(ticket.id) if ticket.attempts else api.ShedRequest(ticket.id)
-            )
-            self.post(api.ClientDisconnected(ticket.id))
-
-    def answer_overdue(self, now: float) -> None:
-        """Answer what is held with no attempt out past its time: a scheduler that says nothing, whatever the cause."""
-        for ticket in [t for t in self.tickets.values() if now > t.end + OVERDUE_MS and not t.attempts_out]:
-            self.counts["overdue"] += 1
-            self._answer(ticket, "engine-silent")
-            self.post(api.ClientDisconnected(ticket.id))
+            self.counts["requests_finished_at_shutdown"] += 1
+            self._override(handle, reason, shed=not handle.attempts_started)
+            self.post(api.ClientDisconnected(handle.request_id))
+
+    def finish_overdue(self, now: float) -> None:
+        """Fail requests without an attempt in flight that the scheduler has left unanswered past their deadline."""
+        overdue = [
+            handle
+            for handle in self.open_requests.values()
+            if now > handle.deadline_ms + OVERDUE_GRACE_MS and not handle.attempts_in_flight
+        ]
+        for handle in overdue:
+            self.counts["requests_overdue"] += 1
+            self._override(handle, "engine-silent")
+            self.post(api.ClientDisconnected(handle.request_id))
+
+    def _override(self, handle: RequestHandle, reason: str, shed: bool = False) -> None:
+        del self.open_requests[handle.request_id]
+        handle.finished = True
+        handle.override_reason = reason
+        handle.actions.clear()
+        action = api.ShedRequest(handle.request_id) if shed else api.FailRequest(handle.request_id)
+        handle.deliver(action)
+        if handle.on_cancel is not None:
+            handle.on_cancel(-1)
+
+    def _replace_scheduler(self, error: Exception) -> None:
+        """Fail all open requests, since their state is lost, and go on with a new scheduler that has the endpoint list."""
+        self.counts["scheduler_failures"] += 1
+        self._log.error(
+            "scheduler_failed", error=repr(error), open_requests=len(self.open_requests), exc_info=error
+        )
+        self._pending_events = [
+            event for event in self._pending_events if isinstance(event, api.EndpointList)
+        ]
+        self._timers = []
+        for handle in list(self.open_requests.values()):
+            self._override(handle, "engine-fault")
+        self._scheduler = self._new_scheduler()
+        self._attach_observer()
+        self.post(api.EndpointList(api.EndpointListKind.CACHED, tuple(self.endpoints.values())))
+
+    def _new_scheduler(self) -> BatchScheduler:
+        seed = self._seed + self._schedulers_created
+        self._schedulers_created += 1
+        return self._scheduler_factory(self.settings, seed, self.clock())
+
+    def _attach_observer(self) -> None:
+        scheduler = self._scheduler
+        self.observer = None
+        if self.observing and isinstance(scheduler, Scheduler):
+            from winchdyke.latency_attribution.why import Observer
+
+            self.observer = Observer(scheduler)
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -26,7 +26,7 @@
     OutgoingRequest,
     UpstreamResponse,
 )
-from winchdyke.gateway.bodies import BodyStore, BodyStoreFull, ReplayBody
+from winchdyke.gateway.bodies import BodyStore, BodyStoreFullError, ReplayBody
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.pool import ConnectionPool
 from winchdyke.gateway.scheduler_loop import RequestHandle, SchedulerLoop
@@ -110,12 +110,12 @@
 class InternalCaller:
     """In a client's place, where the gateway asks for itself."""
 
-    on_gone: Callable[[], None] | None = None
-    eof = False
-    status = 0
+    on_disconnect: Callable[[], None] | None = None
+    disconnected = False
+    response_status = 0
 
-    def look(self) -> None:
-        """Nobody leaves."""
+    def check_for_reset(self) -> None:
+        """Nobody can disconnect."""
 
 
 class DiscardSink:
@@ -152,7 +152,7 @@
         self.config, self.engine, self.pool, self.clock = config, engine, pool, clock
         self.bodies = BodyStore(config.limits.body_total, config.limits.body_memory)
         self.writeback: WriteBack | None = None
-        self.tolls = ByteMeter(clock, engine.purse, lambda: engine.settings.max_request_units)
+        self.tolls = ByteMeter(clock, engine.quota_of, lambda: engine.settings.max_request_units)
         self.stopping = False
         self.active = 0
         self._born, self._count = (
@@ -172,8 +172,8 @@
         told: Headers = [(answers.REQUEST_ID, request.encode())]
         if snapshot.version:
             told.append((store_protocol.VERSION, str(snapshot.version).encode()))
-        connection.begin(told, close=self.stopping)
-        connection.unread_length = head.length
+        connection.begin_request(told, close=self.stopping)
+        connection.declared_body_bytes = head.length
         record = AccessLogRecord(
             self.recorder.begin() if self.recorder is not None else None, snapshot.version
         )
@@ -187,15 +187,16 @@
             final = await self._keyed(connection, head, operation, kind, volume, request, record)
         except RequestError as error:
             final = FinalResponse(error.status, "refused", error.reason, str(error))
-            connection.begin(
-                [*connection.extra, *([(b"allow", error.allow.encode())] if error.allow else [])], False
+            connection.begin_request(
+                [*connection.extra_headers, *([(b"allow", error.allow.encode())] if error.allow else [])],
+                False,
             )
         except Exception as error:
             final = FinalResponse(500, "failed", "internal")
             structlog.get_logger("gateway").error("internal", request=request, exc_info=error)
         finally:
             self.active -= 1
-            connection.on_gone = None
+            connection.on_disconnect = None
         if record.course is not None:
             record.course.phase("client")
         try:
@@ -365,7 +366,7 @@
             try:
                 keep = self.engine.settings.max_attempts > 1
                 body = ReplayBody(source.read, source.length, self.bodies, keep)
-            except BodyStoreFull:
+            except BodyStoreFullError:
                 return self._full()
         ask = api.Request(
             request_id=request,
@@ -389,10 +390,10 @@
             shard = placement.shard_of(operation.volume, operation.key, volume.shards)
             ask = record.ask = _at(ask, shard)
         stem = uuid.uuid4().hex if operation.name == "post" else ""
-        ticket = self.engine.take(ask)
+        ticket = self.engine.submit(ask)
 
         def outgoing(node: str, number: int) -> OutgoingRequest:
-            shard = self.engine.nodes[node].shard
+            shard = self.engine.endpoints[node].shard
             key = placement.placed_key(stem, shard) if operation.name == "post" else operation.key
             headers = self._headers(operation, ask, head, shard, number, body, record.version)
             return OutgoingRequest(operation.store_method, operation.target(key), headers, body)
@@ -415,7 +416,7 @@
                 operation.volume, operation.key, self.clock() + max(0.0, left - rules.latency_objective_ms)
             ):
                 after = self.engine.settings.max_retry_after_ms
-                return FinalResponse(503, "refused", "write-back", outcomes.REASONS["write-back"], after)
+                return FinalResponse(503, "refused", "write-back", outcomes.REASON_TEXTS["write-back"], after)
             return None
         tag = back.known(operation.volume, operation.idempotency_key)
         body = bytearray()
@@ -460,7 +461,7 @@
         except RequestError as error:
             return "failed", None, error.status, ""
         last = next(
-            (o for o, code in outcomes.CODES.items() if record.ends and code == record.ends[-1]), None
+            (o for o, code in outcomes.OUTCOME_CODES.items() if record.ends and code == record.ends[-1]), None
         )
         answer = final.answer
         return (
@@ -493,26 +494,26 @@
         """Pay for a body whose length is known, in turn; False where its client left meanwhile."""
         if length is None:
             return True
-        since, before, here = self.clock(), connection.on_gone, anyio.CancelScope()
+        since, before, here = self.clock(), connection.on_disconnect, anyio.CancelScope()
         if record.course is not None:
             record.course.phase("held")
-        connection.on_gone = here.cancel
+        connection.on_disconnect = here.cancel
         try:
             with here:
-                if connection.eof:
+                if connection.disconnected:
                     here.cancel()
                 await bill.before(length)
         finally:
-            connection.on_gone = before
+            connection.on_disconnect = before
             record.held_ms += self.clock() - since
-        return not here.cancelled_caught and not connection.eof
+        return not here.cancelled_caught and not connection.disconnected
 
     def _bounded(self, connection: ClientConnection) -> Callable[[], Awaitable[Bytes]]:
         most, got = self.config.limits.object_bytes, 0
 
         async def read() -> Bytes:
             nonlocal got
-            data = await connection.body()
+            data = await connection.read_body()
             got += len(data)
             if got > most:
                 raise ProtocolError(413, "too-large", f"the object is larger than {most} bytes")
@@ -571,7 +572,9 @@
         try:
             return await self._obey(ticket, outgoing, operation, sink, connection, record)
         finally:
-            self.engine.gone(ticket)  # no-op but where this failed: nothing is left behind that nobody holds
+            self.engine.client_disconnected(
+                ticket
+            )  # no-op but where this failed: nothing is left behind that nobody holds
 
     async def _obey(
         self,
@@ -592,28 +595,30 @@
             if action is None:
                 return FinalResponse(0, "gone", "client-gone")
             if isinstance(action, (api.ShedRequest, api.FailRequest)):
-                status, outcome, reason = outcomes.final(action, last, self.clock() >= ticket.end - 5.0)
+                status, outcome, reason = outcomes.final_status(
+                    action, last, self.clock() >= ticket.deadline_ms - 5.0
+                )
                 after = action.retry_after_ms if isinstance(action, api.ShedRequest) else None
                 return FinalResponse(
-                    504 if ticket.fault == "engine-silent" else status,
+                    504 if ticket.override_reason == "engine-silent" else status,
                     outcome,
-                    ticket.fault or reason,
+                    ticket.override_reason or reason,
                     "",
                     after,
                 )
             if not isinstance(action, api.StartAttempt):
                 continue
-            connection.look()
+            connection.check_for_reset()
             ended = await self._attempt(ticket, action, outgoing, operation, sink, running, record)
             if record.course is not None and record.ask is not None and self.recorder is not None:
                 usual = self.recorder.usual(action.endpoint, record.ask.request_class, record.ask.units)
                 record.course.attempts.append(
-                    (action.endpoint, outcomes.CODES[ended.outcome], ended.latency_ms, usual)
+                    (action.endpoint, outcomes.OUTCOME_CODES[ended.outcome], ended.latency_ms, usual)
                 )
             last = ended.outcome
             record.attempts += 1
             record.nodes.append(action.endpoint)
-            record.ends.append(outcomes.CODES[last])
+            record.ends.append(outcomes.OUTCOME_CODES[last])
             record.out_ms += ended.latency_ms
             final = self._settled(ended)
             if final is not None:
@@ -623,32 +628,32 @@
         """The scheduler's next word; the wait for it is accounted for."""
         recorder, course, ask = self.recorder, record.course, record.ask
         if recorder is None or course is None or ask is None:
-            return await ticket.next()
+            return await ticket.next_action()
         course.phase("held")
         since_ns = course.marks[-2]
-        recorder.hold(ticket.id, ask.shard, ask.request_class, since)
+        recorder.hold(ticket.request_id, ask.shard, ask.request_class, since)
         try:
-            return await ticket.next()
+            return await ticket.next_action()
         finally:
             course.phase("dial")
-            recorder.release(course, ticket.id, since_ns, self.clock())
+            recorder.release(course, ticket.request_id, since_ns, self.clock())
 
     def _watch_client(
         self, connection: ClientConnection, ticket: RequestHandle, running: list[Attempt]
     ) -> None:
-        before = connection.on_gone
+        before = connection.on_disconnect
 
         def gone() -> None:
             if before is not None:
                 before()
-            self.engine.gone(ticket)
+            self.engine.client_disconnected(ticket)
             for attempt in running:
                 # One that is out whole is heard to its end: its node goes on with it, and its window must know.
-                if not attempt.all_sent:
+                if not attempt.write_completed:
                     attempt.cancel()
 
-        connection.on_gone = gone
-        if connection.eof:
+        connection.on_disconnect = gone
+        if connection.disconnected:
             gone()
 
     async def _attempt(
@@ -661,18 +666,18 @@
         running: list[Attempt],
         record: AccessLogRecord,
     ) -> AttemptResult:
-        number, ticket.attempts = ticket.attempts, ticket.attempts + 1
-        timeout = ticket.end - self.clock()
+        number, ticket.attempts_started = ticket.attempts_started, ticket.attempts_started + 1
+        timeout = ticket.deadline_ms - self.clock()
         if send.timeout_ms > 0:
             timeout = min(timeout, send.timeout_ms)
         ended = AttemptResult(api.AttemptOutcome.NOT_SENT)
-        if not ticket.gone:
+        if not ticket.client_disconnected:
             attempt = Attempt(
                 self.pool,
                 self.clock,
                 self.config.limits.stream_idle,
                 sink,
-                lambda: self.engine.post(api.StreamStarted(ticket.id, number)),
+                lambda: self.engine.post(api.StreamStarted(ticket.request_id, number)),
                 lambda head: _fits(operation, head),
                 record.course.phase if record.course is not None else _no_phase,
             )
@@ -680,7 +685,7 @@
                 self._weigh(ticket, record)
             running[:] = [attempt]
             ticket.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
-            ticket.on_call_off = lambda which: attempt.call_off() if which == number else None
+            ticket.on_abandon = lambda which: attempt.abandon() if which == number else None
             try:
                 ended = await attempt.run(
                     send.endpoint, outgoing(send.endpoint, number), timeout, send.write_timeout_ms
@@ -688,17 +693,17 @@
             except BaseException as error:  # whatever it was: the scheduler hears of the end of what it sent
                 fault = error if isinstance(error, Exception) else None
                 self._tell(
-                    ticket, number, send.endpoint, AttemptResult(api.AttemptOutcome.CANCELLED, fault=fault)
+                    ticket, number, send.endpoint, AttemptResult(api.AttemptOutcome.CANCELLED, error=fault)
                 )
                 raise
             finally:
-                ticket.on_cancel = ticket.on_call_off = None
-        if operation.name == "get" and not record.excess and ended.moved > record.unit_bytes:
+                ticket.on_cancel = ticket.on_abandon = None
+        if operation.name == "get" and not record.excess and ended.body_bytes > record.unit_bytes:
             assert record.ask is not None
-            record.excess = max(0.0, units_of(ended.moved, record.unit_bytes) - record.ask.units)
+            record.excess = max(0.0, units_of(ended.body_bytes, record.unit_bytes) - record.ask.units)
             self._weigh(ticket, record)
-        if ended.told.word is not None:
-            self.on_word(send.endpoint, ended.told.word)
+        if ended.report.word is not None:
+            self.on_word(send.endpoint, ended.report.word)
         elif ended.outcome is api.AttemptOutcome.CONNECT_FAILED:
             self.on_refused(send.endpoint)
         self._tell(ticket, number, send.endpoint, ended)
@@ -707,30 +712,30 @@
     def _weigh(self, ticket: RequestHandle, record: AccessLogRecord) -> None:
         """The course's reserve pays for what the scheduler was not told."""
         ask = record.ask
-        account = self.engine.purse(ask.volume) if ask is not None else None
+        account = self.engine.quota_of(ask.volume) if ask is not None else None
         if account is not None and ask is not None:
             weigh(account, record.excess, ask.units)
 
     def _tell(self, ticket: RequestHandle, number: int, node: str, ended: AttemptResult) -> None:
-        told = ended.told
-        over = ended.outcome is api.AttemptOutcome.SERVED or ended.relayed or ended.fault is not None
+        told = ended.report
+        over = ended.outcome is api.AttemptOutcome.SERVED or ended.streamed or ended.error is not None
         event = api.AttemptEnded(
-            ticket.id,
+            ticket.request_id,
             number,
             node,
             ended.outcome,
             ended.latency_ms,
-            over or ticket.closed,
+            over or ticket.finished,
             told.used_percent,
             told.from_others,
             told.load,
         )
-        self.engine.ended(ticket, event)
+        self.engine.attempt_ended(ticket, event)
 
     def _settled(self, ended: AttemptResult) -> FinalResponse | None:
         """The final answer where an attempt's end was one."""
-        fault = ended.fault
-        if ended.relayed:
+        fault = ended.error
+        if ended.streamed:
             if ended.outcome is api.AttemptOutcome.SERVED:
                 return FinalResponse(ended.status, "served", "ok", relayed=True)
             reason = "client-gone" if isinstance(fault, ClientDisconnectedError) else "store-cut"
@@ -741,15 +746,17 @@
             return _over(fault)
         if isinstance(fault, ProtocolError):
             return FinalResponse(fault.status, "failed", fault.reason, str(fault))
-        if isinstance(fault, BodyStoreFull):
-            return FinalResponse(507, "failed", "body-store-full", outcomes.REASONS["body-store-full"])
-        if ended.answer is not None:
-            return FinalResponse(ended.status, "served", "ok", answer=ended.answer)
+        if isinstance(fault, BodyStoreFullError):
+            return FinalResponse(507, "failed", "body-store-full", outcomes.REASON_TEXTS["body-store-full"])
+        if ended.response is not None:
+            return FinalResponse(ended.status, "served", "ok", answer=ended.response)
         return None
 
     def _full(self) -> FinalResponse:
         after = self.engine.settings.max_retry_after_ms
-        return FinalResponse(503, "refused", "body-store-full", outcomes.REASONS["body-store-full"], after)
+        return FinalResponse(
+            503, "refused", "body-store-full", outcomes.REASON_TEXTS["body-store-full"], after
+        )
 
     async def _listed(
         self,
@@ -764,7 +771,7 @@
 
         async def one(number: int, shard: int) -> None:
             part = _at(ask, shard, f"{ask.request_id}.{number}")
-            ticket = self.engine.take(part)
+            ticket = self.engine.submit(part)
 
             def outgoing(node: str, attempt: int) -> OutgoingRequest:
                 headers = self._headers(operation, part, None, shard, attempt, None, record.version)
@@ -809,23 +816,23 @@
         )
 
     async def _say(self, connection: ClientConnection, request: str, final: FinalResponse) -> None:
-        if final.outcome == "gone" or connection.eof:
-            connection.close_after = True
+        if final.outcome == "gone" or connection.disconnected:
+            connection.close_after_response = True
         elif final.relayed:
             if final.outcome != "served":
-                connection.close_after = True  # cut: never an end that looks whole
+                connection.close_after_response = True  # cut: never an end that looks whole
         elif final.answer is not None:
             extra: Headers = [(answers.OUTCOME, b"served"), (answers.REASON, b"ok")]
             if final.acknowledged:
                 extra.append((answers.ACKNOWLEDGED, final.acknowledged.encode()))
-            connection.begin([*connection.extra, *extra], False)
-            await connection.pass_on(final.answer.head, final.answer.body)
+            connection.begin_request([*connection.extra_headers, *extra], False)
+            await connection.respond_from_upstream(final.answer.head, final.answer.body)
         else:
-            text = final.text or outcomes.REASONS[final.reason]
+            text = final.text or outcomes.REASON_TEXTS[final.reason]
             said = answers.error(
                 final.status, final.outcome, final.reason, request, text, final.retry_after_ms
             )
-            await connection.answer(*said)
+            await connection.respond(*said)
 
     def _access(
         self,
@@ -838,7 +845,7 @@
         record: AccessLogRecord,
         began: float,
     ) -> None:
-        if not logs.access_lines:
+        if not logs.access_log_enabled:
             return
         self._log.info(
             "request",
@@ -849,7 +856,7 @@
             operation=operation.name if operation else None,
             volume=operation.volume if operation else None,
             request_class=kind.rules.name if kind else None,
-            status=connection.status or final.status,
+            status=connection.response_status or final.status,
             outcome=final.outcome,
             reason=final.reason,
             attempts=record.attempts,
@@ -858,7 +865,7 @@
             held_ms=round(record.held_ms, 2),
             out_ms=round(record.out_ms, 2),
             total_ms=round(self.clock() - began, 2),
-            bytes=connection.moved,
+            bytes=connection.response_bytes,
         )
 
 
--- a/winchdyke/gateway/tls.py
+++ b/winchdyke/gateway/tls.py
@@ -1,11 +1,12 @@
-"""Certificates of listeners: read at the start, read anew when their files change, without a connection dropped.
+"""TLS contexts of listeners and for connections to stores.
 
-Each handshake takes the context that counts then; connections that are open keep theirs. A certificate that can't be read, does not
-fit its key, or is out of its time is told in the log, and the one before stays.
+The certificate of a listener is loaded again when its files change. Each handshake takes the context that is current then;
+open connections keep theirs. A certificate that can't be used is logged, and the one before stays in use.
 """
 
 from __future__ import annotations
 
+import os
 import ssl
 import time
 from collections.abc import Callable
@@ -17,38 +18,33 @@
 
 from winchdyke.config.model import Tls as Settings
 
-LEAST = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
-LOOK_S = 1.0  # between looks at the files
-SOON_DAYS = 14  # before its end from which on a certificate is told of at each load
+TLS_VERSIONS = {"1.2": ssl.TLSVersion.TLSv1_2, "1.3": ssl.TLSVersion.TLSv1_3}
+FILE_CHECK_INTERVAL_SECONDS = 1.0
+EXPIRY_WARNING_DAYS = 14
+
+FileStamp = tuple[int, int, int]  # modification time in ns, inode, size in bytes
+MISSING_FILE: FileStamp = (0, 0, 0)
 
 
 class TlsError(Exception):
-    """A certificate that can't be used; says why and what to do."""
+    """A certificate or key that can't be used; says why and which setting to look at."""
+
+
+def load_server_context(settings: Settings, now_s: float) -> ssl.SSLContext:
+    """Load a listener's context from the files that the settings name.
 
+    Args:
+        settings: The ``tls`` settings.
+        now_s: Unix time at which the certificate has to be valid.
 
-def load(settings: Settings, now_s: float) -> ssl.SSLContext:
-    """A context from the files that settings name. TlsError."""
+    Raises:
+        TlsError: A file can't be used.
+    """
     path = Path(settings.certificate)
-    try:
-        certificates = x509.load_pem_x509_certificates(path.read_bytes())
-    except OSError as error:
-        raise TlsError(f"{path} can't be read: {error.strerror}; see tls, certificate") from error
-    except ValueError as error:
-        raise TlsError(f"{path} holds no certificate in PEM; see tls, certificate") from error
-    now = datetime.fromtimestamp(now_s, UTC)
-    first = certificates[0]
-    if first.not_valid_after_utc <= now:
-        raise TlsError(
-            f"{path}: the certificate is over since {first.not_valid_after_utc:%Y-%m-%d %H:%M}; get a new one"
-        )
-    if first.not_valid_before_utc > now:
-        raise TlsError(
-            f"{path}: the certificate counts from {first.not_valid_before_utc:%Y-%m-%d %H:%M} on only"
-        )
-    if (left := first.not_valid_after_utc - now).days < SOON_DAYS:
-        structlog.get_logger("tls").warning("tls", certificate=str(path), ends_in_days=left.days)
+    certificate = _read_certificate(path)
+    _check_validity(certificate, path, datetime.fromtimestamp(now_s, UTC))
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    context.minimum_version = LEAST[settings.least]
+    context.minimum_version = TLS_VERSIONS[settings.least]
     context.set_alpn_protocols(["http/1.1"])
     try:
         context.load_cert_chain(settings.certificate, settings.key)
@@ -57,18 +53,50 @@
     except OSError as error:
         raise TlsError(f"{settings.key} can't be read: {error.strerror}; see tls, key") from error
     if settings.clients:
-        try:
-            context.load_verify_locations(settings.clients)
-        except (ssl.SSLError, OSError) as error:
-            raise TlsError(
-                f"{settings.clients} holds no certificates of clients' issuers; see tls, clients"
-            ) from error
-        context.verify_mode = ssl.CERT_REQUIRED
+        _require_client_certificates(context, settings.clients)
     return context
 
 
-def load_stores(path: str) -> ssl.SSLContext:
-    """A context for dialling stores: their certificates must be of these issuers, for the address that is dialled. TlsError."""
+def _read_certificate(path: Path) -> x509.Certificate:
+    try:
+        return x509.load_pem_x509_certificates(path.read_bytes())[0]
+    except OSError as error:
+        raise TlsError(f"{path} can't be read: {error.strerror}; see tls, certificate") from error
+    except ValueError as error:
+        raise TlsError(f"{path} holds no certificate in PEM; see tls, certificate") from error
+
+
+def _check_validity(certificate: x509.Certificate, path: Path, now: datetime) -> None:
+    end = certificate.not_valid_after_utc
+    start = certificate.not_valid_before_utc
+    if end <= now:
+        raise TlsError(f"{path}: the certificate expired at {end:%Y-%m-%d %H:%M}; get a new one")
+    if start > now:
+        raise TlsError(f"{path}: the certificate is not valid before {start:%Y-%m-%d %H:%M}")
+    days_left = (end - now).days
+    if days_left < EXPIRY_WARNING_DAYS:
+        structlog.get_logger("tls").warning(
+            "tls_certificate_expires_soon", certificate=str(path), days_left=days_left
+        )
+
+
+def _require_client_certificates(context: ssl.SSLContext, path: str) -> None:
+    try:
+        context.load_verify_locations(path)
+    except (ssl.SSLError, OSError) as error:
+        raise TlsError(f"{path} holds no certificates of clients' issuers; see tls, clients") from error
+    context.verify_mode = ssl.CERT_REQUIRED
+
+
+def load_store_context(path: str) -> ssl.SSLContext:
+    """Load a context for connecting to stores, whose certificates must be for the address that is connected to.
+
+    Args:
+        path: A PEM file with the certificates of the issuers that are trusted.
+
+    Raises:
+        TlsError: The file can't be used.
+    """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
@@ -78,36 +106,60 @@
     return context
 
 
-class Certificates:
-    """The context that counts, by the files as they are."""
+class CertificateReloader:
+    """The current context of a listener, loaded again when its files change.
+
+    Args:
+        settings: The ``tls`` settings.
+        unix_time: Gives the Unix time in seconds.
+
+    Attributes:
+        load_count: Contexts loaded so far.
 
-    def __init__(self, settings: Settings, now: Callable[[], float] = time.time) -> None:
-        self._settings, self._now = settings, now
-        self._context, self._stamp = load(settings, now()), self._stamps()
-        self._looked = time.monotonic()
-        self.loads = 1
+    Raises:
+        TlsError: The files can't be used at the start.
+    """
 
-    def _stamps(self) -> tuple[tuple[int, int, int], ...]:
-        found = []
-        for name in (self._settings.certificate, self._settings.key, self._settings.clients):
-            try:
-                at = Path(name).stat() if name else None
-            except OSError:
-                at = None
-            found.append((at.st_mtime_ns, at.st_ino, at.st_size) if at is not None else (0, 0, 0))
-        return tuple(found)
+    def __init__(self, settings: Settings, unix_time: Callable[[], float] = time.time) -> None:
+        self._settings = settings
+        self._unix_time = unix_time
+        self._context = load_server_context(settings, unix_time())
+        self._loaded_stamps = self._file_stamps()
+        self._checked_at_seconds = time.monotonic()
+        self.load_count = 1
 
-    def context(self) -> ssl.SSLContext:
-        """For one handshake."""
+    def _file_stamps(self) -> tuple[FileStamp, ...]:
+        files = (self._settings.certificate, self._settings.key, self._settings.clients)
+        return tuple(_file_stamp(name) for name in files)
+
+    def current_context(self) -> ssl.SSLContext:
+        """Return the context for one handshake, after a look at the files where the last one is long enough ago."""
         now = time.monotonic()
-        if now >= self._looked + LOOK_S:
-            self._looked = now
-            if (stamp := self._stamps()) != self._stamp:
-                self._stamp = stamp
-                try:
-                    self._context = load(self._settings, self._now())
-                    self.loads += 1
-                    structlog.get_logger("tls").info("tls", loaded=self._settings.certificate)
-                except TlsError as error:
-                    structlog.get_logger("tls").error("tls", kept="the one before", trouble=str(error))
+        if now >= self._checked_at_seconds + FILE_CHECK_INTERVAL_SECONDS:
+            self._checked_at_seconds = now
+            self._reload_if_changed()
         return self._context
+
+    def _reload_if_changed(self) -> None:
+        stamps = self._file_stamps()
+        if stamps == self._loaded_stamps:
+            return
+        self._loaded_stamps = stamps
+        log = structlog.get_logger("tls")
+        try:
+            self._context = load_server_context(self._settings, self._unix_time())
+        except TlsError as error:
+            log.error("tls_certificate_reload_failed", error=str(error))
+            return
+        self.load_count += 1
+        log.info("tls_certificate_reloaded", certificate=self._settings.certificate)
+
+
+def _file_stamp(name: str) -> FileStamp:
+    if not name:
+        return MISSING_FILE
+    try:
+        status = os.stat(name)
+    except OSError:
+        return MISSING_FILE
+    return status.st_mtime_ns, status.st_ino, status.st_size
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -36,7 +36,7 @@
             (gateway.reload if number == signal.SIGHUP else gateway.stop)()
         await gateway.run()
 
-    logs.set_up("json", access=False)
+    logs.configure("json", access=False)
     try:
         asyncio.run(serve())
     except configuration.ConfigurationError as error:
--- a/winchdyke/platform/clients.py
+++ b/winchdyke/platform/clients.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from enum import Enum, auto
 
-from winchdyke.gateway.pool import NO_DESCRIPTORS
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS
 from winchdyke.http1 import End, Headers, Need, ProtocolError, RequestHead, ServerSide
 from winchdyke.object_api import answers
 from winchdyke.platform import protocol, sockets
@@ -402,10 +402,10 @@
             except BlockingIOError:
                 return True
             except OSError as error:
-                if error.errno in NO_DESCRIPTORS and not self._make_room():
+                if error.errno in RESOURCE_EXHAUSTION_ERRNOS and not self._make_room():
                     self._wait()
                     return True
-                if error.errno not in (*NO_DESCRIPTORS, errno.ECONNABORTED):
+                if error.errno not in (*RESOURCE_EXHAUSTION_ERRNOS, errno.ECONNABORTED):
                     return True
                 continue
             try:
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -49,7 +49,7 @@
         self.last: AttemptOutcome | None = None
         self.gone_at = float("inf")
 
-    def tell(self, action: RequestAction) -> None:
+    def deliver(self, action: RequestAction) -> None:
         """What the scheduler, or the engine in its place, says: carried out at once."""
         self.owner.carry_out(self, action)
 
@@ -61,7 +61,7 @@
         self.told, self.loop, self.clock = told, loop, monotonic_ms
         self.log = structlog.get_logger("gateway")
         self.engine = SchedulerLoop(told.settings, told.seed)
-        self.engine.on_post = self._posted
+        self.engine.on_event_posted = self._posted
         self._turning, self._timer_at = False, float("inf")
         self._timer: asyncio.TimerHandle | None = None
         self.counts: Counter[str] = Counter()
@@ -80,7 +80,7 @@
         )
         known = self._known()
         self._listed(known, EndpointListKind.CACHED)
-        self.engine.turn()
+        self.engine.process_events()
         self._sock = sockets.listening(told.listen, BACKLOG)
         memory = told.limits.memory_mb * 2**20
         reader = protocol.Reader(told.settings, max(protocol.BODY_MOST, int(memory * BODY_PART)))
@@ -106,7 +106,7 @@
 
     def _turn(self) -> None:
         self._turning = False
-        self.engine.turn()
+        self.engine.process_events()
         self._arm()
 
     def _due(self) -> None:
@@ -114,7 +114,7 @@
         self._posted()
 
     def _arm(self) -> None:
-        due = self.engine.next_due
+        due = self.engine.next_timer_at_ms
         if due is None or due >= self._timer_at:
             return
         if self._timer is not None:
@@ -126,7 +126,10 @@
 
     def _take(self, client: Client, asked: protocol.ParsedRequest, came: float) -> None:
         request = asked.request
-        if request.request_id in self.engine.tickets or request.request_id in self.engine.departed:
+        if (
+            request.request_id in self.engine.open_requests
+            or request.request_id in self.engine.disconnected_requests
+        ):
             raise ProtocolError(409, "id-in-use", "a request with this Req-Id is open")
         now = self.clock()
         left = request.time_left_ms - max(0.0, now - came)
@@ -136,13 +139,13 @@
         asked.request = dataclasses.replace(request, time_left_ms=left)
         call = ForwardedRequest(self, client, asked, now + left)
         client.on_gone = lambda: self._gone(call)
-        self.engine.take(asked.request, call)
+        self.engine.submit(asked.request, call)
 
     def _gone(self, call: ForwardedRequest) -> None:
         self.counts["gone"] += 1
-        self.counts["gone-unsent"] += not call.attempts
+        self.counts["gone-unsent"] += not call.attempts_started
         call.gone_at = self.clock()
-        self.engine.gone(call)
+        self.engine.client_disconnected(call)
 
     def carry_out(self, call: ForwardedRequest, action: RequestAction) -> None:
         """One action of the scheduler's on a request."""
@@ -152,9 +155,9 @@
             self._final(call, action)
 
     def _send(self, call: ForwardedRequest, action: api.StartAttempt) -> None:
-        number, now = call.attempts, self.clock()
-        call.attempts += 1
-        end = min(call.end, now + action.timeout_ms) if action.timeout_ms else call.end
+        number, now = call.attempts_started, self.clock()
+        call.attempts_started += 1
+        end = min(call.deadline_ms, now + action.timeout_ms) if action.timeout_ms else call.deadline_ms
         place = self.places.get(action.endpoint)
         if place is None or end <= now:
             self._ended(call, number, action.endpoint, protocol.Told(AttemptOutcome.NOT_SENT), 0.0, b"")
@@ -169,25 +172,25 @@
         write_by = now + action.write_timeout_ms if action.write_timeout_ms else float("inf")
         attempt = Attempt(self.stores, place, call.asked, end, done, write_by, call.client.stays)
         call.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
-        call.on_call_off = lambda which: attempt.call_off() if which == number else None
+        call.on_abandon = lambda which: attempt.call_off() if which == number else None
         attempt.start()
 
     def _ended(
         self, call: ForwardedRequest, number: int, node: str, told: protocol.Told, latency: float, body: bytes
     ) -> None:
         outcome = call.last = told.outcome
-        call.on_cancel = call.on_call_off = None
+        call.on_cancel = call.on_abandon = None
         self.counts[outcome.name] += 1
-        served = outcome is AttemptOutcome.SERVED and not call.closed
-        self.engine.ended(
+        served = outcome is AttemptOutcome.SERVED and not call.finished
+        self.engine.attempt_ended(
             call,
             api.AttemptEnded(
-                request_id=call.id,
+                request_id=call.request_id,
                 attempt=number,
                 endpoint=node,
                 outcome=outcome,
                 latency_ms=latency,
-                request_finished=served or call.closed,
+                request_finished=served or call.finished,
                 volume_usage_percent=told.used,
                 units_via_other_gateways=told.others,
                 load_report=told.load,
@@ -198,12 +201,14 @@
             call.client.answer(200, headers, body)
 
     def _final(self, call: ForwardedRequest, action: api.ShedRequest | api.FailRequest) -> None:
-        up = self.clock() >= call.end
-        status, outcome, reason = outcomes.final(action, call.last, up)
-        reason = call.fault or reason
+        up = self.clock() >= call.deadline_ms
+        status, outcome, reason = outcomes.final_status(action, call.last, up)
+        reason = call.override_reason or reason
         self.counts[f"{outcome}:{reason}"] += 1
         after = action.retry_after_ms if isinstance(action, api.ShedRequest) else 0.0
-        status, headers, body = answers.error(status, outcome, reason, call.id, outcomes.REASONS[reason])
+        status, headers, body = answers.error(
+            status, outcome, reason, call.request_id, outcomes.REASON_TEXTS[reason]
+        )
         if after > 0:
             headers.append((b"retry-after", b"%.3f" % (after / 1000)))
         call.client.answer(status, headers, body)
@@ -288,15 +293,15 @@
         if now >= self._leaving.last_call:
             self.clients.closing = True
             self.clients.hang_up()
-        if now >= self._leaving.answer_by and self.engine.tickets:
+        if now >= self._leaving.answer_by and self.engine.open_requests:
             # Guards against requests that the end of the process would lose, whatever holds them. It hurts what would have
             # been served between here and the end, which nobody tells beforehand.
-            self.engine.answer_all("stopping")
+            self.engine.finish_all("stopping")
         done = self.clients.closing and now >= self._leaving.end
         done = done and (now >= self._leaving.answer_by or not self.clients.unsettled)
         # Guards against requests that stand in the queue or in a socket, unread, as the process ends: they were taken, and would
         # be lost. Looked for in the turn that ends all, so that nothing comes between.
-        if not done or self.engine.tickets or not self.clients.look_last():
+        if not done or self.engine.open_requests or not self.clients.look_last():
             self.loop.call_later(STOP_LOOK_S, self._stop_on)
         elif not self.over.done():
             self.clients.close()
@@ -316,7 +321,7 @@
         now = self.loop.time()
         self._worst_lag, self._lag = max(self._worst_lag, now - self._lag), now + 0.25
         self.stores.sweep(set(self.places.values()))
-        self.engine.answer_overdue(self.clock())
+        self.engine.finish_overdue(self.clock())
         self.loop.call_later(0.25, self._sweep)
 
     def _tell_state(self) -> None:
--- a/winchdyke/platform/stores.py
+++ b/winchdyke/platform/stores.py
@@ -28,7 +28,7 @@
 from collections import Counter, OrderedDict
 from collections.abc import Callable
 
-from winchdyke.gateway.pool import NO_DESCRIPTORS
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS
 from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
 from winchdyke.interface import AttemptOutcome
 from winchdyke.platform import protocol, sockets
@@ -43,7 +43,7 @@
 # An answer that tells no length is whole at the end of its connection, which follows its last byte. Guards against one that never
 # ends, for whatever cause. It hurts a store that pauses in the middle of such an answer.
 OPEN_MS = 100.0
-OWN_FAULTS = (*NO_DESCRIPTORS, errno.EADDRNOTAVAIL)
+OWN_FAULTS = (*RESOURCE_EXHAUSTION_ERRNOS, errno.EADDRNOTAVAIL)
 
 Place = tuple[str, str]  # a store's id and address: an address can pass to another id
 
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -153,8 +153,8 @@
         told: Headers = [(b"x-amz-request-id", call.request.encode())]
         if call.snapshot.version:
             told.append((store_protocol.VERSION, str(call.snapshot.version).encode()))
-        connection.begin(told, close=service.stopping)
-        connection.unread_length = head.length
+        connection.begin_request(told, close=service.stopping)
+        connection.declared_body_bytes = head.length
         service.active += 1
         try:
             await call.run()
@@ -169,7 +169,7 @@
             code = {413: "EntityTooLarge", 408: "RequestTimeout"}.get(error.status, "IncompleteBody")
             await self._refuse(call, S3Error(code, str(error), 400))
         except ClientDisconnectedError:
-            connection.close_after = True
+            connection.close_after_response = True
         except Exception as error:
             self._log.error("internal", request=call.request, exc_info=error)
             await self._refuse(
@@ -177,7 +177,7 @@
             )
         finally:
             service.active -= 1
-            connection.on_gone = None
+            connection.on_disconnect = None
             call.ended()
 
     async def run(self) -> None:
@@ -212,8 +212,8 @@
             "refused" if error.code == "SlowDown" else "failed" if error.status >= 500 else "served"
         )
         call.code = error.code
-        if connection.eof or not connection.codec.can_answer:
-            connection.close_after = True
+        if connection.disconnected or not connection.codec.can_answer:
+            connection.close_after_response = True
             return
         body = xml.error(
             error.code, error.text, call.head.target.partition(b"?")[0].decode("latin-1"), call.request
@@ -226,7 +226,7 @@
             headers.append((b"retry-after", str(max(1, round(error.retry_after_ms / 1000 + 0.49))).encode()))
         if error.status == 304:
             headers, body = [], b""
-        await connection.answer(error.status, headers, b"" if call.head.method == "HEAD" else body)
+        await connection.respond(error.status, headers, b"" if call.head.method == "HEAD" else body)
 
 
 class Call:
@@ -261,7 +261,7 @@
             self.service.on_end(asked.bucket, shard, self.outcome, self.service.clock() - self.began)
         structlog.get_logger("access").info(
             "s3", request=self.request, who=self.who, operation=asked.spoken.name if asked else None,
-            bucket=asked.bucket if asked else None, status=self.connection.status, code=self.code,
+            bucket=asked.bucket if asked else None, status=self.connection.response_status, code=self.code,
             attempts=self.record.attempts, nodes=self.record.nodes, total_ms=round(self.service.clock() - self.began, 2),
         )  # fmt: skip
 
@@ -376,7 +376,7 @@
         if final.relayed:
             self.outcome = final.outcome
             if final.outcome != "served":
-                self.connection.close_after = True
+                self.connection.close_after_response = True
             raise ClientDisconnectedError  # all that can be said was said
         if final.answer is None:
             self.outcome = final.outcome
@@ -407,7 +407,7 @@
             told.append((b"content-length", str(len(body)).encode()))
         if body:
             told.append((b"content-type", b"application/xml"))
-        await self.connection.answer(status, told, b"" if self.head.method == "HEAD" else body)
+        await self.connection.respond(status, told, b"" if self.head.method == "HEAD" else body)
 
     def _etag(self, head: AnswerHead) -> str:
         return head.get(b"etag") or ""
@@ -452,7 +452,7 @@
         async def read() -> bytes:
             nonlocal got, over
             while not over:
-                data = await self.connection.body()
+                data = await self.connection.read_body()
                 got += len(data)
                 if got > most + most // 8:
                     raise ProtocolError(413, "too-large", f"the object is larger than {most} bytes")
@@ -486,7 +486,7 @@
                 if len(got) > xml.LARGEST:
                     raise S3Error("EntityTooLarge", f"a document has at most {xml.LARGEST} bytes")
         if late.cancelled_caught:
-            self.connection.close_after = True
+            self.connection.close_after_response = True
             raise S3Error("RequestTimeout", "the document did not arrive in time")
         return bytes(got)
 
@@ -548,14 +548,14 @@
         if final.relayed:
             self.outcome = final.outcome
             if final.outcome != "served":
-                self.connection.close_after = True
+                self.connection.close_after_response = True
             return
         if final.answer is not None and final.answer.head.status == 304:
-            return await self.connection.answer(304, store_protocol.onward(final.answer.head.headers), b"")
+            return await self.connection.respond(304, store_protocol.onward(final.answer.head.headers), b"")
         self._answered(final)
         assert final.answer is not None
         told = relay.told(final.answer.head)
-        await self.connection.answer(told.status, store_protocol.onward(told.headers), final.answer.body)
+        await self.connection.respond(told.status, store_protocol.onward(told.headers), final.answer.body)
 
     _HeadObject = _GetObject
 
