--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -95,7 +95,7 @@
     Mutant("attempts have no time", A, "anyio.current_time() + max(0.0, timeout_ms) / 1000", "anyio.current_time() + 60", rules=(1,)),
     # Engine
     Mutant("timers not fired", E, "events.append(api.TimerFired(heapq.heappop(timers)[2]))", "heapq.heappop(timers)", rules=(1,)),
-    Mutant("answers told twice", E, "        handle.finished = True\n        del self.open_requests[action.request_id]", "        pass", rules=(1, 2), test="test_actions_reach_whoever_holds_the_request"),
+    Mutant("answers told twice", E, "        handle.finished = True\n        del self.open_requests[action.request_id]", "        pass", rules=(1, 2), test="test_actions_reach_the_handle_of_their_request"),
     # Membership
     Mutant("strangers not told apart", N, "if known.identity and word.identity and word.identity != known.identity:", "if False:", "blind-day"),
     Mutant("a store's own drain not heard", N, "self._drain(known, \"drains, by its own word\", now)", "pass", "blind-day"),
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -115,7 +115,7 @@
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
-            monkeypatch.setattr("winchdyke.gateway.pool.Connection.stale", lambda self: False)
+            monkeypatch.setattr("winchdyke.gateway.pool.Connection.is_readable_or_closed", lambda self: False)
             store = it.where(READ)
             store.kill()
             await anyio.sleep(0.05)
@@ -191,9 +191,9 @@
             await it.ask("PUT", READ, b"x" * 300)
             it.where(READ).tricks.append("long-answer")
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            dialled = it.gateway.pool.dialled
+            dialled = it.gateway.pool.connections_opened
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            assert it.gateway.pool.dialled == dialled + 1
+            assert it.gateway.pool.connections_opened == dialled + 1
 
     run()
 
@@ -284,11 +284,11 @@
             it.where(READ).tricks.append("silence")
 
             async def cancel():
-                await it.until(lambda: bool(it.gateway.engine.tickets))
-                ticket = next(iter(it.gateway.engine.tickets.values()))
+                await it.until(lambda: bool(it.gateway.engine.open_requests))
+                ticket = next(iter(it.gateway.engine.open_requests.values()))
                 await it.until(lambda: ticket.on_cancel is not None)
                 await anyio.sleep(0.05)
-                it.gateway.engine._carry_out(0.0, api.CancelAttempt(ticket.id, 0))
+                it.gateway.engine._execute(0.0, api.CancelAttempt(ticket.request_id, 0))
 
             it.group.start_soon(cancel)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -323,15 +323,15 @@
             async def later():
                 await begun.wait()
                 if order == "it is called off":
-                    ticket = next(iter(it.gateway.engine.tickets.values()))
-                    it.gateway.engine._carry_out(0.0, api.AbandonAttempt(ticket.id, 0))
+                    ticket = next(iter(it.gateway.engine.open_requests.values()))
+                    it.gateway.engine._execute(0.0, api.AbandonAttempt(ticket.request_id, 0))
                     await it.until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
                 monkeypatch.setattr(Scheduler, "handle", handle)
                 up.set()
 
-            monkeypatch.setattr(ConnectionPool, "get", late)
+            monkeypatch.setattr(ConnectionPool, "acquire", late)
             if order != "it is called off":
                 monkeypatch.setattr(Scheduler, "handle", bounded)
             it.group.start_soon(later)
--- a/tests/test_change_cases.py
+++ b/tests/test_change_cases.py
@@ -539,7 +539,7 @@
             async with anyio.create_task_group() as group:
                 for number in range(60):
                     group.start_soon(load, number)
-                await it.until(lambda: len(it.gateway.engine.tickets) >= 40, 15.0)
+                await it.until(lambda: len(it.gateway.engine.open_requests) >= 40, 15.0)
                 base = it.gateway.live.trail.version(1).text
                 made = await do(it, Set("volume", "contest-*", remove=True))
                 text = it.gateway.live.trail.version(made["version"]).text
@@ -553,7 +553,7 @@
             told = {answer.headers["x-request-id"]: answer.headers["winchdyke-version"] for answer in answers}
             assert len(told) == len(answers) and set(told.values()) == {"1", "3"}
             assert {answer.status for answer in answers} <= {404, 503, 504}
-            assert it.gateway.engine.counts["faults"] == 0
+            assert it.gateway.engine.counts["scheduler_failures"] == 0
             heads = [seen for seen in it.record.seen if seen["what"] == "head"]
             assert all(str(seen["version"]) == told[seen["request"]] for seen in heads)
             volumes = it.gateway.engine._scheduler.quotas
@@ -682,7 +682,7 @@
                 it.group.start_soon(made.run, ready.set)
                 await ready.wait()
                 gateways.append(made)
-            await it.until(lambda: all(len(each.engine.nodes) == 8 for each in gateways))
+            await it.until(lambda: all(len(each.engine.endpoints) == 8 for each in gateways))
             offsets = (-1000.0, 0.0, 1000.0)
             for each, offset in zip(gateways, offsets, strict=True):
                 each.live.wall = lambda offset=offset: time.time() * 1000 + offset
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -178,7 +178,11 @@
             if status == 200 and body != one.id.encode():
                 play.faults.append(f"{one.id} was served {body!r}")
             one.writer.close()
-        if it.gateway.engine.tickets or it.gateway.engine.departed or it.gateway.engine._scheduler.requests:
+        if (
+            it.gateway.engine.open_requests
+            or it.gateway.engine.disconnected_requests
+            or it.gateway.engine._scheduler.requests
+        ):
             play.faults.append("something is left behind")
         if it.gateway.counts["sent-late-after-leave"]:
             play.faults.append("the gateway counts a send after a leave")
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -123,11 +123,11 @@
             await until(lambda: len(it.store.seen) == 1)
             writer.close()
             await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.departed and not it.store.ends, (
+            assert it.gateway.engine.disconnected_requests and not it.store.ends, (
                 "it may have run: its answer is still learnt from"
             )
             it.store.writers[0].write(GOOD)
-            await until(lambda: not it.gateway.engine.departed)
+            await until(lambda: not it.gateway.engine.disconnected_requests)
             assert not it.gateway.engine._scheduler.requests
 
     asyncio.run(play())
@@ -319,11 +319,11 @@
             if lies:
                 it.store.writers[0].write(GOOD)
                 await asyncio.to_thread(select.select, [link.sock], [], [], 5.0)
-            it.gateway.engine.answer_all("stopping")
+            it.gateway.engine.finish_all("stopping")
             status, _, body = await asked
             assert (status, body == b"good") == ((200, True) if lies else (502, False))
             await settled(it)
-            assert not it.gateway.engine._scheduler.requests and not it.gateway.engine.tickets
+            assert not it.gateway.engine._scheduler.requests and not it.gateway.engine.open_requests
 
     asyncio.run(play())
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -80,9 +80,9 @@
             await it.until(lambda: bool(it.ended))
             assert it.outcomes == ["CANCELLED"]
             await it.until(lambda: not it.gateway.service.active)
-            assert not it.gateway.engine.tickets
+            assert not it.gateway.engine.open_requests
             assert ("school-1", "cut") not in it.where("/school-1/cut").shelf.objects
-            assert it.gateway.service.bodies.used == 0
+            assert it.gateway.service.bodies.used_bytes == 0
 
     run()
 
@@ -146,12 +146,12 @@
                 headers = [("host", "t"), ("x-request-id", f"c{number}"), ("content-length", "1")]
                 request = h11.Request(method="PUT", target=READ, headers=headers)
                 await peer.send(request, h11.Data(data=b"x"), h11.EndOfMessage())
-            await it.until(lambda: len(it.gateway.engine.tickets) == len(busy))
+            await it.until(lambda: len(it.gateway.engine.open_requests) == len(busy))
             if when == "after":
                 await it.until(lambda: bool(it.ended))
             for peer in busy:
                 await peer.reset()
-            await it.until(lambda: not it.gateway.engine.tickets)
+            await it.until(lambda: not it.gateway.engine.open_requests)
             await anyio.sleep(0.05)  # what was on its way to a store as the client left is there by now
             heads = [seen["client"] for seen in it.record.seen if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
@@ -201,7 +201,7 @@
             it.list.failing = ""
             if how == "down":
                 await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.engine.nodes) == 8)
+            await it.until(lambda: len(it.gateway.engine.endpoints) == 8)
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -222,7 +222,7 @@
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
-                lambda: it.gateway.engine.nodes[it.stores[0].name].status is api.EndpointStatus.DRAINING
+                lambda: it.gateway.engine.endpoints[it.stores[0].name].status is api.EndpointStatus.DRAINING
             )
 
     run()
@@ -232,7 +232,7 @@
     @played
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
-            assert it.gateway.engine.counts["WatchEndpoints"] == 1
+            assert it.gateway.engine.counts["endpoint_watches_requested"] == 1
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -308,12 +308,12 @@
                 got.append(await it.ask("GET", READ))
 
             it.group.start_soon(ask)
-            await it.until(lambda: bool(it.gateway.engine.tickets))
+            await it.until(lambda: bool(it.gateway.engine.open_requests))
             it.group.start_soon(ask)
             await it.until(lambda: len(got) == 2)
             assert {(answer.status, answer.reason) for answer in got} == {(502, "engine-fault")}
-            assert it.gateway.engine.counts["faults"] == 1
-            assert len(it.gateway.engine.nodes) == 8, "the new one is given the list"
+            assert it.gateway.engine.counts["scheduler_failures"] == 1
+            assert len(it.gateway.engine.endpoints) == 8, "the new one is given the list"
 
     run()
 
@@ -334,7 +334,7 @@
         async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Mute)) as it:
             answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
-            assert not it.gateway.engine.tickets
+            assert not it.gateway.engine.open_requests
 
     run()
 
@@ -384,12 +384,12 @@
         async with rig(settings(limits__body_total="1MiB")) as it:
             peer = await it.connect()
             await peer.stream.send(b"PUT /school-1/a HTTP/1.1\r\nhost: t\r\ncontent-length: 900000\r\n\r\nx")
-            await it.until(lambda: it.gateway.service.bodies.used == 900_000)
+            await it.until(lambda: it.gateway.service.bodies.used_bytes == 900_000)
             answer = await it.ask("PUT", "/school-1/b", b"y" * 400_000)
             assert (answer.status, answer.reason) == (503, "body-store-full")
             assert "retry-after" in answer.headers
             await anyio.aclose_forcefully(peer.stream)
-            await it.until(lambda: not it.gateway.service.bodies.used)
+            await it.until(lambda: not it.gateway.service.bodies.used_bytes)
             assert (await it.ask("PUT", "/school-1/b", b"y" * 400_000)).status == 201
             assert (await it.ask("PUT", "/school-1/c", b"y", transfer_encoding="chunked")).status == 201
 
@@ -502,13 +502,15 @@
             old = it.where(READ)
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
-            await it.until(lambda: it.gateway.engine.nodes[old.name].status is api.EndpointStatus.DRAINING)
+            await it.until(
+                lambda: it.gateway.engine.endpoints[old.name].status is api.EndpointStatus.DRAINING
+            )
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
             fresh = type(old)(old.spec, old.shelf, it.rack, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
-            await it.until(lambda: fresh.name in it.gateway.engine.nodes)
+            await it.until(lambda: fresh.name in it.gateway.engine.endpoints)
             assert (await it.ask("GET", READ)).body == b"x"
             assert {event.endpoint for event in it.ended[before:]} == {fresh.name}
 
@@ -521,7 +523,7 @@
     @played
     async def run():
         async with rig(listing=False) as it:
-            it.gateway.pool.greet = None  # the deaf one would not say who it is
+            it.gateway.pool.verify_identity = None  # the deaf one would not say who it is
             # Held by the scheduler's list: nobody reads the body at all.
             deaf = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = deaf.extra(anyio.abc.SocketAttribute.local_port)
@@ -557,11 +559,11 @@
                 raise ArithmeticError("by design")
 
             with monkeypatch.context() as patched:
-                patched.setattr("winchdyke.gateway.pool.Pool.get", fault)
+                patched.setattr("winchdyke.gateway.pool.ConnectionPool.acquire", fault)
                 answer = await it.ask("PUT", READ, b"x")
             assert (answer.status, answer.reason) == (500, "internal")
             assert b"ArithmeticError" not in answer.body
-            assert not it.gateway.engine.tickets
+            assert not it.gateway.engine.open_requests
             assert it.outcomes == ["CANCELLED"]
             assert (await it.ask("PUT", READ, b"x")).status == 201
 
@@ -575,11 +577,11 @@
             it.list.keep_old_copy()
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.engine.nodes) == 8)
+            await it.until(lambda: len(it.gateway.engine.endpoints) == 8)
             kinds = [event.kind for event in it.events if isinstance(event, api.EndpointList)]
             assert api.EndpointListKind.CACHED in kinds
             await it.until(
-                lambda: it.gateway.engine.nodes[it.stores[0].name].status is api.EndpointStatus.DRAINING
+                lambda: it.gateway.engine.endpoints[it.stores[0].name].status is api.EndpointStatus.DRAINING
             )
 
     run()
@@ -608,10 +610,10 @@
             second = await it.connect()
             head = "PUT /school-1/object HTTP/1.1\r\nhost: t\r\nwinchdyke-class: turns\r\nx-request-id: second\r\n"
             await second.stream.send(head.encode() + b"content-length: 900000\r\n\r\n" + b"x" * 450_000)
-            await it.until(lambda: len(it.gateway.engine.tickets) == 2)
+            await it.until(lambda: len(it.gateway.engine.open_requests) == 2)
             await anyio.sleep(0.05)
             await second.reset()
-            await it.until(lambda: len(it.gateway.engine.tickets) == 1, 1.0)
+            await it.until(lambda: len(it.gateway.engine.open_requests) == 1, 1.0)
             assert (await reply(first)).status == 201
             await anyio.sleep(0.1)
             assert heads() == ["first"]
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -297,7 +297,7 @@
         async with rig(
             config, engine=wrong, unit_ms=30.0, cold_from=0.1, warm_ms=5000.0, fall_window_ms=300.0
         ) as it:
-            it.gateway.pool.greet = None  # or the store's own word on its drain would stop it
+            it.gateway.pool.verify_identity = None  # or the store's own word on its drain would stop it
             draining, cold, losing = it.stores[0], it.stores[1], it.stores[2]
             losing.lost_share, losing.lost_how = 1.0, "reset"
             await it.list.set(draining.name, "draining", 0, "hall-a")
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -363,7 +363,7 @@
                     group.start_soon(it.ask, "PUT", path, b"x")
                 await it.until(lambda: len(it.gateway.engine.observer.held()) > 0)
                 await it.until(lambda: it.gateway.service.active == 10)
-                it.gateway.engine._fault(RuntimeError("on purpose"))
+                it.gateway.engine._replace_scheduler(RuntimeError("on purpose"))
                 for path in paths[10:20]:
                     group.start_soon(it.ask, "PUT", path, b"x")
                 await it.until(lambda: it.gateway.service.active >= 10 and it.gateway.engine.observer.held())
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -240,7 +240,7 @@
             data = b"x" * (300 * UNIT)
             assert (await ask(it, dialect, "PUT", "/school-1/o", data)).status < 300
             it.gateway.service.tolls._courses.clear()  # the put is not what is looked at
-            purse = it.gateway.engine.purse("school-1")
+            purse = it.gateway.engine.quota_of("school-1")
             purse.limit_units = 60.0
             more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
             first = await ask(it, dialect, "GET", "/school-1/o", **more)
@@ -413,9 +413,9 @@
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
             await it.until(lambda: tolls.debt("school-1") > 0)
             plan = dataclasses.replace(
-                engine.purse("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
+                engine.quota_of("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
             )
-            engine.retell(engine.settings, {"school-1": plan})
+            engine.replace_plans(engine.settings, {"school-1": plan})
             since, owed = anyio.current_time(), tolls.debt("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
             assert (await reply(peer)).status < 300
@@ -479,7 +479,7 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
             assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
-            account = it.gateway.engine.purse("contest-1")
+            account = it.gateway.engine.quota_of("contest-1")
             assert account.plan.reserved_units_per_s and not account.plan.limit_units_per_s
             if asked != "put":
                 account.reserved_units = 10.0
@@ -498,7 +498,7 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
             assert (await it.ask("PUT", "/school-1/o", body)).status < 300
-            service, account = it.gateway.service, it.gateway.engine.purse("school-1")
+            service, account = it.gateway.service, it.gateway.engine.quota_of("school-1")
             for _ in range(2):  # the second time its size is known beforehand
                 account.refill(it.gateway.engine.clock())
                 account.limit_units, before = 50.0, it.gateway.engine.clock()
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -83,7 +83,7 @@
 
 
 def test_boto3_over_tls_a_handshake_that_stalls_and_a_certificate_changed_in_service(tmp_path, monkeypatch):
-    monkeypatch.setattr(tls, "LOOK_S", 0.0)
+    monkeypatch.setattr(tls, "FILE_CHECK_INTERVAL_SECONDS", 0.0)
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "first")
 
@@ -199,8 +199,8 @@
         (settings_of(key, key), now, "no certificate in PEM"),
         (settings_of(certificate, tmp_path / "none"), now, "can't be read"),
         (settings_of(issuer.path, key), now, "is not the key of"),
-        (settings_of(certificate, key), now + 40 * 24 * 3600, "is over since"),
-        (settings_of(certificate, key), now - 40 * 24 * 3600, "counts from"),
+        (settings_of(certificate, key), now + 40 * 24 * 3600, "the certificate expired at"),
+        (settings_of(certificate, key), now - 40 * 24 * 3600, "is not valid before"),
         (settings_of(certificate, key, clients=str(key)), now, "issuers"),
     ]:
         with pytest.raises(TlsError, match=said):
@@ -221,7 +221,7 @@
             for _ in range(3):
                 assert (await it.ask("PUT", "/school-1/k", data)).status in (200, 201)
                 assert (await it.ask("GET", "/school-1/k")).body == data
-            assert it.gateway.pool.reused >= 4, "a kept connection is used again"
+            assert it.gateway.pool.connections_reused >= 4, "a kept connection is used again"
         others = Issuer(tmp_path, "others")
         config = dataclasses.replace(config, tls=Tls(stores=str(others.path)))
         async with rig(config, unit_ms=0.2, secure=context) as it:
