--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -85,7 +85,7 @@
     Mutant("stores not told the key of a repeat", S, "if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
     Mutant("served not told as over", S, "over = ended.outcome is api.AttemptOutcome.SERVED or ended.streamed or ended.error is not None", "over = False", rules=(1, 2, 6), test="test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection"),
     Mutant("order key not made of the volume", S, "if rules.in_order\n", "if False\n", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
-    Mutant("a client's leaving not heeded", S, "            self.engine.client_disconnected(ticket)\n            for attempt in running:", "            for attempt in []:", rules=(1,), test="test_the_client_goes"),
+    Mutant("a client's leaving not heeded", S, "            self.scheduler_loop.client_disconnected(ticket)\n            for attempt in running:", "            for attempt in []:", rules=(1,), test="test_the_client_goes"),
     Mutant("a cut answer left open", S, "connection.close_after_response = True  # cut: never an end that looks whole", "pass", rules=(1,)),
     # Attempts
     Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_lost_connection())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -37,7 +37,7 @@
     began = time.perf_counter()
     engine.volumes_with_quota(len(engine.volumes_with_quota()))
     ConfigSnapshot(config, 1)
-    engine.replace_plans(settings, plans)
+    engine.apply_settings(settings, plans)
     return (time.perf_counter() - began) * 1000
 
 
--- a/tests/test_change_cases.py
+++ b/tests/test_change_cases.py
@@ -474,7 +474,7 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(one)
-                await it.until(lambda: it.gateway.service.active == 1)
+                await it.until(lambda: it.gateway.service.active_requests == 1)
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
                 await change(it, "plan", "school", "weight=6")
@@ -500,7 +500,7 @@
             await peer.stream.send(
                 b"PUT /school-1/k HTTP/1.1\r\nhost: t\r\ncontent-length: 200000\r\n\r\n" + b"x" * 100_000
             )
-            await it.until(lambda: it.gateway.service.active == 1)
+            await it.until(lambda: it.gateway.service.active_requests == 1)
             made = await do(it, Set("volume", "school-*", remove=True))
             await do(it, Stage(made["version"]))
             await serves(it, 2)
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -79,7 +79,7 @@
             await anyio.aclose_forcefully(peer.stream)
             await it.until(lambda: bool(it.ended))
             assert it.outcomes == ["CANCELLED"]
-            await it.until(lambda: not it.gateway.service.active)
+            await it.until(lambda: not it.gateway.service.active_requests)
             assert not it.gateway.engine.open_requests
             assert ("school-1", "cut") not in it.where("/school-1/cut").shelf.objects
             assert it.gateway.service.bodies.used_bytes == 0
@@ -155,7 +155,7 @@
             await anyio.sleep(0.05)  # what was on its way to a store as the client left is there by now
             heads = [seen["client"] for seen in it.record.seen if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
-            await it.until(lambda: not it.gateway.service.active)
+            await it.until(lambda: not it.gateway.service.active_requests)
             # What was out is heard to its end, so that the window knows; nothing else is sent.
             assert all(
                 event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
@@ -421,7 +421,7 @@
             async with anyio.create_task_group() as group:
                 for number in range(200):
                     group.start_soon(ask, number)
-                await it.until(lambda: it.gateway.service.active + len(got) == 200)  # all were taken
+                await it.until(lambda: it.gateway.service.active_requests + len(got) == 200)  # all were taken
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
                 with pytest.raises((OSError, *LOST)):
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -362,12 +362,14 @@
                 for path in paths[:10]:
                     group.start_soon(it.ask, "PUT", path, b"x")
                 await it.until(lambda: len(it.gateway.engine.observer.held()) > 0)
-                await it.until(lambda: it.gateway.service.active == 10)
+                await it.until(lambda: it.gateway.service.active_requests == 10)
                 it.gateway.engine._replace_scheduler(RuntimeError("on purpose"))
                 for path in paths[10:20]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: it.gateway.service.active >= 10 and it.gateway.engine.observer.held())
-                await it.until(lambda: it.gateway.service._count == 20)
+                await it.until(
+                    lambda: it.gateway.service.active_requests >= 10 and it.gateway.engine.observer.held()
+                )
+                await it.until(lambda: it.gateway.service._requests_handled == 20)
                 it.gateway.stop()
             await it.until(lambda: not it.gateway.ledger._thread.is_alive(), 10.0)
             found = list(ledger.read([tmp_path]))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -239,8 +239,8 @@
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (300 * UNIT)
             assert (await ask(it, dialect, "PUT", "/school-1/o", data)).status < 300
-            it.gateway.service.tolls._courses.clear()  # the put is not what is looked at
-            purse = it.gateway.engine.quota_of("school-1")
+            it.gateway.service.byte_meter._courses.clear()  # the put is not what is looked at
+            purse = it.gateway.engine.quota("school-1")
             purse.limit_units = 60.0
             more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
             first = await ask(it, dialect, "GET", "/school-1/o", **more)
@@ -329,7 +329,7 @@
                     await send_chunks(peer, path, 2000, UNIT)
 
             began = anyio.current_time()
-            bill = service.tolls.bill
+            bill = service.byte_meter.bill
 
             def noted(*args: Any) -> Any:
                 made = bill(*args)
@@ -342,7 +342,7 @@
                 made.took = counted
                 return made
 
-            service.tolls.bill = noted
+            service.byte_meter.bill = noted
             async with anyio.create_task_group() as group:
                 for number in range(3):
                     group.start_soon(client, number)
@@ -365,7 +365,7 @@
                 method="PUT", target="/school-1/o", headers=[("host", "t"), ("content-length", str(size))]
             )
             await peer.send(request, h11.Data(data=b"x" * (size * 3 // 4)))
-            tolls = it.gateway.service.tolls
+            tolls = it.gateway.service.byte_meter
             await it.until(lambda: tolls.debt("school-1") > 250)
             await it.until(lambda: any(seen["what"] == "head" for seen in it.record.seen))
             await anyio.sleep(0.1)
@@ -390,7 +390,7 @@
                 headers=[("host", "t"), ("content-length", str(len(data)))],
             )
             await peer.send(request)
-            course = it.gateway.service.tolls._courses["school-1"]
+            course = it.gateway.service.byte_meter._courses["school-1"]
             await it.until(lambda: course.account.queued > 0)
             await peer.reset()
             await it.until(lambda: course.account.queued == 0 and course.bills == 0, 1.0)
@@ -404,7 +404,7 @@
     @played
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
-            engine, tolls = it.gateway.engine, it.gateway.service.tolls
+            engine, tolls = it.gateway.engine, it.gateway.service.byte_meter
             size = 1024 * UNIT
             peer = await connect(it, "object")
             request = h11.Request(
@@ -413,9 +413,9 @@
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
             await it.until(lambda: tolls.debt("school-1") > 0)
             plan = dataclasses.replace(
-                engine.quota_of("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
+                engine.quota("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
             )
-            engine.replace_plans(engine.settings, {"school-1": plan})
+            engine.apply_settings(engine.settings, {"school-1": plan})
             since, owed = anyio.current_time(), tolls.debt("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
             assert (await reply(peer)).status < 300
@@ -432,7 +432,7 @@
     engine = SchedulerLoop(
         api.Settings(1, 0, (), (api.Plan("p", 1, 1, 5, 0, 10.0, 20.0),)), 1, Scheduler, lambda: 0.0
     )
-    tolls = ByteMeter(lambda: 0.0, engine.quota_of, lambda: 8.0)
+    tolls = ByteMeter(lambda: 0.0, engine.quota, lambda: 8.0)
 
     async def run() -> None:
         bill = tolls.bill("v", 10.0, 1, UNIT, 8.0, 0.0)
@@ -457,7 +457,7 @@
         ) as it:  # no store is known: nothing can be sent
             answer = await it.ask("PUT", "/school-1/o", b"x" * (500 * UNIT), winchdyke_time_left="700ms")
             assert answer.status == 503 and answer.reason == "held-out"
-            assert it.gateway.service.tolls.debt("school-1") == 0
+            assert it.gateway.service.byte_meter.debt("school-1") == 0
 
     run()
 
@@ -479,7 +479,7 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
             assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
-            account = it.gateway.engine.quota_of("contest-1")
+            account = it.gateway.engine.quota("contest-1")
             assert account.plan.reserved_units_per_s and not account.plan.limit_units_per_s
             if asked != "put":
                 account.reserved_units = 10.0
@@ -498,14 +498,14 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
             assert (await it.ask("PUT", "/school-1/o", body)).status < 300
-            service, account = it.gateway.service, it.gateway.engine.quota_of("school-1")
+            service, account = it.gateway.service, it.gateway.engine.quota("school-1")
             for _ in range(2):  # the second time its size is known beforehand
                 account.refill(it.gateway.engine.clock())
                 account.limit_units, before = 50.0, it.gateway.engine.clock()
                 assert len((await it.ask("GET", "/school-1/o")).body) == len(body)
                 filled = RATE * (account.refilled_at_ms - before) / 1000
                 assert 50.0 - 8.0 - 0.5 <= account.limit_units <= 50.0 - 8.0 + filled + 0.5
-            assert service.tolls.debt("school-1") == 0
+            assert service.byte_meter.debt("school-1") == 0
 
     run()
 
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -77,7 +77,10 @@
         self.membership = self._membership()
         self.engine.on_watch_endpoints = self.membership.ask
         self.pool.verify_identity = self._greet
-        self.service.on_word, self.service.on_refused = self.membership.heard, self.membership.refused
+        self.service.on_endpoint_evidence, self.service.on_connect_failed = (
+            self.membership.heard,
+            self.membership.refused,
+        )
         self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
         self.live = self._live()
         self.writeback = self._writeback()
@@ -120,10 +123,10 @@
         if not self.config.writeback.folder:
             return None
         try:
-            made = WriteBack(self.config, self.engine.clock, self.service.carry_own)
+            made = WriteBack(self.config, self.engine.clock, self.service.execute_internal)
         except WriteBackError as error:
             raise StartError(str(error)) from error
-        self.service.writeback = made
+        self.service.write_back = made
         return made
 
     def _live(self) -> RolloutController | None:
@@ -140,7 +143,7 @@
                 self.engine.refill_quotas,
             )
             watch, clock = live.watch, self.engine.clock
-            self.service.on_end = lambda volume, shard, outcome, took: watch.ended(
+            self.service.on_request_end = lambda volume, shard, outcome, took: watch.ended(
                 clock(), volume, shard, outcome, took
             )
             live.begin()
@@ -166,7 +169,7 @@
             plans = {**plans, **moved(new, prepared.before, prepared.after)}
         if self.service.snapshot.version != prepared.version:
             self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
-        self.engine.replace_plans(prepared.settings, plans)
+        self.engine.apply_settings(prepared.settings, plans)
         if self.fleet is not None:
             self.fleet.expect(prepared.after.config)
 
@@ -438,7 +441,7 @@
                 if connection.timeout_at_ms <= now:
                     await connection.expire()
             self.engine.finish_overdue(now)
-            self.service.tolls.settle()
+            self.service.byte_meter.settle()
             if self.service.recorder is not None and now >= told + TELL_MS:
                 told = now
                 self.service.recorder.tell()
--- a/winchdyke/gateway/outcomes.py
+++ b/winchdyke/gateway/outcomes.py
@@ -46,7 +46,7 @@
     "ok": "the store's response was passed on",
     "held-out": "queued at this gateway and given up before any attempt: no capacity, no time, no endpoint or over the limit",
     "over-limit": "the volume's limit is used up by large objects; nothing was executed",
-    "write-back": "the write-back log has no capacity for this write, or holds an older one that its store lacks; nothing was executed",
+    "write-back": "the write-back log has no capacity for it, or holds an older write that its store lacks; nothing was executed",
     "write-back-lost": "the write could not be made durable in the write-back log; nothing is promised",
     "dial-failed": "no connection to the store could be made",
     "store-shed": "the store rejected the request without executing it",
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -177,7 +177,7 @@
             return []
         return list(islice(scheduler.quotas, start, None))
 
-    def replace_plans(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
+    def apply_settings(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
         """Apply other plans from the next batch on; return how many volumes' quotas changed."""
         from winchdyke.config_rollout.hot_reload import retell
 
@@ -194,7 +194,7 @@
         if isinstance(self._scheduler, Scheduler):
             freshen(self._scheduler, volumes, self.clock())
 
-    def quota_of(self, volume: str) -> VolumeQuota | None:
+    def quota(self, volume: str) -> VolumeQuota | None:
         """Return the scheduler's quota of a volume; None where it has had no request of it."""
         scheduler = self._scheduler
         if not isinstance(scheduler, Scheduler):
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class Source:
+class BodySource:
     """Where a request's body comes from; ``length`` None: not known before."""
 
     read: Callable[[], Awaitable[Bytes]]
@@ -64,47 +64,49 @@
     reason: str
     text: str = ""
     retry_after_ms: float | None = None
-    answer: UpstreamResponse | None = None
-    relayed: bool = False
-    acknowledged: str = ""  # by what, where not by a store
-    parts: list[bytes] | None = None  # of what was asked of several shards, as they answered
+    response: UpstreamResponse | None = None
+    streamed: bool = False
+    acknowledged_by: str = ""  # by what, where not by a store
+    shard_bodies: list[bytes] | None = None  # of what was asked of several shards, as they answered
 
 
 class ConfigSnapshot:
     """Settings as a request finds them when it comes, to its last attempt; never changed, only followed by another."""
 
-    __slots__ = ("config", "limits", "version", "volumes")
+    __slots__ = ("_volume_rules", "config", "plan_limits_units_per_s", "version")
 
     def __init__(self, config: Config, version: int = 0) -> None:
         self.config, self.version = config, version
-        self.limits = {plan.name: plan.limit_units_per_s for plan in config.plans}  # units a second; 0: none
-        self.volumes: dict[str, VolumeRule | None] = {}
+        self.plan_limits_units_per_s = {
+            plan.name: plan.limit_units_per_s for plan in config.plans
+        }  # units a second; 0: none
+        self._volume_rules: dict[str, VolumeRule | None] = {}
 
     def volume(self, name: str) -> VolumeRule | None:
         """The rule of a volume, found once."""
-        if name not in self.volumes:
-            if len(self.volumes) > 100_000:
-                self.volumes.clear()
-            self.volumes[name] = self.config.volume(name)
-        return self.volumes[name]
+        if name not in self._volume_rules:
+            if len(self._volume_rules) > 100_000:
+                self._volume_rules.clear()
+            self._volume_rules[name] = self.config.volume(name)
+        return self._volume_rules[name]
 
 
 @dataclass(slots=True)
 class AccessLogRecord:
     """What the access line of a request tells, and its course where accounts are kept."""
 
-    course: RequestTrace | None = None
-    version: int = 0
-    excess: float = 0.0  # units that its body counts beyond what the scheduler is told
+    trace: RequestTrace | None = None
+    config_version: int = 0
+    excess_units: float = 0.0  # units that its body counts beyond what the scheduler is told
     unit_bytes: int = 0
-    limit: float = 0.0  # of its course, over all gateways, in units a second; 0: none
-    bill: TransferCharge | None = None  # what it pays of that beyond what the scheduler is told
-    ask: api.Request | None = None
-    attempts: int = 0
-    nodes: list[str] = field(default_factory=list)
-    ends: list[str] = field(default_factory=list)
-    held_ms: float = 0.0  # waiting at this gateway
-    out_ms: float = 0.0  # attempts at stores, less what the client held up
+    limit_units_per_s: float = 0.0  # of its course, over all gateways, in units a second; 0: none
+    charge: TransferCharge | None = None  # what it pays of that beyond what the scheduler is told
+    request: api.Request | None = None
+    attempt_count: int = 0
+    endpoints: list[str] = field(default_factory=list)
+    outcomes: list[str] = field(default_factory=list)
+    queued_ms: float = 0.0  # waiting at this gateway
+    attempts_ms: float = 0.0  # attempts at stores, less what the client held up
 
 
 class InternalCaller:
@@ -146,16 +148,16 @@
         recorder: Recorder | None = None,
     ) -> None:
         self.recorder = recorder
-        self.on_word: Callable[[str, EndpointEvidence], bool] = lambda *_: True
-        self.on_refused: Callable[[str], None] = lambda _: None
-        self.on_end: Callable[[str, int, str, float], None] | None = None
-        self.config, self.engine, self.pool, self.clock = config, engine, pool, clock
+        self.on_endpoint_evidence: Callable[[str, EndpointEvidence], bool] = lambda *_: True
+        self.on_connect_failed: Callable[[str], None] = lambda _: None
+        self.on_request_end: Callable[[str, int, str, float], None] | None = None
+        self.config, self.scheduler_loop, self.pool, self.clock = config, engine, pool, clock
         self.bodies = BodyStore(config.limits.body_total, config.limits.body_memory)
-        self.writeback: WriteBack | None = None
-        self.tolls = ByteMeter(clock, engine.quota_of, lambda: engine.settings.max_request_units)
+        self.write_back: WriteBack | None = None
+        self.byte_meter = ByteMeter(clock, engine.quota, lambda: engine.settings.max_request_units)
         self.stopping = False
-        self.active = 0
-        self._born, self._count = (
+        self.active_requests = 0
+        self._born, self._requests_handled = (
             uuid.uuid4().hex[:20],
             0,
         )  # a request's id: this process, and its number in it
@@ -166,8 +168,8 @@
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
         """Answer one request; whatever happens, once."""
-        self._count += 1
-        began, request = self.clock(), f"{self._born}{self._count:012x}"
+        self._requests_handled += 1
+        began, request = self.clock(), f"{self._born}{self._requests_handled:012x}"
         snapshot = self.snapshot
         told: Headers = [(answers.REQUEST_ID, request.encode())]
         if snapshot.version:
@@ -179,11 +181,11 @@
         )
         operation: routes.Operation | None = None
         kind: Kind | None = None
-        self.active += 1
+        self.active_requests += 1
         try:
             operation = routes.parse(head)
             kind, volume = self._settings_of(snapshot, operation, head)
-            record.limit = snapshot.limits.get(volume.plan, 0.0)
+            record.limit_units_per_s = snapshot.plan_limits_units_per_s.get(volume.plan, 0.0)
             final = await self._keyed(connection, head, operation, kind, volume, request, record)
         except RequestError as error:
             final = FinalResponse(error.status, "refused", error.reason, str(error))
@@ -195,16 +197,16 @@
             final = FinalResponse(500, "failed", "internal")
             structlog.get_logger("gateway").error("internal", request=request, exc_info=error)
         finally:
-            self.active -= 1
+            self.active_requests -= 1
             connection.on_disconnect = None
-        if record.course is not None:
-            record.course.phase("client")
+        if record.trace is not None:
+            record.trace.phase("client")
         try:
             await self._say(connection, request, final)
         finally:
-            if self.on_end is not None and operation is not None and final.outcome != "gone":
-                shard = record.ask.shard if record.ask is not None else -1
-                self.on_end(operation.volume, shard, final.outcome, self.clock() - began)
+            if self.on_request_end is not None and operation is not None and final.outcome != "gone":
+                shard = record.request.shard if record.request is not None else -1
+                self.on_request_end(operation.volume, shard, final.outcome, self.clock() - began)
             self._account(operation, kind, head, request, final, record)
             self._access(connection, head, operation, kind, request, final, record, began)
 
@@ -217,15 +219,15 @@
         final: FinalResponse,
         record: AccessLogRecord,
     ) -> None:
-        if self.recorder is None or record.course is None or operation is None or kind is None:
+        if self.recorder is None or record.trace is None or operation is None or kind is None:
             return
         self.recorder.end(
-            record.course,
+            record.trace,
             request=request,
             volume=operation.volume,
             class_name=kind.rules.name,
             key=operation.idempotency_key or operation.key,
-            units=record.ask.units if record.ask is not None else 1.0,
+            units=record.request.units if record.request is not None else 1.0,
             outcome=final.outcome,
             reason=final.reason,
             status=final.status,
@@ -259,7 +261,7 @@
         asked = Asked(head.method, operation.volume, operation.key, head.length or 0, headers)
         return config.matcher.match(asked)
 
-    async def carry(
+    async def execute(
         self,
         connection: ClientConnection,
         head: RequestHead,
@@ -267,12 +269,12 @@
         request: str,
         record: AccessLogRecord,
         snapshot: ConfigSnapshot,
-        source: Source | None = None,
+        source: BodySource | None = None,
         sink: Sink | None = None,
     ) -> tuple[Kind, FinalResponse]:
         """Carry out one operation for another dialect; nothing is said to the client but what goes into ``sink``."""
         kind, volume = self._settings_of(snapshot, operation, head)
-        record.limit = snapshot.limits.get(volume.plan, 0.0)
+        record.limit_units_per_s = snapshot.plan_limits_units_per_s.get(volume.plan, 0.0)
         return kind, await self._keyed(
             connection, head, operation, kind, volume, request, record, source, sink
         )
@@ -286,7 +288,7 @@
         volume: VolumeRule,
         request: str,
         record: AccessLogRecord,
-        source: Source | None = None,
+        source: BodySource | None = None,
         sink: Sink | None = None,
     ) -> FinalResponse:
         """One at a time for a client's Idempotency-Key, as the IETF's draft on that header has it."""
@@ -301,8 +303,8 @@
             return await self._settle_bill(record, operation, final)
         finally:
             self._keys.discard(mine)
-            if record.bill is not None:
-                record.bill.close()
+            if record.charge is not None:
+                record.charge.close()
 
     async def _one(
         self,
@@ -313,23 +315,23 @@
         volume: VolumeRule,
         request: str,
         record: AccessLogRecord,
-        source: Source | None = None,
+        source: BodySource | None = None,
         sink: Sink | None = None,
     ) -> FinalResponse:
         limits, rules = self.config.limits, kind.rules
-        source = source or Source(self._bounded(connection), head.length)
+        source = source or BodySource(self._bounded(connection), head.length)
         left = min(rules.deadline_ms, operation.time_left_ms or rules.deadline_ms) - limits.answer_margin
-        largest = self.engine.settings.max_request_units
+        largest = self.scheduler_loop.settings.max_request_units
         units = routes.units(operation, source.length, kind.unit_bytes, kind.usual_units, largest)
         record.unit_bytes = kind.unit_bytes
         size = operation.range.length if operation.range is not None else None
         size = min(size, limits.object_bytes) if size is not None else None  # a range may end anywhere
         known = size if operation.name == "get" else source.length
         if known is not None and known > units * kind.unit_bytes and operation.name in PAID:
-            record.excess = units_of(known, kind.unit_bytes) - units
-        if record.limit and operation.name in PAID:
+            record.excess_units = units_of(known, kind.unit_bytes) - units
+        if record.limit_units_per_s and operation.name in PAID:
             if size is None and operation.name == "get" and not operation.part:
-                size = self.tolls.sizes.of(operation.volume, operation.key)
+                size = self.byte_meter.sizes.of(operation.volume, operation.key)
                 if size is not None:
                     units = min(largest, units_of(size, kind.unit_bytes))
             length = size if operation.name == "get" else source.length
@@ -338,8 +340,8 @@
                 until = since + max(
                     0.0, left - rules.latency_objective_ms
                 )  # what has not its aim left then is given up
-                bill = record.bill = self.tolls.bill(
-                    operation.volume, record.limit, volume.gateways, kind.unit_bytes, units, until
+                bill = record.charge = self.byte_meter.bill(
+                    operation.volume, record.limit_units_per_s, volume.gateways, kind.unit_bytes, units, until
                 )
                 try:
                     if not await self._paid(bill, length, connection, record):
@@ -350,8 +352,8 @@
                 if operation.name == "get":
                     sink = MeteredSink(bill, sink or connection)
                 else:
-                    source = Source(_counted(source.read, bill), source.length)
-        if self.writeback is not None and not request.startswith(OWN):
+                    source = BodySource(_counted(source.read, bill), source.length)
+        if self.write_back is not None and not request.startswith(OWN):
             kept = await self._written_back(
                 operation, rules, source, ask_of=request, units=units, volume=volume, left=left
             )
@@ -364,7 +366,7 @@
                     413, "too-large", f"{source.length} bytes; {limits.object_bytes} is the most here"
                 )
             try:
-                keep = self.engine.settings.max_attempts > 1
+                keep = self.scheduler_loop.settings.max_attempts > 1
                 body = ReplayBody(source.read, source.length, self.bodies, keep)
             except BodyStoreFullError:
                 return self._full()
@@ -381,21 +383,21 @@
             sharing_gateways=volume.gateways,
             time_left_ms=max(0.0, left),
         )
-        record.ask = ask
+        record.request = ask
         if operation.name in ("list", "list-uploads"):
-            if record.course is not None:
-                record.course.phase("store")  # its parts are requests of their own, side by side
+            if record.trace is not None:
+                record.trace.phase("store")  # its parts are requests of their own, side by side
             return await self._listed(connection, operation, ask, volume, record)
         if operation.name != "post":
             shard = placement.shard_of(operation.volume, operation.key, volume.shards)
-            ask = record.ask = _at(ask, shard)
+            ask = record.request = _at(ask, shard)
         stem = uuid.uuid4().hex if operation.name == "post" else ""
-        ticket = self.engine.submit(ask)
+        ticket = self.scheduler_loop.submit(ask)
 
         def outgoing(node: str, number: int) -> OutgoingRequest:
-            shard = self.engine.endpoints[node].shard
+            shard = self.scheduler_loop.endpoints[node].shard
             key = placement.placed_key(stem, shard) if operation.name == "post" else operation.key
-            headers = self._headers(operation, ask, head, shard, number, body, record.version)
+            headers = self._headers(operation, ask, head, shard, number, body, record.config_version)
             return OutgoingRequest(operation.store_method, operation.target(key), headers, body)
 
         try:
@@ -405,17 +407,17 @@
                 body.close()
 
     async def _written_back(
-        self, operation: routes.Operation, rules: api.RequestClass, source: Source, *, ask_of: str, units: float,
+        self, operation: routes.Operation, rules: api.RequestClass, source: BodySource, *, ask_of: str, units: float,
         volume: VolumeRule, left: float,
     ) -> FinalResponse | None:  # fmt: skip
         """Acknowledge a write from the log; others wait for what it holds of their object. None: go on as ever."""
-        back = self.writeback
+        back = self.write_back
         assert back is not None
         if not back.takes(operation, rules.name, source.length) or back.stopping:
             if back.holds(operation.volume, operation.key) and not await back.reached(
                 operation.volume, operation.key, self.clock() + max(0.0, left - rules.latency_objective_ms)
             ):
-                after = self.engine.settings.max_retry_after_ms
+                after = self.scheduler_loop.settings.max_retry_after_ms
                 return FinalResponse(503, "refused", "write-back", outcomes.REASON_TEXTS["write-back"], after)
             return None
         tag = back.known(operation.volume, operation.idempotency_key)
@@ -438,32 +440,37 @@
                 await back.keep(record)
             except Full as error:
                 return FinalResponse(
-                    503, "refused", "write-back", str(error), self.engine.settings.max_retry_after_ms
+                    503, "refused", "write-back", str(error), self.scheduler_loop.settings.max_retry_after_ms
                 )
             except LogError as error:
                 return FinalResponse(502, "failed", "write-back-lost", str(error))
         told: Headers = [(b"etag", tag.encode()), (b"content-length", b"0")]
         whole = UpstreamResponse(AnswerHead(200, told, 0), b"")
-        return FinalResponse(200, "served", "ok", answer=whole, acknowledged="log")
+        return FinalResponse(200, "served", "ok", response=whole, acknowledged_by="log")
 
-    async def carry_own(self, operation: routes.Operation, body: bytes, request: str) -> OwnEnded:
+    async def execute_internal(self, operation: routes.Operation, body: bytes, request: str) -> OwnEnded:
         """Take an operation of the gateway's own through the scheduler: its outcome, the last attempt's, status and tag."""
         head = RequestHead(operation.store_method, operation.target(), [], len(body))
-        record, left = AccessLogRecord(version=self.snapshot.version), [body] if body else []
+        record, left = AccessLogRecord(config_version=self.snapshot.version), [body] if body else []
 
         async def read() -> Bytes:
             return left.pop() if left else b""
 
         try:
-            _, final = await self.carry(
-                InternalCaller(), head, operation, OWN + request, record, self.snapshot, Source(read, len(body)), DiscardSink(),  # type: ignore[arg-type]
+            _, final = await self.execute(
+                InternalCaller(), head, operation, OWN + request, record, self.snapshot, BodySource(read, len(body)), DiscardSink(),  # type: ignore[arg-type]
             )  # fmt: skip
         except RequestError as error:
             return "failed", None, error.status, ""
         last = next(
-            (o for o, code in outcomes.OUTCOME_CODES.items() if record.ends and code == record.ends[-1]), None
+            (
+                o
+                for o, code in outcomes.OUTCOME_CODES.items()
+                if record.outcomes and code == record.outcomes[-1]
+            ),
+            None,
         )
-        answer = final.answer
+        answer = final.response
         return (
             final.outcome,
             last,
@@ -475,7 +482,7 @@
         self, record: AccessLogRecord, operation: routes.Operation, final: FinalResponse
     ) -> FinalResponse:
         """Pay for an answer that was held whole, before it is the client's; remember how large the object is."""
-        bill, answer = record.bill, final.answer
+        bill, answer = record.charge, final.response
         if bill is None or final.outcome != "served":
             return final
         if operation.name == "get" and answer is not None:
@@ -485,7 +492,7 @@
                 return _over(error)
             bill.moved += len(answer.body)
         if operation.range is None and not operation.part and operation.name in ("get", "put"):
-            self.tolls.sizes.heard(operation.volume, operation.key, bill.moved)
+            self.byte_meter.sizes.heard(operation.volume, operation.key, bill.moved)
         return final
 
     async def _paid(
@@ -495,8 +502,8 @@
         if length is None:
             return True
         since, before, here = self.clock(), connection.on_disconnect, anyio.CancelScope()
-        if record.course is not None:
-            record.course.phase("held")
+        if record.trace is not None:
+            record.trace.phase("held")
         connection.on_disconnect = here.cancel
         try:
             with here:
@@ -505,7 +512,7 @@
                 await bill.before(length)
         finally:
             connection.on_disconnect = before
-            record.held_ms += self.clock() - since
+            record.queued_ms += self.clock() - since
         return not here.cancelled_caught and not connection.disconnected
 
     def _bounded(self, connection: ClientConnection) -> Callable[[], Awaitable[Bytes]]:
@@ -572,7 +579,7 @@
         try:
             return await self._obey(ticket, outgoing, operation, sink, connection, record)
         finally:
-            self.engine.client_disconnected(
+            self.scheduler_loop.client_disconnected(
                 ticket
             )  # no-op but where this failed: nothing is left behind that nobody holds
 
@@ -591,7 +598,7 @@
         while True:
             since = self.clock()
             action = await self._told(ticket, record, since)
-            record.held_ms += self.clock() - since
+            record.queued_ms += self.clock() - since
             if action is None:
                 return FinalResponse(0, "gone", "client-gone")
             if isinstance(action, (api.ShedRequest, api.FailRequest)):
@@ -610,23 +617,25 @@
                 continue
             connection.check_for_reset()
             ended = await self._attempt(ticket, action, outgoing, operation, sink, running, record)
-            if record.course is not None and record.ask is not None and self.recorder is not None:
-                usual = self.recorder.usual(action.endpoint, record.ask.request_class, record.ask.units)
-                record.course.attempts.append(
+            if record.trace is not None and record.request is not None and self.recorder is not None:
+                usual = self.recorder.usual(
+                    action.endpoint, record.request.request_class, record.request.units
+                )
+                record.trace.attempts.append(
                     (action.endpoint, outcomes.OUTCOME_CODES[ended.outcome], ended.latency_ms, usual)
                 )
             last = ended.outcome
-            record.attempts += 1
-            record.nodes.append(action.endpoint)
-            record.ends.append(outcomes.OUTCOME_CODES[last])
-            record.out_ms += ended.latency_ms
+            record.attempt_count += 1
+            record.endpoints.append(action.endpoint)
+            record.outcomes.append(outcomes.OUTCOME_CODES[last])
+            record.attempts_ms += ended.latency_ms
             final = self._settled(ended)
             if final is not None:
                 return final
 
     async def _told(self, ticket: RequestHandle, record: AccessLogRecord, since: float) -> object:
         """The scheduler's next word; the wait for it is accounted for."""
-        recorder, course, ask = self.recorder, record.course, record.ask
+        recorder, course, ask = self.recorder, record.trace, record.request
         if recorder is None or course is None or ask is None:
             return await ticket.next_action()
         course.phase("held")
@@ -646,7 +655,7 @@
         def gone() -> None:
             if before is not None:
                 before()
-            self.engine.client_disconnected(ticket)
+            self.scheduler_loop.client_disconnected(ticket)
             for attempt in running:
                 # One that is out whole is heard to its end: its node goes on with it, and its window must know.
                 if not attempt.write_completed:
@@ -677,11 +686,11 @@
                 self.clock,
                 self.config.limits.stream_idle,
                 sink,
-                lambda: self.engine.post(api.StreamStarted(ticket.request_id, number)),
+                lambda: self.scheduler_loop.post(api.StreamStarted(ticket.request_id, number)),
                 lambda head: _fits(operation, head),
-                record.course.phase if record.course is not None else _no_phase,
+                record.trace.phase if record.trace is not None else _no_phase,
             )
-            if not number and record.excess:
+            if not number and record.excess_units:
                 self._weigh(ticket, record)
             running[:] = [attempt]
             ticket.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
@@ -698,23 +707,25 @@
                 raise
             finally:
                 ticket.on_cancel = ticket.on_abandon = None
-        if operation.name == "get" and not record.excess and ended.body_bytes > record.unit_bytes:
-            assert record.ask is not None
-            record.excess = max(0.0, units_of(ended.body_bytes, record.unit_bytes) - record.ask.units)
+        if operation.name == "get" and not record.excess_units and ended.body_bytes > record.unit_bytes:
+            assert record.request is not None
+            record.excess_units = max(
+                0.0, units_of(ended.body_bytes, record.unit_bytes) - record.request.units
+            )
             self._weigh(ticket, record)
         if ended.report.word is not None:
-            self.on_word(send.endpoint, ended.report.word)
+            self.on_endpoint_evidence(send.endpoint, ended.report.word)
         elif ended.outcome is api.AttemptOutcome.CONNECT_FAILED:
-            self.on_refused(send.endpoint)
+            self.on_connect_failed(send.endpoint)
         self._tell(ticket, number, send.endpoint, ended)
         return ended
 
     def _weigh(self, ticket: RequestHandle, record: AccessLogRecord) -> None:
         """The course's reserve pays for what the scheduler was not told."""
-        ask = record.ask
-        account = self.engine.quota_of(ask.volume) if ask is not None else None
+        ask = record.request
+        account = self.scheduler_loop.quota(ask.volume) if ask is not None else None
         if account is not None and ask is not None:
-            weigh(account, record.excess, ask.units)
+            weigh(account, record.excess_units, ask.units)
 
     def _tell(self, ticket: RequestHandle, number: int, node: str, ended: AttemptResult) -> None:
         told = ended.report
@@ -730,16 +741,16 @@
             told.from_others,
             told.load,
         )
-        self.engine.attempt_ended(ticket, event)
+        self.scheduler_loop.attempt_ended(ticket, event)
 
     def _settled(self, ended: AttemptResult) -> FinalResponse | None:
         """The final answer where an attempt's end was one."""
         fault = ended.error
         if ended.streamed:
             if ended.outcome is api.AttemptOutcome.SERVED:
-                return FinalResponse(ended.status, "served", "ok", relayed=True)
+                return FinalResponse(ended.status, "served", "ok", streamed=True)
             reason = "client-gone" if isinstance(fault, ClientDisconnectedError) else "store-cut"
-            return FinalResponse(ended.status, "failed", reason, relayed=True)
+            return FinalResponse(ended.status, "failed", reason, streamed=True)
         if isinstance(fault, ClientDisconnectedError):
             return FinalResponse(0, "gone", "client-gone")
         if isinstance(fault, OverLimit):
@@ -749,11 +760,11 @@
         if isinstance(fault, BodyStoreFullError):
             return FinalResponse(507, "failed", "body-store-full", outcomes.REASON_TEXTS["body-store-full"])
         if ended.response is not None:
-            return FinalResponse(ended.status, "served", "ok", answer=ended.response)
+            return FinalResponse(ended.status, "served", "ok", response=ended.response)
         return None
 
     def _full(self) -> FinalResponse:
-        after = self.engine.settings.max_retry_after_ms
+        after = self.scheduler_loop.settings.max_retry_after_ms
         return FinalResponse(
             503, "refused", "body-store-full", outcomes.REASON_TEXTS["body-store-full"], after
         )
@@ -771,21 +782,21 @@
 
         async def one(number: int, shard: int) -> None:
             part = _at(ask, shard, f"{ask.request_id}.{number}")
-            ticket = self.engine.submit(part)
+            ticket = self.scheduler_loop.submit(part)
 
             def outgoing(node: str, attempt: int) -> OutgoingRequest:
-                headers = self._headers(operation, part, None, shard, attempt, None, record.version)
+                headers = self._headers(operation, part, None, shard, attempt, None, record.config_version)
                 return OutgoingRequest("GET", operation.target(), headers)
 
-            part_record = AccessLogRecord(version=record.version, ask=part)
+            part_record = AccessLogRecord(config_version=record.config_version, request=part)
             finals.append(
                 await self._exchange(ticket, outgoing, operation, DiscardSink(), connection, part_record)
             )
-            record.attempts += part_record.attempts
-            record.nodes += part_record.nodes
-            record.ends += part_record.ends
-            record.held_ms += part_record.held_ms
-            record.out_ms += part_record.out_ms
+            record.attempt_count += part_record.attempt_count
+            record.endpoints += part_record.endpoints
+            record.outcomes += part_record.outcomes
+            record.queued_ms += part_record.queued_ms
+            record.attempts_ms += part_record.attempts_ms
 
         async with anyio.create_task_group() as group:
             for number, shard in enumerate(volume.shards):
@@ -794,16 +805,16 @@
         for final in sorted(
             finals, key=lambda final: ("gone", "failed", "refused", "served").index(final.outcome)
         ):
-            if final.answer is None:
-                return final if not final.relayed else FinalResponse(502, "failed", "list-too-large")
+            if final.response is None:
+                return final if not final.streamed else FinalResponse(502, "failed", "list-too-large")
         if operation.name == "list-uploads":
             return FinalResponse(
-                200, "served", "ok", parts=[f.answer.body for f in finals if f.answer is not None]
+                200, "served", "ok", shard_bodies=[f.response.body for f in finals if f.response is not None]
             )
         for final in finals:
-            assert final.answer is not None
+            assert final.response is not None
             try:
-                pages.append(msgspec.json.decode(final.answer.body, type=listing.Page))
+                pages.append(msgspec.json.decode(final.response.body, type=listing.Page))
             except msgspec.DecodeError:
                 return FinalResponse(502, "failed", "store-error", "a store's listing can't be read")
         body = msgspec.json.encode(listing.merge(pages, operation.limit)) + b"\n"
@@ -812,21 +823,21 @@
             (b"content-length", str(len(body)).encode()),
         ]
         return FinalResponse(
-            200, "served", "ok", answer=UpstreamResponse(AnswerHead(200, headers, len(body)), body)
+            200, "served", "ok", response=UpstreamResponse(AnswerHead(200, headers, len(body)), body)
         )
 
     async def _say(self, connection: ClientConnection, request: str, final: FinalResponse) -> None:
         if final.outcome == "gone" or connection.disconnected:
             connection.close_after_response = True
-        elif final.relayed:
+        elif final.streamed:
             if final.outcome != "served":
                 connection.close_after_response = True  # cut: never an end that looks whole
-        elif final.answer is not None:
+        elif final.response is not None:
             extra: Headers = [(answers.OUTCOME, b"served"), (answers.REASON, b"ok")]
-            if final.acknowledged:
-                extra.append((answers.ACKNOWLEDGED, final.acknowledged.encode()))
+            if final.acknowledged_by:
+                extra.append((answers.ACKNOWLEDGED, final.acknowledged_by.encode()))
             connection.begin_request([*connection.extra_headers, *extra], False)
-            await connection.respond_from_upstream(final.answer.head, final.answer.body)
+            await connection.respond_from_upstream(final.response.head, final.response.body)
         else:
             text = final.text or outcomes.REASON_TEXTS[final.reason]
             said = answers.error(
@@ -859,11 +870,11 @@
             status=connection.response_status or final.status,
             outcome=final.outcome,
             reason=final.reason,
-            attempts=record.attempts,
-            nodes=record.nodes,
-            ends=record.ends,
-            held_ms=round(record.held_ms, 2),
-            out_ms=round(record.out_ms, 2),
+            attempts=record.attempt_count,
+            nodes=record.endpoints,
+            ends=record.outcomes,
+            held_ms=round(record.queued_ms, 2),
+            out_ms=round(record.attempts_ms, 2),
             total_ms=round(self.clock() - began, 2),
             bytes=connection.response_bytes,
         )
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -25,11 +25,11 @@
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.service import (
     AccessLogRecord,
+    BodySource,
     ConfigSnapshot,
     FinalResponse,
     InternalCaller,
     Service,
-    Source,
 )
 from winchdyke.http1 import AnswerHead, Bytes, Headers, ProtocolError, RequestHead
 from winchdyke.object_api import listing as native
@@ -155,7 +155,7 @@
             told.append((store_protocol.VERSION, str(call.snapshot.version).encode()))
         connection.begin_request(told, close=service.stopping)
         connection.declared_body_bytes = head.length
-        service.active += 1
+        service.active_requests += 1
         try:
             await call.run()
         except S3Error as error:
@@ -176,7 +176,7 @@
                 call, S3Error("InternalError", "this went wrong inside; see the gateway's log")
             )
         finally:
-            service.active -= 1
+            service.active_requests -= 1
             connection.on_disconnect = None
             call.ended()
 
@@ -200,7 +200,7 @@
                 await call.uploads(volume), self.wall() * 1000, self.settings.upload_keep
             ):
                 final = await call._do("abort-upload", volume, upload.key, upload=upload.uploadId)
-                done += final.answer is not None and final.answer.head.status == 204
+                done += final.response is not None and final.response.head.status == 204
                 self._log.info("forgotten", volume=volume, key=upload.key, upload=upload.uploadId)
         except (S3Error, RequestError, ClientDisconnectedError) as error:
             self._log.warning("forgotten", volume=volume, trouble=str(error))  # at the next look
@@ -240,7 +240,7 @@
         self.asked: Asked | None = None
         self.rights: list[Right] = []
         self.signed = sigv4.Signed("", sigv4.UNSIGNED)
-        self.record = AccessLogRecord(version=self.snapshot.version)
+        self.record = AccessLogRecord(config_version=self.snapshot.version)
         self.outcome, self.code, self.who = "served", "", ""
         self.end = float("inf")
 
@@ -256,13 +256,13 @@
     def ended(self) -> None:
         """Tell those who count, and the log."""
         asked = self.asked
-        if asked is not None and asked.bucket and self.service.on_end is not None:
-            shard = self.record.ask.shard if self.record.ask is not None else -1
-            self.service.on_end(asked.bucket, shard, self.outcome, self.service.clock() - self.began)
+        if asked is not None and asked.bucket and self.service.on_request_end is not None:
+            shard = self.record.request.shard if self.record.request is not None else -1
+            self.service.on_request_end(asked.bucket, shard, self.outcome, self.service.clock() - self.began)
         structlog.get_logger("access").info(
             "s3", request=self.request, who=self.who, operation=asked.spoken.name if asked else None,
             bucket=asked.bucket if asked else None, status=self.connection.response_status, code=self.code,
-            attempts=self.record.attempts, nodes=self.record.nodes, total_ms=round(self.service.clock() - self.began, 2),
+            attempts=self.record.attempt_count, nodes=self.record.endpoints, total_ms=round(self.service.clock() - self.began, 2),
         )  # fmt: skip
 
     # Who it is, and what they may
@@ -324,7 +324,7 @@
         name: str,
         volume: str,
         key: str = "",
-        source: Source | None = None,
+        source: BodySource | None = None,
         sink: object = None,
         **more: object,
     ) -> FinalResponse:
@@ -337,16 +337,16 @@
         operation = routes.Operation(name, volume, key, time_left_ms=left, client_request=client, **more)  # type: ignore[arg-type]
         length = source.length if source is not None else 0
         head = RequestHead(operation.store_method, operation.target(), self.head.headers, length)
-        record = AccessLogRecord(version=self.snapshot.version)
+        record = AccessLogRecord(config_version=self.snapshot.version)
         try:
-            kind, final = await self.service.carry(
-                self.connection, head, operation, request, record, self.snapshot, source or Source(_nothing, 0),
+            kind, final = await self.service.execute(
+                self.connection, head, operation, request, record, self.snapshot, source or BodySource(_nothing, 0),
                 sink if sink is not None else Collect(),  # type: ignore[arg-type]
             )  # fmt: skip
         finally:
-            self.record.attempts += record.attempts
-            self.record.nodes += record.nodes
-            self.record.ask = self.record.ask or record.ask
+            self.record.attempt_count += record.attempt_count
+            self.record.endpoints += record.endpoints
+            self.record.request = self.record.request or record.request
         if self._steps == 1:
             self.end = self.began + kind.rules.deadline_ms
         if final.outcome == "gone":
@@ -373,15 +373,15 @@
 
     def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> AnswerHead:
         """The head of a store's whole answer. S3Error where it says no, or where no store said anything."""
-        if final.relayed:
+        if final.streamed:
             self.outcome = final.outcome
             if final.outcome != "served":
                 self.connection.close_after_response = True
             raise ClientDisconnectedError  # all that can be said was said
-        if final.answer is None:
+        if final.response is None:
             self.outcome = final.outcome
             raise of_final(final.status, final.outcome, final.reason, final.text, final.retry_after_ms)
-        head = final.answer.head
+        head = final.response.head
         if head.status < 300:
             return head
         text = {404: missing, 412: "PreconditionFailed", 416: "InvalidRange", 304: "NotModified"}.get(
@@ -393,13 +393,13 @@
 
     async def _whole(self, final: FinalResponse, sink: Collect, missing: str) -> bytes:
         """The body of an answer that is read whole, however large it came."""
-        if final.relayed and final.outcome == "served" and sink.head is not None:
+        if final.streamed and final.outcome == "served" and sink.head is not None:
             return bytes(sink.data_)
-        if final.relayed:
+        if final.streamed:
             raise S3Error("InternalError", "a store's answer broke off or is too large")
         self._answered(final, missing)
-        assert final.answer is not None
-        return final.answer.body
+        assert final.response is not None
+        return final.response.body
 
     async def _say(self, status: int, body: bytes = b"", headers: Headers = []) -> None:  # noqa: B006
         told: Headers = [*headers]
@@ -414,7 +414,7 @@
 
     # Bodies
 
-    def _source(self) -> tuple[Source, Body]:
+    def _source(self) -> tuple[BodySource, Body]:
         """The client's body, unpacked and checked."""
         head = self.head
         payload = head.get(b"x-amz-content-sha256") or self.signed.payload
@@ -465,7 +465,7 @@
                     return ready
             return b""
 
-        return Source(read, wanted.length), body
+        return BodySource(read, wanted.length), body
 
     @staticmethod
     def _known(name: str) -> None:
@@ -545,17 +545,17 @@
         else:
             async with self._lane(self.s3.ranges, f"{asked.bucket}/{asked.key}", name):
                 final = await self._do(name, asked.bucket, asked.key, sink=relay, passed=passed, range=part)
-        if final.relayed:
+        if final.streamed:
             self.outcome = final.outcome
             if final.outcome != "served":
                 self.connection.close_after_response = True
             return
-        if final.answer is not None and final.answer.head.status == 304:
-            return await self.connection.respond(304, store_protocol.onward(final.answer.head.headers), b"")
+        if final.response is not None and final.response.head.status == 304:
+            return await self.connection.respond(304, store_protocol.onward(final.response.head.headers), b"")
         self._answered(final)
-        assert final.answer is not None
-        told = relay.told(final.answer.head)
-        await self.connection.respond(told.status, store_protocol.onward(told.headers), final.answer.body)
+        assert final.response is not None
+        told = relay.told(final.response.head)
+        await self.connection.respond(told.status, store_protocol.onward(told.headers), final.response.body)
 
     _HeadObject = _GetObject
 
@@ -567,7 +567,7 @@
         final = await self._with_body("put", asked, source, passed=passed)
         await self._put_answer(final, body, "NoSuchBucket")
 
-    async def _with_body(self, name: str, asked: Asked, source: Source, **more: object) -> FinalResponse:
+    async def _with_body(self, name: str, asked: Asked, source: BodySource, **more: object) -> FinalResponse:
         wrong: list[S3Error] = []
         read = source.read
 
@@ -578,7 +578,7 @@
                 wrong.append(error.error)
                 raise
 
-        final = await self._do(name, asked.bucket, asked.key, Source(noted, source.length), **more)
+        final = await self._do(name, asked.bucket, asked.key, BodySource(noted, source.length), **more)
         if wrong:
             raise wrong[0]
         return final
@@ -592,7 +592,7 @@
 
     async def _DeleteObject(self, asked: Asked) -> None:
         final = await self._do("delete", asked.bucket, asked.key, passed=requests.conditions(self.head))
-        if final.answer is None or final.answer.head.status != 404:  # what is not there is deleted
+        if final.response is None or final.response.head.status != 404:  # what is not there is deleted
             self._answered(final)
         await self._say(204)
 
@@ -608,7 +608,7 @@
                         raise S3Error("AccessDenied", "this key has no right to delete here")
                     volume, read = routes.volume_and_key(f"/{asked.bucket}/{requests.spelled(key)}")
                     final = await self._do("delete", volume, read)
-                    if final.answer is None or final.answer.head.status != 404:
+                    if final.response is None or final.response.head.status != 404:
                         self._answered(final)
                     done[key] = None
                 except S3Error as error:
@@ -628,7 +628,9 @@
         }  # fmt: skip
         await self._say(200, xml.document("DeleteResult", told))
 
-    async def _copied(self, put: Callable[[Source, AnswerHead], Awaitable[FinalResponse]]) -> FinalResponse:
+    async def _copied(
+        self, put: Callable[[BodySource, AnswerHead], Awaitable[FinalResponse]]
+    ) -> FinalResponse:
         """What the request names is read from its store and handed to ``put`` as it comes."""
         bucket, key, part = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
@@ -656,14 +658,14 @@
                 if pipe.head.status == 0:  # a small one, or none
                     head = (
                         self._answered(finals[0])
-                        if finals[0].answer is None or finals[0].answer.head.status != 304
+                        if finals[0].response is None or finals[0].response.head.status != 304
                         else None
                     )
                     if head is None:
                         raise S3Error("PreconditionFailed", "what is copied is as it was")
-                    assert finals[0].answer is not None
-                    return await put(_bytes(finals[0].answer.body), head)
-                made = await put(Source(pipe.read, pipe.head.length), pipe.head)
+                    assert finals[0].response is not None
+                    return await put(_bytes(finals[0].response.body), head)
+                made = await put(BodySource(pipe.read, pipe.head.length), pipe.head)
                 if not pipe.whole:
                     group.cancel_scope.cancel()
                 return made
@@ -685,7 +687,7 @@
                 "InvalidRequest", "a copy onto itself has to change something: REPLACE the metadata"
             )
 
-        async def put(source: Source, head: AnswerHead) -> FinalResponse:
+        async def put(source: BodySource, head: AnswerHead) -> FinalResponse:
             kept = requests.kept(self.head) if word == "REPLACE" else _kept_of(head)
             return await self._do("put", asked.bucket, asked.key, source, passed=kept)
 
@@ -762,8 +764,8 @@
         self.s3._volumes.add(asked.bucket)
         final = await self._do("start-upload", asked.bucket, asked.key, passed=requests.kept(self.head))
         self._answered(final, "NoSuchBucket")
-        assert final.answer is not None
-        upload = msgspec.json.decode(final.answer.body)["uploadId"]
+        assert final.response is not None
+        upload = msgspec.json.decode(final.response.body)["uploadId"]
         told: dict[str, xml.Value] = {"Bucket": asked.bucket, "Key": asked.key, "UploadId": upload}
         await self._say(200, xml.document("InitiateMultipartUploadResult", told))
 
@@ -782,7 +784,7 @@
     async def _UploadPartCopy(self, asked: Asked) -> None:
         number, upload = asked.number("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
 
-        async def put(source: Source, _: AnswerHead) -> FinalResponse:
+        async def put(source: BodySource, _: AnswerHead) -> FinalResponse:
             return await self._do("put-part", asked.bucket, asked.key, source, upload=upload, part=number)
 
         head = self._answered(await self._copied(put), "NoSuchUpload")
@@ -834,11 +836,11 @@
     async def uploads(self, volume: str) -> list[multipart.Upload]:
         """The uploads of a volume that are under way, over all its shards."""
         final = await self._do("list-uploads", volume)
-        if final.parts is None:
+        if final.shard_bodies is None:
             self._answered(final, "NoSuchBucket")
             raise S3Error("InternalError", "the stores told nothing of uploads")
         return [
-            upload for part in final.parts for upload in msgspec.json.decode(part, type=multipart.Uploads).uploads
+            upload for part in final.shard_bodies for upload in msgspec.json.decode(part, type=multipart.Uploads).uploads
         ]  # fmt: skip
 
     async def _AbortMultipartUpload(self, asked: Asked) -> None:
@@ -866,7 +868,7 @@
         final = await self._do(
             "complete-upload", asked.bucket, asked.key, _bytes(body), upload=upload, passed=passed
         )
-        if final.answer is not None and final.answer.head.status == 400:
+        if final.response is not None and final.response.head.status == 400:
             raise S3Error("InvalidPart", "a part is not the one that was put: it was put anew meanwhile")
         head = self._answered(final, "NoSuchUpload")
         told: dict[str, xml.Value] = {
@@ -901,13 +903,13 @@
     return b""
 
 
-def _bytes(data: bytes) -> Source:
+def _bytes(data: bytes) -> BodySource:
     left = [data] if data else []
 
     async def read() -> bytes:
         return left.pop() if left else b""
 
-    return Source(read, len(data))
+    return BodySource(read, len(data))
 
 
 def _kept_of(head: AnswerHead) -> tuple[tuple[bytes, bytes], ...]:
