--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -47,6 +47,7 @@
 
 
 P, S, A, E = "policy.py", "gateway/service.py", "gateway/attempts.py", "gateway/scheduler_loop.py"
+X = "gateway/exchange.py"
 L, T, N = "quotas/token_bucket.py", "quotas/byte_metering.py", "discovery/endpoint_view.py"
 MUTANTS = [
     # The module
@@ -82,11 +83,11 @@
     # Service
     Mutant("units not counted", "object_api/routes.py", "return min(largest, max(1.0, counted))", "return 1.0", test="test_what_an_operation_counts_is_its_bytes_in_units"),
     Mutant("the client's time not heeded", S, "operation.time_left_ms or rules.deadline_ms", "rules.deadline_ms", rules=(1,)),
-    Mutant("stores not told the key of a repeat", S, "if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
-    Mutant("served not told as over", S, "over = ended.outcome is api.AttemptOutcome.SERVED or ended.streamed or ended.error is not None", "over = False", rules=(1, 2, 6), test="test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection"),
-    Mutant("order key not made of the volume", S, "if rules.in_order\n", "if False\n", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
-    Mutant("a client's leaving not heeded", S, "            self.scheduler_loop.client_disconnected(ticket)\n            for attempt in running:", "            for attempt in []:", rules=(1,), test="test_the_client_goes"),
-    Mutant("a cut answer left open", S, "connection.close_after_response = True  # cut: never an end that looks whole", "pass", rules=(1,)),
+    Mutant("stores not told the key of a repeat", "gateway/store_request.py", "if request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
+    Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection"),
+    Mutant("order key not made of the volume", S, "if rules.in_order:", "if False:", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
+    Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_goes"),
+    Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # never an end that looks complete", "pass", rules=(1,)),
     # Attempts
     Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_lost_connection())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
            "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
@@ -105,7 +106,7 @@
     # Changes
     Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "volume.plan, volume.settings = plan, settings", "pass", "change-day"),
     Mutant("harm not undone", "config_rollout/controller.py", "if found.bad:", "if False:", "change-day"),
-    Mutant("requests see settings as they are now", S, "headers.append((store_protocol.VERSION, str(version).encode()))", "headers.append((store_protocol.VERSION, str(self.snapshot.version).encode()))", "change-day"),
+    Mutant("requests see settings as they are now", S, "            context.record.config_version,", "            self.snapshot.version,", "change-day"),
     # S3
     Mutant("sums not compared", "s3/body.py", "if self._md5 is not None and not hmac", "if False and not hmac"),
     Mutant("last bytes not held back", "s3/body.py", "ready, self._held = self._held, data\n        return ready", "return data"),
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -21,8 +21,8 @@
 from winchdyke.config_rollout.controller import SLICE
 from winchdyke.config_rollout.cutover import Going, moved
 from winchdyke.config_rollout.edit import text_of
+from winchdyke.gateway.config_snapshot import ConfigSnapshot
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.gateway.service import ConfigSnapshot
 
 
 def swapped(engine: SchedulerLoop, old: Config, config: Config) -> float:
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -29,9 +29,10 @@
 from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
 from winchdyke.gateway.attempts import CONNECTION_ERRORS
 from winchdyke.gateway.clients import ClientConnection
+from winchdyke.gateway.config_snapshot import ConfigSnapshot
 from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS, ConnectError, Connection, ConnectionPool
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.gateway.service import ConfigSnapshot, Service
+from winchdyke.gateway.service import Service
 from winchdyke.gateway.tls import CertificateReloader, TlsError, load_store_context
 from winchdyke.gateway.writeback import WriteBack, WriteBackError
 from winchdyke.http1 import End, Need, RequestHead
@@ -77,10 +78,8 @@
         self.membership = self._membership()
         self.engine.on_watch_endpoints = self.membership.ask
         self.pool.verify_identity = self._greet
-        self.service.on_endpoint_evidence, self.service.on_connect_failed = (
-            self.membership.heard,
-            self.membership.refused,
-        )
+        self.service.exchanges.on_endpoint_evidence = self.membership.heard
+        self.service.exchanges.on_connect_failed = self.membership.refused
         self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
         self.live = self._live()
         self.writeback = self._writeback()
@@ -126,7 +125,7 @@
             made = WriteBack(self.config, self.engine.clock, self.service.execute_internal)
         except WriteBackError as error:
             raise StartError(str(error)) from error
-        self.service.write_back = made
+        self.service.acknowledge_writes_from(made)
         return made
 
     def _live(self) -> RolloutController | None:
--- a/winchdyke/gateway/outcomes.py
+++ b/winchdyke/gateway/outcomes.py
@@ -41,6 +41,8 @@
     AttemptOutcome.NOT_SENT: "unsent",
 }
 
+OUTCOMES_BY_CODE = {code: outcome for outcome, code in OUTCOME_CODES.items()}
+
 # What the reason codes mean, as clients are told.
 REASON_TEXTS = {
     "ok": "the store's response was passed on",
--- /dev/null
+++ b/winchdyke/gateway/sharded_listing.py
@@ -0,0 +1,101 @@
+"""Lists a volume: one request for each of its shards, whose pages are merged."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import anyio
+import msgspec
+
+from winchdyke import interface as api
+from winchdyke.gateway import final_response
+from winchdyke.gateway.access_log import AccessLogRecord
+from winchdyke.gateway.attempts import OutgoingRequest, UpstreamResponse
+from winchdyke.gateway.exchange import Exchange, ExchangeRunner
+from winchdyke.gateway.final_response import FinalResponse
+from winchdyke.gateway.request_context import DiscardSink, RequestContext
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.http1 import AnswerHead, Headers
+from winchdyke.object_api import listing, routes
+
+LIST_OPERATIONS = ("list", "list-uploads")
+MERGE_PRECEDENCE = ("gone", "failed", "refused", "served")  # the worst outcome of a shard is the listing's
+
+HeadersOf = Callable[[api.Request, int, int], Headers]  # of a request to a shard, by the index of the attempt
+
+
+def request_for_shard(request: api.Request, shard: int, request_id: str) -> api.Request:
+    """Return a copy of a request for one shard, under another id."""
+    return api.Request(
+        request_id,
+        request.request_class,
+        request.plan,
+        request.volume,
+        request.key,
+        request.units,
+        shard,
+        request.sharing_gateways,
+        request.time_left_ms,
+    )
+
+
+class ShardedListing:
+    """Lists the volumes of one gateway."""
+
+    def __init__(self, scheduler_loop: SchedulerLoop, exchanges: ExchangeRunner) -> None:
+        self._scheduler_loop = scheduler_loop
+        self._exchanges = exchanges
+
+    async def run(
+        self, context: RequestContext, request: api.Request, headers_of: HeadersOf
+    ) -> FinalResponse:
+        """Ask each shard of the volume for its page, and merge the pages.
+
+        Args:
+            context: The client's request.
+            request: The request as the scheduler would have it, without a shard.
+            headers_of: Gives the headers of an attempt, from the request to the shard, the shard and the attempt's index.
+        """
+        finals: list[FinalResponse] = []
+
+        async def list_shard(number: int, shard: int) -> None:
+            finals.append(await self._list_shard(context, request, number, shard, headers_of))
+
+        async with anyio.create_task_group() as group:
+            for number, shard in enumerate(context.volume.shards):
+                group.start_soon(list_shard, number, shard)
+        return _merged(context.operation, finals)
+
+    async def _list_shard(
+        self, context: RequestContext, request: api.Request, number: int, shard: int, headers_of: HeadersOf
+    ) -> FinalResponse:
+        part = request_for_shard(request, shard, f"{request.request_id}.{number}")
+        handle = self._scheduler_loop.submit(part)
+
+        def outgoing(endpoint: str, attempt: int) -> OutgoingRequest:
+            return OutgoingRequest("GET", context.operation.target(), headers_of(part, shard, attempt))
+
+        record = AccessLogRecord(config_version=context.record.config_version, request=part)
+        exchange = Exchange(handle, context.operation, outgoing, DiscardSink(), context.caller, record)
+        final = await self._exchanges.run(exchange)
+        context.record.add_attempts_of(record)
+        return final
+
+
+def _merged(operation: routes.Operation, finals: list[FinalResponse]) -> FinalResponse:
+    for final in sorted(finals, key=lambda final: MERGE_PRECEDENCE.index(final.outcome)):
+        if final.response is None:
+            return FinalResponse(502, "failed", "list-too-large") if final.streamed else final
+    bodies = [final.response.body for final in finals if final.response is not None]
+    if operation.name == "list-uploads":
+        return FinalResponse(200, "served", "ok", shard_bodies=bodies)
+    try:
+        pages = [msgspec.json.decode(body, type=listing.Page) for body in bodies]
+    except msgspec.DecodeError:
+        return FinalResponse(502, "failed", "store-error", "a store's listing can't be read")
+    body = msgspec.json.encode(listing.merge(pages, operation.limit)) + b"\n"
+    headers: Headers = [
+        (b"content-type", b"application/json"),
+        (b"content-length", str(len(body)).encode()),
+    ]
+    return final_response.served(UpstreamResponse(AnswerHead(200, headers, len(body)), body))
--- /dev/null
+++ b/winchdyke/gateway/write_back_path.py
@@ -0,0 +1,99 @@
+"""The way of a request past the write-back log: writes are acknowledged from it, others wait for it."""
+
+from __future__ import annotations
+
+import time
+from collections.abc import Callable
+
+from winchdyke import placement
+from winchdyke.gateway import final_response
+from winchdyke.gateway.attempts import ClientDisconnectedError, UpstreamResponse
+from winchdyke.gateway.final_response import FinalResponse
+from winchdyke.gateway.request_context import RequestContext
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, tag_of
+from winchdyke.http1 import AnswerHead, Headers, ProtocolError
+from winchdyke.writeback.log import Full, LogError
+
+
+class WriteBackPath:
+    """Acknowledges writes from the log of one gateway.
+
+    Args:
+        write_back: The log.
+        scheduler_loop: Has the settings for retries.
+        clock: Monotonic time in milliseconds.
+    """
+
+    def __init__(
+        self, write_back: WriteBack, scheduler_loop: SchedulerLoop, clock: Callable[[], float]
+    ) -> None:
+        self._write_back = write_back
+        self._scheduler_loop = scheduler_loop
+        self._clock = clock
+
+    async def handle(self, context: RequestContext) -> FinalResponse | None:
+        """Acknowledge a write, or wait until the log holds nothing of the request's object.
+
+        Returns:
+            The final response; None where the request is for the scheduler.
+        """
+        write_back = self._write_back
+        takes = write_back.takes(context.operation, context.kind.rules.name, context.source.length)
+        if not takes or write_back.stopping:
+            return await self._wait_for_object(context)
+        return await self._acknowledge(context)
+
+    async def _wait_for_object(self, context: RequestContext) -> FinalResponse | None:
+        volume = context.operation.volume
+        key = context.operation.key
+        if not self._write_back.holds(volume, key):
+            return None
+        spare_ms = context.time_left_ms - context.kind.rules.latency_objective_ms
+        if await self._write_back.reached(volume, key, self._clock() + max(0.0, spare_ms)):
+            return None
+        return final_response.rejected("write-back", self._scheduler_loop.settings.max_retry_after_ms)
+
+    async def _acknowledge(self, context: RequestContext) -> FinalResponse:
+        operation = context.operation
+        etag = self._write_back.known(operation.volume, operation.idempotency_key)
+        body = bytearray()
+        try:
+            while data := await context.source.read():
+                body += data
+        except ProtocolError as error:
+            return final_response.body_error(error)
+        except ClientDisconnectedError:
+            return final_response.client_disconnected()
+        if etag is None:
+            etag = tag_of(bytes(body))
+            failure = await self._append(context, etag, bytes(body))
+            if failure is not None:
+                return failure
+        headers: Headers = [(b"etag", etag.encode()), (b"content-length", b"0")]
+        response = UpstreamResponse(AnswerHead(200, headers, 0), b"")
+        return FinalResponse(200, "served", "ok", response=response, acknowledged_by="log")
+
+    async def _append(self, context: RequestContext, etag: str, body: bytes) -> FinalResponse | None:
+        operation = context.operation
+        record = WriteBackRecord(
+            volume=operation.volume,
+            key=operation.key,
+            class_name=context.kind.rules.name,
+            repeat_key=operation.idempotency_key,
+            passed=list(operation.passed),
+            shard=placement.shard_of(operation.volume, operation.key, context.volume.shards),
+            units=context.units,
+            etag=etag,
+            unix_ms=time.time() * 1000,
+            client_request=operation.client_request,
+            body=body,
+        )
+        try:
+            await self._write_back.keep(record)
+        except Full as error:
+            retry_after_ms = self._scheduler_loop.settings.max_retry_after_ms
+            return FinalResponse(503, "refused", "write-back", str(error), retry_after_ms)
+        except LogError as error:
+            return FinalResponse(502, "failed", "write-back-lost", str(error))
+        return None
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -65,14 +65,30 @@
     """The log can't be used; says why and what to do."""
 
 
-Ended = tuple[str, api.AttemptOutcome | None, int, str]  # outcome, the last attempt's, status, tag
-Carry = Callable[[routes.Operation, bytes, str], Awaitable[Ended]]
+@dataclass(frozen=True, slots=True)
+class InternalResult:
+    """How an operation of the gateway's own ended.
+
+    Attributes:
+        outcome: ``served``, ``refused``, ``failed`` or ``gone``.
+        last_attempt: How its last attempt ended; None: there was none.
+        status: Its HTTP status.
+        etag: The object's tag; empty: none was given.
+    """
+
+    outcome: str
+    last_attempt: api.AttemptOutcome | None
+    status: int
+    etag: str
+
+
+Execute = Callable[[routes.Operation, bytes, str], Awaitable[InternalResult]]
 
 
 class WriteBack:
     """The log of one gateway, and what becomes of it. ``carry`` takes one operation through the scheduler."""
 
-    def __init__(self, config: Config, clock: Callable[[], float], carry: Carry) -> None:
+    def __init__(self, config: Config, clock: Callable[[], float], carry: Execute) -> None:
         self.settings, self._config, self._clock, self._carry = config.writeback, config, clock, carry
         self._kinds = {kind.rules.name: kind.rules for kind in config.kinds}
         for name in self.settings.classes:
@@ -217,17 +233,15 @@
             "put", record.volume, record.key, passed=(*record.passed, condition), class_name=record.class_name,
             idempotency_key=record.repeat_key or f"log-{self.log.epoch}-{sequence}", client_request=record.client_request,
         )  # fmt: skip
-        outcome, last, status, _ = await self._carry(
-            operation, record.body, f"log-{self.log.epoch}-{sequence}"
-        )
-        if outcome == "served" and status < 300:
+        result = await self._carry(operation, record.body, f"log-{self.log.epoch}-{sequence}")
+        if result.outcome == "served" and result.status < 300:
             self._done(waiting)
-        elif outcome == "served" and status == 412:
+        elif result.outcome == "served" and result.status == 412:
             await self._unlike(waiting, record)
-        elif outcome == "served":
-            self._keep_back(waiting, f"its store answered {status}")
+        elif result.outcome == "served":
+            self._keep_back(waiting, f"its store answered {result.status}")
         else:
-            if last is not None and not last.proves_no_effect:
+            if result.last_attempt is not None and not result.last_attempt.proves_no_effect:
                 self._maybe.add(sequence)
             self._again(waiting)
 
@@ -247,10 +261,10 @@
     async def _holds(self, record: WriteBackRecord) -> str | None:
         """The tag of what its store holds, empty where there is nothing; None where it does not say now."""
         operation = routes.Operation("head", record.volume, record.key)
-        outcome, _, status, tag = await self._carry(operation, b"", f"ask-{time.monotonic_ns():x}")
-        if outcome != "served" or (status != 404 and not tag):
+        result = await self._carry(operation, b"", f"ask-{time.monotonic_ns():x}")
+        if result.outcome != "served" or (result.status != 404 and not result.etag):
             return None
-        return "" if status == 404 else tag
+        return "" if result.status == 404 else result.etag
 
     @staticmethod
     async def _synced(made: Future[int]) -> int:
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -21,16 +21,13 @@
 from winchdyke.auth import sigv4
 from winchdyke.auth.keys import Access, KeysError, Right, may, sees
 from winchdyke.config.model import S3 as Settings
+from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import ClientDisconnectedError
 from winchdyke.gateway.clients import ClientConnection
-from winchdyke.gateway.service import (
-    AccessLogRecord,
-    BodySource,
-    ConfigSnapshot,
-    FinalResponse,
-    InternalCaller,
-    Service,
-)
+from winchdyke.gateway.config_snapshot import ConfigSnapshot
+from winchdyke.gateway.final_response import FinalResponse
+from winchdyke.gateway.request_context import BodySource, InternalCaller
+from winchdyke.gateway.service import Service
 from winchdyke.http1 import AnswerHead, Bytes, Headers, ProtocolError, RequestHead
 from winchdyke.object_api import listing as native
 from winchdyke.object_api import ranges, routes, store_protocol
