--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -43,7 +43,7 @@
 
 async def drained(it: Rig) -> None:
     back = it.gateway.writeback
-    await it.until(lambda: not back._pending and not back.drain.out, 10)
+    await it.until(lambda: not back._pending_objects and not back.drain.out, 10)
 
 
 def test_a_write_is_acknowledged_from_the_log_and_reaches_its_store_once(tmp_path):
@@ -67,7 +67,7 @@
 
         async with rig(config(tmp_path)) as it:
             assert (await ask(it, "s3", "PUT", "/school-1/a", b"hello")).status == 200
-            assert it.gateway.writeback.counts["kept"] == 1
+            assert it.gateway.writeback.counts["acknowledged"] == 1
             assert (await ask(it, "s3", "GET", "/school-1/a")).body == b"hello"
 
     run()
@@ -102,7 +102,7 @@
             assert (await it.ask("PUT", "/school-1/a", b"new")).status == 200
             await drained(it)
             assert stored(it, "school-1", "a") == b"new" and effects(it, "a") == 2
-            assert not it.gateway.writeback.kept
+            assert not it.gateway.writeback.quarantined
 
     run()
 
@@ -119,9 +119,9 @@
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
             await it.until(lambda: stored(it, "school-1", "a") == b"mine")
             store.shelf.objects["school-1", "a"] = (b"other", '"other"')
-            await it.until(lambda: bool(back.kept), 15)
+            await it.until(lambda: bool(back.quarantined), 15)
             assert stored(it, "school-1", "a") == b"other" and effects(it, "a") == 1
-            assert "something else" in next(iter(back.kept.values()))
+            assert "something else" in next(iter(back.quarantined.values()))
 
     run()
 
@@ -228,7 +228,7 @@
     @played
     async def run():
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("winchdyke.gateway.writeback.STOP_S", 0.3)
+            patch.setattr("winchdyke.gateway.writeback.SHUTDOWN_DRAIN_SECONDS", 0.3)
             async with rig(config(tmp_path)) as it:
                 for store in it.stores:
                     store.kill()
@@ -269,7 +269,7 @@
     made, found = Future[int](), list[int]()
     made.set_result(7)
     waits = threading.Thread(
-        target=lambda: found.append(anyio.run(gateway_writeback.WriteBack._synced, made)), daemon=True
+        target=lambda: found.append(anyio.run(gateway_writeback.WriteBack._wait_for_sync, made)), daemon=True
     )
     waits.start()
     waits.join(10.0)
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -39,24 +39,24 @@
             The final response; None where the request is for the scheduler.
         """
         write_back = self._write_back
-        takes = write_back.takes(context.operation, context.kind.rules.name, context.source.length)
-        if not takes or write_back.stopping:
+        accepted = write_back.accepts(context.operation, context.kind.rules.name, context.source.length)
+        if not accepted:
             return await self._wait_for_object(context)
         return await self._acknowledge(context)
 
     async def _wait_for_object(self, context: RequestContext) -> FinalResponse | None:
         volume = context.operation.volume
         key = context.operation.key
-        if not self._write_back.holds(volume, key):
+        if not self._write_back.has_pending(volume, key):
             return None
         spare_ms = context.time_left_ms - context.kind.rules.latency_objective_ms
-        if await self._write_back.reached(volume, key, self._clock() + max(0.0, spare_ms)):
+        if await self._write_back.wait_until_stored(volume, key, self._clock() + max(0.0, spare_ms)):
             return None
         return final_response.rejected("write-back", self._scheduler_loop.settings.max_retry_after_ms)
 
     async def _acknowledge(self, context: RequestContext) -> FinalResponse:
         operation = context.operation
-        etag = self._write_back.known(operation.volume, operation.idempotency_key)
+        etag = self._write_back.remembered_etag(operation.volume, operation.idempotency_key)
         body = bytearray()
         try:
             while data := await context.source.read():
@@ -90,7 +90,7 @@
             body=body,
         )
         try:
-            await self._write_back.keep(record)
+            await self._write_back.append(record)
         except Full as error:
             retry_after_ms = self._scheduler_loop.settings.max_retry_after_ms
             return FinalResponse(503, "refused", "write-back", str(error), retry_after_ms)
