--- a/tests/rig.py
+++ b/tests/rig.py
@@ -145,7 +145,7 @@
 
     def gateway_streams(self) -> list[Any]:
         """The streams of the clients' connections, at the gateway's side."""
-        return [connection._stream for connection in self.gateway._connections]
+        return [connection._stream for connection in self.gateway.clients.connections]
 
     async def until(self, done: Callable[[], bool], seconds: float = 5.0) -> None:
         """Wait for something to be so."""
--- /dev/null
+++ b/winchdyke/gateway/composition.py
@@ -0,0 +1,114 @@
+"""Makes the parts of a gateway from its configuration."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from pathlib import Path
+
+from winchdyke import interface as api
+from winchdyke.config import Config
+from winchdyke.discovery.endpoint_view import Bounds as DiscoveryBounds
+from winchdyke.discovery.follower import EndpointFollower
+from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
+from winchdyke.gateway.errors import StartError
+from winchdyke.gateway.pool import ConnectionPool
+from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.gateway.service import Service
+from winchdyke.gateway.tls import CertificateReloader, TlsError, load_store_context
+from winchdyke.gateway.writeback import WriteBack, WriteBackError
+from winchdyke.latency_attribution.ledger import Bounds as LedgerBounds
+from winchdyke.latency_attribution.ledger import Writer
+from winchdyke.latency_attribution.recorder import Recorder
+
+
+def make_pool(config: Config, clock: Callable[[], float]) -> ConnectionPool:
+    """Make the pool of connections to stores."""
+    limits = config.limits
+    return ConnectionPool(limits.connect_timeout, limits.pool_idle, limits.pool_per_node, clock)
+
+
+def load_certificates(config: Config, pool: ConnectionPool) -> CertificateReloader | None:
+    """Load the certificates of listeners, None where there are none, and those of stores for the pool.
+
+    Raises:
+        StartError: A file can't be used.
+    """
+    try:
+        certificates = CertificateReloader(config.tls) if config.tls.certificate else None
+        if config.tls.stores:
+            context = load_store_context(config.tls.stores)
+            pool.tls_context = lambda: context
+    except TlsError as error:
+        raise StartError(str(error)) from error
+    return certificates
+
+
+def open_ledger(config: Config) -> Writer | None:
+    """Open the ledger of latencies; None where none is kept.
+
+    Raises:
+        StartError: Its folder can't be written to.
+    """
+    accounts = config.accounts
+    if not accounts.folder:
+        return None
+    bounds = LedgerBounds(
+        accounts.segment_bytes,
+        accounts.segment_time / 1000,
+        accounts.total_bytes,
+        sync_s=accounts.sync / 1000,
+        keep_s=accounts.keep_accounts / 1000,
+    )
+    try:
+        return Writer(Path(accounts.folder), bounds)
+    except OSError as error:
+        raise StartError(
+            f"can't write to {accounts.folder}: {error.strerror}; see accounts, folder"
+        ) from error
+
+
+def make_recorder(config: Config, ledger: Writer | None, scheduler_loop: SchedulerLoop) -> Recorder | None:
+    """Make what attributes latency, and let the scheduler loop observe queueing; None where no ledger is kept."""
+    if ledger is None:
+        return None
+    scheduler_loop.start_observing()
+    return Recorder(config.gateway.name, ledger, lambda: scheduler_loop.observer)
+
+
+def open_write_back(config: Config, clock: Callable[[], float], service: Service) -> WriteBack | None:
+    """Open the write-back log, and let the service acknowledge writes from it; None where there is none.
+
+    Raises:
+        StartError: The log can't be used.
+    """
+    if not config.writeback.folder:
+        return None
+    try:
+        write_back = WriteBack(config, clock, service.execute_internal)
+    except WriteBackError as error:
+        raise StartError(str(error)) from error
+    service.acknowledge_writes_from(write_back)
+    return write_back
+
+
+def make_endpoint_follower(
+    config: Config,
+    clock: Callable[[], float],
+    on_endpoint_list: Callable[[api.EndpointList], Awaitable[None]],
+    health_check: Callable[[str], Awaitable[bool]],
+) -> EndpointFollower:
+    """Make what follows the endpoint list, from the sources that are configured."""
+    discovery = config.nodes
+    name = config.gateway.name
+    sources: list[Source] = [HttpSource(discovery, name, clock)]
+    if discovery.file:
+        sources.append(FileSource(Path(discovery.file), clock))
+    if discovery.srv:
+        shard_count = 1 + max((shard for rule in config.volumes for shard in rule.shards), default=0)
+        host, _, port = discovery.dns.rpartition(":")
+        sources.append(SrvSource(discovery.srv, (host, int(port)), shard_count))
+    bounds = DiscoveryBounds(
+        warm_after=config.rules.warm_after, vanish_share=discovery.vanish_share, hold=discovery.hold
+    )
+    folder = Path(discovery.keep) if discovery.keep else None
+    return EndpointFollower(bounds, sources, name, clock, on_endpoint_list, health_check, folder)
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -1,11 +1,9 @@
-"""One gateway from start to stop: listener, engine, list and connections under one task group."""
+"""One gateway from its start to its shutdown: its parts, their tasks, and the process around it."""
 
 from __future__ import annotations
 
-import errno
 import os
 import signal
-import ssl
 import sys
 from collections.abc import Awaitable, Callable
 from pathlib import Path
@@ -13,8 +11,7 @@
 import anyio
 import anyio.to_thread
 import structlog
-from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
-from anyio.streams.tls import TLSStream
+from anyio.abc import SocketAttribute, SocketListener, TaskGroup
 
 from winchdyke import interface as api
 from winchdyke.admin.server import Admin, AdminError, listen
@@ -22,484 +19,382 @@
 from winchdyke.config_rollout.change_log import ChangeLogError
 from winchdyke.config_rollout.controller import Prepared, RolloutController
 from winchdyke.config_rollout.cutover import moved
-from winchdyke.discovery.endpoint_view import Bounds as Belief
 from winchdyke.discovery.endpoint_view import EndpointEvidence
-from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.seeds import Seeds
-from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
-from winchdyke.gateway.attempts import CONNECTION_ERRORS
-from winchdyke.gateway.clients import ClientConnection
+from winchdyke.gateway import composition
 from winchdyke.gateway.config_snapshot import ConfigSnapshot
-from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS, ConnectError, Connection, ConnectionPool
+from winchdyke.gateway.errors import StartError
+from winchdyke.gateway.listeners import (
+    AdminListeners,
+    ClientListeners,
+    ListenerSpec,
+    OpenListener,
+    open_listeners,
+)
+from winchdyke.gateway.pool import ConnectError, Connection
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import Service
-from winchdyke.gateway.tls import CertificateReloader, TlsError, load_store_context
-from winchdyke.gateway.writeback import WriteBack, WriteBackError
-from winchdyke.http1 import End, Need, RequestHead
-from winchdyke.latency_attribution.ledger import Bounds, Writer
-from winchdyke.latency_attribution.recorder import Recorder
+from winchdyke.http1 import End, Need
 from winchdyke.membership.agent import MembershipAgent, MembershipError
-from winchdyke.object_api import answers, store_protocol
+from winchdyke.object_api import store_protocol
 from winchdyke.s3.service import S3
 
-LAST_WORD_S = 0.1  # at a stop, before connections at rest are closed
-LAST_ACCEPT_S = 0.01  # at a stop, for connections that wait to be accepted
-ACCEPT_PAUSE_S = 0.05  # before the next accept where no descriptor is left
-STOP_SLACK_S = 1.0  # beyond the longest deadline, for what is still out at a stop
-BACKLOG = 1024
-SWEEP_S = 0.1  # between looks at connections and tickets that are overdue
-SWITCH_S = 0.0002  # for which a thread beside the loop may keep it waiting
-TELL_MS = 500.0  # between words in the ledger on what is held now
+__all__ = ["Gateway", "StartError", "serve"]
 
-
-Handle = Callable[[ClientConnection, RequestHead], Awaitable[None]]
-
-
-class StartError(Exception):
-    """The gateway could not start; says why and what to do."""
+# At a shutdown, for requests that are on their way, before idle connections are closed.
+LAST_REQUEST_SECONDS = 0.1
+SHUTDOWN_MARGIN_SECONDS = 1.0  # beyond the longest deadline
+SHUTDOWN_POLL_SECONDS = 0.01
+SWEEP_INTERVAL_SECONDS = 0.1
+QUEUE_REPORT_INTERVAL_MS = 500.0
+# How long a computing thread may keep the event loop waiting. The interpreter's own 5 ms would delay each step of each request.
+THREAD_SWITCH_SECONDS = 0.0002
 
 
 class Gateway:
-    """A gateway, made from its settings; ``run`` serves until it is stopped."""
-
-    def __init__(self, config: Config, engine: SchedulerLoop | None = None) -> None:
-        limits = config.limits
+    """A gateway.
+
+    Attributes:
+        config: The configuration at the start.
+        engine: The scheduler loop.
+        pool: The connections to stores.
+        ledger: The ledger of latencies; None: none is kept.
+        service: The object API.
+        membership: Follows the endpoint list.
+        fleet: Takes part in the membership of gateways; None: it does not.
+        live: Applies changes of the configuration; None: it does not change in service.
+        writeback: The write-back log; None: there is none.
+        s3: The S3 API, once the gateway runs; None: there is none.
+        clients: The listeners of clients.
+        admins: The listeners of operators.
+        address: The first address that it listens at, once it runs.
+        addresses: All addresses that it listens at for clients.
+        admin_addresses: All addresses that it listens at for operators.
+
+    Raises:
+        StartError: A part can't be made from the configuration.
+    """
+
+    def __init__(self, config: Config, scheduler_loop: SchedulerLoop | None = None) -> None:
         self.config = config
-        self.engine = engine or SchedulerLoop(config.settings(), config.gateway.seed)
-        self.pool = ConnectionPool(
-            limits.connect_timeout, limits.pool_idle, limits.pool_per_node, self.engine.clock
+        self.engine = scheduler_loop or SchedulerLoop(config.settings(), config.gateway.seed)
+        clock = self.engine.clock
+        self.pool = composition.make_pool(config, clock)
+        self.ledger = composition.open_ledger(config)
+        recorder = composition.make_recorder(config, self.ledger, self.engine)
+        self.service = Service(config, self.engine, self.pool, clock, recorder)
+        self.membership = composition.make_endpoint_follower(
+            config, clock, self._apply_endpoint_list, self._health_check
         )
-        self.ledger = self._ledger()
-        recorder = None
-        if self.ledger is not None:
-            self.engine.start_observing()
-            recorder = Recorder(config.gateway.name, self.ledger, lambda: self.engine.observer)
-        self.service = Service(config, self.engine, self.pool, self.engine.clock, recorder)
-        self.membership = self._membership()
         self.engine.on_watch_endpoints = self.membership.ask
-        self.pool.verify_identity = self._greet
+        self.pool.verify_identity = self._verify_identity
         self.service.exchanges.on_endpoint_evidence = self.membership.heard
         self.service.exchanges.on_connect_failed = self.membership.refused
-        self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
-        self.live = self._live()
-        self.writeback = self._writeback()
+        self.fleet = MembershipAgent(config, clock) if config.fleet.listen is not None else None
+        self.live = self._make_rollout()
+        self.writeback = composition.open_write_back(config, clock, self.service)
         self.address = ("", 0)
         self.addresses: list[tuple[str, int]] = []
         self.admin_addresses: list[object] = []
         self.s3: S3 | None = None
-        self._shaking = 0  # handshakes under way
-        try:
-            self.certificates = CertificateReloader(config.tls) if config.tls.certificate else None
-            if config.tls.stores:
-                secured = load_store_context(config.tls.stores)
-                self.pool.tls_context = lambda: secured
-        except TlsError as error:
-            raise StartError(str(error)) from error
-        self._connections: set[ClientConnection] = set()
-        self._admins: set[ClientConnection] = set()
+        self._certificates = composition.load_certificates(config, self.pool)
+        self.clients = ClientListeners(
+            config.limits, clock, self._certificates, lambda: self.engine.settings.max_retry_after_ms
+        )
+        self.admins = AdminListeners(config.limits, clock)
         self._stop = anyio.Event()
         self._log = structlog.get_logger("gateway")
 
-    def _ledger(self) -> Writer | None:
-        accounts = self.config.accounts
-        if not accounts.folder:
-            return None
-        bounds = Bounds(
-            accounts.segment_bytes,
-            accounts.segment_time / 1000,
-            accounts.total_bytes,
-            sync_s=accounts.sync / 1000,
-            keep_s=accounts.keep_accounts / 1000,
-        )
-        try:
-            return Writer(Path(accounts.folder), bounds)
-        except OSError as error:
-            raise StartError(
-                f"can't write to {accounts.folder}: {error.strerror}; see accounts, folder"
-            ) from error
-
-    def _writeback(self) -> WriteBack | None:
-        if not self.config.writeback.folder:
-            return None
-        try:
-            made = WriteBack(self.config, self.engine.clock, self.service.execute_internal)
-        except WriteBackError as error:
-            raise StartError(str(error)) from error
-        self.service.acknowledge_writes_from(made)
-        return made
+    # Changes of the configuration
 
-    def _live(self) -> RolloutController | None:
+    def _make_rollout(self) -> RolloutController | None:
         if not self.config.changes.folder:
             return None
         try:
-            live = RolloutController(
+            rollout = RolloutController(
                 Path(self.config.changes.folder),
                 self.config,
                 self._swap,
                 self.engine.volumes_with_quota,
                 self.engine.clock,
-                self._dead,
+                self._shards_without_endpoint,
                 self.engine.refill_quotas,
             )
-            watch, clock = live.watch, self.engine.clock
-            self.service.on_request_end = lambda volume, shard, outcome, took: watch.ended(
-                clock(), volume, shard, outcome, took
+            watch = rollout.watch
+            clock = self.engine.clock
+            self.service.on_request_end = lambda volume, shard, outcome, total_ms: watch.ended(
+                clock(), volume, shard, outcome, total_ms
             )
-            live.begin()
+            rollout.begin()
         except ChangeLogError as error:
             raise StartError(f"{error}; see changes, folder") from error
-        return live
+        return rollout
 
-    def _dead(self) -> set[int]:
-        """Shards that have no node by the list's or the nodes' own word: no change of settings does that."""
-        usable = {
-            known.shard
-            for known in self.membership.belief.known.values()
-            if self.membership.belief.usable(known.name)
-        }
-        return {known.shard for known in self.membership.belief.known.values()} - usable
+    def _shards_without_endpoint(self) -> set[int]:
+        """Return the shards without a usable endpoint, whose failures are not due to a change of the configuration."""
+        view = self.membership.belief
+        usable = {known.shard for known in view.known.values() if view.usable(known.name)}
+        return {known.shard for known in view.known.values()} - usable
 
     def _swap(self, prepared: Prepared) -> None:
-        """Other settings from this instant on: nothing else runs while this does."""
-        # Guards against what was asked under the old version and is decided by the new one: its plan may be gone by then.
+        """Apply another version of the configuration, for all requests from now on."""
+        # Events of requests that arrived under the old version must be decided by it: the new one may lack their plans.
         self.engine.process_events()
         plans = prepared.plans
-        if new := self.engine.volumes_with_quota(prepared.known):  # that have come since it was prepared
-            plans = {**plans, **moved(new, prepared.before, prepared.after)}
+        if new_volumes := self.engine.volumes_with_quota(prepared.known):  # since it was prepared
+            plans = {**plans, **moved(new_volumes, prepared.before, prepared.after)}
         if self.service.snapshot.version != prepared.version:
             self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
         self.engine.apply_settings(prepared.settings, plans)
         if self.fleet is not None:
             self.fleet.expect(prepared.after.config)
 
-    def _membership(self) -> EndpointFollower:
-        where, name, clock = self.config.nodes, self.config.gateway.name, self.engine.clock
-        sources: list[Source] = [HttpSource(where, name, clock)]
-        if where.file:
-            sources.append(FileSource(Path(where.file), clock))
-        if where.srv:
-            shards = 1 + max((shard for rule in self.config.volumes for shard in rule.shards), default=0)
-            host, _, port = where.dns.rpartition(":")
-            sources.append(SrvSource(where.srv, (host, int(port)), shards))
-        bounds = Belief(
-            warm_after=self.config.rules.warm_after, vanish_share=where.vanish_share, hold=where.hold
-        )
-        folder = Path(where.keep) if where.keep else None
-        return EndpointFollower(bounds, sources, name, clock, self._listed, self._trial, folder)
+    # Endpoints
+
+    async def _verify_identity(self, connection: Connection) -> None:
+        """Ask a store who it is.
 
-    async def _greet(self, connection: Connection) -> None:
-        """Ask a store who it is before it is sent anything; DialError where another one is meant."""
+        Raises:
+            ConnectError: It is not the store that the endpoint list means, or it is draining.
+        """
         codec = connection.codec
         headers = [(b"host", b"store"), (store_protocol.GATEWAY, self.config.gateway.name.encode())]
         await connection.stream.send(codec.request("GET", store_protocol.WHO, headers) + codec.end())
         while isinstance(head := codec.head(), Need):
             codec.feed(await connection.stream.receive())
-        while not isinstance(piece := codec.body(), End):
-            if isinstance(piece, Need):
+        while not isinstance(chunk := codec.body(), End):
+            if isinstance(chunk, Need):
                 codec.feed(await connection.stream.receive())
-        if not self.membership.heard(
-            connection.endpoint, store_protocol.told(head).word or EndpointEvidence()
-        ):
+        evidence = store_protocol.told(head).word or EndpointEvidence()
+        if not self.membership.heard(connection.endpoint, evidence):
             raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
 
-    async def _trial(self, node: str) -> bool:
+    async def _health_check(self, endpoint: str) -> bool:
         try:
-            connection = await self.pool.acquire(node)
+            connection = await self.pool.acquire(endpoint)
         except ConnectError:
-            self.membership.refused(node)
+            self.membership.refused(endpoint)
             return False
         await self.pool.release(connection)
         return True
 
-    async def _listed(self, news: api.EndpointList) -> None:
-        self.engine.post(news)
-        if news.kind is api.EndpointListKind.FULL:
-            listed = {node.name for node in news.endpoints}
-            await self.pool.close_idle_except(listed)
-            self._log.info("nodes", listed=len(listed))
+    async def _apply_endpoint_list(self, event: api.EndpointList) -> None:
+        self.engine.post(event)
+        if event.kind is not api.EndpointListKind.FULL:
+            return
+        names = {endpoint.name for endpoint in event.endpoints}
+        await self.pool.close_idle_except(names)
+        self._log.info("endpoint_list_received", endpoints=len(names))
+
+    # Lifecycle
 
     def stop(self) -> None:
-        """Take nothing new, answer all that was taken, and end."""
+        """Accept nothing more, answer all requests that have arrived, and end."""
         self._stop.set()
 
     async def run(self, started: Callable[[], None] = lambda: None) -> None:
-        """Serve until stopped. StartError where the address can't be listened at."""
-        # Guards against requests that wait for a version being checked beside them: a thread that computes gives way to the loop
-        # only so often, and a request needs the loop many times.
-        sys.setswitchinterval(SWITCH_S)
-        listeners = await self._listen()
-        admins = await self._admin_listeners([listener for listener, _ in listeners])
-        if self.fleet is not None:
-            try:
-                await self.fleet.open()
-            except MembershipError as error:
-                for listener in [*admins, *(listener for listener, _ in listeners)]:
-                    await listener.aclose()
-                raise StartError(str(error)) from error
-        self.addresses = [listener.extra(SocketAttribute.local_address)[:2] for listener, _ in listeners]  # type: ignore[misc]
+        """Serve until :meth:`stop`.
+
+        Args:
+            started: Called once the gateway accepts connections.
+
+        Raises:
+            StartError: An address can't be listened at.
+        """
+        sys.setswitchinterval(THREAD_SWITCH_SECONDS)
+        listeners = await open_listeners(self._listener_specs())
+        admin_sockets = await self._open_admin_sockets(listeners)
+        await self._open_fleet([*admin_sockets, *(listener.socket for listener in listeners)])
+        self.addresses = [
+            listener.socket.extra(SocketAttribute.local_address)[:2]  # type: ignore[misc]
+            for listener in listeners
+        ]
         self.address = self.addresses[0]
         async with anyio.create_task_group() as group:
-            group.start_soon(self.engine.run)
-            self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
-            group.start_soon(self.membership.run)
-            group.start_soon(self._sweep)
-            if self.live is not None:
-                group.start_soon(self.live.run)
-            if self.writeback is not None:
-                group.start_soon(self.writeback.run, self.engine.queue_lengths)
-            if self.fleet is not None:
-                group.start_soon(self.fleet.run)
-                if (where := self.config.fleet.list) is not None:
-                    name = self.config.gateway.name
-                    seeds = Seeds(where, self.config.nodes, name, self.engine.clock, self.fleet.listed)
-                    group.start_soon(seeds.run)
-            accepting: list[anyio.CancelScope] = []
-            for listener, handle in listeners:
-                group.start_soon(self._accept, listener, handle, accepting, group)
-            if self.s3 is not None:
-                group.start_soon(self.s3.run)
-            if admins:
-                admin = Admin(
-                    self.config.admin, self.live.trail if self.live is not None else None, self.fleet
-                )
-                for listener in admins:
-                    group.start_soon(self._accept_admin, listener, admin, accepting, group)
-            self._log.info(
-                "started", gateway=self.config.gateway.name, host=self.address[0], port=self.address[1]
-            )
+            self._start_tasks(group)
+            self._start_accepting(group, listeners, admin_sockets)
+            host, port = self.address
+            self._log.info("started", gateway=self.config.gateway.name, host=host, port=port)
             started()
             await self._stop.wait()
-            if self.fleet is not None:
-                self.fleet.leave()  # heard long before the process ends
-            for scope in accepting:
-                scope.cancel()
-            await self._drain()
-            if self.writeback is not None:
-                await self.writeback.stop()
+            await self._shut_down()
             group.cancel_scope.cancel()
-        await self.pool.close()
-        if self.fleet is not None:
-            await self.fleet.close()
-        if self.ledger is not None:
-            await anyio.to_thread.run_sync(self.ledger.close)
-            kept = {
-                "written": self.ledger.written,
-                "dropped": self.ledger.dropped,
-                "failed": self.ledger.failed,
-            }
-            self._log.info("ledger", **kept)
-        self._log.info("stopped", pool=str(self.pool), **self.engine.counts)
-
-    async def _listen(self) -> list[tuple[SocketListener, Handle]]:
-        asked = [(f"listener {name}", where, self.service.handle) for name, where in self.config.listeners]
+        await self._close()
+
+    def _listener_specs(self) -> list[ListenerSpec]:
+        all_use_tls = self.config.tls.on == "all"
+        specs = [
+            ListenerSpec(f"listener {name}", address, self.service.handle, all_use_tls)
+            for name, address in self.config.listeners
+        ]
         if self.config.s3.listen is not None:
             self.s3 = S3(self.service, self.config.s3)
-            asked.append(("s3, listen", self.config.s3.listen, self.s3.handle))
-        found: list[tuple[SocketListener, Handle]] = []
-        for name, where, handle in asked:
-            try:
-                multi = await anyio.create_tcp_listener(
-                    local_host=where.host, local_port=where.port, backlog=BACKLOG
-                )
-            except OSError as error:
-                for listener, _ in found:
-                    await listener.aclose()
-                reason = error.strerror or error
-                raise StartError(
-                    f"can't listen at {where.host}:{where.port}: {reason}; see {name}"
-                ) from error
-            found += [(each, handle) for each in multi.listeners if isinstance(each, SocketListener)]
-        return found
-
-    async def _admin_listeners(self, others: list[SocketListener]) -> list[SocketListener]:
-        folder = self.live.folder if self.live is not None else None
-        if folder is None and self.fleet is not None:
-            folder = Path(self.config.fleet.keep) if self.config.fleet.keep else None
-            if folder is None and not self.config.admin.socket:
-                return []
-        elif folder is None:
+            specs.append(ListenerSpec("s3, listen", self.config.s3.listen, self.s3.handle, True))
+        return specs
+
+    async def _open_admin_sockets(self, listeners: list[OpenListener]) -> list[SocketListener]:
+        folder = self._admin_folder()
+        if folder is None:
             return []
         try:
-            found = await listen(self.config.admin, folder or Path("."))
+            sockets = await listen(self.config.admin, folder)
         except AdminError as error:
-            for listener in others:
-                await listener.aclose()
+            for listener in listeners:
+                await listener.socket.aclose()
             raise StartError(str(error)) from error
-        self.admin_addresses = [listener.extra(SocketAttribute.local_address) for listener in found]
-        return found
+        self.admin_addresses = [socket.extra(SocketAttribute.local_address) for socket in sockets]
+        return sockets
 
-    async def _accept_admin(
-        self, listener: SocketListener, admin: Admin, scopes: list[anyio.CancelScope], group: TaskGroup
-    ) -> None:
-        """Those who ask for changes have connections of their own, few at once: they take none from clients."""
-        places = anyio.Semaphore(admin.connections)
-
-        async def one(stream: SocketStream) -> None:
-            connection = ClientConnection(stream, self.config.limits, self.engine.clock)
-            self._admins.add(connection)
-            try:
-                await connection.run(admin.handle)
-            except Exception as error:
-                self._log.error("connection", exc_info=error)
-            finally:
-                self._admins.discard(connection)
-                places.release()
-
-        async with listener:
-            with anyio.CancelScope() as mine:
-                scopes.append(mine)
-                while True:
-                    await places.acquire()
-                    try:
-                        stream = await listener.accept()
-                    except OSError as error:
-                        places.release()
-                        if error.errno not in (*RESOURCE_EXHAUSTION_ERRNOS, errno.ECONNABORTED):
-                            raise
-                        await anyio.sleep(ACCEPT_PAUSE_S)
-                        continue
-                    _hold_back(stream)
-                    group.start_soon(one, stream)
-
-    async def _accept(
-        self, listener: SocketListener, handle: Handle, scopes: list[anyio.CancelScope], group: TaskGroup
-    ) -> None:
-        async with listener:
-            with anyio.CancelScope() as mine:
-                scopes.append(mine)
-                while True:
-                    try:
-                        stream = await listener.accept()
-                    except OSError as error:
-                        if error.errno not in (*RESOURCE_EXHAUSTION_ERRNOS, errno.ECONNABORTED):
-                            raise
-                        self._log.warning("accept", error=error.strerror)
-                        await anyio.sleep(ACCEPT_PAUSE_S)
-                        continue
-                    _hold_back(stream)
-                    group.start_soon(self._connection, stream, handle)
-            # Guards against a reset for those whom the host had let in and this gateway not yet, on a host that is behind.
-            while True:
-                with anyio.move_on_after(LAST_ACCEPT_S) as none_left:
-                    stream = await listener.accept()
-                    _hold_back(stream)
-                    group.start_soon(self._connection, stream, handle)
-                if none_left.cancelled_caught:
-                    return
-
-    async def _shaken(self, stream: SocketStream, certificates: CertificateReloader) -> SocketStream | None:
-        """The stream secured; None where that failed, took too long, or too many do so at once."""
-        secured: TLSStream | None = None
-        if len(self._connections) + self._shaking < self.config.limits.connections:
-            self._shaking += 1
-            try:
-                with anyio.move_on_after(self.config.limits.header_timeout / 1000):
-                    secured = await TLSStream.wrap(
-                        stream,
-                        server_side=True,
-                        ssl_context=certificates.current_context(),
-                        standard_compatible=False,
-                    )
-            except (*CONNECTION_ERRORS, ssl.SSLError):
-                pass
-            finally:
-                self._shaking -= 1
-        if secured is None:
-            with anyio.CancelScope(shield=True):
-                await anyio.aclose_forcefully(stream)
-        return secured  # type: ignore[return-value]
-
-    async def _connection(self, stream: SocketStream, handle: Handle) -> None:
-        if self.certificates is not None and (self.config.tls.on == "all" or handle != self.service.handle):
-            secured = await self._shaken(stream, self.certificates)
-            if secured is None:
-                return
-            stream = secured
-        connection = ClientConnection(stream, self.config.limits, self.engine.clock)
-        if len(self._connections) >= self.config.limits.connections:
-            connection.close_after_response = True
-            text = "this gateway holds as many connections as it may; come back later"
-            after = self.engine.settings.max_retry_after_ms
-            await connection.reject(*answers.error(503, "refused", "too-many-connections", "-", text, after))
+    def _admin_folder(self) -> Path | None:
+        """Return the folder of the admin socket; None where there is nothing to administer, or no place for it."""
+        if self.live is not None:
+            return self.live.folder
+        if self.fleet is None:
+            return None
+        if self.config.fleet.keep:
+            return Path(self.config.fleet.keep)
+        return Path(".") if self.config.admin.socket else None
+
+    async def _open_fleet(self, opened: list[SocketListener]) -> None:
+        if self.fleet is None:
             return
-        self._connections.add(connection)
         try:
-            await connection.run(handle)
-        except Exception as error:
-            self._log.error("connection", exc_info=error)
-        finally:
-            self._connections.discard(connection)
+            await self.fleet.open()
+        except MembershipError as error:
+            for socket in opened:
+                await socket.aclose()
+            raise StartError(str(error)) from error
+
+    def _start_tasks(self, group: TaskGroup) -> None:
+        group.start_soon(self.engine.run)
+        self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
+        group.start_soon(self.membership.run)
+        group.start_soon(self._sweep)
+        if self.live is not None:
+            group.start_soon(self.live.run)
+        if self.writeback is not None:
+            group.start_soon(self.writeback.run, self.engine.queue_lengths)
+        if self.fleet is None:
+            return
+        group.start_soon(self.fleet.run)
+        seed_list = self.config.fleet.list
+        if seed_list is not None:
+            name = self.config.gateway.name
+            seeds = Seeds(seed_list, self.config.nodes, name, self.engine.clock, self.fleet.listed)
+            group.start_soon(seeds.run)
+
+    def _start_accepting(
+        self, group: TaskGroup, listeners: list[OpenListener], admin_sockets: list[SocketListener]
+    ) -> None:
+        for listener in listeners:
+            group.start_soon(self.clients.accept, listener, group)
+        if self.s3 is not None:
+            group.start_soon(self.s3.run)
+        if not admin_sockets:
+            return
+        change_log = self.live.trail if self.live is not None else None
+        admin = Admin(self.config.admin, change_log, self.fleet)
+        for socket in admin_sockets:
+            group.start_soon(self.admins.accept, socket, admin.handle, admin.connections, group)
 
     async def _sweep(self) -> None:
-        told = 0.0
+        """Find what only the passing of time changes."""
+        reported_at_ms = 0.0
+        recorder = self.service.recorder
         while True:
-            await anyio.sleep(SWEEP_S)
+            await anyio.sleep(SWEEP_INTERVAL_SECONDS)
             now = self.engine.clock()
-            for connection in [*self._connections, *self._admins]:
+            for connection in [*self.clients.connections, *self.admins.connections]:
                 connection.check_for_reset()
                 if connection.timeout_at_ms <= now:
                     await connection.expire()
             self.engine.finish_overdue(now)
             self.service.byte_meter.settle()
-            if self.service.recorder is not None and now >= told + TELL_MS:
-                told = now
-                self.service.recorder.tell()
+            if recorder is not None and now >= reported_at_ms + QUEUE_REPORT_INTERVAL_MS:
+                reported_at_ms = now
+                recorder.tell()
 
-    async def _drain(self) -> None:
+    async def _shut_down(self) -> None:
+        if self.fleet is not None:
+            self.fleet.leave()  # early, so that the other gateways have heard of it by the end
+        self.clients.stop_accepting()
+        self.admins.stop_accepting()
+        await self._drain_connections()
+        if self.writeback is not None:
+            await self.writeback.stop()
+
+    async def _drain_connections(self) -> None:
         self.service.stopping = True
         if self.live is not None:
-            self.live.stopping = True  # nothing new is begun: what is staged stays so for the next start
-        await anyio.sleep(LAST_WORD_S)  # for requests that are on their way
-        longest = max(kind.rules.deadline_ms for kind in self.config.kinds) / 1000
-        with anyio.move_on_after(longest + STOP_SLACK_S):
-            while self._connections or self._admins:
-                for connection in [*self._connections, *self._admins]:
+            self.live.stopping = True  # a change that is staged stays so for the next start
+        await anyio.sleep(LAST_REQUEST_SECONDS)
+        longest_deadline_ms = max(kind.rules.deadline_ms for kind in self.config.kinds)
+        with anyio.move_on_after(longest_deadline_ms / 1000 + SHUTDOWN_MARGIN_SECONDS):
+            while self.clients.connections or self.admins.connections:
+                for connection in [*self.clients.connections, *self.admins.connections]:
                     connection.close_when_idle()
-                await anyio.sleep(0.01)
-        if self._connections:
-            self._log.warning("stop-cut", connections=len(self._connections))
-
-
-def _hold_back(stream: SocketStream) -> None:
-    # Guards against memory without bound from a client that sends faster than its store takes. anyio's asyncio
-    # streams pause the transport after a read that had to wait, and those it dials from the start; one that it
-    # accepts reads on until then, which may be never. Nothing public reaches the transport.
-    transport = getattr(stream, "_transport", None)
-    if transport is not None:
-        transport.pause_reading()
+                await anyio.sleep(SHUTDOWN_POLL_SECONDS)
+        if self.clients.connections:
+            self._log.warning("shutdown_connections_closed", connections=len(self.clients.connections))
 
-
-def _told(path: Path, address: tuple[str, int]) -> None:
-    beside = path.with_name(path.name + f".{os.getpid()}")
-    beside.write_text(f"{address[0]}:{address[1]}\n")
-    beside.replace(path)
+    async def _close(self) -> None:
+        await self.pool.close()
+        if self.fleet is not None:
+            await self.fleet.close()
+        if self.ledger is not None:
+            await anyio.to_thread.run_sync(self.ledger.close)
+            self._log.info(
+                "ledger_closed",
+                written=self.ledger.written,
+                dropped=self.ledger.dropped,
+                failed=self.ledger.failed,
+            )
+        self._log.info("stopped", pool=str(self.pool), **self.engine.counts)
 
 
 async def serve(
     config: Config, started: Callable[[Gateway], Awaitable[None] | None] = lambda _: None
 ) -> None:
-    """Run a gateway until SIGTERM or SIGINT; a second one ends it at once."""
+    """Run a gateway until SIGTERM or SIGINT; a second signal ends the process at once.
+
+    Args:
+        config: The configuration.
+        started: Called with the gateway once it accepts connections.
+
+    Raises:
+        StartError: The gateway could not start.
+    """
     gateway = Gateway(config)
 
     def ready() -> None:
         if config.gateway.port_file:
-            path = Path(config.gateway.port_file)
-            if gateway.s3 is not None:  # the S3 listener's beside it
-                _told(path.with_name(path.name + ".s3"), gateway.addresses[-1])
-            if gateway.fleet is not None:
-                _told(path.with_name(path.name + ".fleet"), gateway.fleet.address)
-            _told(path, gateway.address)
+            _write_port_files(gateway, Path(config.gateway.port_file))
         started(gateway)
 
     async with anyio.create_task_group() as group:
-
-        async def signals() -> None:
-            with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
-                async for number in received:
-                    if gateway.service.stopping:
-                        os._exit(128 + number)
-                    gateway.stop()
-
-        group.start_soon(signals)
+        group.start_soon(_stop_on_signal, gateway)
         await gateway.run(ready)
         group.cancel_scope.cancel()
+
+
+async def _stop_on_signal(gateway: Gateway) -> None:
+    with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
+        async for number in signals:
+            if gateway.service.stopping:
+                os._exit(128 + number)
+            gateway.stop()
+
+
+def _write_port_files(gateway: Gateway, path: Path) -> None:
+    """Write the addresses to files, the first one last: who finds it finds the others."""
+    if gateway.s3 is not None:
+        _write_address(path.with_name(path.name + ".s3"), gateway.addresses[-1])
+    if gateway.fleet is not None:
+        _write_address(path.with_name(path.name + ".fleet"), gateway.fleet.address)
+    _write_address(path, gateway.address)
+
+
+def _write_address(path: Path, address: tuple[str, int]) -> None:
+    temporary = path.with_name(f"{path.name}.{os.getpid()}")
+    temporary.write_text(f"{address[0]}:{address[1]}\n")
+    temporary.replace(path)
