--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -89,7 +89,7 @@
     Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_goes"),
     Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # never an end that looks complete", "pass", rules=(1,)),
     # Attempts
-    Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_lost_connection())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
+    Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_connection_error())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
            "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
     Mutant("an error claims that nothing ran", A, "return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)", "return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)"),
     Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_a_store_that_breaks_off_is_told_as_it_was_and_a_read_goes_again"),
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -153,7 +153,7 @@
             own_fault = error.local_exhaustion
             result = AttemptResult(AttemptOutcome.NOT_SENT if own_fault else AttemptOutcome.CONNECT_FAILED)
         except CONNECTION_ERRORS:
-            result = AttemptResult(self._outcome_of_lost_connection())
+            result = AttemptResult(self._outcome_of_connection_error())
         except ProtocolError:
             result = AttemptResult(AttemptOutcome.CONNECTION_RESET)
         finally:
@@ -167,7 +167,7 @@
         result.latency_ms = self._clock() - started_at_ms - self._client_wait_ms
         return result
 
-    def _outcome_of_lost_connection(self) -> AttemptOutcome:
+    def _outcome_of_connection_error(self) -> AttemptOutcome:
         return AttemptOutcome.CONNECTION_RESET if self._write_started else AttemptOutcome.NOT_SENT
 
     def _outcome_when_interrupted(self) -> AttemptOutcome:
@@ -207,7 +207,7 @@
             try:
                 result = await self._read_response(connection)
             except (*CONNECTION_ERRORS, ProtocolError):
-                result = AttemptResult(self._outcome_of_lost_connection())
+                result = AttemptResult(self._outcome_of_connection_error())
             self._result = result
             group.cancel_scope.cancel()
         if self._client_error is not None:
--- a/winchdyke/gateway/final_response.py
+++ b/winchdyke/gateway/final_response.py
@@ -94,8 +94,8 @@
 def _of_streamed_attempt(result: AttemptResult) -> FinalResponse:
     if result.outcome is AttemptOutcome.SERVED:
         return FinalResponse(result.status, "served", "ok", streamed=True)
-    client_is_gone = isinstance(result.error, ClientDisconnectedError)
-    reason = "client-gone" if client_is_gone else "store-cut"
+    by_client = isinstance(result.error, ClientDisconnectedError)
+    reason = "client-gone" if by_client else "store-cut"
     return FinalResponse(result.status, "failed", reason, streamed=True)
 
 
--- a/winchdyke/gateway/pool.py
+++ b/winchdyke/gateway/pool.py
@@ -163,10 +163,9 @@
     async def _connect(self, host: str, port: int) -> SocketStream:
         if self.tls_context is None:
             return await anyio.connect_tcp(host, port)
-        stream = await anyio.connect_tcp(
+        return await anyio.connect_tcp(  # type: ignore[return-value]
             host, port, tls=True, ssl_context=self.tls_context(), tls_standard_compatible=False
         )
-        return stream  # type: ignore[return-value]
 
     def _on_connection_closed(self, connection: Connection) -> None:
         self._open[connection.endpoint].discard(connection)
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -357,8 +357,8 @@
         if context.record.trace is not None:
             context.record.trace.phase("store")  # its parts are requests of their own, side by side
 
-        def headers_of(part: api.Request, shard: int, attempt: int) -> Headers:
-            return self._headers(context, part, shard, attempt, None)
+        def headers_of(shard_request: api.Request, shard: int, attempt: int) -> Headers:
+            return self._headers(context, shard_request, shard, attempt, None)
 
         return await self._listing.run(context, request, headers_of)
 
@@ -403,5 +403,5 @@
     if not config.routes:
         return None
     headers = {name.decode("latin-1"): value.decode("latin-1").strip() for name, value in head.headers}
-    asked = Asked(head.method, operation.volume, operation.key, head.length or 0, headers)
-    return config.matcher.match(asked)
+    criteria = Asked(head.method, operation.volume, operation.key, head.length or 0, headers)
+    return config.matcher.match(criteria)
--- a/winchdyke/gateway/sharded_listing.py
+++ b/winchdyke/gateway/sharded_listing.py
@@ -69,13 +69,15 @@
     async def _list_shard(
         self, context: RequestContext, request: api.Request, number: int, shard: int, headers_of: HeadersOf
     ) -> FinalResponse:
-        part = request_for_shard(request, shard, f"{request.request_id}.{number}")
-        handle = self._scheduler_loop.submit(part)
+        shard_request = request_for_shard(request, shard, f"{request.request_id}.{number}")
+        handle = self._scheduler_loop.submit(shard_request)
 
         def outgoing(endpoint: str, attempt: int) -> OutgoingRequest:
-            return OutgoingRequest("GET", context.operation.target(), headers_of(part, shard, attempt))
+            return OutgoingRequest(
+                "GET", context.operation.target(), headers_of(shard_request, shard, attempt)
+            )
 
-        record = AccessLogRecord(config_version=context.record.config_version, request=part)
+        record = AccessLogRecord(config_version=context.record.config_version, request=shard_request)
         exchange = Exchange(handle, context.operation, outgoing, DiscardSink(), context.caller, record)
         final = await self._exchanges.run(exchange)
         context.record.add_attempts_of(record)
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -341,17 +341,17 @@
 
     @staticmethod
     async def _wait_for_sync(synced: Future[int]) -> int:
-        done = anyio.Event()
+        finished = anyio.Event()
         loop = asyncio.get_running_loop()
 
         def notify(_: Future[int]) -> None:
             # Where the sync is over already, this runs in the loop's own thread, which must not wait for itself. A loop that
             # has ended raises RuntimeError: nobody waits then.
             with contextlib.suppress(RuntimeError):
-                loop.call_soon_threadsafe(done.set)
+                loop.call_soon_threadsafe(finished.set)
 
         synced.add_done_callback(notify)
-        await done.wait()
+        await finished.wait()
         return synced.result()
 
     def _retry_later(self, waiting: Waiting) -> None:
