--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -84,15 +84,15 @@
     Mutant("units not counted", "object_api/routes.py", "return min(largest, max(1.0, counted))", "return 1.0", test="test_what_an_operation_counts_is_its_bytes_in_units"),
     Mutant("the client's time not heeded", S, "operation.time_left_ms or rules.deadline_ms", "rules.deadline_ms", rules=(1,)),
     Mutant("stores not told the key of a repeat", "gateway/store_request.py", "if request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
-    Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection"),
+    Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection"),
     Mutant("order key not made of the volume", S, "if rules.in_order:", "if False:", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
-    Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_goes"),
+    Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_disconnects"),
     Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # never an end that looks complete", "pass", rules=(1,)),
     # Attempts
     Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_connection_error())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
            "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
     Mutant("an error claims that nothing ran", A, "return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)", "return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)"),
-    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_a_store_that_breaks_off_is_told_as_it_was_and_a_read_goes_again"),
+    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried"),
     Mutant("attempts have no time", A, "anyio.current_time() + max(0.0, timeout_ms) / 1000", "anyio.current_time() + 60", rules=(1,)),
     # Engine
     Mutant("timers not fired", E, "events.append(api.TimerFired(heapq.heappop(timers)[2]))", "heapq.heappop(timers)", rules=(1,)),
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Outcomes told truly: each row of the table in gateway/outcomes.py, brought about by a stand-in store."""
+"""The outcome of attempts: each row of the table in gateway/outcomes.py, brought about by an emulated store."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 async def _first(trick: str, method: str = "GET", **headers: str):
-    """The first attempt's outcome and the answer, where the store plays a trick at its first request."""
+    """The outcomes of the attempts and the response, where the store misbehaves at its first request."""
     async with rig() as it:
         store = it.where(READ)
         await it.ask("PUT", READ, b"x" * 3000)
@@ -42,7 +42,7 @@
         ("error", "ERROR"),
     ],
 )
-def test_a_store_that_breaks_off_is_told_as_it_was_and_a_read_goes_again(trick, outcome):
+def test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried(trick, outcome):
     outcomes, reply = anyio.run(_first, trick)
     assert outcomes == [outcome, "SERVED"]
     assert (reply.status, len(reply.body)) == (200, 3000)
@@ -58,12 +58,12 @@
         ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),  # its store drops the repeat
     ],
 )
-def test_a_write_goes_again_only_where_its_class_allows(trick, class_name, outcomes, status):
+def test_a_write_is_retried_only_where_its_class_allows(trick, class_name, outcomes, status):
     got, reply = anyio.run(lambda: _first(trick, "PUT", winchdyke_class=class_name))
     assert (got, reply.status) == (outcomes, status)
 
 
-def test_nothing_listens_is_a_failed_dial():
+def test_a_refused_connection_is_connect_failed():
     @played
     async def run():
         async with rig() as it:
@@ -75,7 +75,7 @@
     run()
 
 
-def test_no_descriptor_left_is_unsent_and_no_fault_of_the_store(monkeypatch):
+def test_without_file_descriptors_an_attempt_is_not_sent(monkeypatch):
     async def none_left(host, port):
         raise OSError("All connection attempts failed") from OSError(errno.EMFILE, "Too many open files")
 
@@ -94,7 +94,7 @@
     run()
 
 
-def test_a_silent_store_times_out_at_the_clients_time():
+def test_a_silent_store_times_out_at_the_clients_deadline():
     @played
     async def run():
         async with rig() as it:
@@ -108,8 +108,8 @@
     run()
 
 
-def test_a_kept_connection_closed_as_it_is_reused_is_a_reset_never_unsent(monkeypatch):
-    """The store's close meets the request on its way; the idle check can't see it yet."""
+def test_an_idle_connection_closed_as_it_is_reused_is_a_reset_never_not_sent(monkeypatch):
+    """The store closes while the request is on its way, after the idle check."""
 
     @played
     async def run():
@@ -167,7 +167,7 @@
     run()
 
 
-def test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection():
+def test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection():
     @played
     async def run():
         async with rig() as it:
@@ -184,7 +184,7 @@
     run()
 
 
-def test_an_answer_longer_than_stated_is_served_as_stated_and_the_connection_is_not_used_again():
+def test_a_response_longer_than_declared_is_cut_and_its_connection_is_not_reused():
     @played
     async def run():
         async with rig() as it:
@@ -198,7 +198,7 @@
     run()
 
 
-def test_an_answer_that_trickles_past_the_clients_time_is_timed_out():
+def test_a_response_that_trickles_past_the_clients_deadline_is_timed_out():
     @played
     async def run():
         async with rig() as it:
@@ -212,13 +212,13 @@
     run()
 
 
-def test_a_range_that_is_not_the_one_asked_for_is_not_passed_on():
+def test_a_range_other_than_the_requested_one_is_not_passed_on():
     outcomes, reply = anyio.run(lambda: _first("wrong-range", range="bytes=5-9"))
     assert outcomes == ["CONNECTION_RESET", "SERVED"]
     assert (reply.status, reply.headers["content-range"]) == (206, "bytes 5-9/3000")
 
 
-def test_latency_leaves_out_the_time_that_the_client_took_over_its_body():
+def test_latency_excludes_time_spent_waiting_for_the_clients_body():
     @played
     async def run():
         async with rig() as it:
@@ -235,7 +235,7 @@
     run()
 
 
-def test_what_answers_tell_of_load_and_use_reaches_the_scheduler():
+def test_load_reports_and_volume_usage_reach_the_scheduler():
     @played
     async def run():
         async with rig(settings()) as it:
@@ -250,7 +250,7 @@
     run()
 
 
-def test_a_connect_that_takes_too_long_is_a_failed_dial():
+def test_a_connect_timeout_is_connect_failed():
     """A listener whose backlog is full accepts nothing: the connect hangs."""
 
     @played
@@ -277,7 +277,7 @@
     run()
 
 
-def test_the_scheduler_calls_an_attempt_off():
+def test_the_scheduler_cancels_an_attempt():
     @played
     async def run():
         async with rig() as it:
@@ -299,8 +299,8 @@
 
 
 @pytest.mark.parametrize("order", ["it is called off", "its time to be written ends"])
-def test_a_connection_comes_up_after_what_a_send_was_decided_on_and_nothing_is_written(monkeypatch, order):
-    """As on the platform: a store that had been told to drain got what a late connection brought."""
+def test_nothing_is_written_on_a_connection_that_is_ready_too_late(monkeypatch, order):
+    """Otherwise a store that has begun to drain would get the request."""
     get, handle = ConnectionPool.acquire, Scheduler.handle
 
     @played
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -28,7 +28,7 @@
 
 
 def effects(it: Rig, key: str) -> int:
-    """How often a write of an object took effect at stores."""
+    """How many writes of an object took effect at stores."""
     return sum(
         seen["what"] == "effect" and seen["object"] == key and seen["method"] == "PUT"
         for seen in it.record.seen
@@ -60,7 +60,7 @@
     run()
 
 
-def test_what_s3_puts_is_acknowledged_from_the_log_too(tmp_path):
+def test_s3_puts_are_acknowledged_from_the_log_too(tmp_path):
     @played
     async def run():
         from test_limits import ask
@@ -73,7 +73,7 @@
     run()
 
 
-def test_writes_while_their_store_is_down_are_there_when_it_is_back_the_last_one_last(tmp_path):
+def test_writes_during_a_stores_outage_are_sent_in_order_when_it_is_back(tmp_path):
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize("fault", ["reset-after-run", "shed", "error", "die-mid-request"])
-def test_a_lost_answer_or_a_failure_makes_no_second_effect(tmp_path, fault):
+def test_a_lost_response_or_a_failure_causes_no_second_effect(tmp_path, fault):
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
@@ -107,8 +107,8 @@
     run()
 
 
-def test_a_write_whose_answer_was_lost_beyond_the_racks_memory_is_not_sent_into_the_blue(tmp_path):
-    """Its store forgets keys after 100 ms; somebody else writes meanwhile: what nobody can tell is kept and reported."""
+def test_a_write_whose_response_was_lost_is_quarantined_after_the_deduplication_window(tmp_path):
+    """The store forgets keys after 100 ms, and another client writes meanwhile: whether it was executed can't be told."""
 
     @played
     async def run():
@@ -126,7 +126,7 @@
     run()
 
 
-def test_a_repeat_long_after_is_answered_from_the_logs_own_memory(tmp_path):
+def test_a_late_retry_is_answered_from_the_remembered_idempotency_key(tmp_path):
     @played
     async def run():
         async with rig(config(tmp_path), memory_ms=50.0) as it:
@@ -141,8 +141,8 @@
     run()
 
 
-def test_what_was_acknowledged_is_found_by_the_next_process_and_sent_once(tmp_path):
-    """The first gateway ends with its store away and its log not closed; one of two writes was out already."""
+def test_acknowledged_writes_are_recovered_by_the_next_process_and_sent_once(tmp_path):
+    """The first gateway is killed while a store is down; one of two writes had been sent."""
 
     @played
     async def run():
@@ -175,7 +175,7 @@
     run()
 
 
-def test_a_log_that_is_full_refuses_and_a_course_keeps_no_other_out(tmp_path):
+def test_a_full_log_rejects_writes_and_one_volume_does_not_starve_another(tmp_path):
     @played
     async def run():
         async with rig(config(tmp_path, record_bytes=600_000)) as it:
@@ -189,7 +189,7 @@
     run()
 
 
-def test_a_sync_that_fails_promises_nothing_and_the_next_write_is_safe(tmp_path):
+def test_a_failed_sync_promises_nothing_and_the_next_write_is_safe(tmp_path):
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
@@ -212,7 +212,7 @@
     run()
 
 
-def test_large_objects_and_conditions_go_through(tmp_path):
+def test_large_objects_and_conditional_writes_bypass_the_log(tmp_path):
     @played
     async def run():
         async with rig(config(tmp_path, record_bytes=1000)) as it:
@@ -224,7 +224,7 @@
     run()
 
 
-def test_a_stop_with_a_full_log_ends_in_time_and_says_what_is_left(tmp_path):
+def test_a_shutdown_with_a_full_log_ends_in_time_and_leaves_the_records(tmp_path):
     @played
     async def run():
         with pytest.MonkeyPatch.context() as patch:
@@ -250,22 +250,22 @@
 @pytest.mark.parametrize(
     ("classes", "said"), [(("once",), "never sent twice"), (("none-such",), "no class 'none-such'")]
 )
-def test_classes_that_can_not_be_kept_for_later_are_told_at_the_start(tmp_path, classes, said):
+def test_classes_that_can_not_be_written_back_are_errors_at_the_start(tmp_path, classes, said):
     base = config(tmp_path)
     wrong = dataclasses.replace(base, writeback=dataclasses.replace(base.writeback, classes=classes))
     with pytest.raises(StartError, match=said):
         Gateway(wrong)
 
 
-def test_a_log_that_another_gateway_has_is_told_at_the_start(tmp_path):
+def test_a_log_in_use_by_another_gateway_is_an_error_at_the_start(tmp_path):
     first = Gateway(config(tmp_path))
     with pytest.raises(StartError, match="in use by another process"):
         Gateway(config(tmp_path))
     first.writeback.committer.close()
 
 
-def test_a_sync_is_over_before_it_is_waited_for_and_the_gateway_goes_on():
-    """Beside plays that took all cores the loop waited for itself, for good: two workers of the suite, and a gateway would."""
+def test_waiting_for_a_sync_that_is_over_does_not_block_the_loop():
+    """The callback then runs in the loop's own thread, which would wait for itself forever."""
     made, found = Future[int](), list[int]()
     made.set_result(7)
     waits = threading.Thread(
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""What goes wrong at the client's side, at the list, in the loop and at a stop: each brought about on sockets."""
+"""Faults of clients, the endpoint list, the scheduler and at a shutdown: each brought about on sockets."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
         (b"GET /v/k HTTP/1.1\r\nhost: t\r\n x: folded\r\nbad header\r\n\r\n", 400, "bad-http"),
     ],
 )
-def test_what_is_no_good_http_is_refused_with_a_reason(sent, status, reason):
+def test_invalid_http_is_rejected_with_a_reason(sent, status, reason):
     @played
     async def run():
         async with rig(stores=1) as it:
@@ -57,7 +57,7 @@
     run()
 
 
-def test_headers_that_never_end_are_cut_off_by_time():
+def test_a_head_that_never_ends_times_out():
     @played
     async def run():
         async with rig(settings(limits__header_timeout="200ms"), stores=1) as it:
@@ -67,7 +67,7 @@
     run()
 
 
-def test_a_body_shorter_than_stated_is_no_object():
+def test_a_body_shorter_than_declared_stores_no_object():
     @played
     async def run():
         async with rig() as it:
@@ -87,7 +87,7 @@
     run()
 
 
-def test_a_body_longer_than_stated_is_the_next_request_and_a_bad_one():
+def test_bytes_beyond_the_declared_body_are_parsed_as_the_next_request():
     @played
     async def run():
         async with rig() as it:
@@ -101,7 +101,7 @@
     run()
 
 
-def test_a_chunked_body_that_is_malformed_is_a_failure_not_an_object():
+def test_a_malformed_chunked_body_fails_and_stores_no_object():
     @played
     async def run():
         async with rig() as it:
@@ -113,7 +113,7 @@
     run()
 
 
-def test_the_time_passes_while_a_body_still_arrives():
+def test_the_deadline_passes_while_a_body_still_arrives():
     @played
     async def run():
         async with rig() as it:
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
-def test_the_client_goes(when):
+def test_the_client_disconnects(when):
     @played
     async def run():
         async with rig(unit_ms=60.0) as it:
@@ -167,7 +167,7 @@
     run()
 
 
-def test_a_client_that_leaves_a_download_halfway_ends_the_stores_answer():
+def test_a_client_that_disconnects_during_a_download_ends_the_stores_response():
     @played
     async def run():
         async with rig() as it:
@@ -228,7 +228,7 @@
     run()
 
 
-def test_where_the_list_must_be_asked_for_the_scheduler_asks():
+def test_the_scheduler_requests_the_endpoint_list_where_it_has_to_be_polled():
     @played
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
@@ -238,7 +238,7 @@
     run()
 
 
-def test_the_same_key_twice_at_once_runs_once():
+def test_two_concurrent_requests_with_one_idempotency_key_execute_once():
     @played
     async def run():
         async with rig(unit_ms=60.0) as it:
@@ -261,8 +261,8 @@
     run()
 
 
-def test_the_event_loop_is_held_up_for_300_ms():
-    """Answers due meanwhile come as soon as it goes on: within the stated slack, here what it was held up for."""
+def test_the_event_loop_is_blocked_for_300_ms():
+    """Responses due meanwhile are sent as soon as it continues."""
 
     @played
     async def run():
@@ -298,7 +298,7 @@
         return []
 
 
-def test_a_scheduler_that_fails_leaves_no_request_without_an_answer():
+def test_a_failing_scheduler_leaves_no_request_unanswered():
     @played
     async def run():
         async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Broken)) as it:
@@ -319,7 +319,7 @@
 
 
 class Mute:
-    """A scheduler that says nothing."""
+    """A scheduler that never returns an action."""
 
     def __init__(self, *_: object) -> None:
         pass
@@ -328,7 +328,7 @@
         return []
 
 
-def test_a_scheduler_that_says_nothing_is_answered_for():
+def test_the_gateway_answers_for_a_silent_scheduler():
     @played
     async def run():
         async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Mute)) as it:
@@ -339,7 +339,7 @@
     run()
 
 
-def test_expect_continue_is_refused_before_the_body_is_asked_for():
+def test_expect_continue_is_rejected_before_the_body_is_requested():
     @played
     async def run():
         async with rig(listing=False) as it:
@@ -351,7 +351,7 @@
     run()
 
 
-def test_expect_continue_is_told_to_go_on_once_it_is_sent_to_a_store():
+def test_expect_continue_is_confirmed_once_the_request_is_sent_to_a_store():
     @played
     async def run():
         async with rig() as it:
@@ -366,8 +366,8 @@
     run()
 
 
-def test_a_large_answer_given_early_reaches_a_client_that_is_still_sending():
-    """No reset takes it away: the gateway reads on for a while before it closes."""
+def test_an_early_response_reaches_a_client_that_is_still_sending():
+    """The gateway reads on for a while before it closes, so that no reset discards the response."""
 
     @played
     async def run():
@@ -378,7 +378,7 @@
     run()
 
 
-def test_bodies_beyond_the_bound_are_refused_before_they_are_read():
+def test_bodies_beyond_the_limit_are_rejected_before_they_are_read():
     @played
     async def run():
         async with rig(settings(limits__body_total="1MiB")) as it:
@@ -396,7 +396,7 @@
     run()
 
 
-def test_a_body_from_the_temporary_file_is_sent_again_whole():
+def test_a_body_is_sent_again_complete_from_its_temporary_file():
     @played
     async def run():
         async with rig() as it:
@@ -409,7 +409,7 @@
     run()
 
 
-def test_a_stop_answers_all_200_that_are_out():
+def test_a_shutdown_answers_all_200_requests_in_flight():
     @played
     async def run():
         async with rig(unit_ms=200.0) as it:
@@ -436,7 +436,7 @@
     run()
 
 
-def test_no_file_descriptors_left_is_no_crash():
+def test_running_out_of_file_descriptors_is_no_crash():
     @played
     async def run():
         async with rig() as it:
@@ -517,8 +517,8 @@
     run()
 
 
-def test_a_client_that_sends_faster_than_its_store_takes_is_held_back():
-    """What a gateway reads ahead of a store that reads nothing stays bounded; memory once followed the client."""
+def test_a_client_that_sends_faster_than_its_store_reads_is_slowed_down():
+    """What a gateway reads ahead of a store that reads nothing stays bounded."""
 
     @played
     async def run():
@@ -550,7 +550,7 @@
     run()
 
 
-def test_an_unforeseen_fault_in_the_gateway_is_answered_and_leaves_nothing_behind(monkeypatch):
+def test_an_unexpected_error_in_the_gateway_is_answered_and_leaves_nothing_behind(monkeypatch):
     @played
     async def run():
         async with rig() as it:
@@ -570,7 +570,7 @@
     run()
 
 
-def test_an_old_copy_of_the_list_is_followed_by_what_changed_since():
+def test_a_cached_endpoint_list_is_followed_by_later_changes():
     @played
     async def run():
         async with rig(listing=False) as it:
@@ -587,8 +587,8 @@
     run()
 
 
-def test_a_client_that_resets_behind_an_upload_nobody_reads_yet_is_seen_and_nothing_is_sent():
-    """Found by bad-day with seed 6: the reader is paused at its bound, and a paused transport hears of no reset."""
+def test_a_reset_behind_an_unread_upload_is_noticed_and_nothing_is_sent():
+    """Receiving is paused at its limit, and a paused transport does not report a reset."""
 
     @played
     async def run():
@@ -622,8 +622,8 @@
     run()
 
 
-def test_a_body_that_was_read_with_its_head_has_an_end_though_the_client_sends_no_more():
-    """Whoever read on, waited until the client's time was up."""
+def test_a_body_that_arrived_with_its_head_ends_without_more_data():
+    """Reading on would wait until the client's deadline."""
     from winchdyke.http1 import End, RequestHead, ServerSide
 
     codec = ServerSide(1000)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the S3 listener: clients that check it, stalls, reloads, certificates that are over, clients' own."""
+"""TLS on the S3 listener and to stores: verification, stalled handshakes, reloads, expiry, client certificates."""
 
 from __future__ import annotations
 
@@ -82,7 +82,7 @@
     return Tls(str(certificate), str(key), **more)
 
 
-def test_boto3_over_tls_a_handshake_that_stalls_and_a_certificate_changed_in_service(tmp_path, monkeypatch):
+def test_boto3_over_tls_with_a_stalled_handshake_and_a_certificate_reloaded_in_service(tmp_path, monkeypatch):
     monkeypatch.setattr(tls, "FILE_CHECK_INTERVAL_SECONDS", 0.0)
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "first")
@@ -156,7 +156,7 @@
     run()
 
 
-def test_clients_that_must_show_a_certificate_and_the_oldest_version(tmp_path):
+def test_client_certificates_and_the_minimum_tls_version_are_enforced(tmp_path):
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "server")
     people = Issuer(tmp_path, "people")
@@ -189,7 +189,7 @@
     run()
 
 
-def test_what_cant_be_used_is_told_at_the_start(tmp_path):
+def test_unusable_certificates_are_errors_at_the_start(tmp_path):
     issuer = Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "one")
     now = time.time()
@@ -207,7 +207,7 @@
             load_server_context(settings, at)
 
 
-def test_stores_over_tls_and_one_whose_certificate_is_anothers(tmp_path):
+def test_tls_to_stores_and_a_store_with_an_untrusted_certificate(tmp_path):
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "store")
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from winchdyke import interface as api
 from winchdyke.discovery.endpoint_view import EndpointEvidence
@@ -44,8 +44,8 @@
     sink: Sink
     caller: Caller
     record: AccessLogRecord
-    last_outcome: api.AttemptOutcome | None = field(default=None)
-    running: Attempt | None = field(default=None)
+    last_outcome: api.AttemptOutcome | None = None
+    running: Attempt | None = None
 
 
 class ExchangeRunner:
