--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -18,7 +18,8 @@
 import structlog
 
 from winchdyke import interface as api
-from winchdyke.policy import Scheduler, VolumeQuota
+from winchdyke.scheduling import Scheduler
+from winchdyke.scheduling.quota import VolumeQuota
 
 # Imported where it is used: it brings along the configuration language, a third of the start-up time.
 if TYPE_CHECKING:
