--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -46,34 +46,43 @@
     test: str = ""
 
 
-P, S, A, E = "policy.py", "gateway/service.py", "gateway/attempts.py", "gateway/scheduler_loop.py"
+DISPATCH = "scheduling/dispatch.py"
+ADMISSION = "scheduling/admission.py"
+QUOTA = "scheduling/quota.py"
+BUDGET = "scheduling/retry_budget.py"
+HEALTH = "scheduling/endpoint_health.py"
+ENDPOINT = "scheduling/endpoint_state.py"
+REQUEST = "scheduling/pending_request.py"
+SCHEDULER = "scheduling/scheduler.py"
+S, A, E = "gateway/service.py", "gateway/attempts.py", "gateway/scheduler_loop.py"
+X = "gateway/exchange.py"
 L, T, N = "quotas/token_bucket.py", "quotas/byte_metering.py", "discovery/endpoint_view.py"
 MUTANTS = [
-    # The module
-    Mutant("limit never asked", P, "held.limit_charged\n            or not held.quota.plan.limit_units_per_s\n            or held.quota.limit_units >= held.request.units", "True"),
-    Mutant("limit not parted among gateways", P, "            plan.limit_burst_units / self.sharing_gateways,\n            self.limit_units + plan.limit_units_per_s / self.sharing_gateways * seconds,",
+    # Scheduling
+    Mutant("limit never asked", DISPATCH, "if _waits_for_limit(pending):", "if False:"),
+    Mutant("limit not parted among gateways", QUOTA, "            plan.limit_burst_units / self.sharing_gateways,\n            self.limit_units + plan.limit_units_per_s / self.sharing_gateways * seconds,",
            "            plan.limit_burst_units,\n            self.limit_units + plan.limit_units_per_s * seconds,"),
-    Mutant("limit never spent", P, "volume.limit_units - request.units * (not held.limit_charged)", "volume.limit_units"),
-    Mutant("limit burst not bounded", P, "self.limit_units = min(\n            plan.limit_burst_units / self.sharing_gateways,", "self.limit_units = max(\n            0.0,"),
-    Mutant("accounts begin full", P, "self.reserved_units = self.limit_units = 0.0", "self.reserved_units, self.limit_units = 0.0, plan.limit_burst_units", test="test_what_its_limit_cannot_take_in_time_is_answered_at_once"),
-    Mutant("budget never asked", P, "return funded and (not held.attempts or self.retry_budget.allows(now))", "return funded"),
-    Mutant("budget never spent", P, "self.retry_budget.retry_times.append(now)", "pass"),
-    Mutant("budget window a third", P, "cfg, since = self.settings, now - self.settings.retry_budget_window_ms", "cfg, since = self.settings, now - self.settings.retry_budget_window_ms / 3"),
-    Mutant("budget share tripled", P, "cfg.retry_budget_ratio * len(self.request_times)", "3 * cfg.retry_budget_ratio * len(self.request_times)"),
-    Mutant("attempts of a request not counted", P, "len(held.attempts) >= self.settings.max_attempts\n            or now", "now"),
-    Mutant("cold bound never asked", P, "if not node.admits_during_slow_start(\n                    self.settings, now, held.request.units, shard.throughput_units_per_s, self.sharers\n                ):", "if False:"),
-    Mutant("cold credit never spent", P, "node.slow_start_credit_units, node.overdraft_fraction = (\n            node.slow_start_credit_units - request.units,\n            self.random.random(),\n        )", "pass"),
-    Mutant("cold starts not heard of", P, "if entry.started_at_ms and entry.started_at_ms > view.started_at_ms:", "if False:"),
-    Mutant("cold bound by four times the flow", P, "COLD_PART = 1.0", "COLD_PART = 4.0"),
-    Mutant("drains not heeded", P, "entry.status is api.EndpointStatus.READY, entry.shard", "entry.status is not api.EndpointStatus.REMOVED, entry.shard"),
-    Mutant("order not kept", P, "waits = held.request_class.in_order and key and not held.attempts", "waits = False"),
-    Mutant("keys do not rest", P, "waits = first is not held or now < self.settling_keys.get(key, now)", "waits = first is not held"),
-    Mutant("rest after nothing", P, "if held.request_class.in_order and outcome in", "if False and outcome in"),
-    Mutant("at most once repeated", P, "if (\n            self.attempts_in_flight\n            or self.first_possible_execution is None\n            or self.request_class.repeat_safety is RepeatSafety.IDEMPOTENT\n        ):", "if True:"),
-    Mutant("what may have run not noted", P, "if not outcome.proves_no_effect and held.first_possible_execution is None:", "if False:"),
-    Mutant("memory taken for endless", P, "fresh = now < sent + self.request_class.deduplication_window_ms", "fresh = True"),
-    Mutant("refused though it may have run", P, "self.request_class.repeat_safety is RepeatSafety.IDEMPOTENCY_KEY\n            and self.request_class.deduplication_scope is DeduplicationScope.ALL", "True"),
-    Mutant("end of a request not heard", P, "if held.finished or event.request_finished:", "if held.finished:", rules=(1, 2, 6), test="test_the_reserve_does_not_wait_out_a_pause_while_the_node_answers_in_time"),
+    Mutant("limit never spent", DISPATCH, "        pending.quota.limit_units -= request.units\n", ""),
+    Mutant("limit burst not bounded", QUOTA, "self.limit_units = min(\n            plan.limit_burst_units / self.sharing_gateways,", "self.limit_units = max(\n            0.0,"),
+    Mutant("accounts begin full", QUOTA, "self.limit_units = 0.0", "self.limit_units = plan.limit_burst_units", test="test_what_its_limit_cannot_take_in_time_is_answered_at_once"),
+    Mutant("budget never asked", DISPATCH, "return not pending.attempts or state.retry_budget.allows(state.now)", "return True"),
+    Mutant("budget never spent", DISPATCH, "state.retry_budget.record_retry(now)", "pass"),
+    Mutant("budget window a third", BUDGET, "window_start = now - settings.retry_budget_window_ms", "window_start = now - settings.retry_budget_window_ms / 3"),
+    Mutant("budget share tripled", BUDGET, "settings.retry_budget_ratio * len(self.request_times)", "3 * settings.retry_budget_ratio * len(self.request_times)"),
+    Mutant("attempts of a request not counted", ADMISSION, "if len(pending.attempts) >= state.settings.max_attempts:", "if False:"),
+    Mutant("cold bound never asked", DISPATCH, "if not endpoint.admits_during_slow_start(\n            state.settings,\n            now,\n            pending.request.units,\n            shard.throughput_units_per_s,\n            state.gateways_sharing_a_shard,\n        ):", "if False:"),
+    Mutant("cold credit never spent", DISPATCH, "    endpoint.slow_start_credit_units -= request.units\n    endpoint.overdraft_fraction = state.random.random()\n", ""),
+    Mutant("cold starts not heard of", HEALTH, "if not entry.started_at_ms or entry.started_at_ms <= endpoint.started_at_ms:", "if True:"),
+    Mutant("cold bound by four times the flow", ENDPOINT, "SLOW_START_UTILIZATION = 1.0", "SLOW_START_UTILIZATION = 4.0"),
+    Mutant("drains not heeded", HEALTH, "endpoint.ready = entry.status is api.EndpointStatus.READY", "endpoint.ready = entry.status is not api.EndpointStatus.REMOVED"),
+    Mutant("order not kept", DISPATCH, "if not pending.request_class.in_order or not key or pending.attempts:", "if True:"),
+    Mutant("keys do not rest", DISPATCH, "return first is not pending or state.now < state.settling_keys.get(key, state.now)", "return first is not pending"),
+    Mutant("rest after nothing", SCHEDULER, "if pending.request_class.in_order and outcome in MAY_STILL_RUN:", "if False:"),
+    Mutant("at most once repeated", REQUEST, "if executed is None or self.request_class.repeat_safety is RepeatSafety.IDEMPOTENT:", "if True:"),
+    Mutant("what may have run not noted", SCHEDULER, "if not outcome.proves_no_effect:", "if False:"),
+    Mutant("memory taken for endless", REQUEST, "remembered = now < executed.sent_at_ms + self.request_class.deduplication_window_ms", "remembered = True"),
+    Mutant("refused though it may have run", REQUEST, "request_class.repeat_safety is RepeatSafety.IDEMPOTENCY_KEY\n            and request_class.deduplication_scope is DeduplicationScope.ALL", "True"),
+    Mutant("end of a request not heard", SCHEDULER, "if pending.finished or event.request_finished:", "if pending.finished:", rules=(1, 2, 6), test="test_the_reserve_does_not_wait_out_a_pause_while_the_node_answers_in_time"),
     # Limits for every byte
     Mutant("large bodies not paid for", T, "await self._tolls.pay(self._volume, self._course, units, self._until)", "pass"),
     Mutant("debts do not stand in the way", T, "if account.clear and not account.queued:", "if True:"),
@@ -82,20 +91,20 @@
     # Service
     Mutant("units not counted", "object_api/routes.py", "return min(largest, max(1.0, counted))", "return 1.0", test="test_what_an_operation_counts_is_its_bytes_in_units"),
     Mutant("the client's time not heeded", S, "operation.time_left_ms or rules.deadline_ms", "rules.deadline_ms", rules=(1,)),
-    Mutant("stores not told the key of a repeat", S, "if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
-    Mutant("served not told as over", S, "over = ended.outcome is api.AttemptOutcome.SERVED or ended.relayed or ended.fault is not None", "over = False", rules=(1, 2, 6), test="test_a_store_that_dies_in_a_streamed_answer_shows_as_a_cut_connection"),
-    Mutant("order key not made of the volume", S, "if rules.in_order\n", "if False\n", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
-    Mutant("a client's leaving not heeded", S, "            self.engine.gone(ticket)\n            for attempt in running:", "            for attempt in []:", rules=(1,), test="test_the_client_goes"),
-    Mutant("a cut answer left open", S, "connection.close_after = True  # cut: never an end that looks whole", "pass", rules=(1,)),
+    Mutant("stores not told the key of a repeat", "gateway/store_request.py", "if request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
+    Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection"),
+    Mutant("order key not made of the volume", S, "if rules.in_order:", "if False:", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
+    Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_disconnects"),
+    Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # never an end that looks complete", "pass", rules=(1,)),
     # Attempts
-    Mutant("a reset claims that nothing ran", A, "            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET if self._sent else AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            ended = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
-           "            ended = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            ended = AttemptResult(AttemptOutcome.NOT_SENT)"),
-    Mutant("an error claims that nothing ran", A, "return AttemptResult(AttemptOutcome.ERROR, told=told, status=head.status)", "return AttemptResult(AttemptOutcome.SHED, told=told, status=head.status)"),
-    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_a_store_that_breaks_off_is_told_as_it_was_and_a_read_goes_again"),
+    Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_connection_error())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
+           "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
+    Mutant("an error claims that nothing ran", A, "return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)", "return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)"),
+    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried"),
     Mutant("attempts have no time", A, "anyio.current_time() + max(0.0, timeout_ms) / 1000", "anyio.current_time() + 60", rules=(1,)),
     # Engine
     Mutant("timers not fired", E, "events.append(api.TimerFired(heapq.heappop(timers)[2]))", "heapq.heappop(timers)", rules=(1,)),
-    Mutant("answers told twice", E, "                ticket.closed = True\n                del self.tickets[action.request_id]", "                pass", rules=(1, 2), test="test_actions_reach_whoever_holds_the_request"),
+    Mutant("answers told twice", E, "        handle.finished = True\n        del self.open_requests[action.request_id]", "        pass", rules=(1, 2), test="test_actions_reach_the_handle_of_their_request"),
     # Membership
     Mutant("strangers not told apart", N, "if known.identity and word.identity and word.identity != known.identity:", "if False:", "blind-day"),
     Mutant("a store's own drain not heard", N, "self._drain(known, \"drains, by its own word\", now)", "pass", "blind-day"),
@@ -105,7 +114,7 @@
     # Changes
     Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "volume.plan, volume.settings = plan, settings", "pass", "change-day"),
     Mutant("harm not undone", "config_rollout/controller.py", "if found.bad:", "if False:", "change-day"),
-    Mutant("requests see settings as they are now", S, "headers.append((store_protocol.VERSION, str(version).encode()))", "headers.append((store_protocol.VERSION, str(self.snapshot.version).encode()))", "change-day"),
+    Mutant("requests see settings as they are now", S, "            context.record.config_version,", "            self.snapshot.version,", "change-day"),
     # S3
     Mutant("sums not compared", "s3/body.py", "if self._md5 is not None and not hmac", "if False and not hmac"),
     Mutant("last bytes not held back", "s3/body.py", "ready, self._held = self._held, data\n        return ready", "return data"),
