--- a/tests/test_fleet_node.py
+++ b/tests/test_membership_agent.py
@@ -1,4 +1,4 @@
-"""A gateway's place in the fleet on real sockets: joining, keys, strangers, the disk, the command."""
+"""The membership agent on real sockets: joining, keys, unauthenticated senders, the member cache, the command."""
 
 from __future__ import annotations
 
@@ -25,8 +25,16 @@
 from winchdyke.config_rollout.hot_reload import fixed
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.membership import datagrams, member_cache
-from winchdyke.membership.agent import MembershipAgent, MembershipError
-from winchdyke.membership.resolver import AGAIN_MS, FRESH_MS, MOST, AddressResolver
+from winchdyke.membership.agent import MembershipAgent
+from winchdyke.membership.errors import MembershipError
+from winchdyke.membership.resolver import (
+    ADDRESS_TTL_MS,
+    MAX_HOST_NAMES,
+    RETRY_DELAY_MS,
+    AddressResolver,
+    QueuedDatagram,
+    Resolution,
+)
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -57,7 +65,7 @@
 async def running(*nodes: MembershipAgent) -> AsyncIterator[None]:
     async with anyio.create_task_group() as group:
         for node in nodes:
-            if node.machine is None:
+            if node.protocol is None:
                 await node.open()
             group.start_soon(node.run)
         try:
@@ -79,25 +87,25 @@
 
 
 def states(node: MembershipAgent) -> dict[str, str]:
-    return {row["name"]: row["state"] for row in node.standing()["members"]}
+    return {row["name"]: row["state"] for row in node.status()["members"]}
 
 
-def test_two_find_each_other_by_one_seed_and_a_leave_is_heard(tmp_path):
+def test_two_gateways_join_through_one_seed_and_a_leave_is_received(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),)), clock)
         async with running(one, two):
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
-            await until(lambda: one.standing()["members"][0]["link"] == "both")
-            assert one.standing()["members"][0]["heard_ms"] < 5000
+            await until(lambda: one.status()["members"][0]["link"] == "both")
+            assert one.status()["members"][0]["heard_ms"] < 5000
             two.leave()
             await until(lambda: states(one) == {"two": "left"})
 
     anyio.run(play)
 
 
-def test_gateways_that_a_list_service_names_find_each_other_also_where_it_fails_first_and_later_for_good(
+def test_seeds_from_a_list_service_are_joined_though_it_fails_at_first_and_for_good_later(
     tmp_path,
 ):
     """One is named while two is alone; then three is, in service; then the service is down and the fleet stays."""
@@ -113,7 +121,7 @@
                 for node in (one, two):
                     group.start_soon(follows(node, service).run)
                 await until(lambda: service.refused >= 2)
-                assert states(one) == states(two) == {} and two.standing()["alone"]
+                assert states(one) == states(two) == {} and two.status()["alone"]
                 service.failing = ""
                 await service.set(shown(one), "ready", 0, "")
                 await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
@@ -123,17 +131,17 @@
                     await until(lambda: states(three) == {"one": "alive", "two": "alive"})
                     await service.set(shown(one), "draining", 0, "")
                     await service.set(shown(three), "ready", 0, "")
-                    await until(lambda: two.machine.seeds == three.machine.seeds == (shown(three),))
+                    await until(lambda: two.protocol.seeds == three.protocol.seeds == (shown(three),))
                     service.kill()
                     await until(lambda: third._failures >= 1)
-                    assert three.machine.seeds == (shown(three),), "what was said last goes on counting"
+                    assert three.protocol.seeds == (shown(three),), "what was said last goes on counting"
                     await until(lambda: states(two) == {"one": "alive", "three": "alive"})
             group.cancel_scope.cancel()
 
     anyio.run(play)
 
 
-def test_a_gateway_that_serves_follows_the_list_of_its_settings(tmp_path):
+def test_a_serving_gateway_takes_seeds_from_the_list_of_its_settings(tmp_path):
     async def play() -> None:
         async with anyio.create_task_group() as group:
             service = ListService(Record())
@@ -150,7 +158,7 @@
     anyio.run(play)
 
 
-def test_seeds_of_settings_peers_disk_and_list_stand_beside_each_other_and_none_drives_out_another(tmp_path):
+def test_seeds_of_settings_peers_disk_and_list_add_up(tmp_path):
     async def play() -> None:
         member_cache.save(
             tmp_path / "keep",
@@ -162,11 +170,14 @@
         )
         await one.open()
         given = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.2:1"]
-        assert list(one.machine.seeds) == given
-        one.listed(("10.0.0.5:1", "10.0.0.3:1"))
-        assert list(one.machine.seeds) == [*given, "10.0.0.5:1"]
-        one.expect(replace(one.config, peers=()))
-        assert list(one.machine.seeds) == ["10.0.0.3:1", "10.0.0.2:1", "10.0.0.5:1"] and one.machine.at == {}
+        assert list(one.protocol.seeds) == given
+        one.set_listed_seeds(("10.0.0.5:1", "10.0.0.3:1"))
+        assert list(one.protocol.seeds) == [*given, "10.0.0.5:1"]
+        one.update_config(replace(one.config, peers=()))
+        assert (
+            list(one.protocol.seeds) == ["10.0.0.3:1", "10.0.0.2:1", "10.0.0.5:1"]
+            and one.protocol.address_overrides == {}
+        )
         await one.close()
 
     anyio.run(play)
@@ -174,7 +185,7 @@
 
 def follows(node: MembershipAgent, service: ListService) -> Seeds:
     where = ("127.0.0.1", service.port, "/gateways")
-    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.listed)
+    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.set_listed_seeds)
 
 
 def shown(node: MembershipAgent) -> str:
@@ -195,7 +206,7 @@
         return getattr(self.inner, name)
 
 
-def test_a_peer_with_a_name_is_joined_and_no_datagram_waits_for_a_name_server(tmp_path, monkeypatch):
+def test_a_peer_with_a_host_name_is_joined_and_no_send_blocks_on_a_name_server(tmp_path, monkeypatch):
     """The system looks a name up within sendto: with a name server that is silent, no request is served meanwhile."""
     asked = list[str]()
     answers = anyio.Event()
@@ -217,74 +228,84 @@
         peer = ("one", Listen("gateway-one.example", one.address[1]))
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),), peers=(peer,)), clock)
         await two.open()
-        two._udp = sends = Sends(two._udp)  # type: ignore[assignment]
+        sends = Sends(two.transport._udp)
+        two.transport._udp = sends  # type: ignore[assignment]
         async with running(one, two):
             await until(lambda: states(two) == {"one": "alive"} and bool(asked))
             assert not sends.hosts, "held, or lost as on the way, while nobody knows the address"
             answers.set()
             await until(lambda: "127.0.0.1" in sends.hosts)
-            await until(lambda: two.standing()["members"][0]["link"] == "both")
+            await until(lambda: two.status()["members"][0]["link"] == "both")
             assert sends.hosts == {"127.0.0.1"}
 
     anyio.run(play)
 
 
-def test_names_are_looked_up_one_at_a_time_anew_when_old_and_kept_where_nobody_answers():
+def test_host_names_are_looked_up_once_at_a_time_and_stay_known_while_lookups_fail():
     names = AddressResolver()
-    assert names.send("10.0.0.1", "1", b"a", 0.0) == ("10.0.0.1", False)
-    assert names.send("::1", "1", b"a", 0.0) == ("::1", False)
-    assert names.send("gw", "1", b"a", 0.0) == ("", True)
-    assert names.send("gw", "2", b"b", 0.0) == ("", False), "under way already"
+    assert names.resolve("10.0.0.1", "1", b"a", 0.0) == Resolution("10.0.0.1", False)
+    assert names.resolve("::1", "1", b"a", 0.0) == Resolution("::1", False)
+    assert names.resolve("gw", "1", b"a", 0.0) == Resolution("", True)
+    assert names.resolve("gw", "2", b"b", 0.0) == Resolution("", False), "under way already"
     for _ in range(10):
-        names.send("gw", "2", b"c", 0.0)
-    assert names.found("gw", "10.0.0.2", 1.0) == [("1", b"a"), ("2", b"b"), ("2", b"c"), ("2", b"c")]
-    assert names.send("gw", "1", b"d", 2.0) == ("10.0.0.2", False)
-    assert names.send("gw", "1", b"d", 1.0 + FRESH_MS) == ("10.0.0.2", True), (
+        names.resolve("gw", "2", b"c", 0.0)
+    assert names.lookup_finished("gw", "10.0.0.2", 1.0) == [
+        QueuedDatagram("1", b"a"),
+        QueuedDatagram("2", b"b"),
+        QueuedDatagram("2", b"c"),
+        QueuedDatagram("2", b"c"),
+    ]
+    assert names.resolve("gw", "1", b"d", 2.0) == Resolution("10.0.0.2", False)
+    assert names.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == Resolution("10.0.0.2", True), (
         "used while it is looked up anew"
     )
-    assert names.found("gw", "", 40_000.0) == []
-    assert names.send("gw", "1", b"d", 40_001.0) == ("10.0.0.2", False), "no name server: as it was"
-    assert names.send("gw", "1", b"d", 40_000.0 + AGAIN_MS) == ("10.0.0.2", True)
-    assert names.found("gw", "10.0.0.3", 43_000.0) == []
-    assert names.send("gw", "1", b"d", 43_001.0) == ("10.0.0.3", False), "it has moved"
-    assert names.send("lost", "1", b"e", 0.0) == ("", True)
-    assert names.found("lost", "", 1.0) == [] and names.send("lost", "1", b"e", 2.0) == ("", False)
-    for number in range(2 * MOST):
-        names.send(f"host-{number}", "1", b"", 0.0)
-    assert len(names._names) == MOST
-
-
-def test_a_peer_that_the_settings_gain_in_service_is_joined(tmp_path):
+    assert names.lookup_finished("gw", "", 40_000.0) == []
+    assert names.resolve("gw", "1", b"d", 40_001.0) == Resolution("10.0.0.2", False), (
+        "no name server: as it was"
+    )
+    assert names.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == Resolution("10.0.0.2", True)
+    assert names.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
+    assert names.resolve("gw", "1", b"d", 43_001.0) == Resolution("10.0.0.3", False), "it has moved"
+    assert names.resolve("lost", "1", b"e", 0.0) == Resolution("", True)
+    assert names.lookup_finished("lost", "", 1.0) == [] and names.resolve(
+        "lost", "1", b"e", 2.0
+    ) == Resolution("", False)
+    for number in range(2 * MAX_HOST_NAMES):
+        names.resolve(f"host-{number}", "1", b"", 0.0)
+    assert len(names._hosts) == MAX_HOST_NAMES
+
+
+def test_a_peer_added_in_service_is_joined(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
             await anyio.sleep(0.3)
-            assert states(one) == {} and one.standing()["alone"]
-            one.expect(replace(one.config, peers=(("two", Listen(*two.address)),)))
+            assert states(one) == {} and one.status()["alone"]
+            one.update_config(replace(one.config, peers=(("two", Listen(*two.address)),)))
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
     anyio.run(play)
 
 
-def test_seeds_that_the_settings_gain_in_service_are_asked_and_other_keys_of_the_block_need_a_start(tmp_path):
+def test_seeds_added_in_service_are_contacted_and_other_keys_of_the_block_need_a_restart(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         async with running(one, two):
-            await until(lambda: one.machine is not None and two.machine is not None)
-            assert states(one) == {} and one.standing()["alone"]
+            await until(lambda: one.protocol is not None and two.protocol is not None)
+            assert states(one) == {} and one.status()["alone"]
             fleet = replace(one.config.fleet, seeds=(Listen(*two.address),))
             after = replace(one.config, fleet=fleet)
             assert fixed(diff(one.config, after)) == []
             assert fixed(diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))) == [
                 "fleet interval"
             ]
-            one.expect(after)
+            one.update_config(after)
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
     anyio.run(play)
 
 
-def test_a_key_is_changed_under_way_and_a_withdrawn_one_opens_nothing(tmp_path):
+def test_keys_rotate_in_service_and_a_withdrawn_key_opens_nothing(tmp_path):
     async def play() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         await one.open()
@@ -294,11 +315,11 @@
             for numbers in ((1, 2), (2, 1), (2,)):
                 ring(tmp_path / "keys", *numbers)
                 await anyio.sleep(1.3)
-            sealed = [key.id for key in one._keys.good(time.time() * 1000)]
+            sealed = [key.id for key in one.keys.ring.good(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
-            assert states(one) == {"two": "alive"} and one.standing()["members"][0]["heard_ms"] < 1000
-            message = datagrams.Envelope("two", 1, 1, "one", int(datagrams.Kind.PING))
+            assert states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
+            message = datagrams.SwimMessage("two", 1, 1, "one", int(datagrams.MessageKind.PING))
             with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
                 stranger.sendto(datagrams.seal(message, base64.b64decode(secret(1))), one.address)
                 await until(lambda: one.counts["dropped:seal"] == 1)
@@ -306,7 +327,7 @@
     anyio.run(play)
 
 
-def test_strangers_are_counted_and_told_nothing(tmp_path):
+def test_unauthenticated_datagrams_are_counted_and_not_answered(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         async with running(one):
@@ -336,7 +357,7 @@
     anyio.run(play)
 
 
-def test_what_can_not_be_started_says_why_and_what_to_do(tmp_path):
+def test_a_failed_start_says_why_and_what_to_do(tmp_path):
     async def play() -> None:
         with pytest.raises(MembershipError, match="see fleet, keys"):
             await MembershipAgent(config(tmp_path, "one", keys=str(tmp_path / "none")), clock).open()
@@ -357,7 +378,7 @@
     anyio.run(play)
 
 
-def test_members_kept_on_the_disk_are_found_without_seeds_and_lives_only_go_up(tmp_path):
+def test_cached_members_are_joined_without_seeds_and_generations_only_rise(tmp_path):
     async def play() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
@@ -365,7 +386,7 @@
             config(tmp_path, "two", seeds=(Listen(*one.address),), keep=str(tmp_path / "kept")), clock
         )
         async with running(one, two):
-            await until(lambda: (tmp_path / "kept" / member_cache.FILE).exists() and bool(states(two)))
+            await until(lambda: (tmp_path / "kept" / member_cache.FILE_NAME).exists() and bool(states(two)))
             await until(
                 lambda: bool(
                     (member_cache.load(tmp_path / "kept")[0] or member_cache.KnownMembers("x", 0)).members
@@ -377,10 +398,10 @@
         member_cache.save(tmp_path / "kept", far)
         again = MembershipAgent(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
         await again.open()
-        assert again.machine is not None and again.machine.life > 1 << 60
-        assert again.machine.seeds == (f"127.0.0.1:{one.address[1]}",)
+        assert again.protocol is not None and again.protocol.generation > 1 << 60
+        assert again.protocol.seeds == (f"127.0.0.1:{one.address[1]}",)
         await again.close()
-        (tmp_path / "kept" / member_cache.FILE).write_bytes(b"{cut")
+        (tmp_path / "kept" / member_cache.FILE_NAME).write_bytes(b"{cut")
         assert member_cache.load(tmp_path / "kept")[1].startswith(str(tmp_path))
 
     anyio.run(play)
@@ -398,7 +419,7 @@
 
 
 def test_the_command_shows_explains_and_watches(monkeypatch):
-    monkeypatch.setattr(command, "_standing", lambda where, key: STANDING)
+    monkeypatch.setattr(command, "_fetch_status", lambda where, key: STANDING)
 
     def said(*words: str) -> str:
         done = CliRunner().invoke(command.command, list(words))
@@ -417,6 +438,6 @@
     assert failed.exit_code == 1 and "knows no none; it knows two" in failed.output
 
 
-def test_the_command_says_where_nobody_answers(tmp_path):
+def test_the_command_reports_a_gateway_that_does_not_answer(tmp_path):
     done = CliRunner().invoke(command.command, ["show", f"unix:{tmp_path}/none"])
     assert done.exit_code == 1 and "no gateway answers" in done.output and "Traceback" not in done.output
--- /dev/null
+++ b/tests/test_membership_merge_model.py
@@ -0,0 +1,89 @@
+"""The merging of member records, over all states of a small model; and mutants of it, each detected."""
+
+from __future__ import annotations
+
+import pytest
+
+from winchdyke.membership.datagrams import MemberRecord, MemberState
+from winchdyke.membership.member_table import Member, MemberTable
+from winchdyke.model.checker import explore
+from winchdyke.model.members import Words
+
+
+def test_two_members_are_explored_completely_without_a_violation():
+    found = explore(Words(2, 3))
+    assert found.whole and not found.broken, found.trace
+    assert found.states > 1000
+
+
+def test_three_members_are_explored_to_a_depth_without_a_violation():
+    found = explore(Words(3, 2), most=4000)
+    assert not found.broken, found.trace
+
+
+class LastRecordWins(MemberTable):
+    """Takes whatever record came last."""
+
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        self.members.pop(record.name, None)
+        return super().apply(record, now, reporter)
+
+
+class IgnoresGenerations(MemberTable):
+    """Compares incarnations of different generations."""
+
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
+        if member is not None and record.precedence[1:] > member.record.precedence[1:]:
+            del self.members[record.name]
+        return super().apply(record, now, reporter)
+
+
+class DeathIsFinal(MemberTable):
+    """Lets no refutation clear a death."""
+
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
+        if (
+            member is not None
+            and member.state is MemberState.DEAD
+            and record.generation == member.record.generation
+        ):
+            return None
+        return super().apply(record, now, reporter)
+
+
+class FirstRecordWins(MemberTable):
+    """Of equal generation and incarnation keeps the record that came first."""
+
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        member = self.members.get(record.name)
+        if member is not None and record.precedence[:2] == member.record.precedence[:2]:
+            return None
+        return super().apply(record, now, reporter)
+
+
+class RaisesIncarnations(MemberTable):
+    """Raises another member's incarnation."""
+
+    def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        if record.state == MemberState.DEAD:
+            record = MemberRecord(
+                record.name, "", "", 0, record.generation, record.incarnation + 1, int(MemberState.DEAD), ""
+            )
+        return super().apply(record, now, reporter)
+
+
+@pytest.mark.parametrize(
+    "mutant, told",
+    [
+        (LastRecordWins, "heard is one"),
+        (IgnoresGenerations, "no way back"),
+        (DeathIsFinal, "heard is one"),
+        (FirstRecordWins, "heard is one"),
+        (RaisesIncarnations, "own voice"),
+    ],
+)
+def test_each_mutant_of_the_merge_is_detected(mutant, told):
+    found = explore(Words(3, 3, mutant), most=60_000)
+    assert found.broken.startswith(told), found
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -35,7 +35,8 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import Service
 from winchdyke.http1 import End, Need
-from winchdyke.membership.agent import MembershipAgent, MembershipError
+from winchdyke.membership.agent import MembershipAgent
+from winchdyke.membership.errors import MembershipError
 from winchdyke.object_api import store_protocol
 from winchdyke.s3.service import S3
 
@@ -147,7 +148,7 @@
             self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
         self.engine.apply_settings(prepared.settings, plans)
         if self.fleet is not None:
-            self.fleet.expect(prepared.after.config)
+            self.fleet.update_config(prepared.after.config)
 
     # Endpoints
 
@@ -280,7 +281,7 @@
         seed_list = self.config.fleet.list
         if seed_list is not None:
             name = self.config.gateway.name
-            seeds = Seeds(seed_list, self.config.nodes, name, self.engine.clock, self.fleet.listed)
+            seeds = Seeds(seed_list, self.config.nodes, name, self.engine.clock, self.fleet.set_listed_seeds)
             group.start_soon(seeds.run)
 
     def _start_accepting(
--- a/winchdyke/membership/events.py
+++ b/winchdyke/membership/events.py
@@ -1,57 +1,59 @@
-"""What a :class:`~winchdyke.membership.swim.Machine` starts from, what happens to it, and what it gives back to be done."""
+"""The inputs and outputs of :class:`~winchdyke.membership.swim.SwimProtocol`: events that happen, actions to carry out."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from winchdyke.membership.datagrams import Envelope
+from winchdyke.membership.datagrams import SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Own:
-    """This member, as it starts. ``life`` is higher than that of any process before it under this name, as far as it can know."""
+class LocalMember:
+    """This member at its start.
+
+    ``generation`` is higher than that of any earlier process of this name, as far as this one can know. ``address_overrides``
+    maps members' names to the addresses that reach them from here; these win over the addresses that members advertise.
+    """
 
     name: str
     address: str
     zone: str
     index: int
-    life: int
-    gateways: int = 0  # that the settings know; 0: not told
+    generation: int
+    gateway_count: int = 0  # in the settings; 0: unknown
     seeds: tuple[str, ...] = ()  # addresses
-    at: tuple[
-        tuple[str, str], ...
-    ] = ()  # where members are reached from here, by name; these win over what is heard
+    address_overrides: tuple[tuple[str, str], ...] = ()
 
 
-# What is to be done.
+# Actions.
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
-    """Send a datagram."""
+class SendDatagram:
+    """Send a message as one datagram."""
 
     address: str
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Exchange:
-    """Connect, send this over TCP, hand back the answer as :class:`Exchanged`."""
+class StartStateExchange:
+    """Connect over TCP, send the message, and hand back the answer as :class:`StateExchangeFinished`."""
 
     address: str
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
-    """Answer the exchange that is being handled."""
+class ReplyToStateExchange:
+    """Answer the state exchange whose request is being handled."""
 
-    message: Envelope
+    message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """A line for operators; ``code`` is the reason, ``member`` whom it is about."""
+class ReportEvent:
+    """Report a change to operators. ``code`` names it, ``member`` is whom it is about."""
 
     code: str
     member: str = ""
@@ -59,31 +61,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
-    """A later process has this name: this one is to say so and leave the fleet."""
+class StopMembership:
+    """Stop taking part: a later process has this name."""
 
-    why: str
+    reason: str
 
 
-Action = Tell | Exchange | Reply | Note | Leave
+Action = SendDatagram | StartStateExchange | ReplyToStateExchange | ReportEvent | StopMembership
 
 
-# What happens.
+# Events.
 
 
 @dataclass(frozen=True, slots=True)
-class Arrived:
-    """A datagram, or over TCP the question of an exchange."""
+class MessageReceived:
+    """A datagram, or the request of a state exchange over TCP."""
 
-    message: Envelope
+    message: SwimMessage
     address: str = ""
-    stream: bool = False
+    is_state_exchange: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Exchanged:
-    """How an exchange that this one began has ended; None: not at all."""
+class StateExchangeFinished:
+    """The end of a state exchange that this member started; ``message`` is None where it failed."""
 
     address: str
-    number: int
-    message: Envelope | None
+    request_id: int
+    message: SwimMessage | None
+
+
+Event = MessageReceived | StateExchangeFinished
