--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -13,7 +13,7 @@
 from test_platform_sockets import answer, discovery, free_port, port_of, site, spawned, until
 
 from winchdyke.platform import configuration
-from winchdyke.platform.clients import Clients, State
+from winchdyke.platform.client_connection import ClientConnections, ConnectionState
 from winchdyke.settings import settings_of
 
 
@@ -40,11 +40,11 @@
 
     async def play() -> None:
         async with site(tmp_path, silent) as it:
-            it.gateway.clients.closing = True
+            it.gateway.clients.close_after_response = True
             with socket.create_connection(("127.0.0.1", it.port)) as client:
                 client.sendall(it.request(**{"Req-Deadline-Ms": "5000"}))
                 await until(lambda: bool(it.store.seen))
-                (held,) = it.gateway.clients.by_state[State.OPEN]
+                (held,) = it.gateway.clients.by_state[ConnectionState.AWAITING_RESPONSE]
                 if unread:
                     it.gateway.loop.remove_reader(held.sock.fileno())  # the loop has not turned since it came
                     client.sendall(it.request())
@@ -67,7 +67,7 @@
 def test_an_answer_that_says_close_is_followed_by_the_clients_own_end(tmp_path):
     async def play() -> None:
         async with site(tmp_path) as it:
-            it.gateway.clients.closing = True
+            it.gateway.clients.close_after_response = True
             assert (await it.ask())[0] == 200
             await until(lambda: not it.gateway.clients.count, 0.5)
 
@@ -77,11 +77,11 @@
 def test_a_client_that_never_ends_a_closed_connection_is_ended(tmp_path):
     async def play() -> None:
         async with site(tmp_path) as it:
-            it.gateway.clients.closing = True
+            it.gateway.clients.close_after_response = True
             reader, writer = await it.open()
             writer.write(it.request())
             assert (await answer(reader))[0] == 200
-            assert it.gateway.clients.by_state[State.ENDING]
+            assert it.gateway.clients.by_state[ConnectionState.HALF_CLOSED]
             await until(lambda: not it.gateway.clients.count, 2.0)
             writer.close()
 
@@ -91,15 +91,15 @@
 def test_the_last_call_comes_between_two_requests_that_came_together_and_both_are_answered(
     tmp_path, monkeypatch
 ):
-    trim = Clients.trim
+    trim = ClientConnections.trim_idle
 
-    def hang_up(of: Clients) -> None:
+    def hang_up(of: ClientConnections) -> None:
         trim(of)
-        of.hang_up()
+        of.close_idle()
 
     async def play() -> None:
         async with site(tmp_path) as it:
-            monkeypatch.setattr(Clients, "trim", hang_up)
+            monkeypatch.setattr(ClientConnections, "trim_idle", hang_up)
             reader, writer = await it.open()
             writer.write(it.request() + it.request())
             assert [(await answer(reader))[0] for _ in range(2)] == [200, 200]
@@ -113,25 +113,25 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             it.gateway.stop()
-            calls = it.gateway._leaving
+            calls = it.gateway._shutdown
             assert calls is not None
-            it.gateway._leaving = replace(calls, last_call=0.0, answer_by=0.0, end=0.0)
+            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0)
             with socket.socket() as client:
                 if where == "in the queue":
-                    it.gateway.clients.accept(False)  # the loop has not turned since it came
+                    it.gateway.clients.set_accepting(False)  # the loop has not turned since it came
                 client.connect(("127.0.0.1", it.port))
                 if where == "in its socket":
                     await until(lambda: it.gateway.clients.count == 1)
-                    (fresh,) = it.gateway.clients.by_state[State.FRESH]
+                    (fresh,) = it.gateway.clients.by_state[ConnectionState.NEW]
                     it.gateway.loop.remove_reader(fresh.sock.fileno())
                     client.sendall(it.request())
                     select.select([fresh.sock], [], [], 5.0)
                 else:
                     client.sendall(it.request())
-                it.gateway._stop_on()
+                it.gateway._continue_shutdown()
                 data, good = await asyncio.to_thread(received, client)
             assert good and data.startswith(b"HTTP/1.1 503"), "taken, so answered"
-            await until(it.gateway.over.done)
+            await until(it.gateway.finished.done)
 
     asyncio.run(play())
 
@@ -142,19 +142,19 @@
             reader, writer = await it.open()
             request = it.request()
             writer.write(request[:30])
-            await until(lambda: bool(it.gateway.clients.by_state[State.FRESH]))
+            await until(lambda: bool(it.gateway.clients.by_state[ConnectionState.NEW]))
             await asyncio.sleep(0.05)
             it.gateway.stop()
-            calls = it.gateway._leaving
+            calls = it.gateway._shutdown
             assert calls is not None
-            it.gateway._leaving = replace(calls, last_call=0.0, end=0.0)
+            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, earliest_exit_ms=0.0)
             await asyncio.sleep(0.1)
-            assert not it.gateway.over.done()
+            assert not it.gateway.finished.done()
             writer.write(request[30:])
             status, headers, _ = await answer(reader)
             assert (status, headers["connection"]) == (200, "close")
             writer.close()
-            await until(it.gateway.over.done)
+            await until(it.gateway.finished.done)
 
     asyncio.run(play())
 
@@ -171,19 +171,21 @@
                 client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 client.connect(("127.0.0.1", it.port))
                 await until(lambda: it.gateway.clients.count == 1)
-                (fresh,) = it.gateway.clients.by_state[State.FRESH]
+                (fresh,) = it.gateway.clients.by_state[ConnectionState.NEW]
                 fresh.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 client.sendall(it.request(**{"Req-Deadline-Ms": "2000"}))
                 await until(lambda: it.gateway.counts["SERVED"] == 1)
                 it.gateway.stop()
-                calls = it.gateway._leaving
+                calls = it.gateway._shutdown
                 assert calls is not None
-                it.gateway._leaving = replace(calls, last_call=0.0, answer_by=0.0, end=0.0)
+                it.gateway._shutdown = replace(
+                    calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0
+                )
                 await asyncio.sleep(0.1)
-                assert not it.gateway.over.done()
+                assert not it.gateway.finished.done()
                 data, good = await asyncio.to_thread(received, client)
             assert good and data.endswith(b"y" * size)
-            await until(it.gateway.over.done)
+            await until(it.gateway.finished.done)
 
     asyncio.run(play())
 
@@ -232,7 +234,7 @@
             path, watches = tmp_path / "config.json", list[asyncio.StreamWriter]()
             lists = await discovery(watches)
             whole = path.read_text().replace(
-                ":".join(map(str, it.gateway.told.discovery)), f"127.0.0.1:{port_of(lists)}"
+                ":".join(map(str, it.gateway.environment.discovery_address)), f"127.0.0.1:{port_of(lists)}"
             )
             path.write_text(whole[: len(whole) // 2])
             it.gateway.reload()
@@ -255,7 +257,7 @@
                 client.sendall(it.request())
                 await until(lambda: it.gateway.counts["SERVED"] == 1)
                 request = it.request()
-                it.gateway.clients.hang_up()
+                it.gateway.clients.close_idle()
                 client.sendall(request)
                 await asyncio.sleep(0.05)
             assert (await it.ask(request))[0] == 200
@@ -276,10 +278,10 @@
     if how == "null":
         told[key] = None
     variables = config(tmp_path / "config.json", settings=told, limits=None, known=None)
-    read = configuration.read(variables)
+    read = configuration.read_environment(variables)
     assert (
         read.settings.classes[0].deduplication_window_ms == 0.0
-        and not read.known
+        and not read.cached_endpoint_list
         and read.limits.cores == 1.0
     )
 
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -15,8 +15,8 @@
 
 from winchdyke import interface as api
 from winchdyke.interface import AttemptOutcome
-from winchdyke.platform import clients, protocol
-from winchdyke.platform.clients import State
+from winchdyke.platform import client_connection, protocol
+from winchdyke.platform.client_connection import ConnectionState
 
 
 @pytest.mark.parametrize("where", ["in the queue", "on a connection that rests"])
@@ -29,22 +29,22 @@
             taken, loop = it.gateway.clients, it.gateway.loop
             await until(lambda: taken._accepting)
             if where == "in the queue":
-                taken.accept(False)
+                taken.set_accepting(False)
                 _, writer = await it.open()
             else:
                 reader, writer = await it.open()
                 writer.write(it.request())
                 assert (await answer(reader))[0] == 200
-                (client,) = taken.by_state[State.IDLE]
+                (client,) = taken.by_state[ConnectionState.IDLE]
                 loop.remove_reader(client.sock.fileno())
             begun = len(it.store.seen)
             writer.write(it.request())
             leave(writer, how)
             await asyncio.sleep(0.05)
             if where == "in the queue":
-                taken.accept(True)
+                taken.set_accepting(True)
             else:
-                loop.add_reader(client.sock.fileno(), client.readable)
+                loop.add_reader(client.sock.fileno(), client.on_readable)
             await until(lambda: not taken.count)
             await settled(it)
             assert len(it.store.seen) == begun and not it.gateway.engine._scheduler.requests
@@ -76,12 +76,12 @@
         async with site(tmp_path, say) as it:
             asked = asyncio.ensure_future(it.ask(**{"Req-Kind": "write", "Req-Deadline-Ms": "8000"}))
             await until(lambda: bool(dials.held))
-            clock = it.gateway.stores.clock
-            it.gateway.stores.clock = lambda: clock() + (1600.0 if forgotten else 0.0)
+            clock = it.gateway.upstream_pool.clock
+            it.gateway.upstream_pool.clock = lambda: clock() + (1600.0 if forgotten else 0.0)
             dials.go()
             status, _, _ = await asked
             assert (len(it.store.seen), status == 200) == ((1, False) if forgotten else (2, True))
-            it.gateway.stores.clock = clock
+            it.gateway.upstream_pool.clock = clock
 
     asyncio.run(play())
 
@@ -141,7 +141,7 @@
                 ]
                 assert (await it.ask())[0] == 503
             else:
-                assert it.gateway.follower.version == 1 and (await it.ask())[0] == 200, "a reset is no end"
+                assert it.gateway.discovery.version == 1 and (await it.ask())[0] == 200, "a reset is no end"
 
     asyncio.run(play())
 
@@ -172,7 +172,7 @@
 )
 def test_a_spoilt_list_is_a_fault_by_name_and_nothing_else(text):
     with pytest.raises(protocol.EndpointListError):
-        protocol.Objects().feed(text)
+        protocol.WatchParser().feed(text)
 
 
 CAPPED = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=40.0, limit_burst_units=32.0)
@@ -225,12 +225,16 @@
         async with site(tmp_path) as it:
             reader, writer = await it.open()
             writer.write(it.request()[:-9])
-            await until(lambda: any(client.came for client in it.gateway.clients.by_state[State.FRESH]))
+            await until(
+                lambda: any(
+                    client.last_received_at_ms for client in it.gateway.clients.by_state[ConnectionState.NEW]
+                )
+            )
             if why == "its time is up":
-                monkeypatch.setattr(clients, "FIRST_MS", 1.0)
+                monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_MS", 1.0)
             else:
-                monkeypatch.setattr(clients, "GRACE_MS", 0.0)
-                assert it.gateway.clients._make_room()
+                monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_MS", 0.0)
+                assert it.gateway.clients.make_room()
             assert (await answer(reader))[0] == (408 if why == "its time is up" else 503)
             writer.close()
 
@@ -252,12 +256,12 @@
                 )[:-3]
 
             assert (await it.ask(request(len(body)) + body))[::2] == (200, b"good")
-            assert it.store.seen[0].endswith(body) and not it.gateway.clients.long
+            assert it.store.seen[0].endswith(body) and not it.gateway.clients.large_body_bytes
             assert (await it.ask(request(64 * 2**20)))[0] == 413, "by its head"
             reader, writer = await it.open()
             writer.write(request(len(body)) + body[:1000])
-            await until(lambda: it.gateway.clients.long == len(body))
-            it.gateway.clients.long_most = 1.5 * len(body)
+            await until(lambda: it.gateway.clients.large_body_bytes == len(body))
+            it.gateway.clients.max_large_body_bytes = 1.5 * len(body)
             assert (await it.ask(request(len(body)) + body))[0] == 503, "not both at once"
             writer.write(body[1000:])
             assert (await answer(reader))[0] == 200
@@ -265,11 +269,13 @@
             text = it.request(**chunked, **{"Req-Deadline-Ms": "9000"})[:-3]
             piece = b"6978\r\n" + body[:27_000] + b"\r\n"
             assert (await it.ask(text + 4 * piece + b"0\r\n\r\n"))[0] == 200
-            it.gateway.clients.long_most = 1e9
+            it.gateway.clients.max_large_body_bytes = 1e9
             assert (await it.ask(text.replace(b"000", b"00f", 1) + 40 * piece))[0] == 413, (
                 "and not without end"
             )
-            assert (await it.ask(request(len(body)) + body))[0] == 200 and not it.gateway.clients.long
+            assert (await it.ask(request(len(body)) + body))[
+                0
+            ] == 200 and not it.gateway.clients.large_body_bytes
             writer.close()
 
     asyncio.run(play())
@@ -291,7 +297,7 @@
         async with site(tmp_path, say) as it:
             status, _, body = await it.ask(**{"Req-Kind": "write", "Req-Deadline-Ms": "3000"})
             assert (status, body == b"halfwhole") == ((200, True) if end == "close" else (502, False))
-            assert not it.gateway.stores._idle
+            assert not it.gateway.upstream_pool._idle
 
     asyncio.run(play())
 
@@ -306,10 +312,10 @@
             _, writer = await it.open()
             writer.write(it.request(**{"Req-Deadline-Ms": "8000"}))
             await until(lambda: bool(dials.held))
-            (client,) = it.gateway.clients.by_state[State.OPEN]
+            (client,) = it.gateway.clients.by_state[ConnectionState.AWAITING_RESPONSE]
             it.gateway.loop.remove_reader(client.sock.fileno())
             leave(writer, how)
-            await until(lambda: clients.sockets.ended(client.sock))
+            await until(lambda: client_connection.sockets.peer_has_closed(client.sock))
             assert not it.gateway.counts["gone"]
             dials.go()
             await settled(it)
@@ -324,7 +330,7 @@
         async with site(tmp_path, known={"version": 9, "servers": [{"id": 7}]}) as it:
             assert (await it.ask())[0] == 503
             it.tell(2)
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 200
 
     asyncio.run(play())
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -85,7 +85,7 @@
         held, self.dials.held = self.dials.held, []
         for link in held:
             if link.sock.fileno() >= 0:
-                link.writable()
+                link.on_writable()
 
     def _pick(self, of: list[tuple[asyncio.StreamWriter, str]]) -> tuple[asyncio.StreamWriter, str] | None:
         live = [pair for pair in of if not pair[0].is_closing()]
@@ -115,7 +115,7 @@
     async def _tell(self, **changes: object) -> None:
         self.version += 1
         self.it.tell(self.version, **changes)
-        await until(lambda: self.it.gateway.follower.version == self.version)
+        await until(lambda: self.it.gateway.discovery.version == self.version)
         await self.seen()
 
     async def drain(self) -> None:
@@ -169,8 +169,8 @@
         for _ in range(60):
             await play.answer()
             await asyncio.sleep(0.005)
-        assert it.gateway._leaving is not None
-        await until(lambda: it.gateway.over.done(), 8.0)
+        assert it.gateway._shutdown is not None
+        await until(lambda: it.gateway.finished.done(), 8.0)
         for one in play.tries:
             if one.left:
                 continue
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -12,9 +12,9 @@
 import pytest
 from test_platform_sockets import GOOD, Site, answer, good, site, until
 
-from winchdyke.platform import stores
-from winchdyke.platform.clients import State
-from winchdyke.platform.stores import Link, Stores
+from winchdyke.platform import upstream_attempt
+from winchdyke.platform.client_connection import ConnectionState
+from winchdyke.platform.upstream_attempt import UpstreamConnection, UpstreamPool
 
 LONG = {"Req-Deadline-Ms": "5000"}
 OTHER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
@@ -24,26 +24,30 @@
     """Holds connections to stores as if they had not come up, until they are let go."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.held, self.holding = list[Link](), True
-        begin, connected = Stores.dial, stores.sockets.connected
+        self.held, self.holding = list[UpstreamConnection](), True
+        begin, connected = UpstreamPool.connect, upstream_attempt.sockets.connect_has_finished
 
-        def dial(of: Stores, place: stores.Place) -> Link:
+        def dial(of: UpstreamPool, place: upstream_attempt.EndpointAddress) -> UpstreamConnection:
             link = begin(of, place)
             if self.holding:
-                of.connect_ms = 10_000.0  # held for as long as the test wants, on any machine
+                of.connect_timeout_ms = 10_000.0  # held for as long as the test wants, on any machine
                 of.loop.remove_writer(link.sock.fileno())
                 self.held.append(link)
             return link
 
-        patch.setattr(Stores, "dial", dial)
-        patch.setattr(stores.sockets, "connected", lambda sock: not self.holding and connected(sock))
+        patch.setattr(UpstreamPool, "connect", dial)
+        patch.setattr(
+            upstream_attempt.sockets,
+            "connect_has_finished",
+            lambda sock: not self.holding and connected(sock),
+        )
 
     def go(self) -> None:
         """All that is held comes up in one turn; what is dialled from now on is not held."""
         self.holding = False
         for link in self.held:
             if link.sock.fileno() >= 0:
-                link.writable()
+                link.on_writable()
 
 
 @pytest.fixture
@@ -59,14 +63,14 @@
 
 def narrow(patch: pytest.MonkeyPatch) -> None:
     """Connections to stores take little at a time: a body is half written for as long as its store reads nothing."""
-    begin = Stores.dial
+    begin = UpstreamPool.connect
 
-    def dial(of: Stores, place: stores.Place) -> Link:
+    def dial(of: UpstreamPool, place: upstream_attempt.EndpointAddress) -> UpstreamConnection:
         link = begin(of, place)
         link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return link
 
-    patch.setattr(Stores, "dial", dial)
+    patch.setattr(UpstreamPool, "connect", dial)
 
 
 def listener_of_little() -> socket.socket:
@@ -81,7 +85,7 @@
 async def moved(it: Site, listener: socket.socket) -> None:
     """The store is at another address from now on."""
     it.tell(2, addr=f"127.0.0.1:{listener.getsockname()[1]}")
-    await until(lambda: it.gateway.follower.version == 2)
+    await until(lambda: it.gateway.discovery.version == 2)
 
 
 def leave(writer: asyncio.StreamWriter, how: str) -> None:
@@ -179,11 +183,13 @@
             reader, writer = await it.open()
             writer.write(it.request())
             assert (await answer(reader))[0] == 200
-            (client,) = it.gateway.clients.by_state[State.IDLE]
-            client._over = True  # bytes were thrown away, and the turn that tells so has not come
+            (client,) = it.gateway.clients.by_state[ConnectionState.IDLE]
+            client._pipeline_overflowed = (
+                True  # bytes were thrown away, and the turn that tells so has not come
+            )
             writer.write(it.request())
-            await until(lambda: client._thrown > 0)
-            client.look()
+            await until(lambda: client._discarded_bytes > 0)
+            client.process_pending()
             assert (await answer(reader))[0] == 413 and len(it.store.seen) == 1
             writer.close()
 
@@ -211,7 +217,7 @@
             asked = asyncio.ensure_future(it.ask(**LONG))
             await until(lambda: bool(dials.held))
             it.tell(2, started_ms=1)
-            await until(lambda: it.gateway.stores.counts["called-off"] == 1)
+            await until(lambda: it.gateway.upstream_pool.counts["called-off"] == 1)
             before = dials.held[0]
             dials.go()
             assert (await asked)[0] == 200 and before.sock.fileno() < 0 and len(it.store.seen) == 1
@@ -233,7 +239,9 @@
                 )
                 _, writer = await it.open()
                 writer.write(request[:-3] + body)
-                await until(lambda: it.gateway.counts["taken"] == 1 and bool(it.gateway.stores.links))
+                await until(
+                    lambda: it.gateway.counts["taken"] == 1 and bool(it.gateway.upstream_pool.connections)
+                )
                 store, _ = await asyncio.to_thread(listener.accept)
                 leave(writer, how)
                 await until(lambda: it.gateway.counts["gone"] == 1)
@@ -274,9 +282,9 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            await asyncio.sleep(2 * stores.REST_MS / 1000)
+            await asyncio.sleep(2 * upstream_attempt.MIN_REUSE_PAUSE_MS / 1000)
             await it.ask()
-            assert it.store.connections == 1 and it.gateway.stores.counts["reused"] == 1
+            assert it.store.connections == 1 and it.gateway.upstream_pool.counts["reused"] == 1
 
     asyncio.run(play())
 
@@ -285,7 +293,7 @@
     tmp_path, monkeypatch
 ):
     """A process kept off its core used connections that their stores were just ending."""
-    receive = stores.sockets.receive
+    receive = upstream_attempt.sockets.receive
 
     def late(sock: socket.socket, most: int = 65536) -> tuple[bytes, float]:
         data, came = receive(sock, most)
@@ -294,13 +302,15 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            await until(lambda: bool(it.gateway.stores._idle))
+            await until(lambda: bool(it.gateway.upstream_pool._idle))
             with monkeypatch.context() as patch:
-                patch.setattr(stores.sockets, "receive", late)
-                it.gateway.stores.close()
+                patch.setattr(upstream_attempt.sockets, "receive", late)
+                it.gateway.upstream_pool.close_idle()
                 assert (await it.ask(**{"Req-Deadline-Ms": "2000"}))[0] == 200
-                await until(lambda: bool(it.gateway.stores._idle) or not it.gateway.stores.links)
-            assert it.gateway.stores.kept(it.gateway.places["s-1"]) is None
+                await until(
+                    lambda: bool(it.gateway.upstream_pool._idle) or not it.gateway.upstream_pool.connections
+                )
+            assert it.gateway.upstream_pool.take_idle(it.gateway.endpoints["s-1"]) is None
 
     asyncio.run(play())
 
@@ -314,7 +324,7 @@
         async with site(tmp_path, silent) as it:
             asked = asyncio.ensure_future(it.ask(**{"Req-Kind": "write"}))
             await until(lambda: bool(it.store.seen))
-            (link,) = it.gateway.stores.links
+            (link,) = it.gateway.upstream_pool.connections
             it.gateway.loop.remove_reader(link.sock.fileno())  # the loop has not turned since
             if lies:
                 it.store.writers[0].write(GOOD)
--- a/tests/test_crossings_watches.py
+++ b/tests/test_crossings_watches.py
@@ -35,15 +35,15 @@
             await until(lambda: len(it.watches) == 2, 6.0)
             assert 2.0 < time.monotonic() - began < 3.0, "longer than an empty line's 2 s, and not by much"
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503 and not it.store.seen
 
     asyncio.run(play())
 
 
 def test_a_watch_that_says_empty_lines_is_left_alone(tmp_path, monkeypatch):
-    monkeypatch.setattr(watching, "SILENT_S", 0.3)
-    monkeypatch.setattr(watching, "LOOK_S", 0.02)
+    monkeypatch.setattr(watching, "WATCH_SILENCE_SECONDS", 0.3)
+    monkeypatch.setattr(watching, "SILENCE_CHECK_SECONDS", 0.02)
 
     async def play() -> None:
         async with site(tmp_path) as it:
@@ -63,7 +63,7 @@
             text = json.dumps(told, indent=2).encode() + b"\n"
             for at in range(0, len(text), size):
                 it.watches[0].write(chunk(text[at : at + size]))
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert len(it.watches) == 1 and (await it.ask())[0] == 503 and not it.store.seen
 
     asyncio.run(play())
@@ -73,7 +73,7 @@
     "text", [b"{no\n", b'{"version": 2,\n  oh no\n\n', b'{"a": [\n{\n\n', b"[1]\n", b"nonsense\n"]
 )
 def test_what_cannot_become_an_object_is_told_by_its_lines(text):
-    objects = protocol.Objects()
+    objects = protocol.WatchParser()
     with pytest.raises(protocol.EndpointListError):
         objects.feed(text)
 
@@ -86,9 +86,9 @@
             await it.watches[0].drain()
             it.watches[0].transport.abort()
             await until(lambda: len(it.watches) == 2)
-            assert it.gateway.follower.version == 1 and (await it.ask())[0] == 200
+            assert it.gateway.discovery.version == 1 and (await it.ask())[0] == 200
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
 
     asyncio.run(play())
@@ -106,10 +106,10 @@
             it.gateway.reload()
             await until(lambda: bool(newer))
             it.tell(2, state="terminating")  # on the old watch
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             newer[0].write(HEAD + chunk(json.dumps(said(it, 1, full=True)).encode() + b"\n"))
-            await until(lambda: it.gateway.follower._old is None)
-            assert (await it.ask())[0] == 503 and not it.store.seen and it.gateway.follower.version == 2
+            await until(lambda: it.gateway.discovery._previous_watch is None)
+            assert (await it.ask())[0] == 503 and not it.store.seen and it.gateway.discovery.version == 2
             other.close()
 
     asyncio.run(play())
@@ -119,12 +119,12 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             it.tell(9)
-            await until(lambda: it.gateway.follower.version == 9)
+            await until(lambda: it.gateway.discovery.version == 9)
             it.watches[0].transport.abort()
             await until(lambda: len(it.watches) == 2)
             it.watches[1].write(chunk(json.dumps(said(it, 1, full=True)).encode() + b"\n"))
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
 
     asyncio.run(play())
@@ -134,12 +134,12 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             it.tell(9)
-            await until(lambda: it.gateway.follower.version == 9)
+            await until(lambda: it.gateway.discovery.version == 9)
             it.watches[0].transport.abort()
             await until(lambda: len(it.watches) == 2)
             it.tell(3, state="terminating")
             await until(lambda: len(it.watches) == 3)
-            assert it.gateway.follower._whole
+            assert it.gateway.discovery._needs_full_list
 
     asyncio.run(play())
 
@@ -161,10 +161,10 @@
             mute = list[asyncio.StreamWriter]()
             places = [await silent(mute) for _ in range(2)]
             for place in places:
-                it.gateway.follower.move(("127.0.0.1", port_of(place)))
+                it.gateway.discovery.change_address(("127.0.0.1", port_of(place)))
                 await until(lambda: bool(mute))
             it.tell(2, state="terminating")  # on the first of all, which still speaks
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
             for place in places:
                 place.close()
@@ -183,7 +183,7 @@
         async with site(tmp_path) as it:
             watches = list[asyncio.StreamWriter]()
             bad = await discovery_that(watches, say)
-            it.gateway.follower.move(("127.0.0.1", port_of(bad)))
+            it.gateway.discovery.change_address(("127.0.0.1", port_of(bad)))
             await asyncio.sleep(1.0)
             assert 2 <= len(watches) <= 8 and (await it.ask())[0] == 200, "the last good list is kept"
             bad.close()
@@ -199,7 +199,7 @@
 @pytest.mark.parametrize("drains", [True, False])
 def test_a_request_comes_to_a_new_process_before_discovery_has_spoken(tmp_path, drains, monkeypatch):
     """What the agent has counts as told from the first moment; the list of an earlier life named a store that drains."""
-    monkeypatch.setattr(service, "START_S", 30.0)
+    monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 30.0)
 
     async def play() -> None:
         async with site(tmp_path, lists_of=silent) as it:
@@ -221,7 +221,7 @@
 
 
 def test_where_discovery_is_down_at_the_start_the_known_list_serves(tmp_path, monkeypatch):
-    monkeypatch.setattr(service, "START_S", 0.1)
+    monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 0.1)
 
     async def play() -> None:
         async with site(tmp_path, lists_of=silent) as it:
@@ -232,7 +232,7 @@
 
 def test_where_lists_are_asked_for_a_new_process_waits_for_no_word(tmp_path, monkeypatch):
     """halden-mirror, herd+mass, two seeds: the wait cost 0.024 of what is served, and guards nothing there."""
-    monkeypatch.setattr(service, "START_S", 60.0)
+    monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 60.0)
     monkeypatch.setattr(test_platform, "TOLD", {**test_platform.TOLD, "discovery": "on_request"})
 
     async def play() -> None:
@@ -247,13 +247,13 @@
         async with site(tmp_path) as it:
             more = list[asyncio.StreamWriter]()
             lists = await discovery(more)
-            home = it.gateway.follower.address
-            it.gateway.follower.move(("127.0.0.1", port_of(lists)))
-            await until(lambda: bool(more) and it.gateway.follower._old is None)
-            it.gateway.follower.move(home)
+            home = it.gateway.discovery.address
+            it.gateway.discovery.change_address(("127.0.0.1", port_of(lists)))
+            await until(lambda: bool(more) and it.gateway.discovery._previous_watch is None)
+            it.gateway.discovery.change_address(home)
             await until(lambda: len(it.watches) == 2)
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
             lists.close()
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -13,8 +13,13 @@
 from winchdyke.http1 import ClientSide, Need, ProtocolError, ServerSide
 from winchdyke.interface import AttemptOutcome
 from winchdyke.platform import configuration, protocol
+from winchdyke.platform.client_idle_limit import (
+    IDLE_PER_BUSY_RATIO,
+    MIN_IDLE_CONNECTIONS,
+    PEAK_HALF_LIFE_MS,
+    IdleConnectionLimit,
+)
 from winchdyke.platform.graceful_shutdown import shutdown_schedule
-from winchdyke.platform.room import HALF_MS, LEAST, TIMES, Room
 
 TOLD = {
     "balancers": 2,
@@ -65,7 +70,7 @@
     side.feed(message(f"{method} {path} HTTP/1.1", headers))
     head = side.head()
     assert head is not None and not isinstance(head, Need)
-    return protocol.Reader(SETTINGS).asked(head)
+    return protocol.RequestParser(SETTINGS).parse(head)
 
 
 def test_a_request_is_read_and_passes_on_unchanged_but_for_its_time():
@@ -82,7 +87,7 @@
         time_left_ms=480.0,
     )
     read.body = b"abc"
-    sent = dict(protocol.onward(read, 123.9))
+    sent = dict(protocol.upstream_headers(read, 123.9))
     assert read.target == (PATH + "?a=b").encode() and sent[b"req-deadline-ms"] == b"123"
     assert (sent[b"idempotency-key"], sent[b"content-length"]) == (b"k1", b"3")
 
@@ -119,7 +124,7 @@
     side = ServerSide(4096)
     side.feed(message(f"GET {PATH} HTTP/1.1", READ).replace(b"\r\n\r\n", b"\r\nReq-Id: other\r\n\r\n"))
     with pytest.raises(ProtocolError, match="more than one req-id"):
-        protocol.Reader(SETTINGS).asked(side.head())
+        protocol.RequestParser(SETTINGS).parse(side.head())
 
 
 def answered(first: str, headers: dict[str, str]) -> Any:
@@ -142,16 +147,29 @@
     ],
 )
 def test_answers_and_whether_they_prove_that_nothing_ran(first, headers, outcome):
-    assert protocol.told(answered(first, {**headers, "Content-Length": "0"}), ()).outcome is outcome
+    assert protocol.parse_response(answered(first, {**headers, "Content-Length": "0"}), ()).outcome is outcome
 
 
 def test_figures_that_cannot_be_read_are_dropped_and_the_answer_counts():
     good = {"X-Volume-Use": "86", "X-Served-Elsewhere": "3", "Srv-Load": "util=0.61,inflight=7"}
-    told = protocol.told(answered("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util"))
-    assert (told.used, told.others, told.load) == (86.0, 3.0, (7.0, 0.61))
+    told = protocol.parse_response(
+        answered("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util")
+    )
+    assert (told.volume_usage_percent, told.units_via_other_gateways, told.load_report) == (
+        86.0,
+        3.0,
+        (7.0, 0.61),
+    )
     bad = {"X-Volume-Use": "nan", "X-Served-Elsewhere": "-1", "Srv-Load": "inflight=x,util"}
-    told = protocol.told(answered("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util"))
-    assert (told.outcome, told.used, told.others, told.load) == (AttemptOutcome.SERVED, None, 0.0, ())
+    told = protocol.parse_response(
+        answered("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util")
+    )
+    assert (told.outcome, told.volume_usage_percent, told.units_via_other_gateways, told.load_report) == (
+        AttemptOutcome.SERVED,
+        None,
+        0.0,
+        (),
+    )
 
 
 @pytest.mark.parametrize(
@@ -165,7 +183,7 @@
     ],
 )
 def test_an_answer_must_tell_its_end_in_one_way_and_within_the_bound(headers, fits):
-    assert protocol.fits(answered("HTTP/1.1 200 OK", headers)) is fits
+    assert protocol.has_valid_framing(answered("HTTP/1.1 200 OK", headers)) is fits
 
 
 ENTRY = {
@@ -179,7 +197,7 @@
 
 
 def test_a_list_is_read():
-    read = protocol.listing(json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode())
+    read = protocol.parse_endpoint_list(json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode())
     assert read == protocol.EndpointListing(
         4, True, (protocol.EndpointEntry("s-1", "10.1.0.18:7070", api.EndpointStatus.READY, 3, "a", 0.0),)
     )
@@ -191,7 +209,7 @@
 )
 def test_a_list_that_cannot_be_read_is_told(change):
     with pytest.raises(protocol.EndpointListError):
-        protocol.listing({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
+        protocol.parse_endpoint_list({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
 
 
 def config(path: Path, **changes: Any) -> dict[str, str]:
@@ -214,10 +232,14 @@
 
 
 def test_the_environment_is_one_checked_value(tmp_path):
-    told = configuration.read(config(tmp_path / "c.json"))
-    assert (told.discovery, told.seed, told.limits.sockets) == (("127.0.0.1", 8500), 0x8C1F, 256)
-    assert told.settings.classes[1].modifies_data and told.store_idle_ms == 1000.0
-    assert told.load_fields == ("inflight", "util")
+    told = configuration.read_environment(config(tmp_path / "c.json"))
+    assert (told.discovery_address, told.seed, told.limits.max_descriptors) == (
+        ("127.0.0.1", 8500),
+        0x8C1F,
+        256,
+    )
+    assert told.settings.classes[1].modifies_data and told.store_idle_timeout_ms == 1000.0
+    assert told.load_report_fields == ("inflight", "util")
 
 
 @pytest.mark.parametrize(
@@ -233,25 +255,27 @@
 )
 def test_an_environment_that_cannot_be_used_says_what_is_wrong(tmp_path, change, says):
     with pytest.raises(configuration.ConfigurationError, match=says):
-        configuration.read(config(tmp_path / "c.json", **change))
+        configuration.read_environment(config(tmp_path / "c.json", **change))
 
 
 def test_no_file_no_json_and_no_variable_are_told(tmp_path):
     for variables in ({}, {"NODE_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(configuration.ConfigurationError, match="NODE_CONFIG"):
-            configuration.read(variables)
+            configuration.read_environment(variables)
     (tmp_path / "half").write_text('{"name": ')
     with pytest.raises(configuration.ConfigurationError, match="no JSON"):
-        configuration.read({"NODE_CONFIG": str(tmp_path / "half")})
+        configuration.read_environment({"NODE_CONFIG": str(tmp_path / "half")})
 
 
 def test_idle_connections_are_kept_by_how_many_were_open_of_late():
     """A recorded day (0.07): clients that ask once and stay were all the connections that others could have had."""
-    room = Room(0.0)
-    assert room.keeps(0.0, 0) == LEAST
-    assert room.keeps(10.0, 40) == LEAST + TIMES * 40
-    assert room.keeps(10.0 + HALF_MS, 0) == LEAST + TIMES * 20, "not forgotten at once"
-    assert room.keeps(10.0 + 20 * HALF_MS, 3) == LEAST + TIMES * 3
+    room = IdleConnectionLimit(0.0)
+    assert room.limit(0.0, 0) == MIN_IDLE_CONNECTIONS
+    assert room.limit(10.0, 40) == MIN_IDLE_CONNECTIONS + IDLE_PER_BUSY_RATIO * 40
+    assert room.limit(10.0 + PEAK_HALF_LIFE_MS, 0) == MIN_IDLE_CONNECTIONS + IDLE_PER_BUSY_RATIO * 20, (
+        "not forgotten at once"
+    )
+    assert room.limit(10.0 + 20 * PEAK_HALF_LIFE_MS, 3) == MIN_IDLE_CONNECTIONS + IDLE_PER_BUSY_RATIO * 3
 
 
 @pytest.mark.parametrize(
@@ -261,6 +285,6 @@
     """The platform may end the process so long after SIGTERM; what came later than 0.7 s after it and is open is lost."""
     now = 5000.0
     times = shutdown_schedule(now, longest)
-    assert now <= times.last_call <= times.answer_by < now + earliest - 300.0
-    assert times.last_call <= now + earliest - 900.0 or times.last_call == now
-    assert times.end >= now + 400.0  # new connections come until then
+    assert now <= times.closing_from_ms <= times.answer_by_ms < now + earliest - 300.0
+    assert times.closing_from_ms <= now + earliest - 900.0 or times.closing_from_ms == now
+    assert times.earliest_exit_ms >= now + 400.0  # new connections come until then
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -21,8 +21,8 @@
 
 from winchdyke.gateway import logs
 from winchdyke.platform import configuration, sockets
-from winchdyke.platform.clients import State
-from winchdyke.platform.service import Gateway
+from winchdyke.platform.client_connection import ConnectionState
+from winchdyke.platform.service import PlatformGateway
 
 logs.set_up("none")
 Say = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
@@ -63,7 +63,7 @@
     """A gateway, one store and discovery."""
 
     def __init__(
-        self, gateway: Gateway, store: Store, watches: list[asyncio.StreamWriter], port: int
+        self, gateway: PlatformGateway, store: Store, watches: list[asyncio.StreamWriter], port: int
     ) -> None:
         self.gateway, self.store, self.watches, self.port, self.number = gateway, store, watches, port, 0
 
@@ -161,7 +161,7 @@
         limits={"cores": 1, "memory_mb": 64, "sockets": sockets_most},
     )
     os.environ["NODE_CONFIG"] = variables["NODE_CONFIG"]
-    gateway = Gateway(configuration.read(variables), asyncio.get_running_loop())
+    gateway = PlatformGateway(configuration.read_environment(variables), asyncio.get_running_loop())
     serving = asyncio.ensure_future(gateway.run())
     made = Site(gateway, store, watches, port)
     made.entry = entry
@@ -237,7 +237,7 @@
             status, _, body = await it.ask()
             assert (status, body) == (200, b"good"), "a read goes again"
             assert (len(it.store.seen), it.store.connections) == (2, 2)
-            assert not it.gateway.stores.held
+            assert not it.gateway.upstream_pool.buffered_bytes
 
     asyncio.run(play())
 
@@ -275,11 +275,11 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            place = it.gateway.places["s-1"]
-            await until(lambda: bool(it.gateway.stores._idle))
+            place = it.gateway.endpoints["s-1"]
+            await until(lambda: bool(it.gateway.upstream_pool._idle))
             it.store.writers[0].write(GOOD)
             time.sleep(0.05)  # the bytes are there; the loop has not seen them
-            assert it.gateway.stores.kept(place) is None
+            assert it.gateway.upstream_pool.take_idle(place) is None
 
     asyncio.run(play())
 
@@ -351,8 +351,8 @@
         async with site(tmp_path, sockets_most=64) as it:
             silent = [await it.open() for _ in range(60)]
             assert (await it.ask())[0] == 200
-            assert it.gateway.clients.count <= it.gateway.clients.most
-            await until(lambda: not it.gateway.clients.by_state[State.FRESH], 4.0)
+            assert it.gateway.clients.count <= it.gateway.clients.max_connections
+            await until(lambda: not it.gateway.clients.by_state[ConnectionState.NEW], 4.0)
             for _, writer in silent:
                 writer.close()
 
@@ -368,7 +368,7 @@
                 writer.write(it.request())
                 assert (await answer(reader))[0] == 200
                 stayed.append((reader, writer))
-            assert len(it.gateway.clients.by_state[State.IDLE]) <= 20
+            assert len(it.gateway.clients.by_state[ConnectionState.IDLE]) <= 20
             assert stayed[0][0].at_eof() or await stayed[0][0].read() == b""
             reader, writer = stayed[-1]
             writer.write(it.request())
@@ -423,7 +423,7 @@
         async with site(tmp_path) as it:
             assert (await it.ask())[0] == 200
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             await asyncio.sleep(0.02)
             assert (await it.ask())[0] == 503 and len(it.store.seen) == 1
 
@@ -435,7 +435,7 @@
         async with site(tmp_path) as it:
             it.watches[0].write(b"4\r\n{no\n\r\n")
             await until(lambda: len(it.watches) == 2)
-            assert it.gateway.follower._whole and (await it.ask())[0] == 200
+            assert it.gateway.discovery._needs_full_list and (await it.ask())[0] == 200
 
     asyncio.run(play())
 
@@ -447,7 +447,7 @@
             info, watches = json.loads(path.read_text()), list[asyncio.StreamWriter]()
             path.write_text("{half")
             it.gateway.reload(tries=1)
-            assert it.gateway.follower.address[1] == int(info["discovery"].rpartition(":")[2])
+            assert it.gateway.discovery.address[1] == int(info["discovery"].rpartition(":")[2])
             lists = await discovery(watches)
             info["discovery"] = f"127.0.0.1:{port_of(lists)}"
             path.write_text(json.dumps(info))
@@ -455,7 +455,7 @@
             await until(lambda: bool(watches))
             it.watches = watches
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
             lists.close()
 
@@ -472,7 +472,7 @@
             kept.write(it.request())
             assert (await answer(kept_reader))[0] == 200
             it.gateway.stop()
-            calls = it.gateway._leaving
+            calls = it.gateway._shutdown
             assert calls is not None
             for _ in range(3):  # past what was once the end
                 await asyncio.sleep(0.4)
@@ -480,12 +480,12 @@
                 status, headers, _ = await answer(kept_reader)
                 assert (status, headers.get("connection")) == (200, None)
             assert (await it.ask())[0] == 200  # a new one is taken, too
-            it.gateway._leaving = replace(calls, last_call=0.0)
-            it.gateway.clients.closing = True
+            it.gateway._shutdown = replace(calls, closing_from_ms=0.0)
+            it.gateway.clients.close_after_response = True
             kept.write(it.request())
             status, headers, _ = await answer(kept_reader)
             assert (status, headers["connection"]) == (200, "close")
-            await until(it.gateway.over.done)
+            await until(it.gateway.finished.done)
             kept.close()
 
     asyncio.run(play())
@@ -505,15 +505,15 @@
                 it.ask(**{"Req-Deadline-Ms": "15000", "X-IO": "units=2,shard=9,hosts=2"})
             )
             it.gateway.stop()
-            calls = it.gateway._leaving
-            assert calls is not None and calls.answer_by - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
-            it.gateway._leaving = replace(calls, last_call=0.0, answer_by=0.0)
+            calls = it.gateway._shutdown
+            assert calls is not None and calls.answer_by_ms - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
+            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0)
             status, headers, _ = await sent
             assert (status, headers["winchdyke-reason"]) == (502, "stopping")  # it may have run: no refusal
             assert (await elsewhere)[0] == 503
             late = await it.ask(**{"Req-Deadline-Ms": "15000"})  # nothing of its time is left here
             assert late[0] == 503
-            await until(it.gateway.over.done)
+            await until(it.gateway.finished.done)
 
     asyncio.run(play())
 
@@ -526,7 +526,7 @@
         with socket.create_connection(listener.getsockname()) as one:
             other, _ = listener.accept()
             with other:
-                sockets.stamped(other)
+                sockets.configure(other)
                 time.sleep(0.1)  # the system begins to stamp a moment after the first socket asks for it
                 one.send(b"early")
                 time.sleep(0.1)
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -25,11 +25,11 @@
 
     from winchdyke.gateway import logs
     from winchdyke.platform import configuration
-    from winchdyke.platform.service import Gateway
+    from winchdyke.platform.service import PlatformGateway
 
     async def serve() -> None:
         loop = asyncio.get_running_loop()
-        gateway = Gateway(configuration.read(os.environ), loop)
+        gateway = PlatformGateway(configuration.read_environment(os.environ), loop)
         loop.add_signal_handler(signal.SIGHUP, gateway.reload)
         loop.add_signal_handler(signal.SIGTERM, gateway.stop)
         for number in _early:
--- a/winchdyke/platform/configuration.py
+++ b/winchdyke/platform/configuration.py
@@ -12,7 +12,7 @@
 from winchdyke.settings import settings_of
 
 Address = tuple[str, int]
-REPORTS_IN_ANSWERS = "answers"
+REPORTS_IN_RESPONSES = "answers"
 
 
 class ConfigurationError(Exception):
@@ -20,12 +20,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class MachineLimits:
     """What the machine allows the gateway's processes."""
 
     cores: float
     memory_mb: float
-    sockets: int
+    max_descriptors: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,18 +33,18 @@
     """One checked value of all that a gateway is told."""
 
     name: str
-    listen: Address
-    discovery: Address
-    config: Path
+    listen_address: Address
+    discovery_address: Address
+    config_path: Path
     seed: int
-    limits: Limits
+    limits: MachineLimits
     settings: api.Settings
-    known: dict[str, Any]
-    store_idle_ms: float
-    load_fields: tuple[str, ...]
+    cached_endpoint_list: dict[str, Any]
+    store_idle_timeout_ms: float
+    load_report_fields: tuple[str, ...]
 
 
-def address(text: str, where: str) -> Address:
+def parse_address(text: str, where: str) -> Address:
     """HOST:PORT, checked."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) < 65536:
@@ -66,7 +66,7 @@
     return float(value)
 
 
-def read(variables: Mapping[str, str]) -> Environment:
+def read_environment(variables: Mapping[str, str]) -> Environment:
     """The environment as it is now. EnvironmentFault where it can't be used."""
     if not variables.get("NODE_CONFIG"):
         raise ConfigurationError("NODE_CONFIG is not set: give the path of the gateway's configuration file")
@@ -99,21 +99,23 @@
     # A name or address in the file is newer than the variable, which stays as it was at the start.
     return Environment(
         name=str(info.get("name") or variables.get("NODE_NAME", "")),
-        listen=address(
+        listen_address=parse_address(
             str(info.get("listen") or variables.get("NODE_LISTEN", "")), "the address to listen at"
         ),
-        discovery=address(
+        discovery_address=parse_address(
             str(info.get("discovery") or variables.get("NODE_DISCOVERY", "")), "discovery's address"
         ),
-        config=path,
+        config_path=path,
         seed=number,
-        limits=Limits(
+        limits=MachineLimits(
             _number(limits, "cores", 1.0, where),
             _number(limits, "memory_mb", 2048.0, where),
             int(_number(limits, "sockets", 1024, where)),
         ),
         settings=told,
-        known=_object(info, "known", where),
-        store_idle_ms=_number(allow, "conn_idle_ms", 30000.0, where),
-        load_fields=tuple(reporting.get("fields", ())) if reporting.get("how") == REPORTS_IN_ANSWERS else (),
+        cached_endpoint_list=_object(info, "known", where),
+        store_idle_timeout_ms=_number(allow, "conn_idle_ms", 30000.0, where),
+        load_report_fields=tuple(reporting.get("fields", ()))
+        if reporting.get("how") == REPORTS_IN_RESPONSES
+        else (),
     )
--- a/winchdyke/platform/graceful_shutdown.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -9,13 +9,13 @@
 
 from dataclasses import dataclass
 
-COUNTED_MS, BEYOND_MS = (
+MAX_COUNTED_DEADLINE_MS, KILL_GRACE_MS = (
     3000.0,
     700.0,
 )  # the platform's figures: the most of a deadline that counts, and what is added
-COMING_MS = 700.0  # until when connections may still come, and a while
-ANSWER_MS = 400.0  # all is answered so long before the earliest end: a late turn of the loop, and the way to the client
-LAST_CALL_MS = (
+NEW_CONNECTIONS_MS = 700.0  # until when connections may still come, and a while
+ANSWER_MARGIN_MS = 400.0  # all is answered so long before the earliest end: a late turn of the loop, and the way to the client
+CLOSING_MARGIN_MS = (
     900.0  # connections are served as before until so long before it: half a second for what came last
 )
 
@@ -24,14 +24,18 @@
 class ShutdownSchedule:
     """The times of one stop, on the clock that ``now`` was read from."""
 
-    last_call: float  # until then all goes on; from then on answers say close, and idle connections are ended
-    answer_by: float  # what is open then is answered, whatever has become of it
-    end: float  # not to end before this: a connection may stand in the queue
+    closing_from_ms: (
+        float  # until then all goes on; from then on answers say close, and idle connections are ended
+    )
+    answer_by_ms: float  # what is open then is answered, whatever has become of it
+    earliest_exit_ms: float  # not to end before this: a connection may stand in the queue
 
 
 def shutdown_schedule(now: float, longest: float) -> ShutdownSchedule:
     """The times of a stop told at ``now``, where the longest deadline of any class is ``longest``."""
-    earliest = now + min(longest, COUNTED_MS) + BEYOND_MS
+    earliest = now + min(longest, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS
     return ShutdownSchedule(
-        max(now, earliest - LAST_CALL_MS), max(now, earliest - ANSWER_MS), now + COMING_MS
+        max(now, earliest - CLOSING_MARGIN_MS),
+        max(now, earliest - ANSWER_MARGIN_MS),
+        now + NEW_CONNECTIONS_MS,
     )
--- a/winchdyke/platform/protocol.py
+++ b/winchdyke/platform/protocol.py
@@ -12,23 +12,31 @@
 from winchdyke.http1 import AnswerHead, Headers, ProtocolError, RequestHead
 from winchdyke.interface import AttemptOutcome, EndpointStatus
 
-BODY_MOST = (
+MAX_BODY_BYTES = (
     64 * 1024
 )  # the protocol's bound on a body; answers of stores, and requests, go beyond it at times
-READY, TARGETS = b"/-/ready", b"/api/targets"
-PATH = re.compile(rb"/api/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]*)?")
-PLACE = re.compile(
+READY_PATH, ENDPOINTS_PATH = b"/-/ready", b"/api/targets"
+REQUEST_PATH_PATTERN = re.compile(rb"/api/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]*)?")
+ADDRESS_PATTERN = re.compile(
     r"(?:(?:25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])\.){3}(?:25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9]):[0-9]{1,5}"
 )
-TIME_MOST = 1e15  # ms of Unix time: some 30,000 years
-STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
-OBJECT_MOST = 4 * 1024 * 1024  # bytes of one object of a watch, held until it is whole
-TOKEN = re.compile(rb"[\x21-\x7e]{1,128}")
-WHOLE = re.compile(rb"[0-9]{1,9}")
-EXTRAS = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,6})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
-OWN = (b"req-id", b"req-kind", b"x-plan", b"req-deadline-ms", b"x-io", b"req-retry", b"idempotency-key")
-PASSED = (b"idempotency-key", b"req-kind", b"x-plan", b"x-io", b"req-retry", b"content-type")
-STATES = {
+MAX_UNIX_MS = 1e15  # ms of Unix time: some 30,000 years
+JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"')
+MAX_LIST_BYTES = 4 * 1024 * 1024  # bytes of one object of a watch, held until it is whole
+TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,9}")
+X_IO_PATTERN = re.compile(rb"units=([0-9]{1,9}(?:\.[0-9]{1,6})?),shard=(-1|[0-9]{1,9}),hosts=([0-9]{1,9})")
+SINGLE_VALUE_HEADERS = (
+    b"req-id",
+    b"req-kind",
+    b"x-plan",
+    b"req-deadline-ms",
+    b"x-io",
+    b"req-retry",
+    b"idempotency-key",
+)
+FORWARDED_HEADERS = (b"idempotency-key", b"req-kind", b"x-plan", b"x-io", b"req-retry", b"content-type")
+STATUS_BY_WIRE_NAME = {
     "in_service": EndpointStatus.READY,
     "terminating": EndpointStatus.DRAINING,
     "terminated": EndpointStatus.REMOVED,
@@ -47,13 +55,13 @@
 
 
 @dataclass(slots=True)
-class Told:
+class AttemptResult:
     """What an answer of a store means. ``used``: the volume's use in percent; ``others``: units served elsewhere."""
 
     outcome: AttemptOutcome
-    used: float | None = None
-    others: float = 0.0
-    load: tuple[float, ...] = ()
+    volume_usage_percent: float | None = None
+    units_via_other_gateways: float = 0.0
+    load_report: tuple[float, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,7 +73,7 @@
     state: EndpointStatus
     shard: int
     zone: str
-    started: float
+    started_at_unix_ms: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -85,33 +93,33 @@
     return ProtocolError(400, reason, text)
 
 
-def too_large(most: int) -> ProtocolError:
+def body_too_large(most: int) -> ProtocolError:
     """A body is longer than is taken here."""
     return ProtocolError(413, "too-large", f"a body may hold {most} bytes")
 
 
-class Reader:
+class RequestParser:
     """Reads the heads of clients' requests by the settings."""
 
-    def __init__(self, settings: api.Settings, body_most: int = BODY_MOST) -> None:
-        self.body_most = body_most
-        self._kinds = {kind.name.encode(): kind for kind in settings.classes}
+    def __init__(self, settings: api.Settings, body_most: int = MAX_BODY_BYTES) -> None:
+        self.max_body_bytes = body_most
+        self._classes = {kind.name.encode(): kind for kind in settings.classes}
         self._plans = {plan.name.encode(): plan.name for plan in settings.plans}
-        self._most, self._gateways = settings.max_request_units, settings.gateway_count
+        self._max_units, self._gateway_count = settings.max_request_units, settings.gateway_count
 
-    def asked(self, head: RequestHead) -> ParsedRequest:
+    def parse(self, head: RequestHead) -> ParsedRequest:
         """The request of a head, with its time as it was sent. ProtocolError where a field can't be used."""
         found: dict[bytes, bytes] = {}
         for name, value in head.headers:
-            if name in found and name in OWN:
+            if name in found and name in SINGLE_VALUE_HEADERS:
                 raise _bad("bad-header", f"more than one {name.decode()}")
             found[name] = value
-        if head.length is not None and head.length > self.body_most:
-            raise too_large(self.body_most)
-        path = PATH.fullmatch(head.target)
+        if head.length is not None and head.length > self.max_body_bytes:
+            raise body_too_large(self.max_body_bytes)
+        path = REQUEST_PATH_PATTERN.fullmatch(head.target)
         if path is None:
             raise ProtocolError(404, "bad-path", "the path is not /api/VOLUME/DATA, 16 hex digits each")
-        kind = self._kinds.get(found.get(b"req-kind", b""))
+        kind = self._classes.get(found.get(b"req-kind", b""))
         if kind is None:
             raise _bad("no-class", "Req-Kind names no class of requests")
         method = "PUT" if kind.modifies_data else "GET"
@@ -122,19 +130,21 @@
         plan = self._plans.get(found.get(b"x-plan", b""))
         if plan is None:
             raise _bad("no-plan", "X-Plan names no plan")
-        if not TOKEN.fullmatch(found.get(b"req-id", b"")):
+        if not TOKEN_PATTERN.fullmatch(found.get(b"req-id", b"")):
             raise _bad("bad-header", "Req-Id is missing or can't be used")
         if kind.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY and not found.get(b"idempotency-key"):
             raise _bad("bad-header", f"{kind.name} needs an Idempotency-Key")
         deadline = found.get(b"req-deadline-ms", b"")
-        if not WHOLE.fullmatch(deadline) or not int(deadline):
+        if not INTEGER_PATTERN.fullmatch(deadline) or not int(deadline):
             raise _bad("bad-header", "Req-Deadline-Ms is no whole number above 0")
-        extras = EXTRAS.fullmatch(found.get(b"x-io", b"").replace(b" ", b""))
+        extras = X_IO_PATTERN.fullmatch(found.get(b"x-io", b"").replace(b" ", b""))
         if extras is None:
             raise _bad("bad-header", "X-IO is not units=N,shard=N,hosts=N")
         units, shard, hosts = float(extras[1]), int(extras[2]), int(extras[3])
-        if not 0 < units <= self._most or not 0 < hosts <= self._gateways:
-            raise _bad("bad-header", f"X-IO: units are up to {self._most:g}, hosts 1 to {self._gateways}")
+        if not 0 < units <= self._max_units or not 0 < hosts <= self._gateway_count:
+            raise _bad(
+                "bad-header", f"X-IO: units are up to {self._max_units:g}, hosts 1 to {self._gateway_count}"
+            )
         request = api.Request(
             request_id=found[b"req-id"].decode("ascii"),
             request_class=kind.name,
@@ -148,11 +158,11 @@
             is_retry=found.get(b"req-retry") == b"1",
         )
         headers = [(b"host", found.get(b"host", b"")), (b"req-id", found[b"req-id"])]
-        headers += [(name, found[name]) for name in PASSED if name in found]
+        headers += [(name, found[name]) for name in FORWARDED_HEADERS if name in found]
         return ParsedRequest(request, method, head.target, headers)
 
 
-def onward(asked: ParsedRequest, left_ms: float) -> Headers:
+def upstream_headers(asked: ParsedRequest, left_ms: float) -> Headers:
     """The headers that a store gets."""
     headers = [*asked.headers, (b"req-deadline-ms", b"%d" % max(1, int(left_ms)))]
     if asked.method == "PUT":
@@ -177,18 +187,18 @@
     return tuple(value for value in values if value is not None) if None not in values else ()
 
 
-def framed(head: AnswerHead) -> int:
+def count_framing_headers(head: AnswerHead) -> int:
     """In how many ways an answer's head tells where its body ends."""
     names = [name for name, _ in head.headers]
     return (b"content-length" in names) + (b"transfer-encoding" in names)
 
 
-def fits(head: AnswerHead, most: int = BODY_MOST) -> bool:
+def has_valid_framing(head: AnswerHead, most: int = MAX_BODY_BYTES) -> bool:
     """Whether an answer's head tells where its body ends, in one way, and within the bound."""
-    return framed(head) == 1 and (head.length is None or head.length <= most)
+    return count_framing_headers(head) == 1 and (head.length is None or head.length <= most)
 
 
-def told(head: AnswerHead, fields: tuple[str, ...]) -> Told:
+def parse_response(head: AnswerHead, fields: tuple[str, ...]) -> AttemptResult:
     """What an answer of a store means."""
     if head.status == 200:
         outcome = AttemptOutcome.SERVED
@@ -197,7 +207,7 @@
     else:
         outcome = AttemptOutcome.ERROR
     others = _figure(head.get(b"x-served-elsewhere"))
-    return Told(
+    return AttemptResult(
         outcome, _figure(head.get(b"x-volume-use")), others or 0.0, _load(head.get(b"srv-load"), fields)
     )
 
@@ -207,19 +217,24 @@
         raise EndpointListError("an entry is no object")
     name, place, state, shard = row.get("id"), row.get("addr"), row.get("state"), row.get("cell")
     started, zone = row.get("started_ms", 0), row.get("zone", "")
-    if not isinstance(name, str) or not name or not isinstance(place, str) or state not in STATES:
+    if (
+        not isinstance(name, str)
+        or not name
+        or not isinstance(place, str)
+        or state not in STATUS_BY_WIRE_NAME
+    ):
         raise EndpointListError(f"an entry can't be used: id {name!r}, addr {place!r}, state {state!r}")
     # Guards against what can't be dialled at all: a name would be looked up while all else waits, and some raise no OSError.
-    if not PLACE.fullmatch(place) or not 0 < int(place.rpartition(":")[2]) < 65536:
+    if not ADDRESS_PATTERN.fullmatch(place) or not 0 < int(place.rpartition(":")[2]) < 65536:
         raise EndpointListError(f"{name}: addr is {place!r}, which is not an IPv4 address and a port")
     if isinstance(shard, bool) or not isinstance(shard, int):
         raise EndpointListError(f"{name}: cell is {shard!r}, which is no whole number")
-    if isinstance(started, bool) or not isinstance(started, (int, float)) or not abs(started) < TIME_MOST:
+    if isinstance(started, bool) or not isinstance(started, (int, float)) or not abs(started) < MAX_UNIX_MS:
         raise EndpointListError(f"{name}: started_ms is no time")
-    return EndpointEntry(name, place, STATES[state], shard, str(zone), max(0.0, float(started)))
+    return EndpointEntry(name, place, STATUS_BY_WIRE_NAME[state], shard, str(zone), max(0.0, float(started)))
 
 
-def listing(data: bytes | dict[str, Any]) -> EndpointListing:
+def parse_endpoint_list(data: bytes | dict[str, Any]) -> EndpointListing:
     """A list of discovery's, or a line of its watch. ListFault where it can't be read."""
     try:
         info = json.loads(data) if isinstance(data, bytes) else data
@@ -233,40 +248,40 @@
     return EndpointListing(version, info.get("full") is True, tuple(_entry(row) for row in rows))
 
 
-class Objects:
+class WatchParser:
     """Cuts a watch into its objects, on one line each or indented over several."""
 
     # Guards against an object that never becomes whole, whatever spoilt it: all that comes behind would be taken for a part of
     # it. What can't be the beginning of one is told at its first line, and again each time it has doubled; the empty line that
     # says "nothing new" tells the rest. It hurts where a list is indented with empty lines in it: it is asked for whole.
     def __init__(self) -> None:
-        self._held, self._seen, self._depth, self._look = bytearray(), 0, 0, 0
+        self._buffer, self._scanned, self._depth, self._next_check_at = bytearray(), 0, 0, 0
 
     def feed(self, data: bytes | bytearray) -> list[EndpointListing]:
         """The lists that have become whole. ListFault where something can't be read."""
-        self._held += data
+        self._buffer += data
         found = []
-        while (at := self._held.find(b"\n", self._seen)) >= 0:
-            line, self._seen = bytes(self._held[self._seen : at]), at + 1
-            bare = STRING.sub(b"", line)
+        while (at := self._buffer.find(b"\n", self._scanned)) >= 0:
+            line, self._scanned = bytes(self._buffer[self._scanned : at]), at + 1
+            bare = JSON_STRING_PATTERN.sub(b"", line)
             self._depth += sum(bare.count(c) for c in (b"{", b"[")) - sum(bare.count(c) for c in (b"}", b"]"))
             if not line.strip():
                 if self._depth:
                     raise EndpointListError("an object broke off")
             elif self._depth <= 0:
-                found.append(listing(bytes(self._held[: self._seen])))
-            elif self._seen >= self._look:
-                self._may_begin(bytes(self._held[: self._seen]))
-                self._look = 2 * self._seen
+                found.append(parse_endpoint_list(bytes(self._buffer[: self._scanned])))
+            elif self._scanned >= self._next_check_at:
+                self._check_prefix(bytes(self._buffer[: self._scanned]))
+                self._next_check_at = 2 * self._scanned
             if self._depth <= 0:
-                del self._held[: self._seen]
-                self._seen = self._depth = self._look = 0
-        if len(self._held) > OBJECT_MOST:
+                del self._buffer[: self._scanned]
+                self._scanned = self._depth = self._next_check_at = 0
+        if len(self._buffer) > MAX_LIST_BYTES:
             raise EndpointListError("an object has no end")
         return found
 
     @staticmethod
-    def _may_begin(text: bytes) -> None:
+    def _check_prefix(text: bytes) -> None:
         try:
             json.loads(text)
         except json.JSONDecodeError as error:
--- a/winchdyke/platform/sockets.py
+++ b/winchdyke/platform/sockets.py
@@ -15,22 +15,24 @@
 from winchdyke.gateway.scheduler_loop import monotonic_ms
 from winchdyke.platform.configuration import Address
 
-STAMPS = getattr(socket, "SO_TIMESTAMPNS", 35)  # Linux' number, which the standard library does not name
-STAMP = struct.Struct("@qq")
-ROOM = socket.CMSG_SPACE(STAMP.size)
-CHUNK = 64 * 1024
+SO_TIMESTAMPNS = getattr(
+    socket, "SO_TIMESTAMPNS", 35
+)  # Linux' number, which the standard library does not name
+TIMESPEC = struct.Struct("@qq")
+ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESPEC.size)
+MAX_RECEIVE_BYTES = 64 * 1024
 
 
-def stamped(sock: socket.socket) -> None:
+def configure(sock: socket.socket) -> None:
     """Ask for stamps, and for no waiting."""
     sock.setblocking(False)
     with contextlib.suppress(OSError):  # without stamps, bytes count as come when they are read
-        sock.setsockopt(socket.SOL_SOCKET, STAMPS, 1)
+        sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     if sock.family != socket.AF_UNIX:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
-def listening(address: Address, backlog: int) -> socket.socket:
+def open_listener(address: Address, backlog: int) -> socket.socket:
     """A socket that listens."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -44,19 +46,19 @@
     return sock
 
 
-def receive(sock: socket.socket, most: int = CHUNK) -> tuple[bytes, float]:
+def receive(sock: socket.socket, most: int = MAX_RECEIVE_BYTES) -> tuple[bytes, float]:
     """Bytes, and when the last of them came in; empty at the end. BlockingIOError where there are none."""
-    data, notes, _, _ = sock.recvmsg(most, ROOM)
+    data, notes, _, _ = sock.recvmsg(most, ANCILLARY_BYTES)
     now = monotonic_ms()
     for level, kind, value in notes:
-        if level == socket.SOL_SOCKET and kind == STAMPS and len(value) >= STAMP.size:
-            seconds, nanos = STAMP.unpack_from(value)
+        if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(value) >= TIMESPEC.size:
+            seconds, nanos = TIMESPEC.unpack_from(value)
             ago = time.time() * 1000 - (seconds * 1000 + nanos / 1e6)
             return data, now - max(0.0, ago)
     return data, now
 
 
-def silent(sock: socket.socket) -> bool:
+def has_nothing_to_read(sock: socket.socket) -> bool:
     """Whether nothing has come that was not read: no bytes, no end, no error."""
     try:
         sock.recv(1, socket.MSG_PEEK)
@@ -67,7 +69,7 @@
     return False
 
 
-def ended(sock: socket.socket) -> bool:
+def peer_has_closed(sock: socket.socket) -> bool:
     """Whether the other side has ended, with nothing unread before it; nothing is taken."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
@@ -77,7 +79,7 @@
         return True
 
 
-def connected(sock: socket.socket) -> bool:
+def connect_has_finished(sock: socket.socket) -> bool:
     """Whether a dial has come to its end, good or bad."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLOUT)
