--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -13,7 +13,7 @@
 from test_platform_sockets import answer, discovery, free_port, port_of, site, spawned, until
 
 from winchdyke.platform import configuration
-from winchdyke.platform.client_connection import ClientConnections, ConnectionState
+from winchdyke.platform.client_connection import ConnectionState
 from winchdyke.settings import settings_of
 
 
@@ -89,17 +89,18 @@
 
 
 def test_the_last_call_comes_between_two_requests_that_came_together_and_both_are_answered(
-    tmp_path, monkeypatch
+    tmp_path,
 ):
-    trim = ClientConnections.trim_idle
-
-    def hang_up(of: ClientConnections) -> None:
-        trim(of)
-        of.close_idle()
-
     async def play() -> None:
         async with site(tmp_path) as it:
-            monkeypatch.setattr(ClientConnections, "trim_idle", hang_up)
+            eviction = it.gateway.idle_eviction
+
+            def trim_and_close_idle() -> None:
+                eviction.trim_idle()
+                eviction.close_idle()
+
+            assert it.gateway.clients.on_connection_idle == eviction.trim_idle
+            it.gateway.clients.on_connection_idle = trim_and_close_idle
             reader, writer = await it.open()
             writer.write(it.request() + it.request())
             assert [(await answer(reader))[0] for _ in range(2)] == [200, 200]
@@ -113,12 +114,14 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             it.gateway.stop()
-            calls = it.gateway._shutdown
+            calls = it.gateway.shutdown.schedule
             assert calls is not None
-            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0)
+            it.gateway.shutdown.schedule = replace(
+                calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0
+            )
             with socket.socket() as client:
                 if where == "in the queue":
-                    it.gateway.clients.set_accepting(False)  # the loop has not turned since it came
+                    it.gateway.listener.set_accepting(False)  # the loop has not turned since it came
                 client.connect(("127.0.0.1", it.port))
                 if where == "in its socket":
                     await until(lambda: it.gateway.clients.count == 1)
@@ -128,10 +131,10 @@
                     select.select([fresh.sock], [], [], 5.0)
                 else:
                     client.sendall(it.request())
-                it.gateway._continue_shutdown()
+                it.gateway.shutdown.advance()
                 data, good = await asyncio.to_thread(received, client)
             assert good and data.startswith(b"HTTP/1.1 503"), "taken, so answered"
-            await until(it.gateway.finished.done)
+            await until(it.gateway.shutdown.finished.done)
 
     asyncio.run(play())
 
@@ -145,16 +148,16 @@
             await until(lambda: bool(it.gateway.clients.by_state[ConnectionState.NEW]))
             await asyncio.sleep(0.05)
             it.gateway.stop()
-            calls = it.gateway._shutdown
+            calls = it.gateway.shutdown.schedule
             assert calls is not None
-            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, earliest_exit_ms=0.0)
+            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0, earliest_exit_ms=0.0)
             await asyncio.sleep(0.1)
-            assert not it.gateway.finished.done()
+            assert not it.gateway.shutdown.finished.done()
             writer.write(request[30:])
             status, headers, _ = await answer(reader)
             assert (status, headers["connection"]) == (200, "close")
             writer.close()
-            await until(it.gateway.finished.done)
+            await until(it.gateway.shutdown.finished.done)
 
     asyncio.run(play())
 
@@ -176,16 +179,16 @@
                 client.sendall(it.request(**{"Req-Deadline-Ms": "2000"}))
                 await until(lambda: it.gateway.counts["SERVED"] == 1)
                 it.gateway.stop()
-                calls = it.gateway._shutdown
+                calls = it.gateway.shutdown.schedule
                 assert calls is not None
-                it.gateway._shutdown = replace(
+                it.gateway.shutdown.schedule = replace(
                     calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0
                 )
                 await asyncio.sleep(0.1)
-                assert not it.gateway.finished.done()
+                assert not it.gateway.shutdown.finished.done()
                 data, good = await asyncio.to_thread(received, client)
             assert good and data.endswith(b"y" * size)
-            await until(it.gateway.finished.done)
+            await until(it.gateway.shutdown.finished.done)
 
     asyncio.run(play())
 
@@ -257,7 +260,7 @@
                 client.sendall(it.request())
                 await until(lambda: it.gateway.counts["SERVED"] == 1)
                 request = it.request()
-                it.gateway.clients.close_idle()
+                it.gateway.idle_eviction.close_idle()
                 client.sendall(request)
                 await asyncio.sleep(0.05)
             assert (await it.ask(request))[0] == 200
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -15,7 +15,7 @@
 
 from winchdyke import interface as api
 from winchdyke.interface import AttemptOutcome
-from winchdyke.platform import client_connection, protocol
+from winchdyke.platform import client_idle_eviction, discovery_protocol, sockets
 from winchdyke.platform.client_connection import ConnectionState
 
 
@@ -27,9 +27,9 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             taken, loop = it.gateway.clients, it.gateway.loop
-            await until(lambda: taken._accepting)
+            await until(lambda: it.gateway.listener.accepting)
             if where == "in the queue":
-                taken.set_accepting(False)
+                it.gateway.listener.set_accepting(False)
                 _, writer = await it.open()
             else:
                 reader, writer = await it.open()
@@ -42,12 +42,12 @@
             leave(writer, how)
             await asyncio.sleep(0.05)
             if where == "in the queue":
-                taken.set_accepting(True)
+                it.gateway.listener.set_accepting(True)
             else:
                 loop.add_reader(client.sock.fileno(), client.on_readable)
             await until(lambda: not taken.count)
             await settled(it)
-            assert len(it.store.seen) == begun and not it.gateway.engine._scheduler.requests
+            assert len(it.store.seen) == begun and not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
@@ -171,8 +171,8 @@
     ],
 )
 def test_a_spoilt_list_is_a_fault_by_name_and_nothing_else(text):
-    with pytest.raises(protocol.EndpointListError):
-        protocol.WatchParser().feed(text)
+    with pytest.raises(discovery_protocol.EndpointListError):
+        discovery_protocol.WatchParser().feed(text)
 
 
 CAPPED = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=40.0, limit_burst_units=32.0)
@@ -231,10 +231,10 @@
                 )
             )
             if why == "its time is up":
-                monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_MS", 1.0)
+                monkeypatch.setattr(client_idle_eviction, "REQUEST_TIMEOUT_MS", 1.0)
             else:
-                monkeypatch.setattr(client_connection, "NEW_CONNECTION_GRACE_MS", 0.0)
-                assert it.gateway.clients.make_room()
+                monkeypatch.setattr(client_idle_eviction, "NEW_CONNECTION_GRACE_MS", 0.0)
+                assert it.gateway.idle_eviction.make_room()
             assert (await answer(reader))[0] == (408 if why == "its time is up" else 503)
             writer.close()
 
@@ -315,12 +315,12 @@
             (client,) = it.gateway.clients.by_state[ConnectionState.AWAITING_RESPONSE]
             it.gateway.loop.remove_reader(client.sock.fileno())
             leave(writer, how)
-            await until(lambda: client_connection.sockets.peer_has_closed(client.sock))
-            assert not it.gateway.counts["gone"]
+            await until(lambda: sockets.peer_has_closed(client.sock))
+            assert not it.gateway.counts["clients_disconnected"]
             dials.go()
             await settled(it)
-            assert not it.store.seen and it.gateway.counts["gone"] == 1
-            await until(lambda: not it.gateway.engine._scheduler.requests)
+            assert not it.store.seen and it.gateway.counts["clients_disconnected"] == 1
+            await until(lambda: not it.gateway.scheduler_loop._scheduler.requests)
 
     asyncio.run(play())
 
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -74,11 +74,11 @@
         if not waiting:
             return
         one = self.random.choice(waiting)
-        one.left, gone = True, self.it.gateway.counts["gone"]
+        one.left, gone = True, self.it.gateway.counts["clients_disconnected"]
         one.answer.cancel()
         leave(one.writer, self.random.choice(["close", "reset"]))
         await self.seen()
-        if self.it.gateway.counts["gone"] > gone and one.id not in self.began:
+        if self.it.gateway.counts["clients_disconnected"] > gone and one.id not in self.began:
             self.late_ids.add(one.id)
 
     async def come_up(self) -> None:
@@ -169,8 +169,8 @@
         for _ in range(60):
             await play.answer()
             await asyncio.sleep(0.005)
-        assert it.gateway._shutdown is not None
-        await until(lambda: it.gateway.finished.done(), 8.0)
+        assert it.gateway.shutdown.schedule is not None
+        await until(lambda: it.gateway.shutdown.finished.done(), 8.0)
         for one in play.tries:
             if one.left:
                 continue
@@ -178,9 +178,13 @@
             if status == 200 and body != one.id.encode():
                 play.faults.append(f"{one.id} was served {body!r}")
             one.writer.close()
-        if it.gateway.engine.tickets or it.gateway.engine.departed or it.gateway.engine._scheduler.requests:
+        if (
+            it.gateway.scheduler_loop.tickets
+            or it.gateway.scheduler_loop.departed
+            or it.gateway.scheduler_loop._scheduler.requests
+        ):
             play.faults.append("something is left behind")
-        if it.gateway.counts["sent-late-after-leave"]:
+        if it.gateway.counts["sent_late_after_disconnect"]:
             play.faults.append("the gateway counts a send after a leave")
     return play
 
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -12,9 +12,10 @@
 import pytest
 from test_platform_sockets import GOOD, Site, answer, good, site, until
 
-from winchdyke.platform import upstream_attempt
+from winchdyke.platform import sockets, upstream_pool
 from winchdyke.platform.client_connection import ConnectionState
-from winchdyke.platform.upstream_attempt import UpstreamConnection, UpstreamPool
+from winchdyke.platform.upstream_connection import EndpointAddress, UpstreamConnection
+from winchdyke.platform.upstream_pool import UpstreamPool
 
 LONG = {"Req-Deadline-Ms": "5000"}
 OTHER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
@@ -25,9 +26,9 @@
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
         self.held, self.holding = list[UpstreamConnection](), True
-        begin, connected = UpstreamPool.connect, upstream_attempt.sockets.connect_has_finished
+        begin, connected = UpstreamPool.connect, sockets.connect_has_finished
 
-        def dial(of: UpstreamPool, place: upstream_attempt.EndpointAddress) -> UpstreamConnection:
+        def dial(of: UpstreamPool, place: EndpointAddress) -> UpstreamConnection:
             link = begin(of, place)
             if self.holding:
                 of.connect_timeout_ms = 10_000.0  # held for as long as the test wants, on any machine
@@ -37,7 +38,7 @@
 
         patch.setattr(UpstreamPool, "connect", dial)
         patch.setattr(
-            upstream_attempt.sockets,
+            sockets,
             "connect_has_finished",
             lambda sock: not self.holding and connected(sock),
         )
@@ -65,7 +66,7 @@
     """Connections to stores take little at a time: a body is half written for as long as its store reads nothing."""
     begin = UpstreamPool.connect
 
-    def dial(of: UpstreamPool, place: upstream_attempt.EndpointAddress) -> UpstreamConnection:
+    def dial(of: UpstreamPool, place: EndpointAddress) -> UpstreamConnection:
         link = begin(of, place)
         link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return link
@@ -105,11 +106,13 @@
             writer.write(it.request(**LONG))
             await until(lambda: bool(dials.held))
             leave(writer, how)
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["UNSENT"] == 1)
+            await until(
+                lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["UNSENT"] == 1
+            )
             dials.go()
             await settled(it)
-            assert not it.store.seen and not it.gateway.engine._scheduler.requests
-            assert not it.gateway.counts["sent-after-leave"]
+            assert not it.store.seen and not it.gateway.scheduler_loop._scheduler.requests
+            assert not it.gateway.counts["sent_after_disconnect"]
 
     asyncio.run(play())
 
@@ -126,13 +129,13 @@
             dials.go()
             await until(lambda: len(it.store.seen) == 1)
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.departed and not it.store.ends, (
+            await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
+            assert it.gateway.scheduler_loop.departed and not it.store.ends, (
                 "it may have run: its answer is still learnt from"
             )
             it.store.writers[0].write(GOOD)
-            await until(lambda: not it.gateway.engine.departed)
-            assert not it.gateway.engine._scheduler.requests
+            await until(lambda: not it.gateway.scheduler_loop.departed)
+            assert not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
@@ -148,7 +151,9 @@
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["UNSENT"] == 1)
+            await until(
+                lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["UNSENT"] == 1
+            )
             dials.go()
             await settled(it)
             assert not it.store.seen
@@ -217,7 +222,7 @@
             asked = asyncio.ensure_future(it.ask(**LONG))
             await until(lambda: bool(dials.held))
             it.tell(2, started_ms=1)
-            await until(lambda: it.gateway.upstream_pool.counts["called-off"] == 1)
+            await until(lambda: it.gateway.upstream_pool.counts["attempts_abandoned"] == 1)
             before = dials.held[0]
             dials.go()
             assert (await asked)[0] == 200 and before.sock.fileno() < 0 and len(it.store.seen) == 1
@@ -240,18 +245,21 @@
                 _, writer = await it.open()
                 writer.write(request[:-3] + body)
                 await until(
-                    lambda: it.gateway.counts["taken"] == 1 and bool(it.gateway.upstream_pool.connections)
+                    lambda: (
+                        it.gateway.counts["requests_accepted"] == 1
+                        and bool(it.gateway.upstream_pool.connections)
+                    )
                 )
                 store, _ = await asyncio.to_thread(listener.accept)
                 leave(writer, how)
-                await until(lambda: it.gateway.counts["gone"] == 1)
+                await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
                 await settled(it)
                 said = b""
                 store.settimeout(1.0)
                 with store, contextlib.suppress(ConnectionError, TimeoutError):
                     while more := await asyncio.to_thread(store.recv, 65536):
                         said += more
-                assert 0 < len(said) < len(body) and not it.gateway.engine._scheduler.requests
+                assert 0 < len(said) < len(body) and not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
@@ -282,9 +290,9 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            await asyncio.sleep(2 * upstream_attempt.MIN_REUSE_PAUSE_MS / 1000)
+            await asyncio.sleep(2 * upstream_pool.MIN_REUSE_PAUSE_MS / 1000)
             await it.ask()
-            assert it.store.connections == 1 and it.gateway.upstream_pool.counts["reused"] == 1
+            assert it.store.connections == 1 and it.gateway.upstream_pool.counts["connections_reused"] == 1
 
     asyncio.run(play())
 
@@ -293,7 +301,7 @@
     tmp_path, monkeypatch
 ):
     """A process kept off its core used connections that their stores were just ending."""
-    receive = upstream_attempt.sockets.receive
+    receive = sockets.receive
 
     def late(sock: socket.socket, most: int = 65536) -> tuple[bytes, float]:
         data, came = receive(sock, most)
@@ -304,13 +312,13 @@
             await it.ask()
             await until(lambda: bool(it.gateway.upstream_pool._idle))
             with monkeypatch.context() as patch:
-                patch.setattr(upstream_attempt.sockets, "receive", late)
+                patch.setattr(sockets, "receive", late)
                 it.gateway.upstream_pool.close_idle()
                 assert (await it.ask(**{"Req-Deadline-Ms": "2000"}))[0] == 200
                 await until(
                     lambda: bool(it.gateway.upstream_pool._idle) or not it.gateway.upstream_pool.connections
                 )
-            assert it.gateway.upstream_pool.take_idle(it.gateway.endpoints["s-1"]) is None
+            assert it.gateway.upstream_pool.take_idle(it.gateway.endpoints.addresses["s-1"]) is None
 
     asyncio.run(play())
 
@@ -329,11 +337,11 @@
             if lies:
                 it.store.writers[0].write(GOOD)
                 await asyncio.to_thread(select.select, [link.sock], [], [], 5.0)
-            it.gateway.engine.answer_all("stopping")
+            it.gateway.scheduler_loop.answer_all("stopping")
             status, _, body = await asked
             assert (status, body == b"good") == ((200, True) if lies else (502, False))
             await settled(it)
-            assert not it.gateway.engine._scheduler.requests and not it.gateway.engine.tickets
+            assert not it.gateway.scheduler_loop._scheduler.requests and not it.gateway.scheduler_loop.tickets
 
     asyncio.run(play())
 
--- a/tests/test_crossings_watches.py
+++ b/tests/test_crossings_watches.py
@@ -13,7 +13,7 @@
 from test_platform_sockets import Site, answer, discovery, port_of, site, until
 
 from winchdyke.platform import discovery_client as watching
-from winchdyke.platform import protocol, service
+from winchdyke.platform import discovery_protocol, service
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
@@ -73,8 +73,8 @@
     "text", [b"{no\n", b'{"version": 2,\n  oh no\n\n', b'{"a": [\n{\n\n', b"[1]\n", b"nonsense\n"]
 )
 def test_what_cannot_become_an_object_is_told_by_its_lines(text):
-    objects = protocol.WatchParser()
-    with pytest.raises(protocol.EndpointListError):
+    objects = discovery_protocol.WatchParser()
+    with pytest.raises(discovery_protocol.EndpointListError):
         objects.feed(text)
 
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,7 +12,7 @@
 from winchdyke import interface as api
 from winchdyke.http1 import ClientSide, Need, ProtocolError, ServerSide
 from winchdyke.interface import AttemptOutcome
-from winchdyke.platform import configuration, protocol
+from winchdyke.platform import configuration, discovery_protocol, protocol
 from winchdyke.platform.client_idle_limit import (
     IDLE_PER_BUSY_RATIO,
     MIN_IDLE_CONNECTIONS,
@@ -197,9 +197,13 @@
 
 
 def test_a_list_is_read():
-    read = protocol.parse_endpoint_list(json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode())
-    assert read == protocol.EndpointListing(
-        4, True, (protocol.EndpointEntry("s-1", "10.1.0.18:7070", api.EndpointStatus.READY, 3, "a", 0.0),)
+    read = discovery_protocol.parse_endpoint_list(
+        json.dumps({"version": 4, "full": True, "servers": [ENTRY]}).encode()
+    )
+    assert read == discovery_protocol.EndpointListing(
+        4,
+        True,
+        (discovery_protocol.EndpointEntry("s-1", "10.1.0.18:7070", api.EndpointStatus.READY, 3, "a", 0.0),),
     )
 
 
@@ -208,8 +212,8 @@
     [{"id": 7}, {"addr": "here"}, {"addr": "h:99999"}, {"state": "new"}, {"cell": "3"}, {"started_ms": "x"}],
 )
 def test_a_list_that_cannot_be_read_is_told(change):
-    with pytest.raises(protocol.EndpointListError):
-        protocol.parse_endpoint_list({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
+    with pytest.raises(discovery_protocol.EndpointListError):
+        discovery_protocol.parse_endpoint_list({"version": 4, "full": True, "servers": [{**ENTRY, **change}]})
 
 
 def config(path: Path, **changes: Any) -> dict[str, str]:
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -237,7 +237,7 @@
             status, _, body = await it.ask()
             assert (status, body) == (200, b"good"), "a read goes again"
             assert (len(it.store.seen), it.store.connections) == (2, 2)
-            assert not it.gateway.upstream_pool.buffered_bytes
+            assert not it.gateway.upstream_pool.response_memory.buffered_bytes
 
     asyncio.run(play())
 
@@ -275,7 +275,7 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            place = it.gateway.endpoints["s-1"]
+            place = it.gateway.endpoints.addresses["s-1"]
             await until(lambda: bool(it.gateway.upstream_pool._idle))
             it.store.writers[0].write(GOOD)
             time.sleep(0.05)  # the bytes are there; the loop has not seen them
@@ -325,7 +325,7 @@
                 said = await asyncio.wait_for(reader.read(), 3.0)
             assert not said or said.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
             assert not said.startswith((b"HTTP/1.1 429", b"HTTP/1.1 503"))
-            assert not it.store.seen and not it.gateway.engine.tickets
+            assert not it.store.seen and not it.gateway.scheduler_loop.tickets
             writer.close()
 
     asyncio.run(play())
@@ -351,7 +351,7 @@
         async with site(tmp_path, sockets_most=64) as it:
             silent = [await it.open() for _ in range(60)]
             assert (await it.ask())[0] == 200
-            assert it.gateway.clients.count <= it.gateway.clients.max_connections
+            assert it.gateway.clients.count <= it.gateway.listener.max_connections
             await until(lambda: not it.gateway.clients.by_state[ConnectionState.NEW], 4.0)
             for _, writer in silent:
                 writer.close()
@@ -410,10 +410,12 @@
             writer.write(it.request())
             await until(lambda: bool(it.store.seen))
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.departed and not it.gateway.engine.tickets
+            await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
+            assert it.gateway.scheduler_loop.departed and not it.gateway.scheduler_loop.tickets
             assert (await it.ask())[0] == 200 and it.store.connections <= 2
-            assert not it.gateway.engine.departed and not it.gateway.engine._scheduler.requests
+            assert (
+                not it.gateway.scheduler_loop.departed and not it.gateway.scheduler_loop._scheduler.requests
+            )
 
     asyncio.run(play())
 
@@ -446,7 +448,7 @@
             path = tmp_path / "config.json"
             info, watches = json.loads(path.read_text()), list[asyncio.StreamWriter]()
             path.write_text("{half")
-            it.gateway.reload(tries=1)
+            it.gateway.reload(attempts=1)
             assert it.gateway.discovery.address[1] == int(info["discovery"].rpartition(":")[2])
             lists = await discovery(watches)
             info["discovery"] = f"127.0.0.1:{port_of(lists)}"
@@ -472,7 +474,7 @@
             kept.write(it.request())
             assert (await answer(kept_reader))[0] == 200
             it.gateway.stop()
-            calls = it.gateway._shutdown
+            calls = it.gateway.shutdown.schedule
             assert calls is not None
             for _ in range(3):  # past what was once the end
                 await asyncio.sleep(0.4)
@@ -480,12 +482,12 @@
                 status, headers, _ = await answer(kept_reader)
                 assert (status, headers.get("connection")) == (200, None)
             assert (await it.ask())[0] == 200  # a new one is taken, too
-            it.gateway._shutdown = replace(calls, closing_from_ms=0.0)
+            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0)
             it.gateway.clients.close_after_response = True
             kept.write(it.request())
             status, headers, _ = await answer(kept_reader)
             assert (status, headers["connection"]) == (200, "close")
-            await until(it.gateway.finished.done)
+            await until(it.gateway.shutdown.finished.done)
             kept.close()
 
     asyncio.run(play())
@@ -505,15 +507,15 @@
                 it.ask(**{"Req-Deadline-Ms": "15000", "X-IO": "units=2,shard=9,hosts=2"})
             )
             it.gateway.stop()
-            calls = it.gateway._shutdown
+            calls = it.gateway.shutdown.schedule
             assert calls is not None and calls.answer_by_ms - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
-            it.gateway._shutdown = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0)
+            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0)
             status, headers, _ = await sent
             assert (status, headers["winchdyke-reason"]) == (502, "stopping")  # it may have run: no refusal
             assert (await elsewhere)[0] == 503
             late = await it.ask(**{"Req-Deadline-Ms": "15000"})  # nothing of its time is left here
             assert late[0] == 503
-            await until(it.gateway.finished.done)
+            await until(it.gateway.shutdown.finished.done)
 
     asyncio.run(play())
 
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m winchdyke.platform``: one real gateway, told by its environment. It ends with 0 after SIGTERM."""
+"""``python -m winchdyke.platform``: one gateway on real sockets, configured by its environment. It exits with 0 after SIGTERM."""
 
 from __future__ import annotations
 
@@ -6,39 +6,28 @@
 import sys
 from types import FrameType
 
-_early: list[int] = []  # signals that came before the gateway stood
+_early_signals: list[int] = []  # received before the gateway was made
 
 
-def _keep(number: int, _: FrameType | None) -> None:
-    _early.append(number)
+def _keep_signal(number: int, _: FrameType | None) -> None:
+    _early_signals.append(number)
 
 
 # From the first moment: SIGHUP would end a process that is still importing.
 for _number in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(_number, _keep)
+    signal.signal(_number, _keep_signal)
 
 
 def main() -> int:
-    """Serve until SIGTERM; 2 where the environment can't be used."""
+    """Serve until SIGTERM; the exit status is 2 where the environment can't be used."""
     import asyncio
-    import os
 
     from winchdyke.gateway import logs
-    from winchdyke.platform import configuration
-    from winchdyke.platform.service import PlatformGateway
-
-    async def serve() -> None:
-        loop = asyncio.get_running_loop()
-        gateway = PlatformGateway(configuration.read_environment(os.environ), loop)
-        loop.add_signal_handler(signal.SIGHUP, gateway.reload)
-        loop.add_signal_handler(signal.SIGTERM, gateway.stop)
-        for number in _early:
-            (gateway.reload if number == signal.SIGHUP else gateway.stop)()
-        await gateway.run()
+    from winchdyke.platform import configuration, service
 
     logs.set_up("json", access=False)
     try:
-        asyncio.run(serve())
+        asyncio.run(service.serve(_early_signals))
     except configuration.ConfigurationError as error:
         print(f"winchdyke: {error}", file=sys.stderr)
         return 2
--- /dev/null
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -0,0 +1,109 @@
+"""Which client connections are closed, and when: timeouts, idle ones beyond use, and room for new ones."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from winchdyke.platform.client_connection import ClientConnection, ConnectionState
+from winchdyke.platform.client_connections import ClientConnections
+from winchdyke.platform.client_idle_limit import IdleConnectionLimit
+
+NEW_CONNECTION_GRACE_MS = 150.0  # from a connection's start, in which its request is still on its way
+REQUEST_TIMEOUT_MS = (
+    2400.0  # from a connection's start, or from a request's first byte, to the complete request
+)
+IDLE_TIMEOUT_MS = 2000.0  # between requests; some clients send one request and stay connected
+WRITE_TIMEOUT_MS = 10_000.0  # for a response to be read by its client
+LINGER_TIMEOUT_MS = 800.0  # after a last response, for its client to read it before the connection is closed
+CHECK_INTERVAL_SECONDS = 0.1
+EVICTION_ORDER = (
+    ConnectionState.HALF_CLOSED,
+    ConnectionState.LINGERING,
+    ConnectionState.NEW,
+    ConnectionState.READING_REQUEST,
+    ConnectionState.IDLE,
+)
+ENDED_STATES = (ConnectionState.LINGERING, ConnectionState.HALF_CLOSED, ConnectionState.WRITING_RESPONSE)
+
+
+class IdleEviction:
+    """Closes connections by time and by number, the longest silent first; what has arrived on one is read before."""
+
+    def __init__(self, connections: ClientConnections) -> None:
+        self._connections = connections
+        self._by_state = connections.by_state
+        self._idle_limit = IdleConnectionLimit(connections.clock())
+        self.keep_idle_connections = False  # no new connections will come in the place of closed ones
+        connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
+
+    def trim_idle(self) -> None:
+        """Close idle connections beyond the limit of the moment, the longest idle first."""
+        if self.keep_idle_connections:
+            return
+        connections = self._connections
+        idle = self._by_state[ConnectionState.IDLE]
+        max_idle = self._idle_limit.limit(connections.clock(), connections.awaiting_count)
+        while len(idle) > max_idle:
+            closed = self._close_unless_active(next(iter(idle)), ClientConnection.close)
+            connections.counts["idle_evicted"] += closed
+
+    def close_idle(self) -> None:
+        """Close all connections between requests."""
+        for connection in list(self._by_state[ConnectionState.IDLE]):
+            self._close_unless_active(connection, ClientConnection.close)
+
+    def make_room(self) -> bool:
+        """Close the connection that has been silent longest; whether one could be closed.
+
+        One that has just been accepted is spared: its request is still on its way.
+        """
+        spared_from_ms = self._connections.clock() - NEW_CONNECTION_GRACE_MS
+        for state in EVICTION_ORDER:
+            for connection in list(self._by_state[state]):
+                if state is ConnectionState.NEW and connection.state_since_ms > spared_from_ms:
+                    break
+                self._close_unless_active(connection, ClientConnection.evict)
+                if connection.state is ConnectionState.CLOSED:
+                    self._connections.counts["evicted_for_new_connection"] += 1
+                    return True
+        return False
+
+    def _check_timeouts(self) -> None:
+        now_ms = self._connections.clock()
+        for connection in list(self._by_state[ConnectionState.HALF_CLOSED]):
+            connection.is_still_connected()
+        self._resume_paused()
+        for state, timeout_ms in (
+            (ConnectionState.NEW, REQUEST_TIMEOUT_MS),
+            (ConnectionState.READING_REQUEST, REQUEST_TIMEOUT_MS),
+            (ConnectionState.IDLE, IDLE_TIMEOUT_MS),
+            (ConnectionState.LINGERING, LINGER_TIMEOUT_MS),
+            (ConnectionState.HALF_CLOSED, LINGER_TIMEOUT_MS),
+            (ConnectionState.WRITING_RESPONSE, WRITE_TIMEOUT_MS),
+        ):
+            if state is not ConnectionState.IDLE or not self.keep_idle_connections:
+                self._time_out(state, now_ms, timeout_ms)
+        self._connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
+
+    def _resume_paused(self) -> None:
+        awaiting = self._by_state[ConnectionState.AWAITING_RESPONSE]
+        writing = self._by_state[ConnectionState.WRITING_RESPONSE]
+        for connection in [*awaiting, *writing]:
+            connection.resume_reading()
+
+    def _time_out(self, state: ConnectionState, now_ms: float, timeout_ms: float) -> None:
+        for connection in list(self._by_state[state]):
+            if now_ms - connection.state_since_ms < timeout_ms:
+                return
+            self._close_unless_active(connection, ClientConnection.on_timeout)
+
+    @staticmethod
+    def _close_unless_active(connection: ClientConnection, close: Callable[[ClientConnection], None]) -> bool:
+        """Close a connection unless what has arrived on it, which is read first, changes its state; whether it was closed."""
+        state = connection.state
+        if state not in ENDED_STATES:
+            connection.process_pending()
+        if connection.state is not state:
+            return False
+        close(connection)
+        return True
--- a/winchdyke/platform/graceful_shutdown.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -1,41 +1,42 @@
-"""When a gateway that was told to stop says, ends and answers what. Pure: it takes times in ms and returns times in ms.
+"""The schedule of a graceful shutdown. Pure: it takes times in milliseconds and returns times in milliseconds.
 
-The platform ends a gateway outright at the earliest so long after SIGTERM as its longest deadline, counted as 3 s where it
-is longer, and 0.7 s. It comes back at the same time whenever it ended by itself, so that to end early serves nobody; but what
-is open when the end comes is lost. New connections come for 0.4 s; clients use those they have while these stay open.
+The platform ends a gateway no sooner after SIGTERM than its longest deadline (counted as 3 s where it is longer) and 0.7 s. It comes
+back at the same time whenever it ended by itself, so exiting early serves nobody; but what is open when the platform ends it is lost.
+New connections come for 0.4 s; clients use those they have while these stay open.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_COUNTED_DEADLINE_MS, KILL_GRACE_MS = (
-    3000.0,
-    700.0,
-)  # the platform's figures: the most of a deadline that counts, and what is added
-NEW_CONNECTIONS_MS = 700.0  # until when connections may still come, and a while
-ANSWER_MARGIN_MS = 400.0  # all is answered so long before the earliest end: a late turn of the loop, and the way to the client
-CLOSING_MARGIN_MS = (
-    900.0  # connections are served as before until so long before it: half a second for what came last
+MAX_COUNTED_DEADLINE_MS = 3000.0  # given by the platform
+KILL_GRACE_MS = 700.0  # given by the platform: between the longest deadline and the earliest end
+NEW_CONNECTIONS_MS = 700.0  # in which connections may still come: the platform's 0.4 s and a margin
+ANSWER_MARGIN_MS = (
+    400.0  # before the earliest end, for a late turn of the event loop and the way to the client
 )
+CLOSING_MARGIN_MS = 900.0  # before the earliest end, which leaves half a second for the last requests
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The times of one stop, on the clock that ``now`` was read from."""
+    """The times of one shutdown, on the clock that ``now_ms`` was read from.
 
-    closing_from_ms: (
-        float  # until then all goes on; from then on answers say close, and idle connections are ended
-    )
-    answer_by_ms: float  # what is open then is answered, whatever has become of it
-    earliest_exit_ms: float  # not to end before this: a connection may stand in the queue
+    ``closing_from_ms``: until then all goes on; from then on responses say close, and idle connections are closed.
+    ``answer_by_ms``: what is open then is answered, whatever has become of it. ``earliest_exit_ms``: the process does not exit before,
+    since a connection may stand in the queue.
+    """
+
+    closing_from_ms: float
+    answer_by_ms: float
+    earliest_exit_ms: float
 
 
-def shutdown_schedule(now: float, longest: float) -> ShutdownSchedule:
-    """The times of a stop told at ``now``, where the longest deadline of any class is ``longest``."""
-    earliest = now + min(longest, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS
+def shutdown_schedule(now_ms: float, longest_deadline_ms: float) -> ShutdownSchedule:
+    """The schedule of a shutdown that starts at ``now_ms``, for the longest deadline of any class."""
+    earliest_kill_ms = now_ms + min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS
     return ShutdownSchedule(
-        max(now, earliest - CLOSING_MARGIN_MS),
-        max(now, earliest - ANSWER_MARGIN_MS),
-        now + NEW_CONNECTIONS_MS,
+        closing_from_ms=max(now_ms, earliest_kill_ms - CLOSING_MARGIN_MS),
+        answer_by_ms=max(now_ms, earliest_kill_ms - ANSWER_MARGIN_MS),
+        earliest_exit_ms=now_ms + NEW_CONNECTIONS_MS,
     )
--- /dev/null
+++ b/winchdyke/platform/request_forwarding.py
@@ -0,0 +1,176 @@
+"""Carries out the scheduler's actions on requests: attempts at stores, and final responses to clients."""
+
+from __future__ import annotations
+
+import dataclasses
+from collections import Counter
+from collections.abc import Callable
+
+from winchdyke import interface as api
+from winchdyke.gateway import outcomes
+from winchdyke.gateway.scheduler_loop import RequestAction, RequestHandle, SchedulerLoop
+from winchdyke.http1 import Headers, ProtocolError
+from winchdyke.interface import AttemptOutcome
+from winchdyke.object_api import answers
+from winchdyke.platform.client_connection import ClientConnection
+from winchdyke.platform.endpoint_directory import EndpointDirectory
+from winchdyke.platform.protocol import AttemptResult, ParsedRequest
+from winchdyke.platform.upstream_attempt import UpstreamAttempt
+from winchdyke.platform.upstream_pool import UpstreamPool
+
+LATE_SEND_MS = 300.0  # after a client's disconnect; what is written later is counted apart
+
+
+class ForwardedRequest(RequestHandle):
+    """An accepted request, its client, and the outcome of its last attempt."""
+
+    __slots__ = ("client", "disconnected_at_ms", "forwarder", "last_outcome", "request")
+
+    def __init__(
+        self,
+        forwarder: RequestForwarder,
+        client: ClientConnection,
+        request: ParsedRequest,
+        deadline_ms: float,
+    ) -> None:
+        super().__init__(request.request.request_id, deadline_ms)
+        self.forwarder = forwarder
+        self.client = client
+        self.request = request
+        self.last_outcome: AttemptOutcome | None = None
+        self.disconnected_at_ms = float("inf")
+
+    def tell(self, action: RequestAction) -> None:
+        """Carry out an action of the scheduler, or of the scheduler loop in its place, at once."""
+        self.forwarder.execute(self, action)
+
+
+class RequestForwarder:
+    """Hands requests to the scheduler loop and carries out what it decides. ``counts`` is logged."""
+
+    def __init__(
+        self,
+        scheduler_loop: SchedulerLoop,
+        upstream_pool: UpstreamPool,
+        endpoints: EndpointDirectory,
+        clock: Callable[[], float],
+    ) -> None:
+        self._scheduler_loop = scheduler_loop
+        self._upstream_pool = upstream_pool
+        self._endpoints = endpoints
+        self._clock = clock
+        self.counts: Counter[str] = Counter()
+
+    def accept(
+        self, client: ClientConnection, parsed: ParsedRequest, received_at_ms: float, answer_by_ms: float
+    ) -> None:
+        """Hand a request over; its time left counts from when it was received, and ends at ``answer_by_ms`` at the latest.
+
+        ProtocolError 409 where a request with its id is open.
+        """
+        request = parsed.request
+        loop = self._scheduler_loop
+        if request.request_id in loop.tickets or request.request_id in loop.departed:
+            raise ProtocolError(409, "id-in-use", "a request with this Req-Id is open")
+        now_ms = self._clock()
+        time_left_ms = request.time_left_ms - max(0.0, now_ms - received_at_ms)
+        time_left_ms = min(time_left_ms, answer_by_ms - now_ms)
+        self.counts["requests_accepted"] += 1
+        parsed.request = dataclasses.replace(request, time_left_ms=time_left_ms)
+        forwarded = ForwardedRequest(self, client, parsed, now_ms + time_left_ms)
+        client.on_disconnect = lambda: self._on_disconnect(forwarded)
+        loop.take(parsed.request, forwarded)
+
+    def execute(self, forwarded: ForwardedRequest, action: RequestAction) -> None:
+        """Carry out one action of the scheduler on a request."""
+        if isinstance(action, api.StartAttempt):
+            self._start_attempt(forwarded, action)
+        elif isinstance(action, (api.ShedRequest, api.FailRequest)):
+            self._respond_final(forwarded, action)
+
+    def _on_disconnect(self, forwarded: ForwardedRequest) -> None:
+        self.counts["clients_disconnected"] += 1
+        self.counts["clients_disconnected_before_attempt"] += not forwarded.attempts
+        forwarded.disconnected_at_ms = self._clock()
+        self._scheduler_loop.gone(forwarded)
+
+    def _start_attempt(self, forwarded: ForwardedRequest, action: api.StartAttempt) -> None:
+        number = forwarded.attempts
+        now_ms = self._clock()
+        forwarded.attempts += 1
+        deadline_ms = forwarded.end
+        if action.timeout_ms:
+            deadline_ms = min(deadline_ms, now_ms + action.timeout_ms)
+        address = self._endpoints.addresses.get(action.endpoint)
+        if address is None or deadline_ms <= now_ms:
+            result = AttemptResult(AttemptOutcome.NOT_SENT)
+            self._on_attempt_ended(forwarded, number, action.endpoint, result, 0.0, b"")
+            return
+
+        def on_done(attempt: UpstreamAttempt, result: AttemptResult, latency_ms: float) -> None:
+            self._count_late_send(forwarded, attempt)
+            self._on_attempt_ended(forwarded, number, action.endpoint, result, latency_ms, attempt.body)
+
+        write_deadline_ms = now_ms + action.write_timeout_ms if action.write_timeout_ms else float("inf")
+        attempt = UpstreamAttempt(
+            self._upstream_pool,
+            address,
+            forwarded.request,
+            deadline_ms,
+            on_done,
+            write_deadline_ms,
+            forwarded.client.is_still_connected,
+        )
+        forwarded.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
+        forwarded.on_call_off = lambda which: attempt.abandon() if which == number else None
+        attempt.start()
+
+    def _count_late_send(self, forwarded: ForwardedRequest, attempt: UpstreamAttempt) -> None:
+        late_ms = attempt.written_at_ms - forwarded.disconnected_at_ms
+        self.counts["sent_after_disconnect"] += late_ms > 0
+        self.counts["sent_late_after_disconnect"] += late_ms > LATE_SEND_MS
+
+    def _on_attempt_ended(
+        self,
+        forwarded: ForwardedRequest,
+        number: int,
+        endpoint: str,
+        result: AttemptResult,
+        latency_ms: float,
+        body: bytes,
+    ) -> None:
+        outcome = result.outcome
+        forwarded.last_outcome = outcome
+        forwarded.on_cancel = None
+        forwarded.on_call_off = None
+        self.counts[outcome.name] += 1
+        served = outcome is AttemptOutcome.SERVED and not forwarded.closed
+        self._scheduler_loop.ended(
+            forwarded,
+            api.AttemptEnded(
+                request_id=forwarded.id,
+                attempt=number,
+                endpoint=endpoint,
+                outcome=outcome,
+                latency_ms=latency_ms,
+                request_finished=served or forwarded.closed,
+                volume_usage_percent=result.volume_usage_percent,
+                units_via_other_gateways=result.units_via_other_gateways,
+                load_report=result.load_report,
+            ),
+        )
+        if served:
+            headers: Headers = [(b"content-length", b"%d" % len(body))]
+            forwarded.client.respond(200, headers, body)
+
+    def _respond_final(self, forwarded: ForwardedRequest, action: api.ShedRequest | api.FailRequest) -> None:
+        time_up = self._clock() >= forwarded.end
+        status, outcome, reason = outcomes.final(action, forwarded.last_outcome, time_up)
+        reason = forwarded.fault or reason
+        self.counts[f"{outcome}:{reason}"] += 1
+        text = outcomes.REASONS[reason]
+        status, headers, body = answers.error(status, outcome, reason, forwarded.id, text)
+        retry_after_ms = action.retry_after_ms if isinstance(action, api.ShedRequest) else 0.0
+        if retry_after_ms > 0:
+            headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
+        forwarded.client.respond(status, headers, body)
--- a/winchdyke/platform/sockets.py
+++ b/winchdyke/platform/sockets.py
@@ -1,7 +1,7 @@
-"""Sockets that don't block, read with the time at which the kernel took the bytes in.
+"""Non-blocking sockets, read with the time at which the kernel received the bytes.
 
-A process that was kept off its core reads late what came in time. The kernel's stamp (``SO_TIMESTAMPNS``) tells when it
-came, so that neither a store's latency nor a client's time left is the event loop's lag.
+A process that was kept off its core reads late what came in time. The kernel's timestamp (``SO_TIMESTAMPNS``) tells when it came, so
+that neither a store's latency nor a client's time left contains the event loop's lag.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 
 
 def configure(sock: socket.socket) -> None:
-    """Ask for stamps, and for no waiting."""
+    """Make a connection's socket non-blocking, with timestamps and without Nagle's delay. OSError where it is closed."""
     sock.setblocking(False)
-    with contextlib.suppress(OSError):  # without stamps, bytes count as come when they are read
+    with contextlib.suppress(OSError):  # without timestamps, bytes count as received when they are read
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     if sock.family != socket.AF_UNIX:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
-    """A socket that listens."""
+    """A non-blocking socket that listens. OSError where the address can't be used."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -46,20 +46,23 @@
     return sock
 
 
-def receive(sock: socket.socket, most: int = MAX_RECEIVE_BYTES) -> tuple[bytes, float]:
-    """Bytes, and when the last of them came in; empty at the end. BlockingIOError where there are none."""
-    data, notes, _, _ = sock.recvmsg(most, ANCILLARY_BYTES)
-    now = monotonic_ms()
-    for level, kind, value in notes:
+def receive(sock: socket.socket, max_bytes: int = MAX_RECEIVE_BYTES) -> tuple[bytes, float]:
+    """Bytes, and when the last of them was received, in milliseconds of the gateway's clock; no bytes at the connection's end.
+
+    BlockingIOError where nothing has come, another OSError where the connection is broken.
+    """
+    data, ancillary, _, _ = sock.recvmsg(max_bytes, ANCILLARY_BYTES)
+    now_ms = monotonic_ms()
+    for level, kind, value in ancillary:
         if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS and len(value) >= TIMESPEC.size:
-            seconds, nanos = TIMESPEC.unpack_from(value)
-            ago = time.time() * 1000 - (seconds * 1000 + nanos / 1e6)
-            return data, now - max(0.0, ago)
-    return data, now
+            seconds, nanoseconds = TIMESPEC.unpack_from(value)
+            age_ms = time.time() * 1000 - (seconds * 1000 + nanoseconds / 1e6)
+            return data, now_ms - max(0.0, age_ms)
+    return data, now_ms
 
 
 def has_nothing_to_read(sock: socket.socket) -> bool:
-    """Whether nothing has come that was not read: no bytes, no end, no error."""
+    """Whether no bytes, no end and no error wait to be read; nothing is consumed."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -70,7 +73,7 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the other side has ended, with nothing unread before it; nothing is taken."""
+    """Whether the peer has closed or reset, with nothing unread before it; nothing is consumed."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -80,7 +83,7 @@
 
 
 def connect_has_finished(sock: socket.socket) -> bool:
-    """Whether a dial has come to its end, good or bad."""
+    """Whether a connect has succeeded or failed."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLOUT)
     return bool(poll.poll(0))
--- /dev/null
+++ b/winchdyke/platform/upstream_connection.py
@@ -0,0 +1,55 @@
+"""One connection to a store: its socket, its HTTP codec and the attempt that uses it, one request at a time."""
+
+from __future__ import annotations
+
+import socket
+from typing import TYPE_CHECKING, NamedTuple
+
+from winchdyke.http1 import ClientSide
+
+if TYPE_CHECKING:
+    from winchdyke.platform.upstream_attempt import UpstreamAttempt
+    from winchdyke.platform.upstream_pool import UpstreamPool
+
+MAX_HEAD_BYTES = 16 * 1024
+
+
+class EndpointAddress(NamedTuple):
+    """A store and where it listens; an address can pass to another store, so neither identifies a connection alone."""
+
+    endpoint_id: str
+    address: str
+
+
+class UpstreamConnection:
+    """One connection to a store, in use by an attempt or idle in the pool.
+
+    ``established`` tells whether the connect has succeeded; ``idle_since_ms`` is when the last response's last byte arrived.
+    """
+
+    __slots__ = ("attempt", "codec", "endpoint", "established", "idle_since_ms", "pool", "sock")
+
+    def __init__(self, pool: UpstreamPool, endpoint: EndpointAddress, sock: socket.socket) -> None:
+        self.pool = pool
+        self.endpoint = endpoint
+        self.sock = sock
+        self.codec = ClientSide(MAX_HEAD_BYTES)
+        self.attempt: UpstreamAttempt | None = None
+        self.established = False
+        self.idle_since_ms = 0.0
+
+    def on_readable(self) -> None:
+        """Hand readable data to the attempt; an idle connection with data or an end is closed."""
+        if self.attempt is not None:
+            self.attempt.on_readable()
+        else:
+            self.close()
+
+    def on_writable(self) -> None:
+        """Tell the attempt that the connect has finished or that the socket accepts bytes again."""
+        if self.attempt is not None:
+            self.attempt.on_writable()
+
+    def close(self) -> None:
+        """Close at once."""
+        self.pool.close_connection(self)
