--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -236,7 +236,7 @@
                 monkeypatch.setattr(client_idle_eviction, "REQUEST_TIMEOUT_MS", 1.0)
             else:
                 monkeypatch.setattr(client_idle_eviction, "NEW_CONNECTION_GRACE_MS", 0.0)
-                assert it.gateway.idle_eviction.make_room()
+                assert it.gateway.idle_eviction.evict_one()
             assert (await answer(reader))[0] == (408 if why == "its time is up" else 503)
             writer.close()
 
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -9,13 +9,13 @@
 _early_signals: list[int] = []  # received before the gateway was made
 
 
-def _keep_signal(number: int, _: FrameType | None) -> None:
+def _record_signal(number: int, _: FrameType | None) -> None:
     _early_signals.append(number)
 
 
 # From the first moment: SIGHUP would end a process that is still importing.
 for _number in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(_number, _keep_signal)
+    signal.signal(_number, _record_signal)
 
 
 def main() -> int:
--- a/winchdyke/platform/client_idle_eviction.py
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -33,12 +33,12 @@
         self._connections = connections
         self._by_state = connections.by_state
         self._idle_limit = IdleConnectionLimit(connections.clock())
-        self.keep_idle_connections = False  # no new connections will come in the place of closed ones
+        self.idle_limits_suspended = False  # in a shutdown no new connections come in the place of closed ones
         connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
 
     def trim_idle(self) -> None:
         """Close idle connections beyond the limit of the moment, the longest idle first."""
-        if self.keep_idle_connections:
+        if self.idle_limits_suspended:
             return
         connections = self._connections
         idle = self._by_state[ConnectionState.IDLE]
@@ -52,7 +52,7 @@
         for connection in list(self._by_state[ConnectionState.IDLE]):
             self._close_unless_active(connection, ClientConnection.close)
 
-    def make_room(self) -> bool:
+    def evict_one(self) -> bool:
         """Close the connection that has been silent longest; whether one could be closed.
 
         One that has just been accepted is spared: its request is still on its way.
@@ -81,8 +81,8 @@
             (ConnectionState.HALF_CLOSED, LINGER_TIMEOUT_MS),
             (ConnectionState.WRITING_RESPONSE, WRITE_TIMEOUT_MS),
         ):
-            if state is not ConnectionState.IDLE or not self.keep_idle_connections:
-                self._time_out(state, now_ms, timeout_ms)
+            if state is not ConnectionState.IDLE or not self.idle_limits_suspended:
+                self._close_expired(state, now_ms, timeout_ms)
         self._connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
 
     def _resume_paused(self) -> None:
@@ -91,7 +91,7 @@
         for connection in [*awaiting, *writing]:
             connection.resume_reading()
 
-    def _time_out(self, state: ConnectionState, now_ms: float, timeout_ms: float) -> None:
+    def _close_expired(self, state: ConnectionState, now_ms: float, timeout_ms: float) -> None:
         for connection in list(self._by_state[state]):
             if now_ms - connection.state_since_ms < timeout_ms:
                 return
--- a/winchdyke/platform/client_listener.py
+++ b/winchdyke/platform/client_listener.py
@@ -47,7 +47,7 @@
     def accept_pending(self) -> bool:
         """Take connections from the queue, a limited number; whether the queue is empty or can't be taken from now."""
         for _ in range(MAX_ACCEPTS_PER_TURN):
-            if self._connections.count >= self.max_connections and not self._eviction.make_room():
+            if self._connections.count >= self.max_connections and not self._eviction.evict_one():
                 self._pause()  # each is owed a response, or has just come
                 return True
             try:
@@ -64,7 +64,7 @@
     def _may_retry(self, error: OSError) -> bool:
         """Whether to accept again at once after an error, having freed a descriptor where none was left."""
         if error.errno in NO_DESCRIPTORS:
-            if self._eviction.make_room():
+            if self._eviction.evict_one():
                 return True
             self._pause()
             return False
--- a/winchdyke/platform/discovery_client.py
+++ b/winchdyke/platform/discovery_client.py
@@ -103,9 +103,9 @@
     def handle_unreadable(self, watch: EndpointWatch, error: str) -> None:
         """End a watch that sent something unreadable, and ask for the full list."""
         self._needs_full_list = True
-        self.handle_watch_lost(watch, f"unreadable: {error}")
+        self.handle_watch_closed(watch, f"unreadable: {error}")
 
-    def handle_watch_lost(self, watch: EndpointWatch, reason: str) -> None:
+    def handle_watch_closed(self, watch: EndpointWatch, reason: str) -> None:
         """End a watch and retry, at once after a first failure, else with backoff."""
         watch.abort()
         if watch is self._previous_watch:
@@ -146,12 +146,12 @@
             async with asyncio.timeout(WATCH_SILENCE_SECONDS):
                 await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, TimeoutError) as error:
-            self.handle_watch_lost(watch, str(error) or "no connection")
+            self.handle_watch_closed(watch, str(error) or "no connection")
 
     def _check_silence(self) -> None:
         if self._stopped:
             return
         watch = self._watch
         if watch is not None and self.loop.time() - watch.last_received_at > WATCH_SILENCE_SECONDS:
-            self.handle_watch_lost(watch, "silent")
+            self.handle_watch_closed(watch, "silent")
         self.loop.call_later(SILENCE_CHECK_SECONDS, self._check_silence)
--- a/winchdyke/platform/discovery_protocol.py
+++ b/winchdyke/platform/discovery_protocol.py
@@ -155,9 +155,9 @@
 
 def _bracket_balance(line: bytes) -> int:
     """Opening less closing brackets outside strings."""
-    bare = JSON_STRING_PATTERN.sub(b"", line)
-    opening = bare.count(b"{") + bare.count(b"[")
-    closing = bare.count(b"}") + bare.count(b"]")
+    unquoted = JSON_STRING_PATTERN.sub(b"", line)
+    opening = unquoted.count(b"{") + unquoted.count(b"[")
+    closing = unquoted.count(b"}") + unquoted.count(b"]")
     return opening - closing
 
 
--- a/winchdyke/platform/discovery_watch.py
+++ b/winchdyke/platform/discovery_watch.py
@@ -93,7 +93,7 @@
     def _on_end(self) -> None:
         if self._full_list:
             self._client.handle_endpoint_list(self, parse_endpoint_list(bytes(self._list_buffer)))
-        self._client.handle_watch_lost(self, ENDED)
+        self._client.handle_watch_closed(self, ENDED)
 
     def _append(self, piece: bytes | bytearray) -> None:
         self._list_buffer += piece
@@ -114,7 +114,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the end of the connection."""
         if not self.closed:
-            self._client.handle_watch_lost(self, str(exc or "closed"))
+            self._client.handle_watch_closed(self, str(exc or "closed"))
 
     def abort(self) -> None:
         """Close at once, and report nothing any more."""
--- a/winchdyke/platform/request_forwarding.py
+++ b/winchdyke/platform/request_forwarding.py
@@ -107,7 +107,7 @@
             self._on_attempt_ended(forwarded, number, action.endpoint, result, 0.0, b"")
             return
 
-        def on_done(attempt: UpstreamAttempt, result: AttemptResult, latency_ms: float) -> None:
+        def on_finished(attempt: UpstreamAttempt, result: AttemptResult, latency_ms: float) -> None:
             self._count_late_send(forwarded, attempt)
             self._on_attempt_ended(forwarded, number, action.endpoint, result, latency_ms, attempt.body)
 
@@ -117,7 +117,7 @@
             address,
             forwarded.request,
             deadline_ms,
-            on_done,
+            on_finished,
             write_deadline_ms,
             forwarded.client.is_still_connected,
         )
--- a/winchdyke/platform/shutdown_sequence.py
+++ b/winchdyke/platform/shutdown_sequence.py
@@ -43,7 +43,7 @@
     def start(self, longest_deadline_ms: float) -> None:
         """Begin, for classes with such a longest deadline."""
         self.schedule = shutdown_schedule(self._clock(), longest_deadline_ms)
-        self._eviction.keep_idle_connections = True
+        self._eviction.idle_limits_suspended = True
 
     def advance(self) -> None:
         """Do what is due by now, and come back until the end."""
--- a/winchdyke/platform/upstream_attempt.py
+++ b/winchdyke/platform/upstream_attempt.py
@@ -46,7 +46,7 @@
 class UpstreamAttempt:
     """One request sent to one store.
 
-    ``on_done`` is called once, with the attempt, its result and its latency in milliseconds. Times are milliseconds of the pool's
+    ``on_finished`` is called once, with the attempt, its result and its latency in milliseconds. Times are milliseconds of the pool's
     clock.
     """
 
@@ -64,7 +64,7 @@
         "deadline_ms",
         "endpoint",
         "finished",
-        "on_done",
+        "on_finished",
         "request",
         "started_at_ms",
         "write_deadline_ms",
@@ -77,7 +77,7 @@
         endpoint: EndpointAddress,
         request: protocol.ParsedRequest,
         deadline_ms: float,
-        on_done: Callable[[UpstreamAttempt, AttemptResult, float], None],
+        on_finished: Callable[[UpstreamAttempt, AttemptResult, float], None],
         write_deadline_ms: float = float("inf"),
         still_wanted: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -90,7 +90,7 @@
         self.endpoint = endpoint
         self.request = request
         self.deadline_ms = deadline_ms
-        self.on_done = on_done
+        self.on_finished = on_finished
         self.write_deadline_ms = write_deadline_ms
         self._still_wanted = still_wanted
         self.started_at_ms = pool.clock()
@@ -235,9 +235,9 @@
             self.on_writable()
         if self.finished or self._deadline.due_at_ms != due_at_ms:
             return  # it ended or was established just now, and has a new deadline
-        self._time_out(connection, due_at_ms)
+        self._fail_timed_out(connection, due_at_ms)
 
-    def _time_out(self, connection: UpstreamConnection, due_at_ms: float) -> None:
+    def _fail_timed_out(self, connection: UpstreamConnection, due_at_ms: float) -> None:
         before_deadline = due_at_ms < self.deadline_ms
         if self._response.close_delimited and before_deadline:
             self._fail_malformed("length")
@@ -312,7 +312,7 @@
             # Idle connections to a machine that stays silent may be dead too; a new connection shows it sooner.
             self._pool.close_idle_to(self.endpoint)
         ended_at_ms = self._last_byte_at_ms if responded else self._pool.clock()
-        self.on_done(self, result, max(0.0, ended_at_ms - self.started_at_ms))
+        self.on_finished(self, result, max(0.0, ended_at_ms - self.started_at_ms))
 
     def _release_connection(self, responded: bool) -> None:
         connection = self._connection
