--- a/winchdyke/platform/client_idle_eviction.py
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -33,7 +33,9 @@
         self._connections = connections
         self._by_state = connections.by_state
         self._idle_limit = IdleConnectionLimit(connections.clock())
-        self.idle_limits_suspended = False  # in a shutdown no new connections come in the place of closed ones
+        self.idle_limits_suspended = (
+            False  # in a shutdown no new connections come in the place of closed ones
+        )
         connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
 
     def trim_idle(self) -> None:
