--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -9,15 +9,15 @@
 from dataclasses import replace
 
 import pytest
-from test_platform import TOLD, config
-from test_platform_sockets import answer, discovery, free_port, port_of, site, spawned, until
+from test_platform import SETTINGS_JSON, config
+from test_platform_sockets import answer, discovery, free_port, port_of, site, spawn_gateway, until
 
 from winchdyke.platform import configuration
 from winchdyke.platform.client_connection import ConnectionState
 from winchdyke.settings import settings_of
 
 
-def received(sock: socket.socket) -> tuple[bytes, bool]:
+def read_to_end(sock: socket.socket) -> tuple[bytes, bool]:
     """All that comes up to the end, and whether the end was a good one."""
     data = b""
     while True:
@@ -54,7 +54,7 @@
                 if not unread:
                     client.sendall(it.request())
                     await asyncio.sleep(0.02)
-                data, good = await asyncio.to_thread(received, client)
+                data, good = await asyncio.to_thread(read_to_end, client)
             assert good and data.endswith(b"good") and data.count(b"HTTP/1.1 200") == 1
             assert len(it.store.seen) == 1, (
                 "what crossed was not taken: its client sends it on a new connection"
@@ -132,7 +132,7 @@
                 else:
                     client.sendall(it.request())
                 it.gateway.shutdown.advance()
-                data, good = await asyncio.to_thread(received, client)
+                data, good = await asyncio.to_thread(read_to_end, client)
             assert good and data.startswith(b"HTTP/1.1 503"), "taken, so answered"
             await until(it.gateway.shutdown.finished.done)
 
@@ -186,7 +186,7 @@
                 )
                 await asyncio.sleep(0.1)
                 assert not it.gateway.shutdown.finished.done()
-                data, good = await asyncio.to_thread(received, client)
+                data, good = await asyncio.to_thread(read_to_end, client)
             assert good and data.endswith(b"y" * size)
             await until(it.gateway.shutdown.finished.done)
 
@@ -218,9 +218,9 @@
             tmp_path / "config.json",
             listen=f"127.0.0.1:{free_port()}",
             discovery=f"127.0.0.1:{port_of(lists)}",
-            settings={**TOLD, "classes": [{**TOLD["classes"][0], "deadline_ms": 300.0}]},
+            settings={**SETTINGS_JSON, "classes": [{**SETTINGS_JSON["classes"][0], "deadline_ms": 300.0}]},
         )
-        process = await spawned(variables)
+        process = await spawn_gateway(variables)
         await until(lambda: bool(watches), 20.0)
         for number in order:
             process.send_signal(number)
@@ -276,7 +276,10 @@
 )
 @pytest.mark.parametrize("how", ["absent", "null"])
 def test_settings_of_another_customer_leave_out_or_null_what_has_a_default(tmp_path, key, how):
-    told = {**TOLD, "classes": [{**kind, **dict.fromkeys(NULLS)} for kind in TOLD["classes"][:1]]}
+    told = {
+        **SETTINGS_JSON,
+        "classes": [{**kind, **dict.fromkeys(NULLS)} for kind in SETTINGS_JSON["classes"][:1]],
+    }
     told.pop(key, None)
     if how == "null":
         told[key] = None
@@ -291,10 +294,10 @@
 
 def test_zeros_that_would_divide_are_read_as_not_told():
     told = {
-        **TOLD,
+        **SETTINGS_JSON,
         "domain": {"mean_units": 0},
         "guarantees": {"cold_from": 0},
-        "classes": [{**TOLD["classes"][0], "promise_ms": 0}],
+        "classes": [{**SETTINGS_JSON["classes"][0], "promise_ms": 0}],
     }
     read = settings_of(told)
     assert (
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -8,9 +8,16 @@
 import pytest
 import test_platform
 from conftest import Gateway, node, request
-from test_crossings_sends import Dials, leave, listener_of_little, moved, narrow, settled
+from test_crossings_sends import (
+    HeldConnects,
+    leave,
+    limit_send_buffers,
+    move_store,
+    small_buffer_listener,
+    wait_until_settled,
+)
 from test_crossings_watches import HEAD, chunk
-from test_platform import TOLD
+from test_platform import SETTINGS_JSON
 from test_platform_sockets import GOOD, answer, site, until
 
 from winchdyke import interface as api
@@ -46,28 +53,28 @@
             else:
                 loop.add_reader(client.sock.fileno(), client.on_readable)
             await until(lambda: not taken.count)
-            await settled(it)
+            await wait_until_settled(it)
             assert len(it.store.seen) == begun and not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
 
-def short(patch: pytest.MonkeyPatch, **write: object) -> None:
+def override_write_class(patch: pytest.MonkeyPatch, **write: object) -> None:
     """Settings whose class of writes differs."""
-    classes = [TOLD["classes"][0], {**TOLD["classes"][1], **write}]
-    patch.setattr(test_platform, "TOLD", {**TOLD, "classes": classes})
+    classes = [SETTINGS_JSON["classes"][0], {**SETTINGS_JSON["classes"][1], **write}]
+    patch.setattr(test_platform, "SETTINGS_JSON", {**SETTINGS_JSON, "classes": classes})
 
 
 @pytest.mark.parametrize("forgotten", [True, False], ids=["after the memory's time", "within it"])
 def test_a_repeat_is_decided_within_the_memorys_time_then_its_dial_comes_up(tmp_path, monkeypatch, forgotten):
     """Where a class is remembered for less than a dial may take, the second attempt ran anew."""
-    short(monkeypatch, memory_span_ms=1500.0, deadline_ms=9000.0)
-    dials = Dials(monkeypatch)
-    dials.holding = False
+    override_write_class(monkeypatch, memory_span_ms=1500.0, deadline_ms=9000.0)
+    held_connects = HeldConnects(monkeypatch)
+    held_connects.holding = False
 
     def say(writer: asyncio.StreamWriter, head: bytes, number: int) -> None:
         if number == 1:
-            dials.holding = True
+            held_connects.holding = True
             leave(writer, "reset")  # it may have run
         else:
             writer.write(GOOD)
@@ -75,10 +82,10 @@
     async def play() -> None:
         async with site(tmp_path, say) as it:
             asked = asyncio.ensure_future(it.ask(**{"Req-Kind": "write", "Req-Deadline-Ms": "8000"}))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             clock = it.gateway.upstream_pool.clock
             it.gateway.upstream_pool.clock = lambda: clock() + (1600.0 if forgotten else 0.0)
-            dials.go()
+            held_connects.go()
             status, _, _ = await asked
             assert (len(it.store.seen), status == 200) == ((1, False) if forgotten else (2, True))
             it.gateway.upstream_pool.clock = clock
@@ -88,12 +95,12 @@
 
 def test_an_answer_comes_before_the_last_byte_was_written_and_is_not_this_requests(tmp_path, monkeypatch):
     """A second answer, later than a connection rests: the next request, still half written, was served with it."""
-    narrow(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def play() -> None:
-        with listener_of_little() as listener:
+        with small_buffer_listener() as listener:
             async with site(tmp_path) as it:
-                await moved(it, listener)
+                await move_store(it, listener)
                 body = b"x" * 60000
                 length = {"Content-Length": str(len(body)), "Req-Deadline-Ms": "1500"}
                 request = it.request(**{"Req-Kind": "write", **length})
@@ -115,7 +122,7 @@
     """What is spoilt leads to a whole list: where that told no length it was asked for again and again."""
     asked = list[bytes]()
 
-    async def lists_of(watches: list[asyncio.StreamWriter]) -> asyncio.Server:
+    async def make_discovery(watches: list[asyncio.StreamWriter]) -> asyncio.Server:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).split()[1])
             if b"watch" in asked[-1]:
@@ -131,7 +138,7 @@
         return await asyncio.start_server(serve, "127.0.0.1", 0)
 
     async def play() -> None:
-        async with site(tmp_path, lists_of=lists_of) as it:
+        async with site(tmp_path, make_discovery=make_discovery) as it:
             it.watches[0].write(chunk(b"nonsense\n"))
             await until(lambda: asked.count(b"/api/targets") >= (1 if end == "close" else 3))
             if end == "close":
@@ -307,20 +314,20 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_dial_comes_up_and_a_leave_lies_unread_beside_it_nothing_is_sent(tmp_path, monkeypatch, how):
     """A late turn of the loop finds both, and in either order."""
-    dials = Dials(monkeypatch)
+    held_connects = HeldConnects(monkeypatch)
 
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**{"Req-Deadline-Ms": "8000"}))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             (client,) = it.gateway.clients.by_state[ConnectionState.AWAITING_RESPONSE]
             it.gateway.loop.remove_reader(client.sock.fileno())
             leave(writer, how)
             await until(lambda: sockets.peer_has_closed(client.sock))
             assert not it.gateway.counts["clients_disconnected"]
-            dials.go()
-            await settled(it)
+            held_connects.go()
+            await wait_until_settled(it)
             assert not it.store.seen and it.gateway.counts["clients_disconnected"] == 1
             await until(lambda: not it.gateway.scheduler_loop._scheduler.requests)
 
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from test_crossings_sends import Dials, leave
+from test_crossings_sends import HeldConnects, leave
 from test_platform_sockets import Site, answer, site, until
 
 SEEDS = range(24)
@@ -31,7 +31,7 @@
     """A gateway in the middle of its crossings."""
 
     it: Site
-    dials: Dials
+    held_connects: HeldConnects
     random: random.Random
     tries: list[Try] = field(default_factory=list)
     steps: list[str] = field(default_factory=list)
@@ -82,7 +82,7 @@
             self.late_ids.add(one.id)
 
     async def come_up(self) -> None:
-        held, self.dials.held = self.dials.held, []
+        held, self.held_connects.held = self.held_connects.held, []
         for link in held:
             if link.sock.fileno() >= 0:
                 link.on_writable()
@@ -150,10 +150,10 @@
 )
 
 
-async def played(seed: int, path: object, dials: Dials) -> Play:
+async def played(seed: int, path: object, held_connects: HeldConnects) -> Play:
     made: list[Play] = []
     async with site(path, lambda *told: made[0].say(*told)) as it:  # type: ignore[arg-type]
-        play = Play(it, dials, random.Random(seed))
+        play = Play(it, held_connects, random.Random(seed))
         made.append(play)
         await play.ask()
         for _ in range(STEPS):
@@ -163,7 +163,7 @@
             if play.random.random() < 0.6:
                 await play.seen()
         await play.come_up()
-        dials.holding = False
+        held_connects.holding = False
         play.steps.append(signal.SIGTERM.name)
         it.gateway.stop()
         for _ in range(60):
@@ -191,6 +191,6 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_any_order_keeps_the_rules(tmp_path, monkeypatch, seed):
-    play = asyncio.run(played(seed, tmp_path, Dials(monkeypatch)))
+    play = asyncio.run(played(seed, tmp_path, HeldConnects(monkeypatch)))
     assert not play.faults, f"seed {seed}: {' > '.join(play.steps)}: {play.faults}"
     assert all(count <= 3 for count in play.began.values())
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -21,7 +21,7 @@
 OTHER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 
 
-class Dials:
+class HeldConnects:
     """Holds connections to stores as if they had not come up, until they are let go."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
@@ -52,17 +52,17 @@
 
 
 @pytest.fixture
-def dials(monkeypatch: pytest.MonkeyPatch) -> Iterator[Dials]:
-    yield Dials(monkeypatch)
+def held_connects(monkeypatch: pytest.MonkeyPatch) -> Iterator[HeldConnects]:
+    yield HeldConnects(monkeypatch)
 
 
-async def settled(it: Site) -> None:
+async def wait_until_settled(it: Site) -> None:
     """Both sides have had their turns: a request asked now, of a shard without a store, was answered."""
     await it.ask(**{"X-IO": "units=2,shard=9,hosts=2"})
     await asyncio.sleep(0.02)
 
 
-def narrow(patch: pytest.MonkeyPatch) -> None:
+def limit_send_buffers(patch: pytest.MonkeyPatch) -> None:
     """Connections to stores take little at a time: a body is half written for as long as its store reads nothing."""
     begin = UpstreamPool.connect
 
@@ -74,7 +74,7 @@
     patch.setattr(UpstreamPool, "connect", dial)
 
 
-def listener_of_little() -> socket.socket:
+def small_buffer_listener() -> socket.socket:
     """A store's listener whose connections take little unread."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -83,7 +83,7 @@
     return listener
 
 
-async def moved(it: Site, listener: socket.socket) -> None:
+async def move_store(it: Site, listener: socket.socket) -> None:
     """The store is at another address from now on."""
     it.tell(2, addr=f"127.0.0.1:{listener.getsockname()[1]}")
     await until(lambda: it.gateway.discovery.version == 2)
@@ -99,25 +99,25 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_leaves_then_its_dial_comes_up_nothing_is_sent(tmp_path, dials, how):
+def test_a_client_leaves_then_its_dial_comes_up_nothing_is_sent(tmp_path, held_connects, how):
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             leave(writer, how)
             await until(
                 lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["NOT_SENT"] == 1
             )
-            dials.go()
-            await settled(it)
+            held_connects.go()
+            await wait_until_settled(it)
             assert not it.store.seen and not it.gateway.scheduler_loop._scheduler.requests
             assert not it.gateway.counts["sent_after_disconnect"]
 
     asyncio.run(play())
 
 
-def test_a_dial_comes_up_then_its_client_leaves_the_attempt_is_let_be(tmp_path, dials):
+def test_a_dial_comes_up_then_its_client_leaves_the_attempt_is_let_be(tmp_path, held_connects):
     def silent(writer: asyncio.StreamWriter, head: bytes, number: int) -> None:
         pass
 
@@ -125,8 +125,8 @@
         async with site(tmp_path, silent) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
-            dials.go()
+            await until(lambda: bool(held_connects.held))
+            held_connects.go()
             await until(lambda: len(it.store.seen) == 1)
             writer.close()
             await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
@@ -140,37 +140,37 @@
     asyncio.run(play())
 
 
-def test_a_client_leaves_behind_more_bytes_than_are_kept_ahead_nothing_is_sent(tmp_path, dials):
+def test_a_client_leaves_behind_more_bytes_than_are_kept_ahead_nothing_is_sent(tmp_path, held_connects):
     """The reader was off past 64 KiB: the leave lay behind bytes that nobody read."""
 
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             writer.close()
             await until(
                 lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["NOT_SENT"] == 1
             )
-            dials.go()
-            await settled(it)
+            held_connects.go()
+            await wait_until_settled(it)
             assert not it.store.seen
 
     asyncio.run(play())
 
 
-def test_what_is_sent_too_far_ahead_is_told_behind_the_answers_that_are_owed(tmp_path, dials):
+def test_what_is_sent_too_far_ahead_is_told_behind_the_answers_that_are_owed(tmp_path, held_connects):
     async def play() -> None:
         async with site(tmp_path) as it:
             reader, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             await asyncio.sleep(0.2)
-            dials.go()
+            held_connects.go()
             assert (await answer(reader))[0] == 200
             status = 0
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -201,30 +201,30 @@
     asyncio.run(play())
 
 
-def test_a_drain_is_told_then_the_dial_comes_up_nothing_is_sent(tmp_path, dials):
+def test_a_drain_is_told_then_the_dial_comes_up_nothing_is_sent(tmp_path, held_connects):
     """ticino-vault, split+mass, seed 607020175703: 29 requests went to stores up to a dial's time after their drain was told."""
 
     async def play() -> None:
         async with site(tmp_path) as it:
             asked = asyncio.ensure_future(it.ask(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             it.tell(2, state="terminating")
             await until(lambda: it.gateway.counts["NOT_SENT"] == 1)
-            dials.go()
+            held_connects.go()
             assert (await asked)[0] == 503 and not it.store.seen
 
     asyncio.run(play())
 
 
-def test_a_cold_restart_is_told_then_the_dial_comes_up_the_request_is_decided_anew(tmp_path, dials):
+def test_a_cold_restart_is_told_then_the_dial_comes_up_the_request_is_decided_anew(tmp_path, held_connects):
     async def play() -> None:
         async with site(tmp_path) as it:
             asked = asyncio.ensure_future(it.ask(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             it.tell(2, started_ms=1)
             await until(lambda: it.gateway.upstream_pool.counts["attempts_abandoned"] == 1)
-            before = dials.held[0]
-            dials.go()
+            before = held_connects.held[0]
+            held_connects.go()
             assert (await asked)[0] == 200 and before.sock.fileno() < 0 and len(it.store.seen) == 1
 
     asyncio.run(play())
@@ -232,12 +232,12 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_client_leaves_while_its_body_is_half_written_the_rest_is_not(tmp_path, monkeypatch, how):
-    narrow(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def play() -> None:
-        with listener_of_little() as listener:
+        with small_buffer_listener() as listener:
             async with site(tmp_path) as it:
-                await moved(it, listener)
+                await move_store(it, listener)
                 body = b"x" * 60000
                 request = it.request(
                     **{"Req-Kind": "write", "Content-Length": str(len(body)), "Req-Deadline-Ms": "9000"}
@@ -253,7 +253,7 @@
                 store, _ = await asyncio.to_thread(listener.accept)
                 leave(writer, how)
                 await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
-                await settled(it)
+                await wait_until_settled(it)
                 said = b""
                 store.settimeout(1.0)
                 with store, contextlib.suppress(ConnectionError, TimeoutError):
@@ -340,7 +340,7 @@
             it.gateway.scheduler_loop.answer_all("stopping")
             status, _, body = await asked
             assert (status, body == b"good") == ((200, True) if lies else (502, False))
-            await settled(it)
+            await wait_until_settled(it)
             assert not it.gateway.scheduler_loop._scheduler.requests and not it.gateway.scheduler_loop.tickets
 
     asyncio.run(play())
--- a/tests/test_crossings_watches.py
+++ b/tests/test_crossings_watches.py
@@ -22,7 +22,7 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-def said(it: Site, version: int, full: bool = False, **changes: Any) -> dict[str, Any]:
+def list_message(it: Site, version: int, full: bool = False, **changes: Any) -> dict[str, Any]:
     return {"version": version, "full": full, "servers": [{**it.entry, **changes}]}
 
 
@@ -59,7 +59,7 @@
 def test_an_object_comes_over_several_lines_and_in_pieces(tmp_path, size):
     async def play() -> None:
         async with site(tmp_path) as it:
-            told = said(it, 2, state="terminating", note='with "{" and \\ in it')
+            told = list_message(it, 2, state="terminating", note='with "{" and \\ in it')
             text = json.dumps(told, indent=2).encode() + b"\n"
             for at in range(0, len(text), size):
                 it.watches[0].write(chunk(text[at : at + size]))
@@ -81,7 +81,7 @@
 def test_a_watch_is_reset_in_the_middle_of_an_object_and_the_next_asks_after_what_is_held(tmp_path):
     async def play() -> None:
         async with site(tmp_path) as it:
-            text = json.dumps(said(it, 2, state="terminating"), indent=1).encode()
+            text = json.dumps(list_message(it, 2, state="terminating"), indent=1).encode()
             it.watches[0].write(chunk(text[:40]))
             await it.watches[0].drain()
             it.watches[0].transport.abort()
@@ -107,7 +107,7 @@
             await until(lambda: bool(newer))
             it.tell(2, state="terminating")  # on the old watch
             await until(lambda: it.gateway.discovery.version == 2)
-            newer[0].write(HEAD + chunk(json.dumps(said(it, 1, full=True)).encode() + b"\n"))
+            newer[0].write(HEAD + chunk(json.dumps(list_message(it, 1, full=True)).encode() + b"\n"))
             await until(lambda: it.gateway.discovery._previous_watch is None)
             assert (await it.ask())[0] == 503 and not it.store.seen and it.gateway.discovery.version == 2
             other.close()
@@ -122,7 +122,7 @@
             await until(lambda: it.gateway.discovery.version == 9)
             it.watches[0].transport.abort()
             await until(lambda: len(it.watches) == 2)
-            it.watches[1].write(chunk(json.dumps(said(it, 1, full=True)).encode() + b"\n"))
+            it.watches[1].write(chunk(json.dumps(list_message(it, 1, full=True)).encode() + b"\n"))
             it.tell(2, state="terminating")
             await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
@@ -144,7 +144,7 @@
     asyncio.run(play())
 
 
-async def discovery_that(
+async def scripted_discovery(
     watches: list[asyncio.StreamWriter], then: Callable[[asyncio.StreamWriter], None]
 ) -> asyncio.Server:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -182,7 +182,7 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             watches = list[asyncio.StreamWriter]()
-            bad = await discovery_that(watches, say)
+            bad = await scripted_discovery(watches, say)
             it.gateway.discovery.change_address(("127.0.0.1", port_of(bad)))
             await asyncio.sleep(1.0)
             assert 2 <= len(watches) <= 8 and (await it.ask())[0] == 200, "the last good list is kept"
@@ -193,7 +193,7 @@
 
 async def silent(watches: list[asyncio.StreamWriter]) -> asyncio.Server:
     """A discovery that says nothing yet; `known` names the store as in service."""
-    return await discovery_that(watches, lambda writer: None)
+    return await scripted_discovery(watches, lambda writer: None)
 
 
 @pytest.mark.parametrize("drains", [True, False])
@@ -202,14 +202,16 @@
     monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 30.0)
 
     async def play() -> None:
-        async with site(tmp_path, lists_of=silent) as it:
+        async with site(tmp_path, make_discovery=silent) as it:
             reader, writer = await it.open()
             writer.write(it.request())
             await writer.drain()
             await asyncio.sleep(0.1)
             assert not it.store.seen
             change = (
-                said(it, 2, state="terminating") if drains else {"version": 1, "full": False, "servers": []}
+                list_message(it, 2, state="terminating")
+                if drains
+                else {"version": 1, "full": False, "servers": []}
             )
             it.watches[0].write(HEAD + chunk(json.dumps(change).encode() + b"\n"))
             assert (await answer(reader))[0] == (503 if drains else 200) and len(it.store.seen) == (
@@ -224,7 +226,7 @@
     monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 0.1)
 
     async def play() -> None:
-        async with site(tmp_path, lists_of=silent) as it:
+        async with site(tmp_path, make_discovery=silent) as it:
             assert (await it.ask())[0] == 200
 
     asyncio.run(play())
@@ -233,10 +235,12 @@
 def test_where_lists_are_asked_for_a_new_process_waits_for_no_word(tmp_path, monkeypatch):
     """halden-mirror, herd+mass, two seeds: the wait cost 0.024 of what is served, and guards nothing there."""
     monkeypatch.setattr(service, "MAX_DISCOVERY_WAIT_SECONDS", 60.0)
-    monkeypatch.setattr(test_platform, "TOLD", {**test_platform.TOLD, "discovery": "on_request"})
+    monkeypatch.setattr(
+        test_platform, "SETTINGS_JSON", {**test_platform.SETTINGS_JSON, "discovery": "on_request"}
+    )
 
     async def play() -> None:
-        async with site(tmp_path, lists_of=silent) as it:
+        async with site(tmp_path, make_discovery=silent) as it:
             assert (await it.ask(**{"Req-Deadline-Ms": "2000"}))[0] == 200
 
     asyncio.run(play())
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -21,7 +21,7 @@
 )
 from winchdyke.platform.graceful_shutdown import shutdown_schedule
 
-TOLD = {
+SETTINGS_JSON = {
     "balancers": 2,
     "index": 0,
     "classes": [
@@ -65,7 +65,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-def asked(headers: dict[str, str], method: str = "GET", path: str = PATH) -> protocol.ParsedRequest:
+def parse_request(headers: dict[str, str], method: str = "GET", path: str = PATH) -> protocol.ParsedRequest:
     side = ServerSide(4096)
     side.feed(message(f"{method} {path} HTTP/1.1", headers))
     head = side.head()
@@ -74,7 +74,7 @@
 
 
 def test_a_request_is_read_and_passes_on_unchanged_but_for_its_time():
-    read = asked({**WRITE, "X-IO": "units=2, shard=-1,hosts=1"}, "PUT", PATH + "?a=b")
+    read = parse_request({**WRITE, "X-IO": "units=2, shard=-1,hosts=1"}, "PUT", PATH + "?a=b")
     assert read.request == api.Request(
         request_id="9b1f03aa5c7e2d41",
         request_class="write",
@@ -116,7 +116,7 @@
 )
 def test_what_cannot_be_used_is_an_error_and_no_refusal(change, method, path):
     with pytest.raises(ProtocolError) as told:
-        asked({**READ, **change}, method, path)
+        parse_request({**READ, **change}, method, path)
     assert 400 <= told.value.status < 500 and told.value.status != 429
 
 
@@ -127,7 +127,7 @@
         protocol.RequestParser(SETTINGS).parse(side.head())
 
 
-def answered(first: str, headers: dict[str, str]) -> Any:
+def parse_response_head(first: str, headers: dict[str, str]) -> Any:
     side = ClientSide(4096)
     side.request("GET", b"/", [(b"host", b"h")])
     side.end()
@@ -147,13 +147,16 @@
     ],
 )
 def test_answers_and_whether_they_prove_that_nothing_ran(first, headers, outcome):
-    assert protocol.parse_response(answered(first, {**headers, "Content-Length": "0"}), ()).outcome is outcome
+    assert (
+        protocol.parse_response(parse_response_head(first, {**headers, "Content-Length": "0"}), ()).outcome
+        is outcome
+    )
 
 
 def test_figures_that_cannot_be_read_are_dropped_and_the_answer_counts():
     good = {"X-Volume-Use": "86", "X-Served-Elsewhere": "3", "Srv-Load": "util=0.61,inflight=7"}
     told = protocol.parse_response(
-        answered("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util")
+        parse_response_head("HTTP/1.1 200 OK", {**good, "Content-Length": "0"}), ("inflight", "util")
     )
     assert (told.volume_usage_percent, told.units_via_other_gateways, told.load_report) == (
         86.0,
@@ -162,7 +165,7 @@
     )
     bad = {"X-Volume-Use": "nan", "X-Served-Elsewhere": "-1", "Srv-Load": "inflight=x,util"}
     told = protocol.parse_response(
-        answered("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util")
+        parse_response_head("HTTP/1.1 200 OK", {**bad, "Content-Length": "0"}), ("inflight", "util")
     )
     assert (told.outcome, told.volume_usage_percent, told.units_via_other_gateways, told.load_report) == (
         AttemptOutcome.SERVED,
@@ -183,7 +186,7 @@
     ],
 )
 def test_an_answer_must_tell_its_end_in_one_way_and_within_the_bound(headers, fits):
-    assert protocol.has_valid_framing(answered("HTTP/1.1 200 OK", headers)) is fits
+    assert protocol.has_valid_framing(parse_response_head("HTTP/1.1 200 OK", headers)) is fits
 
 
 ENTRY = {
@@ -224,7 +227,7 @@
         "seed": "8c1f",
         "limits": {"cores": 0.5, "memory_mb": 64, "sockets": 256},
         "known": {"version": 1, "full": True, "servers": [ENTRY]},
-        "settings": TOLD,
+        "settings": SETTINGS_JSON,
     }
     path.write_text(json.dumps({**info, **changes}))
     return {
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import pytest
-from test_platform import PATH, READ, TOLD, WRITE, config, message
+from test_platform import PATH, READ, SETTINGS_JSON, WRITE, config, message
 
 from winchdyke.gateway import logs
 from winchdyke.platform import configuration, sockets
@@ -25,14 +25,14 @@
 from winchdyke.platform.service import PlatformGateway
 
 logs.set_up("none")
-Say = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
+ScriptedResponse = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
 class Store:
     """A store that reads requests one by one and says what its script says."""
 
-    def __init__(self, say: Say) -> None:
+    def __init__(self, say: ScriptedResponse) -> None:
         self.say, self.seen, self.connections, self.ends = say, [], 0, 0
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -135,15 +135,15 @@
 @asynccontextmanager
 async def site(
     path: Path,
-    say: Say = good,
+    say: ScriptedResponse = good,
     listed: bool = True,
-    sockets_most: int = 256,
-    lists_of: Callable[[list[asyncio.StreamWriter]], Awaitable[asyncio.Server]] | None = None,
+    max_descriptors: int = 256,
+    make_discovery: Callable[[list[asyncio.StreamWriter]], Awaitable[asyncio.Server]] | None = None,
     known: dict[str, Any] | None = None,
 ) -> AsyncIterator[Site]:
     store, watches = Store(say), list[asyncio.StreamWriter]()
     await store.start()
-    lists = await (lists_of or discovery)(watches)
+    lists = await (make_discovery or discovery)(watches)
     entry = {
         "id": "s-1",
         "addr": store.address,
@@ -158,7 +158,7 @@
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{port_of(lists)}",
         known=known or {"version": 1, "full": True, "servers": [entry] if listed else []},
-        limits={"cores": 1, "memory_mb": 64, "sockets": sockets_most},
+        limits={"cores": 1, "memory_mb": 64, "sockets": max_descriptors},
     )
     os.environ["NODE_CONFIG"] = variables["NODE_CONFIG"]
     gateway = PlatformGateway(configuration.read_environment(variables), asyncio.get_running_loop())
@@ -175,7 +175,7 @@
         lists.close()
 
 
-async def spawned(variables: dict[str, str]) -> asyncio.subprocess.Process:
+async def spawn_gateway(variables: dict[str, str]) -> asyncio.subprocess.Process:
     """The program itself; what it says is kept."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -187,7 +187,7 @@
     )
 
 
-def catches(pid: int, number: int) -> bool:
+def handles_signal(pid: int, number: int) -> bool:
     """Whether a process has a handler for a signal."""
     status = Path(f"/proc/{pid}/status").read_text()
     return bool(int(status.split("SigCgt:")[1].split()[0], 16) >> (number - 1) & 1)
@@ -348,7 +348,7 @@
 
 def test_strangers_who_say_nothing_do_not_keep_others_out(tmp_path):
     async def play() -> None:
-        async with site(tmp_path, sockets_most=64) as it:
+        async with site(tmp_path, max_descriptors=64) as it:
             silent = [await it.open() for _ in range(60)]
             assert (await it.ask())[0] == 200
             assert it.gateway.clients.count <= it.gateway.listener.max_connections
@@ -545,11 +545,11 @@
             tmp_path / "config.json",
             listen=f"127.0.0.1:{free_port()}",
             discovery=f"127.0.0.1:{port_of(lists)}",
-            settings=TOLD,
+            settings=SETTINGS_JSON,
         )
-        process = await spawned(variables)
+        process = await spawn_gateway(variables)
         if early:  # as soon as it is heard at all: before that the system ends any program by it
-            await until(lambda: catches(process.pid, signal.SIGHUP), 20.0)
+            await until(lambda: handles_signal(process.pid, signal.SIGHUP), 20.0)
         else:
             await until(lambda: bool(watches), 20.0)
         process.send_signal(signal.SIGHUP)
@@ -563,7 +563,7 @@
 
 def test_an_environment_that_cannot_be_used_ends_the_program_with_one_line(tmp_path):
     async def play() -> None:
-        process = await spawned({"NODE_CONFIG": str(tmp_path / "none")})
+        process = await spawn_gateway({"NODE_CONFIG": str(tmp_path / "none")})
         _, said = await process.communicate()
         assert process.returncode == 2 and said.startswith(b"winchdyke: ") and said.count(b"\n") == 1
 
