--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -8,15 +8,22 @@
 import pytest
 import test_platform
 from conftest import Gateway, node, request
-from test_crossings_sends import Dials, leave, listener_of_little, moved, narrow, settled
+from test_crossings_sends import (
+    HeldConnects,
+    leave,
+    limit_send_buffers,
+    move_store,
+    small_buffer_listener,
+    wait_until_settled,
+)
 from test_crossings_watches import HEAD, chunk
-from test_platform import TOLD
+from test_platform import SETTINGS_JSON
 from test_platform_sockets import GOOD, answer, site, until
 
 from winchdyke import interface as api
 from winchdyke.interface import AttemptOutcome
-from winchdyke.platform import clients, protocol
-from winchdyke.platform.clients import State
+from winchdyke.platform import client_idle_eviction, discovery_protocol, sockets
+from winchdyke.platform.client_connection import ConnectionState
 
 
 @pytest.mark.parametrize("where", ["in the queue", "on a connection that rests"])
@@ -27,47 +34,47 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             taken, loop = it.gateway.clients, it.gateway.loop
-            await until(lambda: taken._accepting)
+            await until(lambda: it.gateway.listener.accepting)
             if where == "in the queue":
-                taken.accept(False)
+                it.gateway.listener.set_accepting(False)
                 _, writer = await it.open()
             else:
                 reader, writer = await it.open()
                 writer.write(it.request())
                 assert (await answer(reader))[0] == 200
-                (client,) = taken.by_state[State.IDLE]
+                (client,) = taken.by_state[ConnectionState.IDLE]
                 loop.remove_reader(client.sock.fileno())
             begun = len(it.store.seen)
             writer.write(it.request())
             leave(writer, how)
             await asyncio.sleep(0.05)
             if where == "in the queue":
-                taken.accept(True)
+                it.gateway.listener.set_accepting(True)
             else:
-                loop.add_reader(client.sock.fileno(), client.readable)
+                loop.add_reader(client.sock.fileno(), client.on_readable)
             await until(lambda: not taken.count)
-            await settled(it)
-            assert len(it.store.seen) == begun and not it.gateway.engine._scheduler.requests
+            await wait_until_settled(it)
+            assert len(it.store.seen) == begun and not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
 
-def short(patch: pytest.MonkeyPatch, **write: object) -> None:
+def override_write_class(patch: pytest.MonkeyPatch, **write: object) -> None:
     """Settings whose class of writes differs."""
-    classes = [TOLD["classes"][0], {**TOLD["classes"][1], **write}]
-    patch.setattr(test_platform, "TOLD", {**TOLD, "classes": classes})
+    classes = [SETTINGS_JSON["classes"][0], {**SETTINGS_JSON["classes"][1], **write}]
+    patch.setattr(test_platform, "SETTINGS_JSON", {**SETTINGS_JSON, "classes": classes})
 
 
 @pytest.mark.parametrize("forgotten", [True, False], ids=["after the memory's time", "within it"])
 def test_a_repeat_is_decided_within_the_memorys_time_then_its_dial_comes_up(tmp_path, monkeypatch, forgotten):
     """Where a class is remembered for less than a dial may take, the second attempt ran anew."""
-    short(monkeypatch, memory_span_ms=1500.0, deadline_ms=9000.0)
-    dials = Dials(monkeypatch)
-    dials.holding = False
+    override_write_class(monkeypatch, memory_span_ms=1500.0, deadline_ms=9000.0)
+    held_connects = HeldConnects(monkeypatch)
+    held_connects.holding = False
 
     def say(writer: asyncio.StreamWriter, head: bytes, number: int) -> None:
         if number == 1:
-            dials.holding = True
+            held_connects.holding = True
             leave(writer, "reset")  # it may have run
         else:
             writer.write(GOOD)
@@ -75,25 +82,25 @@
     async def play() -> None:
         async with site(tmp_path, say) as it:
             asked = asyncio.ensure_future(it.ask(**{"Req-Kind": "write", "Req-Deadline-Ms": "8000"}))
-            await until(lambda: bool(dials.held))
-            clock = it.gateway.stores.clock
-            it.gateway.stores.clock = lambda: clock() + (1600.0 if forgotten else 0.0)
-            dials.go()
+            await until(lambda: bool(held_connects.held))
+            clock = it.gateway.upstream_pool.clock
+            it.gateway.upstream_pool.clock = lambda: clock() + (1600.0 if forgotten else 0.0)
+            held_connects.go()
             status, _, _ = await asked
             assert (len(it.store.seen), status == 200) == ((1, False) if forgotten else (2, True))
-            it.gateway.stores.clock = clock
+            it.gateway.upstream_pool.clock = clock
 
     asyncio.run(play())
 
 
 def test_an_answer_comes_before_the_last_byte_was_written_and_is_not_this_requests(tmp_path, monkeypatch):
     """A second answer, later than a connection rests: the next request, still half written, was served with it."""
-    narrow(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def play() -> None:
-        with listener_of_little() as listener:
+        with small_buffer_listener() as listener:
             async with site(tmp_path) as it:
-                await moved(it, listener)
+                await move_store(it, listener)
                 body = b"x" * 60000
                 length = {"Content-Length": str(len(body)), "Req-Deadline-Ms": "1500"}
                 request = it.request(**{"Req-Kind": "write", **length})
@@ -115,7 +122,7 @@
     """What is spoilt leads to a whole list: where that told no length it was asked for again and again."""
     asked = list[bytes]()
 
-    async def lists_of(watches: list[asyncio.StreamWriter]) -> asyncio.Server:
+    async def make_discovery(watches: list[asyncio.StreamWriter]) -> asyncio.Server:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             asked.append((await reader.readuntil(b"\r\n\r\n")).split()[1])
             if b"watch" in asked[-1]:
@@ -131,7 +138,7 @@
         return await asyncio.start_server(serve, "127.0.0.1", 0)
 
     async def play() -> None:
-        async with site(tmp_path, lists_of=lists_of) as it:
+        async with site(tmp_path, make_discovery=make_discovery) as it:
             it.watches[0].write(chunk(b"nonsense\n"))
             await until(lambda: asked.count(b"/api/targets") >= (1 if end == "close" else 3))
             if end == "close":
@@ -143,7 +150,7 @@
                 ]
                 assert (await it.ask())[0] == 503
             else:
-                assert it.gateway.follower.version == 1 and (await it.ask())[0] == 200, "a reset is no end"
+                assert it.gateway.discovery.version == 1 and (await it.ask())[0] == 200, "a reset is no end"
 
     asyncio.run(play())
 
@@ -173,8 +180,8 @@
     ],
 )
 def test_a_spoilt_list_is_a_fault_by_name_and_nothing_else(text):
-    with pytest.raises(protocol.EndpointListError):
-        protocol.Objects().feed(text)
+    with pytest.raises(discovery_protocol.EndpointListError):
+        discovery_protocol.WatchParser().feed(text)
 
 
 CAPPED = api.Plan("capped", 1.0, 1.0, 3.0, 0.0, limit_units_per_s=40.0, limit_burst_units=32.0)
@@ -227,12 +234,16 @@
         async with site(tmp_path) as it:
             reader, writer = await it.open()
             writer.write(it.request()[:-9])
-            await until(lambda: any(client.came for client in it.gateway.clients.by_state[State.FRESH]))
+            await until(
+                lambda: any(
+                    client.last_received_at_ms for client in it.gateway.clients.by_state[ConnectionState.NEW]
+                )
+            )
             if why == "its time is up":
-                monkeypatch.setattr(clients, "FIRST_MS", 1.0)
+                monkeypatch.setattr(client_idle_eviction, "REQUEST_TIMEOUT_MS", 1.0)
             else:
-                monkeypatch.setattr(clients, "GRACE_MS", 0.0)
-                assert it.gateway.clients._make_room()
+                monkeypatch.setattr(client_idle_eviction, "NEW_CONNECTION_GRACE_MS", 0.0)
+                assert it.gateway.idle_eviction.evict_one()
             assert (await answer(reader))[0] == (408 if why == "its time is up" else 503)
             writer.close()
 
@@ -254,12 +265,12 @@
                 )[:-3]
 
             assert (await it.ask(request(len(body)) + body))[::2] == (200, b"good")
-            assert it.store.seen[0].endswith(body) and not it.gateway.clients.long
+            assert it.store.seen[0].endswith(body) and not it.gateway.clients.large_body_bytes
             assert (await it.ask(request(64 * 2**20)))[0] == 413, "by its head"
             reader, writer = await it.open()
             writer.write(request(len(body)) + body[:1000])
-            await until(lambda: it.gateway.clients.long == len(body))
-            it.gateway.clients.long_most = 1.5 * len(body)
+            await until(lambda: it.gateway.clients.large_body_bytes == len(body))
+            it.gateway.clients.max_large_body_bytes = 1.5 * len(body)
             assert (await it.ask(request(len(body)) + body))[0] == 503, "not both at once"
             writer.write(body[1000:])
             assert (await answer(reader))[0] == 200
@@ -267,11 +278,13 @@
             text = it.request(**chunked, **{"Req-Deadline-Ms": "9000"})[:-3]
             piece = b"6978\r\n" + body[:27_000] + b"\r\n"
             assert (await it.ask(text + 4 * piece + b"0\r\n\r\n"))[0] == 200
-            it.gateway.clients.long_most = 1e9
+            it.gateway.clients.max_large_body_bytes = 1e9
             assert (await it.ask(text.replace(b"000", b"00f", 1) + 40 * piece))[0] == 413, (
                 "and not without end"
             )
-            assert (await it.ask(request(len(body)) + body))[0] == 200 and not it.gateway.clients.long
+            assert (await it.ask(request(len(body)) + body))[
+                0
+            ] == 200 and not it.gateway.clients.large_body_bytes
             writer.close()
 
     asyncio.run(play())
@@ -293,7 +306,7 @@
         async with site(tmp_path, say) as it:
             status, _, body = await it.ask(**{"Req-Kind": "write", "Req-Deadline-Ms": "3000"})
             assert (status, body == b"halfwhole") == ((200, True) if end == "close" else (502, False))
-            assert not it.gateway.stores._idle
+            assert not it.gateway.upstream_pool._idle
 
     asyncio.run(play())
 
@@ -301,22 +314,22 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_dial_comes_up_and_a_leave_lies_unread_beside_it_nothing_is_sent(tmp_path, monkeypatch, how):
     """A late turn of the loop finds both, and in either order."""
-    dials = Dials(monkeypatch)
+    held_connects = HeldConnects(monkeypatch)
 
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**{"Req-Deadline-Ms": "8000"}))
-            await until(lambda: bool(dials.held))
-            (client,) = it.gateway.clients.by_state[State.OPEN]
+            await until(lambda: bool(held_connects.held))
+            (client,) = it.gateway.clients.by_state[ConnectionState.AWAITING_RESPONSE]
             it.gateway.loop.remove_reader(client.sock.fileno())
             leave(writer, how)
-            await until(lambda: clients.sockets.ended(client.sock))
-            assert not it.gateway.counts["gone"]
-            dials.go()
-            await settled(it)
-            assert not it.store.seen and it.gateway.counts["gone"] == 1
-            await until(lambda: not it.gateway.engine._scheduler.requests)
+            await until(lambda: sockets.peer_has_closed(client.sock))
+            assert not it.gateway.counts["clients_disconnected"]
+            held_connects.go()
+            await wait_until_settled(it)
+            assert not it.store.seen and it.gateway.counts["clients_disconnected"] == 1
+            await until(lambda: not it.gateway.scheduler_loop._scheduler.requests)
 
     asyncio.run(play())
 
@@ -326,7 +339,7 @@
         async with site(tmp_path, known={"version": 9, "servers": [{"id": 7}]}) as it:
             assert (await it.ask())[0] == 503
             it.tell(2)
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 200
 
     asyncio.run(play())
--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 import pytest
-from test_crossings_sends import Dials, leave
+from test_crossings_sends import HeldConnects, leave
 from test_platform_sockets import Site, answer, site, until
 
 SEEDS = range(24)
@@ -31,7 +31,7 @@
     """A gateway in the middle of its crossings."""
 
     it: Site
-    dials: Dials
+    held_connects: HeldConnects
     random: random.Random
     tries: list[Try] = field(default_factory=list)
     steps: list[str] = field(default_factory=list)
@@ -74,18 +74,18 @@
         if not waiting:
             return
         one = self.random.choice(waiting)
-        one.left, gone = True, self.it.gateway.counts["gone"]
+        one.left, gone = True, self.it.gateway.counts["clients_disconnected"]
         one.answer.cancel()
         leave(one.writer, self.random.choice(["close", "reset"]))
         await self.seen()
-        if self.it.gateway.counts["gone"] > gone and one.id not in self.began:
+        if self.it.gateway.counts["clients_disconnected"] > gone and one.id not in self.began:
             self.late_ids.add(one.id)
 
     async def come_up(self) -> None:
-        held, self.dials.held = self.dials.held, []
+        held, self.held_connects.held = self.held_connects.held, []
         for link in held:
             if link.sock.fileno() >= 0:
-                link.writable()
+                link.on_writable()
 
     def _pick(self, of: list[tuple[asyncio.StreamWriter, str]]) -> tuple[asyncio.StreamWriter, str] | None:
         live = [pair for pair in of if not pair[0].is_closing()]
@@ -115,7 +115,7 @@
     async def _tell(self, **changes: object) -> None:
         self.version += 1
         self.it.tell(self.version, **changes)
-        await until(lambda: self.it.gateway.follower.version == self.version)
+        await until(lambda: self.it.gateway.discovery.version == self.version)
         await self.seen()
 
     async def drain(self) -> None:
@@ -150,10 +150,10 @@
 )
 
 
-async def played(seed: int, path: object, dials: Dials) -> Play:
+async def played(seed: int, path: object, held_connects: HeldConnects) -> Play:
     made: list[Play] = []
     async with site(path, lambda *told: made[0].say(*told)) as it:  # type: ignore[arg-type]
-        play = Play(it, dials, random.Random(seed))
+        play = Play(it, held_connects, random.Random(seed))
         made.append(play)
         await play.ask()
         for _ in range(STEPS):
@@ -163,14 +163,14 @@
             if play.random.random() < 0.6:
                 await play.seen()
         await play.come_up()
-        dials.holding = False
+        held_connects.holding = False
         play.steps.append(signal.SIGTERM.name)
         it.gateway.stop()
         for _ in range(60):
             await play.answer()
             await asyncio.sleep(0.005)
-        assert it.gateway._leaving is not None
-        await until(lambda: it.gateway.over.done(), 8.0)
+        assert it.gateway.shutdown.schedule is not None
+        await until(lambda: it.gateway.shutdown.finished.done(), 8.0)
         for one in play.tries:
             if one.left:
                 continue
@@ -179,18 +179,18 @@
                 play.faults.append(f"{one.id} was served {body!r}")
             one.writer.close()
         if (
-            it.gateway.engine.open_requests
-            or it.gateway.engine.disconnected_requests
-            or it.gateway.engine._scheduler.requests
+            it.gateway.scheduler_loop.open_requests
+            or it.gateway.scheduler_loop.disconnected_requests
+            or it.gateway.scheduler_loop._scheduler.requests
         ):
             play.faults.append("something is left behind")
-        if it.gateway.counts["sent-late-after-leave"]:
+        if it.gateway.counts["sent_late_after_disconnect"]:
             play.faults.append("the gateway counts a send after a leave")
     return play
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_any_order_keeps_the_rules(tmp_path, monkeypatch, seed):
-    play = asyncio.run(played(seed, tmp_path, Dials(monkeypatch)))
+    play = asyncio.run(played(seed, tmp_path, HeldConnects(monkeypatch)))
     assert not play.faults, f"seed {seed}: {' > '.join(play.steps)}: {play.faults}"
     assert all(count <= 3 for count in play.began.values())
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -12,64 +12,69 @@
 import pytest
 from test_platform_sockets import GOOD, Site, answer, good, site, until
 
-from winchdyke.platform import stores
-from winchdyke.platform.clients import State
-from winchdyke.platform.stores import Link, Stores
+from winchdyke.platform import sockets, upstream_pool
+from winchdyke.platform.client_connection import ConnectionState
+from winchdyke.platform.upstream_connection import EndpointAddress, UpstreamConnection
+from winchdyke.platform.upstream_pool import UpstreamPool
 
 LONG = {"Req-Deadline-Ms": "5000"}
 OTHER = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nother"
 
 
-class Dials:
+class HeldConnects:
     """Holds connections to stores as if they had not come up, until they are let go."""
 
     def __init__(self, patch: pytest.MonkeyPatch) -> None:
-        self.held, self.holding = list[Link](), True
-        begin, connected = Stores.dial, stores.sockets.connected
+        self.held, self.holding = list[UpstreamConnection](), True
+        begin, connected = UpstreamPool.connect, sockets.connect_has_finished
 
-        def dial(of: Stores, place: stores.Place) -> Link:
+        def dial(of: UpstreamPool, place: EndpointAddress) -> UpstreamConnection:
             link = begin(of, place)
             if self.holding:
-                of.connect_ms = 10_000.0  # held for as long as the test wants, on any machine
+                of.connect_timeout_ms = 10_000.0  # held for as long as the test wants, on any machine
                 of.loop.remove_writer(link.sock.fileno())
                 self.held.append(link)
             return link
 
-        patch.setattr(Stores, "dial", dial)
-        patch.setattr(stores.sockets, "connected", lambda sock: not self.holding and connected(sock))
+        patch.setattr(UpstreamPool, "connect", dial)
+        patch.setattr(
+            sockets,
+            "connect_has_finished",
+            lambda sock: not self.holding and connected(sock),
+        )
 
     def go(self) -> None:
         """All that is held comes up in one turn; what is dialled from now on is not held."""
         self.holding = False
         for link in self.held:
             if link.sock.fileno() >= 0:
-                link.writable()
+                link.on_writable()
 
 
 @pytest.fixture
-def dials(monkeypatch: pytest.MonkeyPatch) -> Iterator[Dials]:
-    yield Dials(monkeypatch)
+def held_connects(monkeypatch: pytest.MonkeyPatch) -> Iterator[HeldConnects]:
+    yield HeldConnects(monkeypatch)
 
 
-async def settled(it: Site) -> None:
+async def wait_until_settled(it: Site) -> None:
     """Both sides have had their turns: a request asked now, of a shard without a store, was answered."""
     await it.ask(**{"X-IO": "units=2,shard=9,hosts=2"})
     await asyncio.sleep(0.02)
 
 
-def narrow(patch: pytest.MonkeyPatch) -> None:
+def limit_send_buffers(patch: pytest.MonkeyPatch) -> None:
     """Connections to stores take little at a time: a body is half written for as long as its store reads nothing."""
-    begin = Stores.dial
+    begin = UpstreamPool.connect
 
-    def dial(of: Stores, place: stores.Place) -> Link:
+    def dial(of: UpstreamPool, place: EndpointAddress) -> UpstreamConnection:
         link = begin(of, place)
         link.sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         return link
 
-    patch.setattr(Stores, "dial", dial)
+    patch.setattr(UpstreamPool, "connect", dial)
 
 
-def listener_of_little() -> socket.socket:
+def small_buffer_listener() -> socket.socket:
     """A store's listener whose connections take little unread."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -78,10 +83,10 @@
     return listener
 
 
-async def moved(it: Site, listener: socket.socket) -> None:
+async def move_store(it: Site, listener: socket.socket) -> None:
     """The store is at another address from now on."""
     it.tell(2, addr=f"127.0.0.1:{listener.getsockname()[1]}")
-    await until(lambda: it.gateway.follower.version == 2)
+    await until(lambda: it.gateway.discovery.version == 2)
 
 
 def leave(writer: asyncio.StreamWriter, how: str) -> None:
@@ -94,23 +99,25 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_client_leaves_then_its_dial_comes_up_nothing_is_sent(tmp_path, dials, how):
+def test_a_client_leaves_then_its_dial_comes_up_nothing_is_sent(tmp_path, held_connects, how):
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             leave(writer, how)
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["NOT_SENT"] == 1)
-            dials.go()
-            await settled(it)
-            assert not it.store.seen and not it.gateway.engine._scheduler.requests
-            assert not it.gateway.counts["sent-after-leave"]
+            await until(
+                lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["NOT_SENT"] == 1
+            )
+            held_connects.go()
+            await wait_until_settled(it)
+            assert not it.store.seen and not it.gateway.scheduler_loop._scheduler.requests
+            assert not it.gateway.counts["sent_after_disconnect"]
 
     asyncio.run(play())
 
 
-def test_a_dial_comes_up_then_its_client_leaves_the_attempt_is_let_be(tmp_path, dials):
+def test_a_dial_comes_up_then_its_client_leaves_the_attempt_is_let_be(tmp_path, held_connects):
     def silent(writer: asyncio.StreamWriter, head: bytes, number: int) -> None:
         pass
 
@@ -118,50 +125,52 @@
         async with site(tmp_path, silent) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
-            dials.go()
+            await until(lambda: bool(held_connects.held))
+            held_connects.go()
             await until(lambda: len(it.store.seen) == 1)
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.disconnected_requests and not it.store.ends, (
+            await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
+            assert it.gateway.scheduler_loop.disconnected_requests and not it.store.ends, (
                 "it may have run: its answer is still learnt from"
             )
             it.store.writers[0].write(GOOD)
-            await until(lambda: not it.gateway.engine.disconnected_requests)
-            assert not it.gateway.engine._scheduler.requests
+            await until(lambda: not it.gateway.scheduler_loop.disconnected_requests)
+            assert not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
 
-def test_a_client_leaves_behind_more_bytes_than_are_kept_ahead_nothing_is_sent(tmp_path, dials):
+def test_a_client_leaves_behind_more_bytes_than_are_kept_ahead_nothing_is_sent(tmp_path, held_connects):
     """The reader was off past 64 KiB: the leave lay behind bytes that nobody read."""
 
     async def play() -> None:
         async with site(tmp_path) as it:
             _, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1 and it.gateway.counts["NOT_SENT"] == 1)
-            dials.go()
-            await settled(it)
+            await until(
+                lambda: it.gateway.counts["clients_disconnected"] == 1 and it.gateway.counts["NOT_SENT"] == 1
+            )
+            held_connects.go()
+            await wait_until_settled(it)
             assert not it.store.seen
 
     asyncio.run(play())
 
 
-def test_what_is_sent_too_far_ahead_is_told_behind_the_answers_that_are_owed(tmp_path, dials):
+def test_what_is_sent_too_far_ahead_is_told_behind_the_answers_that_are_owed(tmp_path, held_connects):
     async def play() -> None:
         async with site(tmp_path) as it:
             reader, writer = await it.open()
             writer.write(it.request(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             writer.write(b"".join(it.request() for _ in range(1500)))
             await writer.drain()
             await asyncio.sleep(0.2)
-            dials.go()
+            held_connects.go()
             assert (await answer(reader))[0] == 200
             status = 0
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -179,41 +188,43 @@
             reader, writer = await it.open()
             writer.write(it.request())
             assert (await answer(reader))[0] == 200
-            (client,) = it.gateway.clients.by_state[State.IDLE]
-            client._over = True  # bytes were thrown away, and the turn that tells so has not come
+            (client,) = it.gateway.clients.by_state[ConnectionState.IDLE]
+            client._pipeline_overflowed = (
+                True  # bytes were thrown away, and the turn that tells so has not come
+            )
             writer.write(it.request())
-            await until(lambda: client._thrown > 0)
-            client.look()
+            await until(lambda: client._discarded_bytes > 0)
+            client.process_pending()
             assert (await answer(reader))[0] == 413 and len(it.store.seen) == 1
             writer.close()
 
     asyncio.run(play())
 
 
-def test_a_drain_is_told_then_the_dial_comes_up_nothing_is_sent(tmp_path, dials):
+def test_a_drain_is_told_then_the_dial_comes_up_nothing_is_sent(tmp_path, held_connects):
     """ticino-vault, split+mass, seed 607020175703: 29 requests went to stores up to a dial's time after their drain was told."""
 
     async def play() -> None:
         async with site(tmp_path) as it:
             asked = asyncio.ensure_future(it.ask(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             it.tell(2, state="terminating")
             await until(lambda: it.gateway.counts["NOT_SENT"] == 1)
-            dials.go()
+            held_connects.go()
             assert (await asked)[0] == 503 and not it.store.seen
 
     asyncio.run(play())
 
 
-def test_a_cold_restart_is_told_then_the_dial_comes_up_the_request_is_decided_anew(tmp_path, dials):
+def test_a_cold_restart_is_told_then_the_dial_comes_up_the_request_is_decided_anew(tmp_path, held_connects):
     async def play() -> None:
         async with site(tmp_path) as it:
             asked = asyncio.ensure_future(it.ask(**LONG))
-            await until(lambda: bool(dials.held))
+            await until(lambda: bool(held_connects.held))
             it.tell(2, started_ms=1)
-            await until(lambda: it.gateway.stores.counts["called-off"] == 1)
-            before = dials.held[0]
-            dials.go()
+            await until(lambda: it.gateway.upstream_pool.counts["attempts_abandoned"] == 1)
+            before = held_connects.held[0]
+            held_connects.go()
             assert (await asked)[0] == 200 and before.sock.fileno() < 0 and len(it.store.seen) == 1
 
     asyncio.run(play())
@@ -221,29 +232,34 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_client_leaves_while_its_body_is_half_written_the_rest_is_not(tmp_path, monkeypatch, how):
-    narrow(monkeypatch)
+    limit_send_buffers(monkeypatch)
 
     async def play() -> None:
-        with listener_of_little() as listener:
+        with small_buffer_listener() as listener:
             async with site(tmp_path) as it:
-                await moved(it, listener)
+                await move_store(it, listener)
                 body = b"x" * 60000
                 request = it.request(
                     **{"Req-Kind": "write", "Content-Length": str(len(body)), "Req-Deadline-Ms": "9000"}
                 )
                 _, writer = await it.open()
                 writer.write(request[:-3] + body)
-                await until(lambda: it.gateway.counts["taken"] == 1 and bool(it.gateway.stores.links))
+                await until(
+                    lambda: (
+                        it.gateway.counts["requests_accepted"] == 1
+                        and bool(it.gateway.upstream_pool.connections)
+                    )
+                )
                 store, _ = await asyncio.to_thread(listener.accept)
                 leave(writer, how)
-                await until(lambda: it.gateway.counts["gone"] == 1)
-                await settled(it)
+                await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
+                await wait_until_settled(it)
                 said = b""
                 store.settimeout(1.0)
                 with store, contextlib.suppress(ConnectionError, TimeoutError):
                     while more := await asyncio.to_thread(store.recv, 65536):
                         said += more
-                assert 0 < len(said) < len(body) and not it.gateway.engine._scheduler.requests
+                assert 0 < len(said) < len(body) and not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
 
@@ -274,9 +290,9 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            await asyncio.sleep(2 * stores.REST_MS / 1000)
+            await asyncio.sleep(2 * upstream_pool.MIN_REUSE_PAUSE_MS / 1000)
             await it.ask()
-            assert it.store.connections == 1 and it.gateway.stores.counts["reused"] == 1
+            assert it.store.connections == 1 and it.gateway.upstream_pool.counts["connections_reused"] == 1
 
     asyncio.run(play())
 
@@ -285,7 +301,7 @@
     tmp_path, monkeypatch
 ):
     """A process kept off its core used connections that their stores were just ending."""
-    receive = stores.sockets.receive
+    receive = sockets.receive
 
     def late(sock: socket.socket, most: int = 65536) -> tuple[bytes, float]:
         data, came = receive(sock, most)
@@ -294,13 +310,15 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            await until(lambda: bool(it.gateway.stores._idle))
+            await until(lambda: bool(it.gateway.upstream_pool._idle))
             with monkeypatch.context() as patch:
-                patch.setattr(stores.sockets, "receive", late)
-                it.gateway.stores.close()
+                patch.setattr(sockets, "receive", late)
+                it.gateway.upstream_pool.close_idle()
                 assert (await it.ask(**{"Req-Deadline-Ms": "2000"}))[0] == 200
-                await until(lambda: bool(it.gateway.stores._idle) or not it.gateway.stores.links)
-            assert it.gateway.stores.kept(it.gateway.places["s-1"]) is None
+                await until(
+                    lambda: bool(it.gateway.upstream_pool._idle) or not it.gateway.upstream_pool.connections
+                )
+            assert it.gateway.upstream_pool.take_idle(it.gateway.endpoints.addresses["s-1"]) is None
 
     asyncio.run(play())
 
@@ -314,16 +332,19 @@
         async with site(tmp_path, silent) as it:
             asked = asyncio.ensure_future(it.ask(**{"Req-Kind": "write"}))
             await until(lambda: bool(it.store.seen))
-            (link,) = it.gateway.stores.links
+            (link,) = it.gateway.upstream_pool.connections
             it.gateway.loop.remove_reader(link.sock.fileno())  # the loop has not turned since
             if lies:
                 it.store.writers[0].write(GOOD)
                 await asyncio.to_thread(select.select, [link.sock], [], [], 5.0)
-            it.gateway.engine.finish_all("stopping")
+            it.gateway.scheduler_loop.finish_all("stopping")
             status, _, body = await asked
             assert (status, body == b"good") == ((200, True) if lies else (502, False))
-            await settled(it)
-            assert not it.gateway.engine._scheduler.requests and not it.gateway.engine.open_requests
+            await wait_until_settled(it)
+            assert (
+                not it.gateway.scheduler_loop._scheduler.requests
+                and not it.gateway.scheduler_loop.open_requests
+            )
 
     asyncio.run(play())
 
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -17,22 +17,22 @@
 from typing import Any
 
 import pytest
-from test_platform import PATH, READ, TOLD, WRITE, config, message
+from test_platform import PATH, READ, SETTINGS_JSON, WRITE, config, message
 
 from winchdyke.gateway import logs
 from winchdyke.platform import configuration, sockets
-from winchdyke.platform.clients import State
-from winchdyke.platform.service import Gateway
+from winchdyke.platform.client_connection import ConnectionState
+from winchdyke.platform.service import PlatformGateway
 
 logs.configure("none")
-Say = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
+ScriptedResponse = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
 
 class Store:
     """A store that reads requests one by one and says what its script says."""
 
-    def __init__(self, say: Say) -> None:
+    def __init__(self, say: ScriptedResponse) -> None:
         self.say, self.seen, self.connections, self.ends = say, [], 0, 0
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -63,7 +63,7 @@
     """A gateway, one store and discovery."""
 
     def __init__(
-        self, gateway: Gateway, store: Store, watches: list[asyncio.StreamWriter], port: int
+        self, gateway: PlatformGateway, store: Store, watches: list[asyncio.StreamWriter], port: int
     ) -> None:
         self.gateway, self.store, self.watches, self.port, self.number = gateway, store, watches, port, 0
 
@@ -135,15 +135,15 @@
 @asynccontextmanager
 async def site(
     path: Path,
-    say: Say = good,
+    say: ScriptedResponse = good,
     listed: bool = True,
-    sockets_most: int = 256,
-    lists_of: Callable[[list[asyncio.StreamWriter]], Awaitable[asyncio.Server]] | None = None,
+    max_descriptors: int = 256,
+    make_discovery: Callable[[list[asyncio.StreamWriter]], Awaitable[asyncio.Server]] | None = None,
     known: dict[str, Any] | None = None,
 ) -> AsyncIterator[Site]:
     store, watches = Store(say), list[asyncio.StreamWriter]()
     await store.start()
-    lists = await (lists_of or discovery)(watches)
+    lists = await (make_discovery or discovery)(watches)
     entry = {
         "id": "s-1",
         "addr": store.address,
@@ -158,10 +158,10 @@
         listen=f"127.0.0.1:{port}",
         discovery=f"127.0.0.1:{port_of(lists)}",
         known=known or {"version": 1, "full": True, "servers": [entry] if listed else []},
-        limits={"cores": 1, "memory_mb": 64, "sockets": sockets_most},
+        limits={"cores": 1, "memory_mb": 64, "sockets": max_descriptors},
     )
     os.environ["NODE_CONFIG"] = variables["NODE_CONFIG"]
-    gateway = Gateway(configuration.read(variables), asyncio.get_running_loop())
+    gateway = PlatformGateway(configuration.read_environment(variables), asyncio.get_running_loop())
     serving = asyncio.ensure_future(gateway.run())
     made = Site(gateway, store, watches, port)
     made.entry = entry
@@ -175,7 +175,7 @@
         lists.close()
 
 
-async def spawned(variables: dict[str, str]) -> asyncio.subprocess.Process:
+async def spawn_gateway(variables: dict[str, str]) -> asyncio.subprocess.Process:
     """The program itself; what it says is kept."""
     return await asyncio.create_subprocess_exec(
         sys.executable,
@@ -187,7 +187,7 @@
     )
 
 
-def catches(pid: int, number: int) -> bool:
+def handles_signal(pid: int, number: int) -> bool:
     """Whether a process has a handler for a signal."""
     status = Path(f"/proc/{pid}/status").read_text()
     return bool(int(status.split("SigCgt:")[1].split()[0], 16) >> (number - 1) & 1)
@@ -237,7 +237,7 @@
             status, _, body = await it.ask()
             assert (status, body) == (200, b"good"), "a read goes again"
             assert (len(it.store.seen), it.store.connections) == (2, 2)
-            assert not it.gateway.stores.held
+            assert not it.gateway.upstream_pool.response_memory.buffered_bytes
 
     asyncio.run(play())
 
@@ -275,11 +275,11 @@
     async def play() -> None:
         async with site(tmp_path) as it:
             await it.ask()
-            place = it.gateway.places["s-1"]
-            await until(lambda: bool(it.gateway.stores._idle))
+            place = it.gateway.endpoints.addresses["s-1"]
+            await until(lambda: bool(it.gateway.upstream_pool._idle))
             it.store.writers[0].write(GOOD)
             time.sleep(0.05)  # the bytes are there; the loop has not seen them
-            assert it.gateway.stores.kept(place) is None
+            assert it.gateway.upstream_pool.take_idle(place) is None
 
     asyncio.run(play())
 
@@ -325,7 +325,7 @@
                 said = await asyncio.wait_for(reader.read(), 3.0)
             assert not said or said.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
             assert not said.startswith((b"HTTP/1.1 429", b"HTTP/1.1 503"))
-            assert not it.store.seen and not it.gateway.engine.open_requests
+            assert not it.store.seen and not it.gateway.scheduler_loop.open_requests
             writer.close()
 
     asyncio.run(play())
@@ -348,11 +348,11 @@
 
 def test_strangers_who_say_nothing_do_not_keep_others_out(tmp_path):
     async def play() -> None:
-        async with site(tmp_path, sockets_most=64) as it:
+        async with site(tmp_path, max_descriptors=64) as it:
             silent = [await it.open() for _ in range(60)]
             assert (await it.ask())[0] == 200
-            assert it.gateway.clients.count <= it.gateway.clients.most
-            await until(lambda: not it.gateway.clients.by_state[State.FRESH], 4.0)
+            assert it.gateway.clients.count <= it.gateway.listener.max_connections
+            await until(lambda: not it.gateway.clients.by_state[ConnectionState.NEW], 4.0)
             for _, writer in silent:
                 writer.close()
 
@@ -368,7 +368,7 @@
                 writer.write(it.request())
                 assert (await answer(reader))[0] == 200
                 stayed.append((reader, writer))
-            assert len(it.gateway.clients.by_state[State.IDLE]) <= 20
+            assert len(it.gateway.clients.by_state[ConnectionState.IDLE]) <= 20
             assert stayed[0][0].at_eof() or await stayed[0][0].read() == b""
             reader, writer = stayed[-1]
             writer.write(it.request())
@@ -410,10 +410,16 @@
             writer.write(it.request())
             await until(lambda: bool(it.store.seen))
             writer.close()
-            await until(lambda: it.gateway.counts["gone"] == 1)
-            assert it.gateway.engine.disconnected_requests and not it.gateway.engine.open_requests
+            await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
+            assert (
+                it.gateway.scheduler_loop.disconnected_requests
+                and not it.gateway.scheduler_loop.open_requests
+            )
             assert (await it.ask())[0] == 200 and it.store.connections <= 2
-            assert not it.gateway.engine.disconnected_requests and not it.gateway.engine._scheduler.requests
+            assert (
+                not it.gateway.scheduler_loop.disconnected_requests
+                and not it.gateway.scheduler_loop._scheduler.requests
+            )
 
     asyncio.run(play())
 
@@ -423,7 +429,7 @@
         async with site(tmp_path) as it:
             assert (await it.ask())[0] == 200
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             await asyncio.sleep(0.02)
             assert (await it.ask())[0] == 503 and len(it.store.seen) == 1
 
@@ -435,7 +441,7 @@
         async with site(tmp_path) as it:
             it.watches[0].write(b"4\r\n{no\n\r\n")
             await until(lambda: len(it.watches) == 2)
-            assert it.gateway.follower._whole and (await it.ask())[0] == 200
+            assert it.gateway.discovery._needs_full_list and (await it.ask())[0] == 200
 
     asyncio.run(play())
 
@@ -446,8 +452,8 @@
             path = tmp_path / "config.json"
             info, watches = json.loads(path.read_text()), list[asyncio.StreamWriter]()
             path.write_text("{half")
-            it.gateway.reload(tries=1)
-            assert it.gateway.follower.address[1] == int(info["discovery"].rpartition(":")[2])
+            it.gateway.reload(attempts=1)
+            assert it.gateway.discovery.address[1] == int(info["discovery"].rpartition(":")[2])
             lists = await discovery(watches)
             info["discovery"] = f"127.0.0.1:{port_of(lists)}"
             path.write_text(json.dumps(info))
@@ -455,7 +461,7 @@
             await until(lambda: bool(watches))
             it.watches = watches
             it.tell(2, state="terminating")
-            await until(lambda: it.gateway.follower.version == 2)
+            await until(lambda: it.gateway.discovery.version == 2)
             assert (await it.ask())[0] == 503
             lists.close()
 
@@ -472,7 +478,7 @@
             kept.write(it.request())
             assert (await answer(kept_reader))[0] == 200
             it.gateway.stop()
-            calls = it.gateway._leaving
+            calls = it.gateway.shutdown.schedule
             assert calls is not None
             for _ in range(3):  # past what was once the end
                 await asyncio.sleep(0.4)
@@ -480,12 +486,12 @@
                 status, headers, _ = await answer(kept_reader)
                 assert (status, headers.get("connection")) == (200, None)
             assert (await it.ask())[0] == 200  # a new one is taken, too
-            it.gateway._leaving = replace(calls, last_call=0.0)
-            it.gateway.clients.closing = True
+            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0)
+            it.gateway.clients.close_after_response = True
             kept.write(it.request())
             status, headers, _ = await answer(kept_reader)
             assert (status, headers["connection"]) == (200, "close")
-            await until(it.gateway.over.done)
+            await until(it.gateway.shutdown.finished.done)
             kept.close()
 
     asyncio.run(play())
@@ -505,15 +511,15 @@
                 it.ask(**{"Req-Deadline-Ms": "15000", "X-IO": "units=2,shard=9,hosts=2"})
             )
             it.gateway.stop()
-            calls = it.gateway._leaving
-            assert calls is not None and calls.answer_by - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
-            it.gateway._leaving = replace(calls, last_call=0.0, answer_by=0.0)
+            calls = it.gateway.shutdown.schedule
+            assert calls is not None and calls.answer_by_ms - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
+            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0)
             status, headers, _ = await sent
             assert (status, headers["winchdyke-reason"]) == (502, "stopping")  # it may have run: no refusal
             assert (await elsewhere)[0] == 503
             late = await it.ask(**{"Req-Deadline-Ms": "15000"})  # nothing of its time is left here
             assert late[0] == 503
-            await until(it.gateway.over.done)
+            await until(it.gateway.shutdown.finished.done)
 
     asyncio.run(play())
 
@@ -526,7 +532,7 @@
         with socket.create_connection(listener.getsockname()) as one:
             other, _ = listener.accept()
             with other:
-                sockets.stamped(other)
+                sockets.configure(other)
                 time.sleep(0.1)  # the system begins to stamp a moment after the first socket asks for it
                 one.send(b"early")
                 time.sleep(0.1)
@@ -543,11 +549,11 @@
             tmp_path / "config.json",
             listen=f"127.0.0.1:{free_port()}",
             discovery=f"127.0.0.1:{port_of(lists)}",
-            settings=TOLD,
+            settings=SETTINGS_JSON,
         )
-        process = await spawned(variables)
+        process = await spawn_gateway(variables)
         if early:  # as soon as it is heard at all: before that the system ends any program by it
-            await until(lambda: catches(process.pid, signal.SIGHUP), 20.0)
+            await until(lambda: handles_signal(process.pid, signal.SIGHUP), 20.0)
         else:
             await until(lambda: bool(watches), 20.0)
         process.send_signal(signal.SIGHUP)
@@ -561,7 +567,7 @@
 
 def test_an_environment_that_cannot_be_used_ends_the_program_with_one_line(tmp_path):
     async def play() -> None:
-        process = await spawned({"NODE_CONFIG": str(tmp_path / "none")})
+        process = await spawn_gateway({"NODE_CONFIG": str(tmp_path / "none")})
         _, said = await process.communicate()
         assert process.returncode == 2 and said.startswith(b"winchdyke: ") and said.count(b"\n") == 1
 
--- a/winchdyke/platform/discovery_client.py
+++ b/winchdyke/platform/discovery_client.py
@@ -1,4 +1,4 @@
-"""Following discovery: one watch at a time, begun again where it ends or falls silent, moved where its address changes."""
+"""Follows discovery: one watch at a time, retried with backoff where it ends or falls silent, moved where its address changes."""
 
 from __future__ import annotations
 
@@ -7,202 +7,151 @@
 
 import structlog
 
-from winchdyke.http1 import ClientSide, End, Need, ProtocolError
-from winchdyke.platform import protocol
 from winchdyke.platform.configuration import Address
+from winchdyke.platform.discovery_protocol import EndpointListError, EndpointListing
+from winchdyke.platform.discovery_watch import ENDED, EndpointWatch
 
-# An empty line comes every 2 s, so that its absence is told at once. What a silent watch misses counts as told 6 s after it fell
-# silent, and what discovery has to tell at its return counts at once: each tenth later is one in which a drain is not known.
-SILENT_S = 2.25
-LOOK_S = 0.1  # between looks at the silence
-AGAIN_S, AGAIN_MOST_S = 0.05, 1.0  # from the second try in a row on; the first is at once
-HEAD_MOST = 16 * 1024
-
-
-class Watch(asyncio.Protocol):
-    """One connection to discovery."""
-
-    def __init__(self, follower: Follower, target: bytes, whole: bool, asked: int) -> None:
-        self._follower, self._target, self._whole, self.asked = follower, target, whole, asked
-        self._codec, self._head, self._list = ClientSide(HEAD_MOST), False, bytearray()
-        self._objects, self.spoke, self._open_ended = protocol.Objects(), False, False
-        self.transport: asyncio.Transport | None = None
-        self.began = self.heard = follower.loop.time()
-        self.over = False
-
-    def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask."""
-        self.transport = transport  # type: ignore[assignment]
-        if self.over:
-            transport.close()
-            return
-        headers = [(b"host", b"discovery")]
-        self.transport.write(self._codec.request("GET", self._target, headers) + self._codec.end())  # type: ignore[union-attr]
+# An empty line comes every 2 s, so that its absence shows at once. What a silent watch misses counts as notified 6 s after it fell
+# silent, and what discovery sends when it returns counts at once: until a new watch speaks, a drain may go unnoticed.
+WATCH_SILENCE_SECONDS = 2.25
+SILENCE_CHECK_SECONDS = 0.1
+MIN_BACKOFF_SECONDS = 0.05  # from the second failure in a row on; the first is retried at once
+MAX_BACKOFF_SECONDS = 1.0
+MAX_COUNTED_FAILURES = 8
 
-    def data_received(self, data: bytes) -> None:
-        """Lines, or a part of one."""
-        if self.over:
-            return
-        self.heard = self._follower.loop.time()
-        try:
-            self._codec.feed(data)
-            self._read()
-        except (ProtocolError, protocol.EndpointListError) as error:
-            self._follower.unreadable(self, str(error))
-
-    def _read(self) -> None:
-        if not self._head:
-            head = self._codec.head()
-            if isinstance(head, Need):
-                return
-            if head.status != 200:
-                raise protocol.EndpointListError(f"discovery answered {head.status}")
-            self._head, self._open_ended = True, not protocol.framed(head)
-        while not self.over and not isinstance(piece := self._codec.body(), Need):
-            self.spoke = True
-            if isinstance(piece, End):
-                if self._whole:
-                    self._follower.heard(self, protocol.listing(bytes(self._list)))
-                self._follower.lost(self, "ended")
-                return
-            if self._whole:
-                self._list += piece
-                if len(self._list) > protocol.OBJECT_MOST:
-                    raise protocol.EndpointListError("the list has no end")
-                continue
-            for news in self._objects.feed(piece):
-                if not self.over:
-                    self._follower.heard(self, news)
-            self._follower.heard_of(self)
-
-    def eof_received(self) -> None:
-        """The end, in good order: where a whole list told no length, its own. A reset is none."""
-        if self._whole and self._open_ended and not self.over:
-            self.data_received(b"")
-
-    def connection_lost(self, exc: Exception | None) -> None:
-        """The watch is over."""
-        if not self.over:
-            self._follower.lost(self, str(exc or "closed"))
-
-    def end(self) -> None:
-        """Hear no more of it."""
-        self.over = True
-        if self.transport is not None:
-            self.transport.abort()
-
-
-class Follower:
-    """Keeps a watch going. ``tell`` is handed each list and each change, in order."""
+
+class DiscoveryClient:
+    """Keeps a watch going and hands over each list and each change, in order.
+
+    ``version`` is that of the list held. ``first_response`` is done once discovery has said anything at all.
+    """
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
         version: int,
-        tell: Callable[[protocol.EndpointListing], None],
+        on_endpoint_list: Callable[[EndpointListing], None],
     ) -> None:
-        self.loop, self.address, self.version, self._tell = loop, address, version, tell
-        self._watch: Watch | None = None
-        self._old: Watch | None = None  # at the address before; heard until the new one speaks
-        self._whole, self._failures, self._stopped = False, 0, False
-        self.spoken: asyncio.Future[None] = loop.create_future()  # done with the first word ever
+        self.loop = loop
+        self.address = address
+        self.version = version
+        self.first_response: asyncio.Future[None] = loop.create_future()
+        self._on_endpoint_list = on_endpoint_list
+        self._watch: EndpointWatch | None = None
+        self._previous_watch: EndpointWatch | None = (
+            None  # at the address before; followed until the new one speaks
+        )
+        self._needs_full_list = False
+        self._failures = 0
+        self._stopped = False
         self._task: asyncio.Task[None] | None = None
         self._log = structlog.get_logger("discovery")
-        self._begin()
-        loop.call_later(LOOK_S, self._look)
+        self._start_watch()
+        loop.call_later(SILENCE_CHECK_SECONDS, self._check_silence)
 
-    def move(self, address: Address) -> None:
-        """Follow another address from now on."""
+    def change_address(self, address: Address) -> None:
+        """Follow discovery at another address; the watch at the present one goes on until the new one speaks."""
         if address == self.address:
             return
         self.address = address
-        # Guards against a second move before the first has spoken: the watch that is heard is the one that has spoken.
-        watch, self._watch, self._failures = self._watch, None, 0
-        keep, drop = (watch, self._old) if watch is not None and watch.spoke else (self._old, watch)
-        if drop is not None:
-            drop.end()
-        self._old = keep
-        self._begin()
+        watch = self._watch
+        self._watch = None
+        self._failures = 0
+        # The address may change again before a new watch has spoken: the one that is kept is the last that has.
+        if watch is not None and watch.has_spoken:
+            superseded = self._previous_watch
+            self._previous_watch = watch
+        else:
+            superseded = watch
+        if superseded is not None:
+            superseded.abort()
+        self._start_watch()
 
     def stop(self) -> None:
-        """End."""
+        """End all watches and start none any more."""
         self._stopped = True
-        for watch in (self._watch, self._old):
+        for watch in (self._watch, self._previous_watch):
             if watch is not None:
-                watch.end()
+                watch.abort()
+
+    def handle_activity(self, watch: EndpointWatch) -> None:
+        """Note that a watch has spoken, be it an empty line: it replaces the one at the previous address."""
+        if watch is self._watch and self._previous_watch is not None:
+            self._previous_watch.abort()
+            self._previous_watch = None
+        if not self.first_response.done():
+            self.first_response.set_result(None)
+
+    def handle_endpoint_list(self, watch: EndpointWatch, listing: EndpointListing) -> None:
+        """Take a list or a change. EndpointListError where discovery's versions have started anew without a full list."""
+        if listing.version < watch.requested_version and not listing.full:
+            raise EndpointListError(
+                f"changes of version {listing.version} came after {watch.requested_version} was asked for"
+            )
+        self.handle_activity(watch)
+        if listing.version < self.version and watch.requested_version <= listing.version:
+            return  # sent before the other watch told more; a full list too would bring back what drains
+        if not listing.full and listing.version == self.version:
+            return  # known already, from the watch at the other address
+        self.version = listing.version
+        self._needs_full_list = False
+        # Where the versions started anew, they go on from there.
+        watch.requested_version = min(watch.requested_version, listing.version)
+        self._on_endpoint_list(listing)
+
+    def handle_unreadable(self, watch: EndpointWatch, error: str) -> None:
+        """End a watch that sent something unreadable, and ask for the full list."""
+        self._needs_full_list = True
+        self.handle_watch_closed(watch, f"unreadable: {error}")
+
+    def handle_watch_closed(self, watch: EndpointWatch, reason: str) -> None:
+        """End a watch and retry, at once after a first failure, else with backoff."""
+        watch.abort()
+        if watch is self._previous_watch:
+            self._previous_watch = None
+        if watch is not self._watch or self._stopped:
+            return
+        self._watch = None
+        # A watch that speaks and ends at once must not reset the backoff.
+        if watch.has_spoken and self.loop.time() - watch.started_at >= MAX_BACKOFF_SECONDS:
+            self._failures = 0
+        if reason != ENDED and not self._failures:
+            self._log.warning("discovery_watch_lost", reason=reason)
+        backoff_seconds = self._next_backoff_seconds()
+        self.loop.call_later(backoff_seconds, self._retry)
+
+    def _next_backoff_seconds(self) -> float:
+        failures = self._failures
+        self._failures = min(failures + 1, MAX_COUNTED_FAILURES)
+        if not failures:
+            return 0.0
+        return min(MAX_BACKOFF_SECONDS, MIN_BACKOFF_SECONDS * 2.0**failures)
+
+    def _retry(self) -> None:
+        if self._watch is None:
+            self._start_watch()
 
-    def _begin(self) -> None:
+    def _start_watch(self) -> None:
         if self._stopped:
             return
         if self._watch is not None:
-            self._watch.end()
-        target = protocol.TARGETS if self._whole else protocol.TARGETS + b"?watch=1&after=%d" % self.version
-        watch = self._watch = Watch(self, target, self._whole, self.version)
+            self._watch.abort()
+        watch = EndpointWatch(self, self._needs_full_list, self.version)
+        self._watch = watch
         self._task = self.loop.create_task(self._connect(watch))
 
-    async def _connect(self, watch: Watch) -> None:
+    async def _connect(self, watch: EndpointWatch) -> None:
         try:
-            async with asyncio.timeout(SILENT_S):
+            async with asyncio.timeout(WATCH_SILENCE_SECONDS):
                 await self.loop.create_connection(lambda: watch, *self.address)
         except (OSError, TimeoutError) as error:
-            self.lost(watch, str(error) or "no connection")
+            self.handle_watch_closed(watch, str(error) or "no connection")
 
-    def _look(self) -> None:
+    def _check_silence(self) -> None:
         if self._stopped:
             return
         watch = self._watch
-        if watch is not None and self.loop.time() - watch.heard > SILENT_S:
-            self.lost(watch, "silent")
-        self.loop.call_later(LOOK_S, self._look)
-
-    def heard_of(self, watch: Watch) -> None:
-        """A watch has spoken, be it that nothing is new."""
-        if watch is self._watch and self._old is not None:
-            self._old.end()
-            self._old = None
-        if not self.spoken.done():
-            self.spoken.set_result(None)
-
-    def heard(self, watch: Watch, news: protocol.EndpointListing) -> None:
-        """A list or a change."""
-        if news.version < watch.asked and not news.full:
-            # Guards against numbers that begin anew behind the gateway's back: it would take all changes for old ones.
-            raise protocol.EndpointListError(
-                f"changes of version {news.version} came after {watch.asked} was asked for"
-            )
-        self.heard_of(watch)
-        if news.version < self.version and watch.asked <= news.version:
-            return  # on its way while the other watch told more: a whole list too, or it brings back what drains
-        if not news.full and news.version == self.version:
-            return  # told before, by the watch at the other address
-        self.version, self._whole = news.version, False
-        watch.asked = min(watch.asked, news.version)  # where the numbers began anew, they go on from there
-        self._tell(news)
-
-    def unreadable(self, watch: Watch, why: str) -> None:
-        """Something that can't be read: a whole list is asked for."""
-        self._whole = True
-        self.lost(watch, f"unreadable: {why}")
-
-    def lost(self, watch: Watch, why: str) -> None:
-        """A watch is over; the next is begun."""
-        watch.end()
-        if watch is self._old:
-            self._old = None
-        if watch is not self._watch or self._stopped:
-            return
-        self._watch = None
-        if watch.spoke and self.loop.time() - watch.began >= AGAIN_MOST_S:
-            self._failures = (
-                0  # not for a word alone: one that speaks and ends at once would be dialled without a pause
-            )
-        if why != "ended" and not self._failures:
-            self._log.warning("discovery-lost", why=why)
-        wait = min(AGAIN_MOST_S, AGAIN_S * 2**self._failures) if self._failures else 0.0
-        self._failures = min(self._failures + 1, 8)
-        self.loop.call_later(wait, self._again, watch)
-
-    def _again(self, _: Watch) -> None:
-        if self._watch is None:
-            self._begin()
+        if watch is not None and self.loop.time() - watch.last_received_at > WATCH_SILENCE_SECONDS:
+            self.handle_watch_closed(watch, "silent")
+        self.loop.call_later(SILENCE_CHECK_SECONDS, self._check_silence)
--- /dev/null
+++ b/winchdyke/platform/upstream_attempt.py
@@ -0,0 +1,326 @@
+"""One attempt at a store, from taking a connection to its outcome. Nothing here decides whether or where to send.
+
+Whether a request may have run follows from bytes alone: an attempt *never ran* only where its last byte was not handed to
+the kernel, or where the store says so.
+
+====================  =========================================================================  =========
+outcome               what happened                                                              never ran
+====================  =========================================================================  =========
+``CONNECT_FAILED``    no connection was established, or it broke before the request's last byte  yes
+                      was written
+``NOT_SENT``          the deadline passed, no descriptor was left, or the attempt was abandoned  yes
+                      before the last byte was written
+``SHED``              the store declined it                                                      yes
+``CONNECTION_RESET``  the connection broke after that, or ended within a response, or the        no
+                      response was malformed
+``ERROR``             any other response than 200                                                no
+``TIMED_OUT``         no complete response at the deadline                                       no
+``CANCELLED``         the scheduler cancelled it                                                 no
+``SERVED``            a complete 200                                                             no
+====================  =========================================================================  =========
+"""
+
+from __future__ import annotations
+
+import errno
+import os
+import socket
+from collections.abc import Callable
+
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS
+from winchdyke.interface import AttemptOutcome
+from winchdyke.platform import protocol, sockets
+from winchdyke.platform.protocol import AttemptResult
+from winchdyke.platform.upstream_connection import EndpointAddress, UpstreamConnection
+from winchdyke.platform.upstream_deadline import AttemptDeadline
+from winchdyke.platform.upstream_pool import UpstreamPool
+from winchdyke.platform.upstream_response import MalformedResponseError, ResponseReader
+
+# A response without a length is complete at the end of its connection, which follows its last byte closely; one whose connection
+# stays open for longer is malformed.
+CLOSE_DELIMITED_TIMEOUT_MS = 100.0
+LOCAL_RESOURCE_ERRORS = (*RESOURCE_EXHAUSTION_ERRNOS, errno.EADDRNOTAVAIL)
+RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.SHED)
+
+
+class UpstreamAttempt:
+    """One request sent to one store.
+
+    ``on_finished`` is called once, with the attempt, its result and its latency in milliseconds. Times are milliseconds of the pool's
+    clock.
+    """
+
+    __slots__ = (
+        "_connection",
+        "_deadline",
+        "_fully_written",
+        "_last_byte_at_ms",
+        "_opened_connection",
+        "_pool",
+        "_response",
+        "_still_wanted",
+        "_unsent",
+        "body",
+        "deadline_ms",
+        "endpoint",
+        "finished",
+        "on_finished",
+        "request",
+        "started_at_ms",
+        "write_deadline_ms",
+        "written_at_ms",
+    )
+
+    def __init__(
+        self,
+        pool: UpstreamPool,
+        endpoint: EndpointAddress,
+        request: protocol.ParsedRequest,
+        deadline_ms: float,
+        on_finished: Callable[[UpstreamAttempt, AttemptResult, float], None],
+        write_deadline_ms: float = float("inf"),
+        still_wanted: Callable[[], bool] = lambda: True,
+    ) -> None:
+        """Prepare an attempt.
+
+        ``write_deadline_ms``: until when the last byte may be written. ``still_wanted`` is asked before the first byte goes on a
+        connection that has just been established.
+        """
+        self._pool = pool
+        self.endpoint = endpoint
+        self.request = request
+        self.deadline_ms = deadline_ms
+        self.on_finished = on_finished
+        self.write_deadline_ms = write_deadline_ms
+        self._still_wanted = still_wanted
+        self.started_at_ms = pool.clock()
+        self.finished = False
+        self.body = b""
+        self._connection: UpstreamConnection | None = None
+        self._response = ResponseReader(pool.response_memory)
+        self._deadline = AttemptDeadline(pool.loop)
+        self._unsent: memoryview | None = None
+        self._last_byte_at_ms = 0.0
+        self._opened_connection = False
+        self._fully_written = False  # the last byte is with the kernel: from then on the request may run
+        self.written_at_ms = -1e18  # when the last byte was written
+
+    def start(self) -> None:
+        """Take an idle connection, or open one, and send the request."""
+        pool = self._pool
+        while (connection := pool.take_idle(self.endpoint)) is not None:
+            connection.attempt = self
+            self._connection = connection
+            if self._write():
+                self._set_deadline(self.deadline_ms)
+                return
+        self._connect()
+
+    def cancel(self) -> None:
+        """Stop waiting; a response that has arrived already is taken."""
+        if not self.finished and self._connection is not None and self._connection.established:
+            self.on_readable()
+        outcome = AttemptOutcome.CANCELLED if self._fully_written else AttemptOutcome.NOT_SENT
+        self._finish(AttemptResult(outcome))
+
+    def abandon(self) -> None:
+        """Give up a request that has not been written completely: it never ran. Any other goes on."""
+        if self._fully_written:
+            return
+        if not self.finished:
+            self._pool.counts["attempts_abandoned"] += 1
+        self._finish(AttemptResult(AttemptOutcome.NOT_SENT))
+
+    def on_writable(self) -> None:
+        """Continue after the connect has finished, or write more of the request."""
+        connection = self._connection
+        assert connection is not None
+        if not connection.established and not self._on_connected(connection):
+            return
+        too_late = self._pool.clock() > self.write_deadline_ms
+        if too_late or (self._unsent is None and not self._still_wanted()):
+            self.abandon()
+        else:
+            self._write()
+
+    def on_readable(self) -> None:
+        """Read what has arrived of the response."""
+        connection = self._connection
+        assert connection is not None
+        while not self.finished:
+            try:
+                data, self._last_byte_at_ms = sockets.receive(connection.sock)
+            except BlockingIOError:
+                return
+            except OSError as error:
+                self._fail_broken(os.strerror(error.errno or 0))
+                return
+            if not self._on_data(connection, data):
+                return
+
+    def _on_data(self, connection: UpstreamConnection, data: bytes) -> bool:
+        """Parse received bytes; whether the socket may hold more that is to be read now."""
+        response = self._response
+        if not data and not response.close_delimited:
+            self._fail_broken("ended")  # before the end that the head gave
+            return False
+        try:
+            complete = response.feed(connection.codec, data)
+        except MalformedResponseError as error:
+            self._fail_malformed(error.reason)
+            return False
+        if complete:
+            self._on_response()
+            return False
+        if response.close_delimited:
+            self._set_deadline(min(self.deadline_ms, self._pool.clock() + CLOSE_DELIMITED_TIMEOUT_MS))
+        if response.exceeds_wire_limit:
+            self._fail_malformed("too-large")
+            return False
+        return len(data) >= sockets.MAX_RECEIVE_BYTES
+
+    def _on_response(self) -> None:
+        head = self._response.head
+        assert head is not None
+        self.body = self._response.body
+        result = protocol.parse_response(head, self._pool.load_report_fields)
+        if not self._fully_written and result.outcome is not AttemptOutcome.SHED:
+            # A store begins a request when its last byte has come, which has not left yet: this response belongs to another request.
+            self._pool.counts["early_responses"] += 1
+            result = AttemptResult(AttemptOutcome.NOT_SENT)
+        self._finish(result)
+
+    def _connect(self) -> None:
+        pool = self._pool
+        self._opened_connection = True
+        try:
+            connection = pool.connect(self.endpoint)
+        except OSError as error:
+            self._fail_connect(error.errno)
+            return
+        connection.attempt = self
+        self._connection = connection
+        self._set_deadline(min(self.deadline_ms, self.started_at_ms + pool.connect_timeout_ms))
+        if sockets.connect_has_finished(connection.sock):
+            self.on_writable()
+
+    def _on_connected(self, connection: UpstreamConnection) -> bool:
+        """Take the result of the connect; whether it succeeded."""
+        sock = connection.sock
+        fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if fault:
+            self._fail_connect(fault)
+            return False
+        connection.established = True
+        self._pool.loop.remove_writer(sock.fileno())
+        self._pool.loop.add_reader(sock.fileno(), connection.on_readable)
+        self._set_deadline(self.deadline_ms)
+        return True
+
+    def _fail_connect(self, error_number: int | None) -> None:
+        local = error_number in LOCAL_RESOURCE_ERRORS
+        self._finish(AttemptResult(AttemptOutcome.NOT_SENT if local else AttemptOutcome.CONNECT_FAILED))
+
+    def _set_deadline(self, due_at_ms: float) -> None:
+        self._deadline.set(due_at_ms, self._on_deadline)
+
+    def _on_deadline(self) -> None:
+        connection = self._connection
+        due_at_ms = self._deadline.due_at_ms
+        assert connection is not None
+        # The event loop may be late: what the socket already holds counts before the deadline does.
+        if connection.established:
+            self.on_readable()
+        elif sockets.connect_has_finished(connection.sock):
+            self.on_writable()
+        if self.finished or self._deadline.due_at_ms != due_at_ms:
+            return  # it ended or was established just now, and has a new deadline
+        self._fail_timed_out(connection, due_at_ms)
+
+    def _fail_timed_out(self, connection: UpstreamConnection, due_at_ms: float) -> None:
+        before_deadline = due_at_ms < self.deadline_ms
+        if self._response.close_delimited and before_deadline:
+            self._fail_malformed("length")
+        elif self._fully_written:
+            self._finish(AttemptResult(AttemptOutcome.TIMED_OUT))
+        elif not connection.established and before_deadline:
+            self._finish(AttemptResult(AttemptOutcome.CONNECT_FAILED))
+        else:
+            self._finish(AttemptResult(AttemptOutcome.NOT_SENT))
+
+    def _serialize_request(self, connection: UpstreamConnection) -> bytes:
+        codec = connection.codec
+        request = self.request
+        headers = protocol.upstream_headers(request, self.deadline_ms - self._pool.clock())
+        payload = codec.request(request.method, request.target, headers)
+        if request.body:
+            payload += codec.data(request.body)
+        return payload + codec.end()
+
+    def _write(self) -> bool:
+        """Send what is left; False where an idle connection proved dead before any of the request was written."""
+        connection = self._connection
+        assert connection is not None
+        first_write = self._unsent is None
+        unsent = memoryview(self._serialize_request(connection)) if self._unsent is None else self._unsent
+        try:
+            sent_bytes = connection.sock.send(unsent)
+        except BlockingIOError:
+            sent_bytes = 0
+        except OSError:
+            if first_write and not self._opened_connection:
+                connection.attempt = None
+                connection.close()
+                return False
+            self._finish(AttemptResult(AttemptOutcome.CONNECT_FAILED))  # its last byte was never written
+            return True
+        self._on_sent(connection, unsent, sent_bytes)
+        return True
+
+    def _on_sent(self, connection: UpstreamConnection, unsent: memoryview, sent_bytes: int) -> None:
+        loop = self._pool.loop
+        if sent_bytes < len(unsent):
+            if self._unsent is None:
+                loop.add_writer(connection.sock.fileno(), connection.on_writable)
+            self._unsent = unsent[sent_bytes:]
+            return
+        self._fully_written = True
+        self.written_at_ms = self._pool.clock()
+        if self._unsent is not None:
+            loop.remove_writer(connection.sock.fileno())
+        self._unsent = None
+
+    def _fail_broken(self, reason: str) -> None:
+        self._pool.counts[f"connection_broken:{reason}"] += 1
+        # It is known not to have run only while a part of the request is still here.
+        outcome = AttemptOutcome.CONNECTION_RESET if self._fully_written else AttemptOutcome.CONNECT_FAILED
+        self._finish(AttemptResult(outcome))
+
+    def _fail_malformed(self, reason: str) -> None:
+        self._pool.counts[f"malformed_response:{reason}"] += 1
+        self._finish(AttemptResult(AttemptOutcome.CONNECTION_RESET))
+
+    def _finish(self, result: AttemptResult) -> None:
+        if self.finished:
+            return
+        self.finished = True
+        self._response.release()
+        self._deadline.cancel()
+        responded = result.outcome in RESPONSE_OUTCOMES
+        self._release_connection(responded)
+        if result.outcome is AttemptOutcome.TIMED_OUT:
+            # Idle connections to a machine that stays silent may be dead too; a new connection shows it sooner.
+            self._pool.close_idle_to(self.endpoint)
+        ended_at_ms = self._last_byte_at_ms if responded else self._pool.clock()
+        self.on_finished(self, result, max(0.0, ended_at_ms - self.started_at_ms))
+
+    def _release_connection(self, responded: bool) -> None:
+        connection = self._connection
+        self._connection = None
+        if connection is None:
+            return
+        connection.attempt = None
+        if responded and self._fully_written and connection.codec.reusable:
+            self._pool.release(connection, self._last_byte_at_ms)
+        else:
+            connection.close()
