--- a/tests/test_scheduler_loop.py
+++ b/tests/test_scheduler_loop.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+from typing import get_args
+
 import anyio
 import pytest
 from rig import played
 
 from winchdyke import interface as api
-from winchdyke.gateway.scheduler_loop import SchedulerLoop
+from winchdyke.gateway.scheduler_loop import ACTION_COUNTERS, SchedulerLoop
 
 SETTINGS = api.Settings(gateway_count=1, gateway_index=0, classes=(), plans=())
 
@@ -99,6 +101,11 @@
     assert (handles["a"].attempts_in_flight, handles["b"].finished, handles["c"].finished) == (1, True, True)
 
 
+def test_every_action_has_a_counter_of_its_own():
+    assert set(ACTION_COUNTERS) == set(get_args(api.Action))
+    assert len(set(ACTION_COUNTERS.values())) == len(ACTION_COUNTERS)
+
+
 def test_submitting_a_request_twice_raises_value_error():
     loop, _, _ = make_loop()
     loop.submit(request("a"))
