--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -396,20 +396,21 @@
             async def cli(*words: str, ends: int = 0) -> str:
                 return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
 
-            folder, machine = str(tmp_path / "changes"), it.gateway.fleet.machine
-            assert machine.seeds == ("127.0.0.1:9",)
+            folder = str(tmp_path / "changes")
+            protocol = it.gateway.fleet.protocol
+            assert protocol.seeds == ("127.0.0.1:9",)
             await cli("set", folder, "peer", "east", "address=127.0.0.1:7", "--new")
             await cli("apply", folder, "2")
-            await it.until(lambda: machine.seeds == ("127.0.0.1:9", "127.0.0.1:7"))
+            await it.until(lambda: protocol.seeds == ("127.0.0.1:9", "127.0.0.1:7"))
             await cli("set", folder, "fleet", "seeds=127.0.0.1:8")
             await cli("apply", folder, "3")
-            await it.until(lambda: machine.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
-            assert machine.at == {"east": "127.0.0.1:7"}
+            await it.until(lambda: protocol.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
+            assert protocol.address_overrides == {"east": "127.0.0.1:7"}
             wrong = await cli("set", folder, "fleet", "interval=2s", ends=1)
             assert "interval of a fleet can't change in service; what can is seeds" in wrong
             await cli("set", folder, "peer", "east", "--remove")
             await cli("apply", folder, "4")
-            await it.until(lambda: machine.seeds == ("127.0.0.1:8",) and machine.at == {})
+            await it.until(lambda: protocol.seeds == ("127.0.0.1:8",) and protocol.address_overrides == {})
 
     run()
 
