--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -87,15 +87,15 @@
         try:
             what = self.draw.choice(("set", "set", "set", "undo", "confirm"))
             if what == "undo":
-                desk.do(Undo())
+                desk.execute(Undo())
             elif what == "confirm":
-                desk.do(Confirm())
+                desk.execute(Confirm())
             else:
                 weight = f"weight={self.draw.randrange(1, 1_000_000)}"
-                made = desk.do(Set("plan", self.draw.choice(("school", "contest")), [weight]))
+                made = desk.execute(Set("plan", self.draw.choice(("school", "contest")), [weight]))
                 at = time.time() * 1000 + 150 if self.draw.random() < 0.3 else 0.0
                 within = self.draw.choice((0.0, 0.0, 200.0))
-                desk.do(Stage(made["version"], at_ms=at, confirm_within_ms=within))
+                desk.execute(Stage(made["version"], at_ms=at, confirm_within_ms=within))
             self.counts[what] += 1
         except OperationError as error:
             self.counts["no " + error.code] += 1
@@ -103,8 +103,8 @@
     def round(self) -> bool:
         """Start, edit, kill; False where the start was refused."""
         changes = self.folder / "changes"
-        before = ChangeLog(changes).standing() if changes.exists() else RolloutState()
-        last = ChangeLog(changes).last() if changes.exists() else 0
+        before = ChangeLog(changes).state() if changes.exists() else RolloutState()
+        last = ChangeLog(changes).last_seq() if changes.exists() else 0
         process = self.start()
         if process is None:
             self.wrong.append("a start was refused: " + (self.folder / "log").read_text()[-500:])
@@ -114,9 +114,9 @@
             steps, _ = recover(before)
             due = before
             for step in steps:
-                due = due.after(step)
+                due = due.advance(step)
             first = self.version()
-            mine = {entry.version for entry in trail.after(last)} | {due.serving, before.serving}
+            mine = {entry.version for entry in trail.entries_after(last)} | {due.serving, before.serving}
             if last and first not in mine:
                 self.wrong.append(f"version {first} after a start; the trail leaves it at {due.serving}")
             seen: set[int] = set()
@@ -131,7 +131,7 @@
             for _ in range(self.draw.randrange(1, 4)):
                 self.edit(trail)
                 time.sleep(self.draw.uniform(0.0, 0.3))
-            reported = trail.standing()
+            reported = trail.state()
             process.send_signal(signal.SIGKILL)
             process.wait()
             stop.set()
@@ -146,15 +146,15 @@
     def _check(self, trail: ChangeLog, reported: RolloutState, seen: set[int], last: int) -> None:
         self.counts["kills"] += 1
         self.wrong += trail.verify(archives=True)
-        entries = [*trail.archived(), *trail.entries()]
-        served = {e.version for e in entries if e.what in ("applying", "applied", "undoing", "undone")}
+        entries = [*trail.archived_entries(), *trail.entries()]
+        served = {e.version for e in entries if e.action in ("applying", "applied", "undoing", "undone")}
         if strange := seen - served - {0}:
             self.wrong.append(f"answers under versions {strange} that were never in service")
-        after = trail.standing()
+        after = trail.state()
         self.counts["cut while applying"] += bool(after.applying)
-        good = reported.serving and not reported.until_ms and not reported.applying
+        good = reported.serving and not reported.confirm_by_ms and not reported.applying
         if good and after.serving != reported.serving and not after.applying:
-            said = [e for e in entries if e.what in ("applied", "undone") and e.version == after.serving]
+            said = [e for e in entries if e.action in ("applied", "undone") and e.version == after.serving]
             if not said:
                 self.wrong.append(
                     f"version {reported.serving} was reported applied, and {after.serving} is served"
--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -75,10 +75,10 @@
     Mutant("refused though it may have run", P, "self.request_class.repeat_safety is RepeatSafety.IDEMPOTENCY_KEY\n            and self.request_class.deduplication_scope is DeduplicationScope.ALL", "True"),
     Mutant("end of a request not heard", P, "if held.finished or event.request_finished:", "if held.finished:", rules=(1, 2, 6), test="test_the_reserve_does_not_wait_out_a_pause_while_the_node_answers_in_time"),
     # Limits for every byte
-    Mutant("large bodies not paid for", T, "await self._tolls.pay(self._volume, self._course, units, self._until)", "pass"),
-    Mutant("debts do not stand in the way", T, "if account.clear and not account.queued:", "if True:"),
-    Mutant("debts paid by nobody", L, "        self.debt -= due", "        self.debt = 0.0"),
-    Mutant("small answers not paid for", T, "            self._tolls.take(self._volume, excess)\n", "            pass\n", test="test_small_reads_of_unknown_size_come_out_of_the_purse"),
+    Mutant("large bodies not paid for", T, "await self._byte_meter.charge_when_settled(\n            self._volume, self._volume_meter, units, self._deadline_ms\n        )", "pass"),
+    Mutant("debts do not stand in the way", T, "if debt.is_settled and not debt.queued_units:", "if True:"),
+    Mutant("debts paid by nobody", L, "        self.units -= payment", "        self.units = 0.0"),
+    Mutant("small answers not paid for", T, "            self._byte_meter.charge_now(self._volume, excess_units)\n", "            pass\n", test="test_small_reads_of_unknown_size_come_out_of_the_bucket"),
     # Service
     Mutant("units not counted", "object_api/routes.py", "return min(largest, max(1.0, counted))", "return 1.0", test="test_what_an_operation_counts_is_its_bytes_in_units"),
     Mutant("the client's time not heeded", S, "operation.time_left_ms or rules.deadline_ms", "rules.deadline_ms", rules=(1,)),
@@ -103,8 +103,8 @@
     Mutant("a store's age not heard", N, "if restarted or not known.aged:", "if False:", "blind-day"),
     Mutant("what is not known counts as warm", N, "known.started, known.warm_known = now, True  # what is not known", "known.started, known.warm_known = 0.0, True  # what is not known", "blind-day", test="test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold"),
     # Changes
-    Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "volume.plan, volume.settings = plan, settings", "pass", "change-day"),
-    Mutant("harm not undone", "config_rollout/controller.py", "if found.bad:", "if False:", "change-day"),
+    Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "quota.plan = plan\n    quota.settings = settings", "pass", "change-day"),
+    Mutant("harm not undone", "config_rollout/controller.py", "if verdict.harmful:", "if False:", "change-day"),
     Mutant("requests see settings as they are now", S, "headers.append((store_protocol.VERSION, str(version).encode()))", "headers.append((store_protocol.VERSION, str(self.snapshot.version).encode()))", "change-day"),
     # S3
     Mutant("sums not compared", "s3/body.py", "if self._md5 is not None and not hmac", "if False and not hmac"),
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -30,7 +30,7 @@
         self.clock = gateway.engine.clock
         self.bodies = BodyStore(1 << 30, 1 << 18)
         self.stopping, self.active, self.recorder = False, 0, None
-        self.tolls = gateway.service.tolls  # which the gateway settles as it sweeps
+        self.byte_meter = gateway.service.byte_meter  # which the gateway settles as it sweeps
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
         """Send it on, and the answer back."""
--- a/benchmarks/reserve.py
+++ b/benchmarks/reserve.py
@@ -14,7 +14,7 @@
 
 from winchdyke import interface as api
 from winchdyke.policy import Scheduler
-from winchdyke.quotas.token_bucket import weigh
+from winchdyke.quotas.token_bucket import charge_reservation
 
 WAYS = {
     "": "at most largest_units",
@@ -85,7 +85,7 @@
             if isinstance(action, api.StartAttempt):
                 name, each = units[action.request_id]
                 if way == "reserve":
-                    weigh(scheduler.quotas[name], each - min(each, largest), min(each, largest))
+                    charge_reservation(scheduler.quotas[name], each - min(each, largest), min(each, largest))
                 free = max(free, now) + units[action.request_id][1] / POWER * 1000
                 later(free, "done", (action.request_id, now))
             elif isinstance(action, api.SetTimer):
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -18,23 +18,26 @@
 from winchdyke import interface as api
 from winchdyke.config import Config, defaults, parse
 from winchdyke.config.meaning import diff
-from winchdyke.config_rollout.controller import SLICE
-from winchdyke.config_rollout.cutover import Going, moved
-from winchdyke.config_rollout.edit import text_of
+from winchdyke.config_rollout.controller import REFILL_BATCH_VOLUMES
+from winchdyke.config_rollout.cutover import EffectiveConfig, changed_plans
+from winchdyke.config_rollout.edit import config_text
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import ConfigSnapshot
 
 
 def swapped(engine: SchedulerLoop, old: Config, config: Config) -> float:
     """Milliseconds for which the loop stands in one swap, as the daemon does it; the rest is made beside it."""
-    plans, settings = moved(engine.accounts(), Going(old, old), Going(config, config)), config.settings()
+    plans, settings = (
+        changed_plans(engine.accounts(), EffectiveConfig(old, old), EffectiveConfig(config, config)),
+        config.settings(),
+    )
     names = list(plans)
-    for at in range(0, len(names), SLICE):  # between these others run
-        engine.freshen(names[at : at + SLICE])
+    for at in range(0, len(names), REFILL_BATCH_VOLUMES):  # between these others run
+        engine.refill_quotas(names[at : at + REFILL_BATCH_VOLUMES])
     began = time.perf_counter()
     engine.accounts(len(engine.accounts()))
     ConfigSnapshot(config, 1)
-    engine.retell(settings, plans)
+    engine.apply_settings(settings, plans)
     return (time.perf_counter() - began) * 1000
 
 
@@ -46,7 +49,7 @@
     settings.PLANS = ("basic",)
     base = parse(defaults() + "\n" + settings.many(chosen.volumes, 0))
     names = [rule.pattern for rule in base.volumes if rule.pattern.startswith("course")]
-    text = text_of(base)
+    text = config_text(base)
     at = text.index("volume course")
     one = parse(text[:at] + text[at:].replace("plan = basic", "plan = school", 1))
     every = parse(text[:at] + text[at:].replace("plan = basic", "plan = school"))
@@ -65,7 +68,7 @@
         print(f"{what}: pause {statistics.median(pauses):.2f} ms (at most {pauses[-1]:.2f})")
     began = time.perf_counter()
     tracemalloc.start()
-    kept = parse(text_of(every))
+    kept = parse(config_text(every))
     held, took = tracemalloc.get_traced_memory()[0] / 2**20, time.perf_counter() - began
     print(
         f"a version more: {held:.1f} MiB; read and checked beside the loop in {took:.1f} s (while memory is traced)"
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -72,15 +72,15 @@
             await store.start(group)
             await stores.set(store.name, "ready", shard, "hall-a")
         gateway = Gateway(dataclasses.replace(base, nodes=dataclasses.replace(base.nodes, port=stores.port)))
-        assert gateway.live is not None
-        swap = gateway.live._swap
+        assert gateway.rollout is not None
+        swap = gateway.rollout._swap
 
         def timed(prepared: object) -> None:
             began = time.perf_counter()
             swap(prepared)  # type: ignore[arg-type]
             swaps.append((began, time.perf_counter()))
 
-        gateway.live._swap = timed
+        gateway.rollout._swap = timed
         ready = anyio.Event()
         group.start_soon(gateway.run, ready.set)
         await ready.wait()
@@ -93,14 +93,14 @@
             group.start_soon(client, gateway, number, took, lambda: on)
         await anyio.sleep(3)
         swaps.clear()
-        desk = ChangeOperations(gateway.live.trail, "benchmark", "here")
-        first = gateway.live.trail.version(1).text
+        desk = ChangeOperations(gateway.rollout.change_log, "benchmark", "here")
+        first = gateway.rollout.change_log.version(1).text
         versions = (changed(first), first)
         for number in range(applies):
             text = versions[number % 2]
             began = time.perf_counter()
-            made = await anyio.to_thread.run_sync(desk.do, Propose(text))
-            await anyio.to_thread.run_sync(desk.do, Stage(made["version"]))
+            made = await anyio.to_thread.run_sync(desk.execute, Propose(text))
+            await anyio.to_thread.run_sync(desk.execute, Stage(made["version"]))
             while gateway.service.snapshot.version != made["version"]:
                 await anyio.sleep(0.02)
             checks.append((began, time.perf_counter()))
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -16,7 +16,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from pathlib import Path
 
-from winchdyke.config_rollout.canary_analysis import CanaryObserver, Criteria
+from winchdyke.config_rollout.canary_analysis import CanaryCriteria, CanaryObserver
 from winchdyke.model.world import Course, Scene, World
 
 LENGTH, APPLIED = 24_000.0, 13_500.0
@@ -85,17 +85,17 @@
     return bad, rough, sorted(ended)
 
 
-def judged(ended: list[tuple[float, str, int, str, float]], criteria: Criteria) -> float | None:
+def judged(ended: list[tuple[float, str, int, str, float]], criteria: CanaryCriteria) -> float | None:
     """After how many milliseconds the change was undone; None where it was not."""
     watch, at = CanaryObserver(criteria), 0
     now = APPLIED
-    while now < APPLIED + criteria.watch:
+    while now < APPLIED + criteria.watch_ms:
         now += 250.0
         while at < len(ended) and ended[at][0] <= now:
             end, volume, shard, outcome, took = ended[at]
-            watch.ended(end, volume, shard, outcome, took)
+            watch.record_request(end, volume, shard, outcome, took)
             at += 1
-        if watch.verdict(APPLIED, now, lambda volume: volume == "mine").bad:
+        if watch.evaluate(APPLIED, now, lambda volume: volume == "mine").harmful:
             return now - APPLIED
     return None
 
@@ -106,7 +106,9 @@
     found = {}
     for excess in (0.02, 0.05, 0.10, 0.20):
         for sure in (2.0, 3.0, 4.0, 6.0):
-            found[excess, sure] = judged(ended, Criteria(excess=excess, sure=sure))
+            found[excess, sure] = judged(
+                ended, CanaryCriteria(max_excess_ratio=excess, min_standard_errors=sure)
+            )
     return bad, rough, found
 
 
@@ -129,7 +131,7 @@
         slowest = max((found[key] or 0.0 for bad, _, found in days if bad), default=0.0)
         points[key] = false, missed
         print(f"  excess {key[0]:.2f}, sure {key[1]:g}: {false:.3f}  {missed:.3f}  {slowest / 1000:.1f} s")
-    here = (Criteria().excess, Criteria().sure)
+    here = (CanaryCriteria().max_excess_ratio, CanaryCriteria().min_standard_errors)
     print(
         "false undo at",
         here,
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -28,7 +28,7 @@
 from winchdyke.auth import keys as access_keys
 from winchdyke.config_rollout import last_known_good
 from winchdyke.config_rollout.change_log import ChangeLog
-from winchdyke.config_rollout.rollout_state import HELD, Step
+from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
 from winchdyke.discovery import cache as nodes_disk
 from winchdyke.discovery.endpoint_view import Bounds, CachedEndpoint, Entry, State
 from winchdyke.discovery.follower import EndpointFollower
@@ -69,27 +69,29 @@
     """Four versions: applied, confirmed, undone and held; the entries of the first two are in an archive."""
     trail = ChangeLog(folder)
     with fixed_clock():
-        trail.propose(settings_text(100), 0, "[]", "alice", "first settings", "test")
+        trail.add_version(settings_text(100), 0, "[]", "alice", "first settings", "test")
         for what in ("staged", "applying", "applied"):
-            trail.add(Step(what, 1), "gateway")
+            trail.append(Step(what, 1), "gateway")
 
-        trail.propose(settings_text(200), 1, difference(100, 200), "bob", "more clients in Žďár", "test")
+        trail.add_version(settings_text(200), 1, difference(100, 200), "bob", "more clients in Žďár", "test")
         confirm_by = START_MS + 600_000
-        trail.add(Step("staged", 2, until_ms=confirm_by), "bob", "on trial", "test")
-        trail.add(Step("applying", 2), "gateway")
-        trail.add(Step("applied", 2, until_ms=confirm_by), "gateway")
-        trail.add(Step("confirmed", 2), "bob", "works", "test")
-        last_known_good.keep(folder, 2, settings_text(200))
-
-        trail.propose(settings_text(300), 2, difference(200, 300), "alice", "even more", "test")
-        trail.add(Step("staged", 3, until_ms=confirm_by, at_ms=START_MS + 60_000), "alice", "", "test")
-        trail.add(Step("applying", 3), "gateway")
-        trail.add(Step("applied", 3, until_ms=confirm_by), "gateway")
-        trail.add_all([(Step("undoing", 2), "too many"), (Step("undone", 2), "")], "alice", "test")
-
-        trail.propose(settings_text(250), 2, difference(200, 250), "bob", "a middle way", "test")
-        trail.add(Step("staged", 4, at_ms=HELD), "bob", "", "test")
-        trail.prune(keep=2)
+        trail.append(Step("staged", 2, confirm_by_ms=confirm_by), "bob", "on trial", "test")
+        trail.append(Step("applying", 2), "gateway")
+        trail.append(Step("applied", 2, confirm_by_ms=confirm_by), "gateway")
+        trail.append(Step("confirmed", 2), "bob", "works", "test")
+        last_known_good.save(folder, 2, settings_text(200))
+
+        trail.add_version(settings_text(300), 2, difference(200, 300), "alice", "even more", "test")
+        trail.append(
+            Step("staged", 3, confirm_by_ms=confirm_by, activate_at_ms=START_MS + 60_000), "alice", "", "test"
+        )
+        trail.append(Step("applying", 3), "gateway")
+        trail.append(Step("applied", 3, confirm_by_ms=confirm_by), "gateway")
+        trail.append_all([(Step("undoing", 2), "too many"), (Step("undone", 2), "")], "alice", "test")
+
+        trail.add_version(settings_text(250), 2, difference(200, 250), "bob", "a middle way", "test")
+        trail.append(Step("staged", 4, activate_at_ms=ON_HOLD_MS), "bob", "", "test")
+        trail.prune(retained_versions=2)
 
 
 def write_nodes(folder: Path) -> None:
--- a/tests/test_changes.py
+++ b/tests/test_config_rollout.py
@@ -1,4 +1,4 @@
-"""Changes in service: versions, their trail, one instant, undone; kills at any step."""
+"""Changes in service: versions, the change log, one instant, undone; kills at any step."""
 
 from __future__ import annotations
 
@@ -28,10 +28,10 @@
 from winchdyke.config.model import Fleet, Listen
 from winchdyke.config_rollout.canary_analysis import CanaryObserver
 from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
-from winchdyke.config_rollout.cutover import Going, moved
-from winchdyke.config_rollout.edit import edited, rebased, text_of
-from winchdyke.config_rollout.hot_reload import retell
-from winchdyke.config_rollout.rollout_state import RolloutState, Step, due, recover, standing
+from winchdyke.config_rollout.cutover import EffectiveConfig, changed_plans
+from winchdyke.config_rollout.edit import config_text, rebase, set_values
+from winchdyke.config_rollout.hot_reload import apply_settings
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, due_step, recover, replay
 from winchdyke.latency_attribution import ledger
 from winchdyke.model.changing import Changing
 from winchdyke.model.checker import explore
@@ -52,17 +52,24 @@
 @pytest.mark.parametrize("until", [0.0, 5000.0])
 def test_a_kill_at_any_step_leaves_the_old_or_the_new_version_and_says_which(until):
     steps = [
-        *WHOLE, Step("proposed", 2), Step("staged", 2, until_ms=until), Step("applying", 2), Step("applied", 2, until_ms=until),
-        Step("confirmed", 2), Step("staged", 1), Step("undoing", 1), Step("undone", 1),
-    ]  # fmt: skip
+        *WHOLE,
+        Step("proposed", 2),
+        Step("staged", 2, confirm_by_ms=until),
+        Step("applying", 2),
+        Step("applied", 2, confirm_by_ms=until),
+        Step("confirmed", 2),
+        Step("staged", 1),
+        Step("undoing", 1),
+        Step("undone", 1),
+    ]
     served = {6: 1, 7: 1, 8: 1 if until else 2, 9: 2, 10: 2, 11: 1, 12: 1}
     for cut, version in served.items():
-        found = standing(steps[:cut])
+        found = replay(steps[:cut])
         added, why = recover(found)
-        after = standing([*steps[:cut], *added])
-        assert after.serving == version and not after.applying and not after.until_ms, (cut, why)
+        after = replay([*steps[:cut], *added])
+        assert after.serving == version and not after.applying and not after.confirm_by_ms, (cut, why)
         assert f"version {version}" in why
-    assert standing(steps[:6]).staged == 2, "what was staged is still to be applied"
+    assert replay(steps[:6]).staged == 2, "what was staged is still to be applied"
 
 
 STEPS = ["staged", "refused", "applying", "applied", "confirmed", "undoing", "undone"]
@@ -71,36 +78,36 @@
 @given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(1, 4)), max_size=14))
 @examples(max_examples=300)
 def test_whatever_steps_follow_a_start_serves_one_version_that_was_applied(steps):
-    found = standing(WHOLE)
+    found = replay(WHOLE)
     applied = {1}
     for what, version in steps:
         if what == "undone":
-            version = found.before or found.serving
+            version = found.previous or found.serving
         try:
-            found = found.after(Step(what, version))
+            found = found.advance(Step(what, version))
         except ValueError:
             continue
         applied |= {found.serving}
     added, _ = recover(found)
     for step in added:
-        found = found.after(step)
-    assert found.serving in applied | {found.before} and not found.applying and not found.until_ms
+        found = found.advance(step)
+    assert found.serving in applied | {found.previous} and not found.applying and not found.confirm_by_ms
 
 
 def test_an_undo_that_was_asked_for_is_done_once():
     """It stayed staged, and was done over and over."""
     steps = [*WHOLE, Step("staged", 2), Step("applying", 2), Step("applied", 2), Step("staged", 1)]
-    found = standing([*steps, Step("undoing", 1), Step("undone", 1)])
-    assert due(found, 0.0) is None and (found.serving, found.before) == (1, 2)
-    newer = standing([*steps[:-1], Step("staged", 3), Step("undoing", 1), Step("undone", 1)])
-    assert due(newer, 0.0) == Step("applying", 3), "what was staged meanwhile is still to be applied"
+    found = replay([*steps, Step("undoing", 1), Step("undone", 1)])
+    assert due_step(found, 0.0) is None and (found.serving, found.previous) == (1, 2)
+    newer = replay([*steps[:-1], Step("staged", 3), Step("undoing", 1), Step("undone", 1)])
+    assert due_step(newer, 0.0) == Step("applying", 3), "what was staged meanwhile is still to be applied"
 
 
 def test_what_is_due():
-    assert due(RolloutState(serving=1, staged=2), 0.0) == Step("applying", 2)
-    assert due(RolloutState(serving=2, before=1, until_ms=100.0), 99.0) is None
-    assert due(RolloutState(serving=2, before=1, until_ms=100.0), 100.0) == Step("undoing", 1)
-    assert due(RolloutState(serving=1, applying=2), 1e9) is None
+    assert due_step(RolloutState(serving=1, staged=2), 0.0) == Step("applying", 2)
+    assert due_step(RolloutState(serving=2, previous=1, confirm_by_ms=100.0), 99.0) is None
+    assert due_step(RolloutState(serving=2, previous=1, confirm_by_ms=100.0), 100.0) == Step("undoing", 1)
+    assert due_step(RolloutState(serving=1, applying=2), 1e9) is None
 
 
 # The seam to the module
@@ -142,12 +149,12 @@
     sent(made, 0.0, 1, "x")
     sent(made, 2000.0, 1, "y")  # the account is full by now: 50 units
     assert made.quotas["v"].limit_units > 40
-    assert retell(made, told(2.0), {"v": told(2.0).plans[0]}, 2000.0) == 1
+    assert apply_settings(made, told(2.0), {"v": told(2.0).plans[0]}, 2000.0) == 1
     assert made.quotas["v"].limit_units == 2.0
     total = sum(sent(made, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
     assert total <= 2 + 2.0 * 3, "the burst and the flow of the new limit, no more"
     before = made.quotas["v"].limit_units
-    retell(made, told(500.0), {"v": told(500.0).plans[0]}, 5000.0)
+    apply_settings(made, told(500.0), {"v": told(500.0).plans[0]}, 5000.0)
     assert made.quotas["v"].limit_units == pytest.approx(before, abs=1.0)
 
 
@@ -158,14 +165,17 @@
     )
     sent(made, 0.0, 3, "x")
     window, taken = made.endpoints["n"].concurrency_limit, list(made.retry_budget.request_times)
-    retell(made, told(0.0), {"v": told(0.0).plans[1]}, 1.0)
+    apply_settings(made, told(0.0), {"v": told(0.0).plans[1]}, 1.0)
     assert made.quotas["v"].plan.name == "b"
     assert made.endpoints["n"].concurrency_limit is window and list(made.retry_budget.request_times) == taken
     base = settings()
-    other = parse(edited(base, "volume", "school-*", ["plan=contest"]))
+    other = parse(set_values(base, "volume", "school-*", ["plan=contest"]))
     names = ["school-1", "contest-1", "x"]
     assert {
-        name: plan.name for name, plan in moved(names, Going(base, base), Going(other, other)).items()
+        name: plan.name
+        for name, plan in changed_plans(
+            names, EffectiveConfig(base, base), EffectiveConfig(other, other)
+        ).items()
     } == {"school-1": "contest"}
 
 
@@ -174,36 +184,36 @@
 
 def test_edits_of_single_values_and_two_edits_of_one_version():
     base = settings()
-    mine = parse(edited(base, "plan", "school", ["usual_rate=90 units/s"]))
-    theirs = parse(edited(base, "plan", "basic", ["limit=200 units/s"]))
-    text, clashes = rebased(base, mine, theirs)
+    mine = parse(set_values(base, "plan", "school", ["usual_rate=90 units/s"]))
+    theirs = parse(set_values(base, "plan", "basic", ["limit=200 units/s"]))
+    text, conflicts = rebase(base, mine, theirs)
     both = {plan.name: plan for plan in parse(text).plans}
-    assert not clashes and (both["school"].expected_units_per_s, both["basic"].limit_units_per_s) == (
+    assert not conflicts and (both["school"].expected_units_per_s, both["basic"].limit_units_per_s) == (
         90.0,
         200.0,
     )
-    other = parse(edited(base, "plan", "school", ["usual_rate=70 units/s"]))
-    _, clashes = rebased(base, mine, other)
-    assert [(a.new, b.new) for a, b in clashes] == [(90.0, 70.0)]
-    assert parse(text_of(base)) == base
+    other = parse(set_values(base, "plan", "school", ["usual_rate=70 units/s"]))
+    _, conflicts = rebase(base, mine, other)
+    assert [(each.own.new, each.other.new) for each in conflicts] == [(90.0, 70.0)]
+    assert parse(config_text(base)) == base
 
 
-# The trail
+# The change log
 
 
-def trail_of(folder, versions: int = 3) -> ChangeLog:
-    trail = ChangeLog(folder)
+def make_change_log(folder, versions: int = 3) -> ChangeLog:
+    change_log = ChangeLog(folder)
     for number in range(versions):
-        version = trail.propose(f"text {number}", number, "[]", "ann", "why", "here")
+        version = change_log.add_version(f"text {number}", number, "[]", "ann", "why", "here")
         for what in ("staged", "applying", "applied"):
-            trail.add(Step(what, version), "gateway")
-    return trail
+            change_log.append(Step(what, version), "gateway")
+    return change_log
 
 
 def test_the_chain_shows_every_altered_and_removed_entry_and_text(tmp_path):
-    trail = trail_of(tmp_path)
-    assert trail.verify() == []
-    whole = trail.entries()
+    change_log = make_change_log(tmp_path)
+    assert change_log.verify() == []
+    whole = change_log.entries()
     for statement in [
         *(
             f"UPDATE trail SET {column} = 'x' WHERE seq = {entry.seq}"
@@ -216,29 +226,29 @@
     ]:
         copy = tmp_path / "copy"
         copy.mkdir(exist_ok=True)
-        with sqlite3.connect(trail.path) as source, sqlite3.connect(copy / "changes.db") as target:
+        with sqlite3.connect(change_log.path) as source, sqlite3.connect(copy / "changes.db") as target:
             source.backup(target)
         other = ChangeLog(copy)
         with sqlite3.connect(other.path) as db:
             db.execute(statement)
         assert other.verify(), statement
-    assert trail.path.stat().st_mode & 0o777 == 0o600
+    assert change_log.path.stat().st_mode & 0o777 == 0o600
 
 
 def test_steps_that_do_not_follow_and_races_are_refused_and_nothing_is_written(tmp_path):
-    trail = trail_of(tmp_path)
-    before = trail.entries()
+    change_log = make_change_log(tmp_path)
+    before = change_log.entries()
     with pytest.raises(ChangeLogError, match="without being begun"):
-        trail.add(Step("applied", 9), "x")
+        change_log.append(Step("applied", 9), "x")
     with pytest.raises(ChangeLogError, match="meanwhile"):
-        trail.add(Step("staged", 2), "x", expect=RolloutState())
-    assert trail.entries() == before
+        change_log.append(Step("staged", 2), "x", expected=RolloutState())
+    assert change_log.entries() == before
     assert "is not there" in said("log", str(tmp_path / "none"), ends=1)
 
 
 def test_a_damaged_file_is_an_error_that_names_it(tmp_path):
-    trail = trail_of(tmp_path)
-    trail.path.write_bytes(b"no database" * 1000)
+    change_log = make_change_log(tmp_path)
+    change_log.path.write_bytes(b"no database" * 1000)
     assert "changes.db" in said("log", str(tmp_path), ends=1)
 
 
@@ -247,11 +257,11 @@
 from pathlib import Path
 from winchdyke.config_rollout.rollout_state import Step
 from winchdyke.config_rollout.change_log import ChangeLog
-trail = ChangeLog(Path(sys.argv[1]))
+change_log = ChangeLog(Path(sys.argv[1]))
 while True:
-    version = trail.propose("x" * 5000, 0, "[]", "w", "", "")
-    for what in ("staged", "applying", "applied"):
-        trail.add(Step(what, version), "g")
+    version = change_log.add_version("x" * 5000, 0, "[]", "w", "", "")
+    for action in ("staged", "applying", "applied"):
+        change_log.append(Step(action, version), "g")
     print(version, flush=True)
 """
 
@@ -272,12 +282,12 @@
             reported = int(line) if line.endswith("\n") else reported
         process.wait(5)
         process.stdout.close()
-        trail = ChangeLog(tmp_path)
-        assert trail.verify() == []
-        added, _ = recover(trail.standing())
+        change_log = ChangeLog(tmp_path)
+        assert change_log.verify() == []
+        added, _ = recover(change_log.state())
         for step in added:
-            trail.add(step, "g")
-        assert trail.standing().serving >= reported
+            change_log.append(step, "g")
+        assert change_log.state().serving >= reported
 
 
 # On sockets
@@ -322,7 +332,7 @@
                     "set", folder, "plan", "school", "usual_rate=90 units/s", "--why", "contest"
                 )
                 assert "applied" in await cli("apply", folder, "2")
-                assert it.gateway.live.pause_ms < 100
+                assert it.gateway.rollout.last_swap_ms < 100
                 assert {p.name: p for p in it.gateway.engine._scheduler.settings.plans}[
                     "school"
                 ].expected_units_per_s == 90.0
@@ -330,7 +340,7 @@
                 assert "undone" not in await cli("apply", folder, "3", "--confirm-within", "700ms")
                 await it.until(lambda: it.gateway.service.snapshot.version == 3)
                 await it.until(lambda: it.gateway.service.snapshot.version == 2)
-                await it.until(lambda: it.gateway.live.trail.standing().serving == 2)
+                await it.until(lambda: it.gateway.rollout.change_log.state().serving == 2)
                 await cli("set", folder, "plan", "basic", "limit=100 units/s")
                 await cli("apply", folder, "4", "--confirm-within", "60s")
                 assert "stays" in await cli("confirm", folder)
@@ -459,7 +469,7 @@
         for volume, (before, after) in rates.items():
             for _ in range(20):
                 share = after if second > 110 else before
-                watch.ended(
+                watch.record_request(
                     second * 1000.0,
                     volume,
                     draw.randrange(2),
@@ -469,7 +479,7 @@
 
 
 def found(watch: CanaryObserver, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
-    return watch.verdict(110_000.0, 116_000.0, lambda volume: volume in volumes, dead).bad
+    return watch.evaluate(110_000.0, 116_000.0, lambda volume: volume in volumes, dead).harmful
 
 
 def test_harm_to_what_a_change_touches_is_seen_and_trouble_that_all_have_is_not_blamed_on_it():
@@ -482,10 +492,14 @@
     lower = CanaryObserver()
     for second in range(100, 116):
         for number in range(20):
-            lower.ended(second * 1000.0, "mine", 0, "refused" if second > 110 and number else "served")
+            lower.record_request(
+                second * 1000.0, "mine", 0, "refused" if second > 110 and number else "served"
+            )
     mine = lambda volume: volume == "mine"  # noqa: E731
-    assert lower.verdict(110_000.0, 116_000.0, mine).bad
-    assert not lower.verdict(110_000.0, 116_000.0, mine, (), mine).bad, "a lower limit is meant to refuse"
+    assert lower.evaluate(110_000.0, 116_000.0, mine).harmful
+    assert not lower.evaluate(110_000.0, 116_000.0, mine, (), mine).harmful, (
+        "a lower limit is meant to refuse"
+    )
 
 
 def test_a_surge_is_not_blamed_on_a_change():
@@ -493,7 +507,9 @@
     for second in range(100, 116):
         surge = 3 if second > 110 else 1
         for _ in range(20 * surge):
-            watch.ended(second * 1000.0, "mine", 0, "served" if draw.random() < 1 / surge else "refused")
+            watch.record_request(
+                second * 1000.0, "mine", 0, "served" if draw.random() < 1 / surge else "refused"
+            )
     assert not found(watch, "mine")
 
 
@@ -526,7 +542,7 @@
                 await anyio.to_thread.run_sync(lambda: said("apply", folder, "2"))
                 await anyio.sleep(2.5)
                 assert it.gateway.service.snapshot.version == 2, "it does no harm"
-                it.gateway.live._watched = None
+                it.gateway.rollout._observed = None
                 await anyio.to_thread.run_sync(
                     lambda: said("set", folder, "volume", "contest-*", "shards=6-7")
                 )
@@ -572,24 +588,24 @@
     assert len({each["version"] for each in seen if each["what"] == "head"}) >= 2
 
 
-def test_who_changed_what_last_and_a_trail_that_is_taken_elsewhere(tmp_path):
-    trail = ChangeLog(tmp_path / "a")
+def test_who_changed_what_last_and_a_change_log_that_is_exported_and_imported(tmp_path):
+    change_log = ChangeLog(tmp_path / "a")
     for number, (who, what) in enumerate(
         [("ann", "plan.school.weight"), ("bob", "plan.school.weight"), ("eve", "plan.basic.limit")]
     ):
-        version = trail.propose("text", number, f'[{{"path": "{what}"}}]', who, "why", "here")
+        version = change_log.add_version("text", number, f'[{{"path": "{what}"}}]', who, "why", "here")
         for step in ("staged", "applying", "applied") if who != "eve" else ():
-            trail.add(Step(step, version), "gateway")
+            change_log.append(Step(step, version), "gateway")
     folder = str(tmp_path / "a")
     blamed = said("blame", folder)
     assert "bob" in blamed and "ann" not in blamed and "eve" not in blamed, "what was not applied is nobody's"
     assert said("blame", folder, "plan.basic") == ""
     undone = ChangeLog(tmp_path / "a2")
     for number, what in enumerate(["plan.school.weight", "plan.basic.limit"], 1):
-        undone.propose("text", number - 1, f'[{{"path": "{what}"}}]', "ann", "why", "here")
-        undone.add_all([(Step(step, number), "") for step in ("staged", "applying", "applied")], "gateway")
-    undone.add_all([(Step("undoing", 1), "too much"), (Step("undone", 1), "")], "bob")
-    blamed = {path: entry.who for path, entry in undone.blame().items()}
+        undone.add_version("text", number - 1, f'[{{"path": "{what}"}}]', "ann", "why", "here")
+        undone.append_all([(Step(step, number), "") for step in ("staged", "applying", "applied")], "gateway")
+    undone.append_all([(Step("undoing", 1), "too much"), (Step("undone", 1), "")], "bob")
+    blamed = {path: entry.actor for path, entry in undone.blame().items()}
     assert blamed["plan.basic.limit"] == "bob", "who took it back"
     text = said("export", folder)
     file = tmp_path / "export"
@@ -601,4 +617,4 @@
     assert "does not fit" in said("import", str(tmp_path / "c"), str(file), ends=1)
     file.write_text("no json\n")
     assert "line 1" in said("import", str(tmp_path / "d"), str(file), ends=1)
-    assert ChangeLog(tmp_path / "c").last() == 0, "nothing of it was kept"
+    assert ChangeLog(tmp_path / "c").last_seq() == 0, "nothing of it was kept"
--- a/tests/test_change_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -27,8 +27,14 @@
 from winchdyke.config.model import Admin, Changes
 from winchdyke.config_rollout import last_known_good
 from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
-from winchdyke.config_rollout.cutover import Going, Phase, limits_differ, lower, phase
-from winchdyke.config_rollout.edit import edited, text_of
+from winchdyke.config_rollout.cutover import (
+    EffectiveConfig,
+    Phase,
+    limits_differ,
+    phase_at,
+    with_lower_limits,
+)
+from winchdyke.config_rollout.edit import config_text, set_values
 from winchdyke.config_rollout.operations import (
     ChangeOperations,
     Log,
@@ -37,13 +43,13 @@
     Set,
     Show,
     Stage,
-    Stand,
+    Status,
     Undo,
     Verify,
     Withdraw,
-    read,
+    parse_operation,
 )
-from winchdyke.config_rollout.rollout_state import HELD, Step
+from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.model.checker import explore
 from winchdyke.model.instant import Clocks
@@ -53,12 +59,12 @@
     return dataclasses.replace(settings(), changes=Changes(str(folder), **more), admin=Admin("none"))
 
 
-def desk_of(it) -> ChangeOperations:
-    return ChangeOperations(it.gateway.live.trail, "ann", "here")
+def operations_of(it) -> ChangeOperations:
+    return ChangeOperations(it.gateway.rollout.change_log, "ann", "here")
 
 
 async def do(it, operation):
-    return await anyio.to_thread.run_sync(desk_of(it).do, operation)
+    return await anyio.to_thread.run_sync(operations_of(it).execute, operation)
 
 
 async def change(it, kind: str, name: str, *values: str, **more) -> int:
@@ -69,11 +75,11 @@
 
 async def serves(it, version: int) -> None:
     await it.until(lambda: it.gateway.service.snapshot.version == version, 15)
-    await it.until(lambda: it.gateway.live.trail.standing().serving == version, 15)
+    await it.until(lambda: it.gateway.rollout.change_log.state().serving == version, 15)
 
 
 def steps_of(it) -> list[tuple[str, int]]:
-    return [(entry.what, entry.version) for entry in it.gateway.live.trail.entries()]
+    return [(entry.action, entry.version) for entry in it.gateway.rollout.change_log.entries()]
 
 
 # Killed at every step, on real processes
@@ -93,7 +99,8 @@
     return done
 from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.gateway.daemon import Gateway
-ChangeLog.add_all, ChangeLog.propose, Gateway._swap = step(ChangeLog.add_all), step(ChangeLog.propose), step(Gateway._swap)
+ChangeLog.append_all, ChangeLog.add_version = step(ChangeLog.append_all), step(ChangeLog.add_version)
+Gateway._swap = step(Gateway._swap)
 from winchdyke.cli.main import main
 main(["serve", "-c", sys.argv[2]])
 """
@@ -104,15 +111,15 @@
     """Apply version 2 with a kill before or after the nth step: left at, versions served after a start, version then, steps."""
     folder.mkdir()
     made = kills.Killed(folder, 0)
-    trail = ChangeLog(folder / "changes")
+    change_log = ChangeLog(folder / "changes")
     base = settings()
     text = (folder / "g.ini").read_text()
     base = parse(text, "g.ini")
-    first = trail.propose(text_of(base), 0, "[]", "gateway", "", "")
-    trail.add_all([(Step(what, first), "") for what in ("staged", "applying", "applied")], "gateway")
-    desk = ChangeOperations(trail, "ann", "here")
-    desk.do(Set("plan", "school", ["weight=7"]))
-    desk.do(Stage(2, confirm_within_ms=within))
+    first = change_log.add_version(config_text(base), 0, "[]", "gateway", "", "")
+    change_log.append_all([(Step(what, first), "") for what in ("staged", "applying", "applied")], "gateway")
+    operations = ChangeOperations(change_log, "ann", "here")
+    operations.execute(Set("plan", "school", ["weight=7"]))
+    operations.execute(Stage(2, confirm_within_ms=within))
     process = subprocess.Popen(
         [sys.executable, "-c", KILLED_AT, str(point), str(folder / "g.ini")],
         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
@@ -121,7 +128,7 @@
         process.wait(4)
     process.kill()
     process.wait()
-    left = trail.standing()
+    left = change_log.state()
     again = made.start()
     assert again is not None, (folder / "log").read_text()
     try:
@@ -131,8 +138,8 @@
     finally:
         again.kill()
         again.wait()
-    assert trail.verify() == []
-    return left.applying, seen, last, [entry.what for entry in trail.entries()]
+    assert change_log.verify() == []
+    return left.applying, seen, last, [entry.action for entry in change_log.entries()]
 
 
 @pytest.mark.parametrize("within", [0.0, 60_000.0])
@@ -167,7 +174,7 @@
             await serves(it, 2)
             await change(it, "plan", "basic", "weight=8", hold=True)
             await it.until(lambda: ("ready", 3) in steps_of(it))
-            assert (await do(it, Stand()))["held"]
+            assert (await do(it, Status()))["held"]
             assert (await do(it, Undo(why="too much")))["withdrawn"] == 3
             await serves(it, 1)
             await anyio.sleep(0.3)
@@ -201,7 +208,7 @@
             await it.until(lambda: ("refused", 3) in steps_of(it))
             assert (
                 "apply it again"
-                in next(e for e in it.gateway.live.trail.entries() if e.what == "refused").note
+                in next(e for e in it.gateway.rollout.change_log.entries() if e.action == "refused").note
             )
             assert it.gateway.service.snapshot.version == 1
 
@@ -209,12 +216,14 @@
 
 
 def test_a_start_finishes_an_undo_that_was_begun(tmp_path):
-    trail = ChangeLog(tmp_path)
+    change_log = ChangeLog(tmp_path)
     base = settings()
     for number in (1, 2):
-        trail.propose(text_of(base), number - 1, "[]", "a", "", "")
-        trail.add_all([(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway")
-    trail.add(Step("undoing", 1), "gateway", "version 2 does harm")
+        change_log.add_version(config_text(base), number - 1, "[]", "a", "", "")
+        change_log.append_all(
+            [(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway"
+        )
+    change_log.append(Step("undoing", 1), "gateway", "version 2 does harm")
 
     @played
     async def run():
@@ -222,15 +231,15 @@
             assert it.gateway.service.snapshot.version == 1
 
     run()
-    assert "being undone" in trail.entries()[-1].note
+    assert "being undone" in change_log.entries()[-1].note
 
 
 # Disks and files
 
 
-def full_after(trail: ChangeLog, writes: int):
-    """A trail whose disk is full after so many transactions: SQLite itself says so."""
-    opened = ChangeLog._open
+def full_after(change_log: ChangeLog, writes: int):
+    """A change log whose disk is full after so many transactions: SQLite itself says so."""
+    opened = ChangeLog._connect
     left = [writes]
 
     @contextlib.contextmanager
@@ -243,14 +252,14 @@
                            "INSERT INTO versions VALUES (NULL, 0, hex(zeroblob(300000)), ''); END")  # fmt: skip
             yield db
 
-    adding = ChangeLog.add_all
+    adding = ChangeLog.append_all
 
     def counted(self, *words, **more):
         adding(self, *words, **more)
         left[0] -= 1
 
-    trail._open = filled.__get__(trail)  # type: ignore[method-assign]
-    trail.add_all = counted.__get__(trail)  # type: ignore[method-assign]
+    change_log._connect = filled.__get__(change_log)  # type: ignore[method-assign]
+    change_log.append_all = counted.__get__(change_log)  # type: ignore[method-assign]
     return left
 
 
@@ -259,13 +268,13 @@
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
-            live = it.gateway.live
+            rollout = it.gateway.rollout
             other = ChangeOperations(
                 ChangeLog(tmp_path), "ann", "here"
             )  # its own way to the file, which has room
-            other.do(Set("plan", "school", ["weight=6"]))
-            left = full_after(live.trail, writes)
-            other.do(Stage(2))
+            other.execute(Set("plan", "school", ["weight=6"]))
+            left = full_after(rollout.change_log, writes)
+            other.execute(Stage(2))
             await anyio.sleep(0.8)
             assert it.gateway.service.snapshot.version == 1
             weights = {
@@ -273,16 +282,16 @@
             }
             assert weights == {plan.name: plan.fair_share_weight for plan in settings().plans}
             assert (await it.ask("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
-            assert other.trail.verify() == []
+            assert other.change_log.verify() == []
             with pytest.raises(ChangeLogError, match="full"):
-                live.trail.add(Step("ready", 2), "x")
+                rollout.change_log.append(Step("ready", 2), "x")
             left[0] = 1000
             if writes:
                 await it.until(lambda: ("undone", 1) in steps_of(it))
-                assert "could not be kept" in other.trail.entries()[-1].note
+                assert "could not be kept" in other.change_log.entries()[-1].note
             else:
                 await serves(it, 2)
-            assert other.trail.verify() == []
+            assert other.change_log.verify() == []
 
     run()
 
@@ -293,9 +302,9 @@
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=6", confirm_within_ms=400.0)
             await serves(it, 2)
-            left = full_after(it.gateway.live.trail, 0)
+            left = full_after(it.gateway.rollout.change_log, 0)
             await it.until(lambda: it.gateway.service.snapshot.version == 1)
-            assert ChangeLog(tmp_path).standing().serving == 2
+            assert ChangeLog(tmp_path).state().serving == 2
             left[0] = 1000
             await serves(it, 1)
             assert ("undone", 1) in steps_of(it)
@@ -303,18 +312,20 @@
     run()
 
 
-def test_a_trail_that_is_damaged_at_any_byte_is_told_and_the_last_good_version_served(tmp_path):
+def test_damage_at_any_byte_of_the_change_log_is_detected_and_the_last_good_version_served(tmp_path):
     whole = tmp_path / "whole"
-    trail = ChangeLog(whole)
+    change_log = ChangeLog(whole)
     base = settings()
-    texts = {1: text_of(base), 2: edited(base, "plan", "school", ["weight=6"])}
+    texts = {1: config_text(base), 2: set_values(base, "plan", "school", ["weight=6"])}
     for number, text in texts.items():
-        trail.propose(text, number - 1, '[{"path": "x"}]', "ann", "why", "here")
-        trail.add_all([(Step(what, number), "note") for what in ("staged", "applying", "applied")], "gateway")
-    last_known_good.keep(whole, 2, texts[2])
-    with sqlite3.connect(trail.path) as db:
+        change_log.add_version(text, number - 1, '[{"path": "x"}]', "ann", "why", "here")
+        change_log.append_all(
+            [(Step(what, number), "note") for what in ("staged", "applying", "applied")], "gateway"
+        )
+    last_known_good.save(whole, 2, texts[2])
+    with sqlite3.connect(change_log.path) as db:
         db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    entries, data = trail.entries(), trail.path.read_bytes()
+    entries, data = change_log.entries(), change_log.path.read_bytes()
     draw = random.Random(5)
     places = [*range(0, 110), *(draw.randrange(len(data)) for _ in range(190))]
     told = 0
@@ -324,25 +335,25 @@
         damaged = bytearray(data)
         damaged[place] ^= draw.randrange(1, 256)
         (folder / "changes.db").write_bytes(damaged)
-        (folder / last_known_good.SERVED).write_bytes((whole / last_known_good.SERVED).read_bytes())
+        (folder / last_known_good.SERVED_FILE).write_bytes((whole / last_known_good.SERVED_FILE).read_bytes())
         try:
-            found, why = last_known_good.opened(folder)
+            found, why = last_known_good.open_change_log(folder)
         except ChangeLogError as error:
             assert "newer one" in str(error), "a file of a later format is nothing to put aside"
             continue
         told += bool(why)
-        standing = found.standing()
+        standing = found.state()
         assert standing.serving == 2 and found.version(2).text == texts[2], place
         if why:
             assert list(folder.glob("damaged-*-changes.db")) and found.verify() == [] and "damaged" in why
         else:
             assert found.entries() == entries, place
     assert told > 60
-    (tmp_path / "0" / last_known_good.SERVED).write_bytes(b"{}")
-    assert last_known_good.kept(tmp_path / "0") is None
+    (tmp_path / "0" / last_known_good.SERVED_FILE).write_bytes(b"{}")
+    assert last_known_good.load(tmp_path / "0") is None
 
 
-def test_a_gateway_starts_with_a_damaged_trail_and_says_so_on_the_new_one(tmp_path):
+def test_a_gateway_starts_with_a_damaged_change_log_and_records_it_in_the_new_one(tmp_path):
     @played
     async def first():
         async with rig(with_changes(tmp_path)) as it:
@@ -350,7 +361,7 @@
             await serves(it, 2)
             await it.until(
                 lambda: (
-                    last_known_good.kept(tmp_path) is not None and last_known_good.kept(tmp_path).version == 2
+                    last_known_good.load(tmp_path) is not None and last_known_good.load(tmp_path).version == 2
                 )
             )
 
@@ -365,7 +376,7 @@
             assert {
                 plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
             }["school"] == 9.0
-            assert "entry 3" in it.gateway.live.trail.entries()[0].note
+            assert "entry 3" in it.gateway.rollout.change_log.entries()[0].note
 
     second()
     assert list(tmp_path.glob("damaged-*"))
@@ -392,69 +403,71 @@
                 if number % 20 == 0:
                     assert (await it.ask("GET", "/school-1/k")).status in (404, 503)
             await it.until(lambda: ("applied", last) in steps_of(it) or ("refused", last) in steps_of(it))
-            trail = it.gateway.live.trail
-            log = trail.whole()
-            ends = {e.version for e in log if e.what in ("applied", "refused", "withdrawn")}
-            assert {e.version for e in log if e.what == "staged"} <= ends
-            assert len({e.version for e in log if e.what == "proposed"}) >= count
-            assert trail.verify(archives=True) == []
+            change_log = it.gateway.rollout.change_log
+            log = change_log.all_entries()
+            ends = {e.version for e in log if e.action in ("applied", "refused", "withdrawn")}
+            assert {e.version for e in log if e.action == "staged"} <= ends
+            assert len({e.version for e in log if e.action == "proposed"}) >= count
+            assert change_log.verify(archives=True) == []
 
     run()
 
 
-def trail_of(folder, count: int) -> ChangeLog:
-    trail = ChangeLog(folder)
+def make_change_log(folder, count: int) -> ChangeLog:
+    change_log = ChangeLog(folder)
     for number in range(1, count + 1):
-        trail.propose(f"text {number}", number - 1, "[]", "ann", "why", "here")
-        trail.add_all([(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway")
-    return trail
+        change_log.add_version(f"text {number}", number - 1, "[]", "ann", "why", "here")
+        change_log.append_all(
+            [(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway"
+        )
+    return change_log
 
 
 def test_history_is_bounded_and_the_chain_goes_on_over_the_archives(tmp_path):
-    trail = trail_of(tmp_path, 30)
-    before, stood = trail.entries(), trail.standing()
-    assert trail.prune(10) > 0
-    assert trail.prune(10) == 0 or len(trail.entries()) < 60
-    archive = trail.archives()[0]
+    change_log = make_change_log(tmp_path, 30)
+    before, stood = change_log.entries(), change_log.state()
+    assert change_log.prune(10) > 0
+    assert change_log.prune(10) == 0 or len(change_log.entries()) < 60
+    archive = change_log.archive_paths()[0]
     left = archive.read_text()
-    row = [*dataclasses.astuple(trail.entries()[0])]
+    row = [*dataclasses.astuple(change_log.entries()[0])]
     archive.write_text(left + json.dumps({"entry": row}) + "\n")
-    assert trail.verify(archives=True) == [], "a move that was cut short has left more there than went"
+    assert change_log.verify(archives=True) == [], "a move that was cut short has left more there than went"
     archive.write_text(left)
-    assert trail.standing() == stood and trail.version(30).text == "text 30"
-    assert trail.whole()[: len(before)] == before
+    assert change_log.state() == stood and change_log.version(30).text == "text 30"
+    assert change_log.all_entries()[: len(before)] == before
     with pytest.raises(ChangeLogError, match="archives"):
-        trail.version(3)
+        change_log.version(3)
     for number in range(31, 50):
-        trail.propose(f"text {number}", number - 1, "[]", "ann", "", "")
-    trail.prune(10)
-    assert len(trail.archives()) >= 2
-    assert trail.verify(archives=True) == [] and trail.version(30).text == "text 30"
-    assert trail.standing() == stood
-    for path in trail.archives():
+        change_log.add_version(f"text {number}", number - 1, "[]", "ann", "", "")
+    change_log.prune(10)
+    assert len(change_log.archive_paths()) >= 2
+    assert change_log.verify(archives=True) == [] and change_log.version(30).text == "text 30"
+    assert change_log.state() == stood
+    for path in change_log.archive_paths():
         data = path.read_text()
         for old, new in (("ann", "eve"), ("text", "test")):
             if old in data:
                 path.write_text(data.replace(old, new, 1))
-                assert trail.verify(archives=True) and not trail.verify()
+                assert change_log.verify(archives=True) and not change_log.verify()
         path.write_text("\n".join(data.splitlines()[:-1]) + "\n")
-        assert trail.verify(archives=True)
+        assert change_log.verify(archives=True)
         path.write_text(data)
-    with sqlite3.connect(trail.path) as db:
+    with sqlite3.connect(change_log.path) as db:
         db.execute("UPDATE versions SET text = 'other' WHERE id = 30")
-    assert trail.verify(), "one whose entry is in an archive"
+    assert change_log.verify(), "one whose entry is in an archive"
 
 
-def test_a_trail_of_the_first_format_is_brought_up(tmp_path):
-    trail = trail_of(tmp_path, 2)
-    with sqlite3.connect(trail.path) as db:
+def test_a_change_log_of_the_first_format_is_migrated(tmp_path):
+    change_log = make_change_log(tmp_path, 2)
+    with sqlite3.connect(change_log.path) as db:
         db.execute("ALTER TABLE trail DROP COLUMN at_ms")
         db.execute("PRAGMA user_version = 1")
     again = ChangeLog(tmp_path)
-    assert again.verify() == [] and again.standing().serving == 2
-    again.add(Step("staged", 1, at_ms=HELD), "ann")
-    assert again.verify() == [] and again.standing().staged_at_ms == HELD
-    with sqlite3.connect(trail.path) as db:
+    assert again.verify() == [] and again.state().serving == 2
+    again.append(Step("staged", 1, activate_at_ms=ON_HOLD_MS), "ann")
+    assert again.verify() == [] and again.state().staged_activate_at_ms == ON_HOLD_MS
+    with sqlite3.connect(change_log.path) as db:
         db.execute("PRAGMA user_version = 9")
     with pytest.raises(ChangeLogError, match="newer one"):
         ChangeLog(tmp_path)
@@ -482,7 +495,7 @@
             assert it.gateway.service.snapshot.version == 1
 
     first()
-    assert ChangeLog(tmp_path).standing().staged == 2
+    assert ChangeLog(tmp_path).state().staged == 2
 
     @played
     async def second():
@@ -540,9 +553,9 @@
                 for number in range(60):
                     group.start_soon(load, number)
                 await it.until(lambda: len(it.gateway.engine.tickets) >= 40, 15.0)
-                base = it.gateway.live.trail.version(1).text
+                base = it.gateway.rollout.change_log.version(1).text
                 made = await do(it, Set("volume", "contest-*", remove=True))
-                text = it.gateway.live.trail.version(made["version"]).text
+                text = it.gateway.rollout.change_log.version(made["version"]).text
                 at = text.index("plan contest {")
                 made = await do(it, Propose(text[:at] + text[text.index("}", at) + 2 :]))
                 assert base != text
@@ -609,27 +622,36 @@
 
 
 def test_phases_and_the_lower_of_two_limits():
-    assert [phase(now, 100.0, 20.0) for now in (79, 80, 99, 100, 119, 120)] == [
+    assert [phase_at(now, 100.0, 20.0) for now in (79, 80, 99, 100, 119, 120)] == [
         Phase.OLD, Phase.OLD_LOWER, Phase.OLD_LOWER, Phase.NEW_LOWER, Phase.NEW_LOWER, Phase.NEW,
     ]  # fmt: skip
-    assert phase(5.0, 0.0, 20.0) is Phase.NEW
+    assert phase_at(5.0, 0.0, 20.0) is Phase.NEW
     base = settings()
     plan = dataclasses.replace(base.plans[0], limit_units_per_s=10.0, limit_burst_units=5.0)
     none, high = (
         dataclasses.replace(plan, limit_units_per_s=0.0, limit_burst_units=0.0),
         dataclasses.replace(plan, limit_units_per_s=20.0, limit_burst_units=3.0),
     )
-    assert lower(plan, none) == lower(none, plan) == lower(plan, None) == plan and lower(none, None) == none
-    assert (lower(plan, high).limit_units_per_s, lower(high, plan).limit_burst_units) == (10.0, 3.0)
-    new = parse(edited(base, "plan", "school", ["limit=80 units/s", "limit_burst=90"]))
+    assert (
+        with_lower_limits(plan, none)
+        == with_lower_limits(none, plan)
+        == with_lower_limits(plan, None)
+        == plan
+        and with_lower_limits(none, None) == none
+    )
+    assert (
+        with_lower_limits(plan, high).limit_units_per_s,
+        with_lower_limits(high, plan).limit_burst_units,
+    ) == (10.0, 3.0)
+    new = parse(set_values(base, "plan", "school", ["limit=80 units/s", "limit_burst=90"]))
     assert limits_differ(base, new) and not limits_differ(base, base)
     for at in Phase:
-        going = Going(base, new, at)
+        going = EffectiveConfig(base, new, at)
         assert going.plan("school-1").limit_units_per_s == (0.0 if at is Phase.OLD else 80.0)
         assert {p.name: p for p in going.settings().plans}["school"].limit_units_per_s == going.plan(
             "school-1"
         ).limit_units_per_s
-    moved = parse(edited(base, "volume", "school-*", ["plan=contest"]))
+    moved = parse(set_values(base, "volume", "school-*", ["plan=contest"]))
     assert limits_differ(base, moved)
 
 
@@ -641,7 +663,7 @@
 @examples(max_examples=300)
 def test_while_any_two_gateways_differ_in_version_all_hold_the_lower_limit(offsets, limits, now):
     old, new = limits
-    phases = [phase(10_000.0 + now + offset, 10_000.0, 1800.0) for offset in offsets]
+    phases = [phase_at(10_000.0 + now + offset, 10_000.0, 1800.0) for offset in offsets]
     held = {Phase.OLD: old, Phase.NEW: new, Phase.OLD_LOWER: min(limits), Phase.NEW_LOWER: min(limits)}
     versions = {at in (Phase.NEW, Phase.NEW_LOWER) for at in phases}
     if len(versions) == 2:
@@ -668,7 +690,7 @@
 
     @played
     async def run():
-        base = edited(settings(), "plan", "basic", [f"limit={old} units/s", "limit_burst=9"])
+        base = set_values(settings(), "plan", "basic", [f"limit={old} units/s", "limit_burst=9"])
         config = dataclasses.replace(
             parse(base), changes=Changes(str(tmp_path / "0"), clocks_apart=2500.0), admin=Admin("none")
         )
@@ -685,7 +707,7 @@
             await it.until(lambda: all(len(each.engine.nodes) == 8 for each in gateways))
             offsets = (-1000.0, 0.0, 1000.0)
             for each, offset in zip(gateways, offsets, strict=True):
-                each.live.wall = lambda offset=offset: time.time() * 1000 + offset
+                each.rollout.wall_clock_ms = lambda offset=offset: time.time() * 1000 + offset
             stop = False
             changed: dict[int, float] = {}
             began = it.record.seen[-1]["t"]
@@ -715,9 +737,9 @@
 
                 def all_of_them() -> None:
                     for each in gateways:
-                        desk = ChangeOperations(each.live.trail, "ann", "here")
-                        desk.do(Set("plan", "basic", [f"limit={new} units/s"]))
-                        desk.do(Stage(2, at_ms=at))
+                        operations = ChangeOperations(each.rollout.change_log, "ann", "here")
+                        operations.execute(Set("plan", "basic", [f"limit={new} units/s"]))
+                        operations.execute(Stage(2, at_ms=at))
 
                 await anyio.to_thread.run_sync(all_of_them)
                 await it.until(lambda: len(changed) == 3, 15)
@@ -752,19 +774,19 @@
     return dataclasses.replace(config, gateway=gateway, volumes=volumes, changes=changes)
 
 
-# The desk
+# Operations
 
 
 def test_what_cant_be_done_is_told_in_words_and_codes(tmp_path):
-    trail = ChangeLog(tmp_path)
+    change_log = ChangeLog(tmp_path)
     base = settings()
-    trail.propose(text_of(base), 0, "[]", "gateway", "", "")
-    trail.add_all([(Step(what, 1), "") for what in ("staged", "applying", "applied")], "gateway")
-    desk = ChangeOperations(trail, "ann", "here")
+    change_log.add_version(config_text(base), 0, "[]", "gateway", "", "")
+    change_log.append_all([(Step(what, 1), "") for what in ("staged", "applying", "applied")], "gateway")
+    operations = ChangeOperations(change_log, "ann", "here")
 
     def code(operation) -> str:
         with pytest.raises(OperationError) as error:
-            desk.do(operation)
+            operations.execute(operation)
         assert error.value.text
         return error.value.code
 
@@ -779,23 +801,23 @@
     assert code(Set("plan", "school", remove=True)) == "check", "its volumes need it"
     assert code(Propose("plan {")) == "check"
     assert code(Propose("x" * 10, why="y" * 5000)) == "too-long"
-    assert desk.do(Set("plan", "school", ["weight=8"], check=True))["changes"]
-    assert desk.do(Stand())["last"] == 4, "a check keeps nothing"
-    made = desk.do(Set("plan", "extra", ["weight=8"], new=True))
+    assert operations.execute(Set("plan", "school", ["weight=8"], check=True))["changes"]
+    assert operations.execute(Status())["last"] == 4, "a check keeps nothing"
+    made = operations.execute(Set("plan", "extra", ["weight=8"], new=True))
     assert made["version"] == 2
     assert code(Stage(2, at_ms=1000.0)) == "past"
-    assert desk.do(Stage(2, hold=True))["withdrawn"] is None
-    assert desk.do(Stand())["held"] and desk.do(Log(after=4))["entries"][-1]["held"]
-    desk.do(Set("plan", "school", ["weight=4"]))
-    assert desk.do(Stage(3))["withdrawn"] == 2
-    assert desk.do(Withdraw())["version"] == 3
-    assert desk.do(Verify())["wrong"] == []
+    assert operations.execute(Stage(2, hold=True))["withdrawn"] is None
+    assert operations.execute(Status())["held"] and operations.execute(Log(after=4))["entries"][-1]["held"]
+    operations.execute(Set("plan", "school", ["weight=4"]))
+    assert operations.execute(Stage(3))["withdrawn"] == 2
+    assert operations.execute(Withdraw())["version"] == 3
+    assert operations.execute(Verify())["wrong"] == []
     with pytest.raises(OperationError, match="Object missing required field"):
-        read({"op": "show"})
+        parse_operation({"op": "show"})
 
 
-def test_the_whole_history_is_read_while_it_is_moved_out(tmp_path):
-    """Archives first and then the trail: entries that were moved between the two were in neither."""
+def test_the_complete_history_is_read_during_a_prune(tmp_path):
+    """Archives first and then the change log: entries that were moved between the two were in neither."""
 
     class Moved(ChangeLog):
         """History is moved out behind the first reading, whichever that is."""
@@ -805,34 +827,34 @@
         def move(self) -> None:
             if not self.moved:
                 self.moved = True
-                trail_there.prune(3)
+                pruned_log.prune(3)
 
-        def after(self, seq):
-            found = super().after(seq)
+        def entries_after(self, seq):
+            found = super().entries_after(seq)
             self.move()
             return found
 
-        def archived(self):
-            found = list(super().archived())
+        def archived_entries(self):
+            found = list(super().archived_entries())
             self.move()
             return iter(found)
 
-    trail_there = trail_of(tmp_path, 12)
-    before = trail_there.entries()
+    pruned_log = make_change_log(tmp_path, 12)
+    before = pruned_log.entries()
     reader = Moved(tmp_path)
-    assert reader.whole() == before and reader.moved
-    assert len(trail_there.entries()) < len(before), "some did go"
-    assert reader.whole()[: len(before)] == before
+    assert reader.all_entries() == before and reader.moved
+    assert len(pruned_log.entries()) < len(before), "some did go"
+    assert reader.all_entries()[: len(before)] == before
 
 
-def test_a_trail_that_is_read_while_its_history_is_moved_out_is_read_as_it_was_at_one_moment(tmp_path):
+def test_a_change_log_that_is_read_during_a_prune_is_read_as_it_was_at_one_moment(tmp_path):
     """The reader took where it stood before the move and the entries after it: a start or an editor failed on that."""
-    trail, reader, stop = trail_of(tmp_path, 6), ChangeLog(tmp_path), []
+    change_log, reader, stop = make_change_log(tmp_path, 6), ChangeLog(tmp_path), []
 
     def reading() -> int:
         count = 0
         while not stop:
-            found = reader.standing()
+            found = reader.state()
             assert found.serving >= 6 and reader.verify() == []
             count += 1
         return count
@@ -841,12 +863,12 @@
         jobs = [pool.submit(reading) for _ in range(2)]
         try:
             for number in range(7, 60):
-                trail.propose(f"text {number}", number - 1, "[]", "ann", "", "")
-                trail.add_all(
+                change_log.add_version(f"text {number}", number - 1, "[]", "ann", "", "")
+                change_log.append_all(
                     [(Step(what, number), "") for what in ("staged", "applying", "applied")], "gateway"
                 )
-                trail.prune(3)
+                change_log.prune(3)
         finally:
             stop.append(True)
         assert all(job.result() > 5 for job in jobs)
-    assert trail.verify(archives=True) == []
+    assert change_log.verify(archives=True) == []
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -22,7 +22,7 @@
 from winchdyke.config.loading import load_file
 from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
-from winchdyke.config_rollout.hot_reload import fixed
+from winchdyke.config_rollout.hot_reload import requiring_restart
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.membership import datagrams, member_cache
 from winchdyke.membership.agent import MembershipAgent, MembershipError
@@ -274,10 +274,10 @@
             assert states(one) == {} and one.standing()["alone"]
             fleet = replace(one.config.fleet, seeds=(Listen(*two.address),))
             after = replace(one.config, fleet=fleet)
-            assert fixed(diff(one.config, after)) == []
-            assert fixed(diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))) == [
-                "fleet interval"
-            ]
+            assert requiring_restart(diff(one.config, after)) == []
+            assert requiring_restart(
+                diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))
+            ) == ["fleet interval"]
             one.expect(after)
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
--- a/tests/test_limits.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""A course's limit for every byte: the account alone, its waits, and both dialects from one table."""
+"""A volume's limit for every byte: the debt alone, its waits, and both dialects from one table."""
 
 from __future__ import annotations
 
@@ -23,7 +23,12 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.policy import Scheduler, VolumeQuota
 from winchdyke.quotas.byte_metering import ByteMeter
-from winchdyke.quotas.token_bucket import SHARE, Account, OverLimit, units_of
+from winchdyke.quotas.token_bucket import (
+    DEBT_RATE_FRACTION,
+    QuotaExceededError,
+    TransferDebt,
+    units_for_bytes,
+)
 from winchdyke.standins.wire import Peer
 
 RATE, BURST = 400.0, 100.0
@@ -31,7 +36,7 @@
 SMALL = f"\n[plan small]\nusual_rate = 5\nlimit = {RATE:g}\nlimit_burst = {BURST:g}\n"
 
 
-def purse(limit: float, burst: float, gateways: int = 1, largest: float = 8.0) -> VolumeQuota:
+def make_quota(limit: float, burst: float, gateways: int = 1, largest: float = 8.0) -> VolumeQuota:
     plan = api.Plan("p", 1.0, 1.0, 5.0, 0.0, limit, burst)
     cfg = api.Settings(gateways, 0, (), (plan,), max_request_units=largest)
     made = VolumeQuota(cfg, plan, 0.0)
@@ -39,7 +44,7 @@
     return made
 
 
-# The account
+# The debt
 
 
 @given(
@@ -50,7 +55,7 @@
     """Small requests that the scheduler lets through, large ones, some given back in part: at all gateways at once."""
     draw, went = random.Random(seed), list[tuple[float, float]]()
     largest = 0.0
-    parts = [(Account(0.0), purse(rate, burst, gateways)) for _ in range(gateways)]
+    parts = [(TransferDebt(0.0), make_quota(rate, burst, gateways)) for _ in range(gateways)]
     now = 0.0
     for _ in range(120):
         now += draw.expovariate(1 / 200)
@@ -62,11 +67,11 @@
             if mine.limit_units >= small:
                 mine.limit_units -= small
                 went.append((now, small))
-        elif account.clear:
+        elif account.is_settled:
             units = draw.uniform(9, 300)
             moved = units if draw.random() < 0.7 else draw.uniform(0, units)
-            account.owe(units)
-            account.give_back(units - moved, mine)
+            account.add(units)
+            account.refund(units - moved, mine)
             went.append((now, moved))
             largest = max(largest, moved)
     for first in range(len(went)):
@@ -78,74 +83,76 @@
 
 
 def test_a_debt_ends_when_it_was_said_however_many_small_requests_come():
-    mine, account = purse(100.0, 50.0), Account(0.0)
-    account.owe(400.0)
-    sure, served, now = account.surely_ms(100.0), 0.0, 0.0
-    assert sure == 400.0 / (SHARE * 100.0) * 1000
-    while not account.clear:
+    mine, account = make_quota(100.0, 50.0), TransferDebt(0.0)
+    account.add(400.0)
+    sure, served, now = account.latest_settled_ms(100.0), 0.0, 0.0
+    assert sure == 400.0 / (DEBT_RATE_FRACTION * 100.0) * 1000
+    while not account.is_settled:
         now += 100.0
         account.settle(now, mine, 100.0, 8.0)
         while mine.limit_units >= 4.0:  # small ones take all that there is
             mine.limit_units -= 4.0
             served += 4.0
     assert now <= sure + 100.0
-    assert served >= 0.9 * (1 - SHARE) * 100.0 * now / 1000, "the small ones have the other part of the rate"
+    assert served >= 0.9 * (1 - DEBT_RATE_FRACTION) * 100.0 * now / 1000, (
+        "the small ones have the other part of the rate"
+    )
 
 
 def test_what_small_requests_leave_pays_the_debt_too():
-    mine, account = purse(100.0, 50.0), Account(0.0)
-    account.owe(400.0)
+    mine, account = make_quota(100.0, 50.0), TransferDebt(0.0)
+    account.add(400.0)
     for now in range(100, 4600, 100):
         account.settle(float(now), mine, 100.0, 8.0)
-    assert account.clear, "all of the rate: 4 s and what the purse keeps"
+    assert account.is_settled, "all of the rate: 4 s and what the bucket keeps"
 
 
 def test_a_clock_that_goes_back_pays_nothing_and_owes_nothing():
-    account = Account(10_000.0)
-    account.owe(100.0)
+    account = TransferDebt(10_000.0)
+    account.add(100.0)
     account.settle(4_000.0, None, 100.0, 8.0)
-    assert account.debt == 100.0
+    assert account.units == 100.0
     account.settle(10_500.0, None, 100.0, 8.0)
-    assert account.debt == pytest.approx(100.0 - SHARE * 100.0 * 0.5)
+    assert account.units == pytest.approx(100.0 - DEBT_RATE_FRACTION * 100.0 * 0.5)
 
 
-def test_what_was_paid_in_vain_comes_back_but_never_more_than_the_purse_holds():
-    mine, account = purse(10.0, 50.0, gateways=2), Account(0.0)
-    account.owe(30.0)
-    account.give_back(100.0, mine)
-    assert account.debt == 0.0 and mine.limit_units == 25.0
+def test_what_was_paid_in_vain_comes_back_but_never_more_than_the_bucket_holds():
+    mine, account = make_quota(10.0, 50.0, gateways=2), TransferDebt(0.0)
+    account.add(30.0)
+    account.refund(100.0, mine)
+    assert account.units == 0.0 and mine.limit_units == 25.0
 
 
 def test_a_limit_that_is_no_more_leaves_no_debt():
-    account = Account(0.0)
-    account.owe(1e6)
-    account.settle(10.0, purse(0.0, 0.0), 0.0, 8.0)
-    assert account.clear
+    account = TransferDebt(0.0)
+    account.add(1e6)
+    account.settle(10.0, make_quota(0.0, 0.0), 0.0, 8.0)
+    assert account.is_settled
 
 
 def test_a_read_of_5_gib_is_paid_in_full_and_told_truly():
     """81,920 units: the next large one is refused at once, with the time after which there surely is room."""
     clock = [0.0]
-    mine = purse(240.0, 480.0)
-    tolls = ByteMeter(lambda: clock[0], lambda _: mine, lambda: 8.0)
+    mine = make_quota(240.0, 480.0)
+    byte_meter = ByteMeter(lambda: clock[0], lambda _: mine, lambda: 8.0)
 
     async def run() -> None:
-        first = tolls.bill("v", 240.0, 1, UNIT, 8.0, 1000.0)
-        await first.before(5 << 30)
-        first.moved = 5 << 30
+        first = byte_meter.open_charge("v", 240.0, 1, UNIT, 8.0, 1000.0)
+        await first.charge_length(5 << 30)
+        first.transferred_bytes = 5 << 30
         first.close()
-        second = tolls.bill("v", 240.0, 1, UNIT, 8.0, 2000.0)
-        with pytest.raises(OverLimit) as error:
-            await second.before(1 << 20)
+        second = byte_meter.open_charge("v", 240.0, 1, UNIT, 8.0, 2000.0)
+        with pytest.raises(QuotaExceededError) as error:
+            await second.charge_length(1 << 20)
         second.close()
-        assert error.value.wait_ms == pytest.approx(81_912 / (SHARE * 240) * 1000)
+        assert error.value.wait_ms == pytest.approx(81_912 / (DEBT_RATE_FRACTION * 240) * 1000)
         while clock[0] < error.value.wait_ms:  # small requests take what they may meanwhile
             clock[0] += 100.0
-            tolls.settle()
+            byte_meter.settle()
             mine.limit_units = min(mine.limit_units, 0.0)
-        third = tolls.bill("v", 240.0, 1, UNIT, 8.0, clock[0])
-        await third.before(1 << 20)
-        third.moved = 1 << 20
+        third = byte_meter.open_charge("v", 240.0, 1, UNIT, 8.0, clock[0])
+        await third.charge_length(1 << 20)
+        third.transferred_bytes = 1 << 20
         third.close()
 
     anyio.run(run)
@@ -239,9 +246,9 @@
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (300 * UNIT)
             assert (await ask(it, dialect, "PUT", "/school-1/o", data)).status < 300
-            it.gateway.service.tolls._courses.clear()  # the put is not what is looked at
-            purse = it.gateway.engine.purse("school-1")
-            purse.limit_units = 60.0
+            it.gateway.service.byte_meter._meters.clear()  # the put is not what is looked at
+            quota = it.gateway.engine.quota("school-1")
+            quota.limit_units = 60.0
             more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
             first = await ask(it, dialect, "GET", "/school-1/o", **more)
             assert len(first.body) == (250 if more else 300) * UNIT
@@ -266,14 +273,14 @@
             data = b"x" * (3000 * UNIT)  # 187 MiB: 7.5 s of the course's limit
             assert (await ask(it, dialect, "PUT", "/school-1/big", data)).status < 300
             refused = await ask(it, dialect, "PUT", "/school-1/next", data[: 100 * UNIT])
-            assert 5.0 <= over(dialect, refused) <= 3000 / (SHARE * RATE) + 1
+            assert 5.0 <= over(dialect, refused) <= 3000 / (DEBT_RATE_FRACTION * RATE) + 1
             served = 0
             until = anyio.current_time() + 2.0
             while anyio.current_time() < until:
                 answer = await ask(it, dialect, "PUT", f"/school-1/s{served}", b"x" * 4 * UNIT)
                 served += answer.status < 300
-            assert served * 4 >= 2.0 * SHARE * RATE * 0.4, served
-            assert served * 4 <= 2.0 * SHARE * RATE * 1.3 + 8, served
+            assert served * 4 >= 2.0 * DEBT_RATE_FRACTION * RATE * 0.4, served
+            assert served * 4 <= 2.0 * DEBT_RATE_FRACTION * RATE * 1.3 + 8, served
 
     run()
 
@@ -329,20 +336,20 @@
                     await send_chunks(peer, path, 2000, UNIT)
 
             began = anyio.current_time()
-            bill = service.tolls.bill
+            open_charge = service.byte_meter.open_charge
 
             def noted(*args: Any) -> Any:
-                made = bill(*args)
-                took = made.took
+                charge = open_charge(*args)
+                record_bytes = charge.record_bytes
 
                 async def counted(more: int) -> None:
-                    await took(more)
+                    await record_bytes(more)
                     moved[0] += more
 
-                made.took = counted
-                return made
+                charge.record_bytes = counted
+                return charge
 
-            service.tolls.bill = noted
+            service.byte_meter.open_charge = noted
             async with anyio.create_task_group() as group:
                 for number in range(3):
                     group.start_soon(client, number)
@@ -365,14 +372,16 @@
                 method="PUT", target="/school-1/o", headers=[("host", "t"), ("content-length", str(size))]
             )
             await peer.send(request, h11.Data(data=b"x" * (size * 3 // 4)))
-            tolls = it.gateway.service.tolls
-            await it.until(lambda: tolls.debt("school-1") > 250)
+            byte_meter = it.gateway.service.byte_meter
+            await it.until(lambda: byte_meter.debt_units("school-1") > 250)
             await it.until(lambda: any(seen["what"] == "head" for seen in it.record.seen))
             await anyio.sleep(0.1)
-            before = tolls.debt("school-1")
+            before = byte_meter.debt_units("school-1")
             await peer.reset()
-            await it.until(lambda: tolls.debt("school-1") <= before - 90)
-            assert before - 100 - 60 <= tolls.debt("school-1") <= before - 90, "a quarter was never sent"
+            await it.until(lambda: byte_meter.debt_units("school-1") <= before - 90)
+            assert before - 100 - 60 <= byte_meter.debt_units("school-1") <= before - 90, (
+                "a quarter was never sent"
+            )
 
     run()
 
@@ -390,10 +399,10 @@
                 headers=[("host", "t"), ("content-length", str(len(data)))],
             )
             await peer.send(request)
-            course = it.gateway.service.tolls._courses["school-1"]
-            await it.until(lambda: course.account.queued > 0)
+            meter = it.gateway.service.byte_meter._meters["school-1"]
+            await it.until(lambda: meter.debt.queued_units > 0)
             await peer.reset()
-            await it.until(lambda: course.account.queued == 0 and course.bills == 0, 1.0)
+            await it.until(lambda: meter.debt.queued_units == 0 and meter.open_charges == 0, 1.0)
 
     run()
 
@@ -404,24 +413,24 @@
     @played
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
-            engine, tolls = it.gateway.engine, it.gateway.service.tolls
+            engine, byte_meter = it.gateway.engine, it.gateway.service.byte_meter
             size = 1024 * UNIT
             peer = await connect(it, "object")
             request = h11.Request(
                 method="PUT", target="/school-1/o", headers=[("host", "t"), ("content-length", str(size))]
             )
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
-            await it.until(lambda: tolls.debt("school-1") > 0)
+            await it.until(lambda: byte_meter.debt_units("school-1") > 0)
             plan = dataclasses.replace(
-                engine.purse("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
+                engine.quota("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
             )
-            engine.retell(engine.settings, {"school-1": plan})
-            since, owed = anyio.current_time(), tolls.debt("school-1")
+            engine.apply_settings(engine.settings, {"school-1": plan})
+            since, owed = anyio.current_time(), byte_meter.debt_units("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
             assert (await reply(peer)).status < 300
             refused = await it.ask("PUT", "/school-1/p", b"x" * (100 * UNIT))
             assert over("object", refused) > 10
-            paid = owed - tolls.debt("school-1")
+            paid = owed - byte_meter.debt_units("school-1")
             assert paid <= 20.0 * (anyio.current_time() - since) + 20.0 + 5
 
     run()
@@ -432,17 +441,17 @@
     engine = SchedulerLoop(
         api.Settings(1, 0, (), (api.Plan("p", 1, 1, 5, 0, 10.0, 20.0),)), 1, Scheduler, lambda: 0.0
     )
-    tolls = ByteMeter(lambda: 0.0, engine.purse, lambda: 8.0)
+    byte_meter = ByteMeter(lambda: 0.0, engine.quota, lambda: 8.0)
 
     async def run() -> None:
-        bill = tolls.bill("v", 10.0, 1, UNIT, 8.0, 0.0)
-        await bill.before(100 * UNIT)
+        bill = byte_meter.open_charge("v", 10.0, 1, UNIT, 8.0, 0.0)
+        await bill.charge_length(100 * UNIT)
         engine._fault(RuntimeError("x"))
-        assert tolls.debt("v") == units_of(100 * UNIT, UNIT) - 8.0
-        bill.moved = 100 * UNIT
+        assert byte_meter.debt_units("v") == units_for_bytes(100 * UNIT, UNIT) - 8.0
+        bill.transferred_bytes = 100 * UNIT
         bill.close()
-        tolls.settle()
-        assert len(tolls) == 1, "a course that owes is not forgotten"
+        byte_meter.settle()
+        assert len(byte_meter) == 1, "a course that owes is not forgotten"
 
     anyio.run(run)
 
@@ -457,7 +466,7 @@
         ) as it:  # no store is known: nothing can be sent
             answer = await it.ask("PUT", "/school-1/o", b"x" * (500 * UNIT), winchdyke_time_left="700ms")
             assert answer.status == 503 and answer.reason == "held-out"
-            assert it.gateway.service.tolls.debt("school-1") == 0
+            assert it.gateway.service.byte_meter.debt_units("school-1") == 0
 
     run()
 
@@ -479,7 +488,7 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
             assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
-            account = it.gateway.engine.purse("contest-1")
+            account = it.gateway.engine.quota("contest-1")
             assert account.plan.reserved_units_per_s and not account.plan.limit_units_per_s
             if asked != "put":
                 account.reserved_units = 10.0
@@ -490,7 +499,7 @@
     run()
 
 
-def test_small_reads_of_unknown_size_come_out_of_the_purse():
+def test_small_reads_of_unknown_size_come_out_of_the_bucket():
     """Told as two units, eight in truth: the course is charged eight, once for each read, with no wait."""
 
     @played
@@ -498,14 +507,14 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
             assert (await it.ask("PUT", "/school-1/o", body)).status < 300
-            service, account = it.gateway.service, it.gateway.engine.purse("school-1")
+            service, account = it.gateway.service, it.gateway.engine.quota("school-1")
             for _ in range(2):  # the second time its size is known beforehand
                 account.refill(it.gateway.engine.clock())
                 account.limit_units, before = 50.0, it.gateway.engine.clock()
                 assert len((await it.ask("GET", "/school-1/o")).body) == len(body)
                 filled = RATE * (account.refilled_at_ms - before) / 1000
                 assert 50.0 - 8.0 - 0.5 <= account.limit_units <= 50.0 - 8.0 + filled + 0.5
-            assert service.tolls.debt("school-1") == 0
+            assert service.byte_meter.debt_units("school-1") == 0
 
     run()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -20,7 +20,7 @@
 from winchdyke.cli.main import main
 from winchdyke.config_rollout import last_known_good
 from winchdyke.config_rollout.change_log import ChangeLogError, Version
-from winchdyke.config_rollout.rollout_state import HELD, RolloutState
+from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, RolloutState
 from winchdyke.discovery import cache as nodes_disk
 from winchdyke.discovery.endpoint_view import CachedEndpoint, State
 from winchdyke.gateway.writeback import WriteBackRecord
@@ -80,7 +80,7 @@
     ("alice", "undoing", 2, 0.0, "too many", "test", 0.0),
     ("alice", "undone", 2, 0.0, "", "test", 0.0),
     ("bob", "proposed", 4, 0.0, "a middle way", "test", 0.0),
-    ("bob", "staged", 4, 0.0, "", "test", HELD),
+    ("bob", "staged", 4, 0.0, "", "test", ON_HOLD_MS),
 ]
 PRUNED_ENTRIES = 9
 LAST_PRUNED_HASH = "24c0e6f8edd65b824f4d56a9f1b1dc61f21309092aa7aec0335f8a0781b49bfd"
@@ -89,16 +89,18 @@
 
 def test_the_trail_of_changes_is_read_with_its_archive(tmp_path):
     """All entries, versions, the chain of hashes, and where the gateway stands."""
-    trail, said = last_known_good.opened(copied("changes", tmp_path))
+    trail, said = last_known_good.open_change_log(copied("changes", tmp_path))
     assert said == ""
     assert trail.verify(archives=True) == []
 
-    entries = trail.whole()
+    entries = trail.all_entries()
     assert [entry.seq for entry in entries] == list(range(1, len(ENTRIES) + 2))
     assert [entry.unix_ms for entry in entries] == [START_MS + 1000 * n for n in range(len(ENTRIES) + 1)]
-    found = [(e.who, e.what, e.version, e.until_ms, e.note, e.origin, e.at_ms) for e in entries]
+    found = [
+        (e.actor, e.action, e.version, e.confirm_by_ms, e.note, e.origin, e.activate_at_ms) for e in entries
+    ]
     assert found[:-1] == ENTRIES
-    assert [entry.seq for entry in trail.archived()] == list(range(1, PRUNED_ENTRIES + 1))
+    assert [entry.seq for entry in trail.archived_entries()] == list(range(1, PRUNED_ENTRIES + 1))
     assert entries[PRUNED_ENTRIES - 1].hash == LAST_PRUNED_HASH
     assert entries[-1].hash == LAST_HASH
 
@@ -121,20 +123,20 @@
         "kept": {"2": "b5a967070f323ecb4619a3540c6a50367324b8267881dd35acc17143a6442400"},
     }
 
-    assert trail.standing() == RolloutState(serving=2, staged=4, before=3, staged_at_ms=HELD)
+    assert trail.state() == RolloutState(serving=2, staged=4, previous=3, staged_activate_at_ms=ON_HOLD_MS)
     assert trail.version(2) == Version(2, 1, settings_text(200), difference(100, 200))
     assert trail.version(3) == Version(3, 2, settings_text(300), difference(200, 300))
     assert trail.version(4) == Version(4, 2, settings_text(250), difference(200, 250))
     with pytest.raises(ChangeLogError, match="no version 1"):
         trail.version(1)
-    archived = trail.archives()[0].read_text(encoding="utf-8").splitlines()
+    archived = trail.archive_paths()[0].read_text(encoding="utf-8").splitlines()
     assert json.loads(archived[0]) == {"version": [1, 0, settings_text(100), "[]"]}
     assert {path: entry.seq for path, entry in trail.blame().items()} == {"limits.connections": 15}
 
 
 def test_the_version_that_was_served_last_is_read(tmp_path):
     """Its number and text; a checksum that does not fit would give None."""
-    served = last_known_good.kept(copied("changes", tmp_path))
+    served = last_known_good.load(copied("changes", tmp_path))
     assert served is not None
     assert (served.version, served.text) == (2, settings_text(200))
     assert served.sha256 == "755c96edcfe5b4ae813ba93cbeb9a012a5c996e4df8a739a587db3364a863b83"
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -179,12 +179,12 @@
         if self.trail is None:
             return 404, {"error": "no-changes", "text": "no changes are kept here; see changes, folder"}, []
         try:
-            operation = operations.read(body if head.method == "POST" else b'{"op": "standing"}')
+            operation = operations.parse_operation(body if head.method == "POST" else b'{"op": "standing"}')
             worker = operations.ChangeOperations(self.trail, who, origin)
-            found = await anyio.to_thread.run_sync(worker.do, operation, limiter=self._limiter)
+            found = await anyio.to_thread.run_sync(worker.execute, operation, limiter=self._limiter)
         except operations.OperationError as error:
-            return STATUS.get(error.code, 409), {"error": error.code, "text": error.text, **error.more}, []
-        if not isinstance(operation, operations.READING):
+            return STATUS.get(error.code, 409), {"error": error.code, "text": error.text, **error.details}, []
+        if not isinstance(operation, operations.READ_ONLY_OPERATIONS):
             self._log.info("admin", op=type(operation).__name__.lower(), who=who, origin=origin)
         return 200, found, []
 
--- a/winchdyke/config_rollout/canary_analysis.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -1,12 +1,13 @@
-"""Whether a change that was applied does harm: what it touches, after against before, beside what it does not touch. Pure.
+"""Tells whether an applied change does harm, by comparing requests that it affects with earlier and unaffected ones. Pure.
 
-Requests that end are counted by group (touched by the change or not), by shard, and by time. For each shard, the share of the
-touched that was refused or failed is held against what is to be expected without the change: their own share before, plus the
-rise of the untouched at the same shard (a node's own death, a slow hour), or what a surge explains by itself (as much served
-as before, of more that came). A change is bad where the excess is large, sure, and seen in enough requests.
+Finished requests are counted by group (affected by the change or not), by shard, and by second. For each shard, the failure
+ratio of the affected group (refused or failed requests) is compared with the ratio expected without the change: the group's own
+ratio before, plus the rise of the unaffected group at the same shard (an endpoint that died, a busy hour), or what more load
+explains (the same goodput, of more requests). A change is harmful where the excess is large, statistically significant, and
+seen in enough requests.
 
-What is guess: that a surge leaves the served a second as they were; that the untouched at a shard tell its trouble. Where
-nobody untouched uses a shard, a node that died there is told by ``dead`` alone.
+Assumptions: more load leaves the goodput unchanged, and the unaffected group shows a shard's own faults. Where no unaffected
+volume uses a shard, only the endpoint list (``shards_without_endpoint``) tells that its endpoints are gone.
 """
 
 from __future__ import annotations
@@ -18,179 +19,282 @@
 from fnmatch import fnmatchcase
 from functools import cache
 
+from winchdyke import interface as api
 from winchdyke.config.model import Config
 
-Asked = Callable[[str], bool]  # whether something is so of a volume
-SLOWER, TROUBLE = (
-    2.0,
-    0.05,
-)  # of what is untouched: latency times so much, or so much more of it bad, is the shard's trouble
-MOVED = 1.5  # times as much as before sent to a shard is the change's own doing, or a surge's
-LIKELY = 2.0  # standard errors from which on a shard's excess counts
+VolumePredicate = Callable[[str], bool]
+Sample = tuple[str, int, str]  # volume, shard and outcome of finished requests
+
+LISTING_SHARD = -1
+MIN_GROUP_REQUESTS = 5  # of a group at a shard, below which its latency and its rise are not used
+SHARD_FAULT_LATENCY_RATIO = (
+    2.0  # a rise of the unaffected group's latency that shows a fault of the shard's own
+)
+SHARD_FAULT_FAILURE_RISE = 0.05  # a rise of the unaffected group's failure ratio that shows one
+MOVED_LOAD_RATIO = (
+    1.5  # a shard's load, relative to before, from which on the change itself or more load is the cause
+)
+MIN_SHARD_STANDARD_ERRORS = 2.0  # from which on a shard's excess counts
+MIN_VARIANCE = 0.01
+MAX_VARIANCE = 0.25  # of a yes-or-no outcome
 
 
 @dataclass(frozen=True, slots=True)
-class Criteria:
-    """When a change is bad; times in milliseconds."""
+class CanaryCriteria:
+    """When a change counts as harmful.
+
+    Attributes:
+        watch_ms: How long a change is observed.
+        baseline_ms: The time before it with which it is compared.
+        min_requests: How many affected requests have to finish before there is a verdict.
+        max_excess_ratio: How large a part of them may be refused or failed beyond what is expected.
+        min_standard_errors: How many standard errors the excess has to be above none.
+    """
 
-    watch: float = 10_000.0  # for which a change is watched
-    before: float = 30_000.0  # that is held against it
-    samples: int = 10  # of the touched, before anything is said
-    excess: float = 0.02  # of their requests refused or failed beyond what was expected
-    sure: float = 4.0  # standard errors that the excess must be from none
+    watch_ms: float = 10_000.0
+    baseline_ms: float = 30_000.0
+    min_requests: int = 10
+    max_excess_ratio: float = 0.02
+    min_standard_errors: float = 4.0
 
 
 @dataclass
-class Counts:
-    """Requests that ended, those of them refused or failed, by shard."""
+class ShardCounts:
+    """Finished requests of one group, by shard: how many, how many of them refused or failed, and the latency of the others."""
 
     ended: Counter[int] = field(default_factory=Counter)
-    bad: Counter[int] = field(default_factory=Counter)
-    taken: Counter[int] = field(default_factory=Counter)  # milliseconds that the good ones took
+    failed: Counter[int] = field(default_factory=Counter)
+    served_ms: Counter[int] = field(default_factory=Counter)
+
+    def served(self, shard: int) -> int:
+        """Return how many requests were not refused or failed at a shard."""
+        return self.ended[shard] - self.failed[shard]
+
+    def mean_latency_ms(self, shard: int) -> float:
+        """Return the mean latency at a shard; 0 where too few requests were served."""
+        served = self.served(shard)
+        return self.served_ms[shard] / served if served >= MIN_GROUP_REQUESTS else 0.0
+
+    def failure_ratio(self, shard: int) -> float:
+        """Return the failure ratio at a shard, smoothed so that few requests give no extreme; 0 where there were none."""
+        if not self.ended[shard]:
+            return 0.0
+        return (self.failed[shard] + 0.5) / (self.ended[shard] + 1.0)
+
+    def overall_failure_ratio(self) -> float:
+        """Return the failure ratio over all shards."""
+        return sum(self.failed.values()) / max(1, sum(self.ended.values()))
+
+
+@dataclass(frozen=True, slots=True)
+class Comparison:
+    """The counts of both groups before and after a change, and the seconds that were counted."""
+
+    affected_before: ShardCounts = field(default_factory=ShardCounts)
+    affected_after: ShardCounts = field(default_factory=ShardCounts)
+    unaffected_before: ShardCounts = field(default_factory=ShardCounts)
+    unaffected_after: ShardCounts = field(default_factory=ShardCounts)
+    before_seconds: float = 1.0
+    after_seconds: float = 1.0
+
+    def group(self, affected: bool, after: bool) -> ShardCounts:
+        """Return the counts of one group on one side of the change."""
+        if affected:
+            return self.affected_after if after else self.affected_before
+        return self.unaffected_after if after else self.unaffected_before
+
+    def load_ratio(self) -> float:
+        """Return the affected group's requests a second over all shards, relative to before."""
+        rate_after = sum(self.affected_after.ended.values()) / self.after_seconds
+        rate_before = sum(self.affected_before.ended.values()) / self.before_seconds
+        return rate_after / max(1e-9, rate_before)
+
+    def shard_load_ratio(self, shard: int) -> float:
+        """Return the same for one shard; 1 where the group did not use it before."""
+        ended_before = self.affected_before.ended[shard]
+        if not ended_before:
+            return 1.0
+        rate_after = self.affected_after.ended[shard] / self.after_seconds
+        return rate_after / max(1e-9, ended_before / self.before_seconds)
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
-    """What is found so far: ``bad`` undoes; ``why`` is for people."""
+class CanaryVerdict:
+    """What is known so far. ``harmful``: the change is to be undone; ``reason``: for operators."""
 
-    bad: bool
-    why: str
-    excess: float = 0.0
-    sure: float = 0.0
-    samples: int = 0
+    harmful: bool
+    reason: str
+    excess_ratio: float = 0.0
+    standard_errors: float = 0.0
+    requests: int = 0
 
 
 class CanaryObserver:
-    """Counts what ends, by second, so that a change can be held against the time before it."""
+    """Counts finished requests by second, so that the time after a change can be compared with the time before it."""
 
-    def __init__(self, criteria: Criteria = Criteria()) -> None:
+    def __init__(self, criteria: CanaryCriteria = CanaryCriteria()) -> None:
         self.criteria = criteria
-        self._seconds: defaultdict[int, Counter[tuple[str, int, str]]] = defaultdict(Counter)
-        self._taken: defaultdict[int, Counter[tuple[str, int, str]]] = defaultdict(Counter)
-
-    def ended(self, now: float, volume: str, shard: int, outcome: str, took: float = 0.0) -> None:
-        """A request of a volume ended: served, refused or failed, after so many ms; a listing has shard -1."""
-        second = int(now // 1000)
-        if second not in self._seconds:
-            oldest = second - int((self.criteria.before + self.criteria.watch) // 1000) - 2
-            for old in [at for at in self._seconds if at < oldest]:
-                del self._seconds[old]
-                self._taken.pop(old, None)
-        self._seconds[second][volume, shard, outcome] += 1
-        self._taken[second][volume, shard, outcome] += took  # type: ignore[assignment]
-
-    def verdict(
-        self, applied: float, now: float, touched: Callable[[str], bool], dead: Iterable[int] = (),
-        lowered: Callable[[str], bool] = lambda _: False,
-    ) -> Verdict:  # fmt: skip
-        """What is to be said of a change that was applied at a time, now."""
-        groups: dict[tuple[bool, bool], Counts] = {
-            (t, a): Counts() for t in (True, False) for a in (True, False)
-        }
-        at = int(applied // 1000)
-        since = at - int(self.criteria.before // 1000)
-        for second, counts in self._seconds.items():
-            if since <= second and second != at:  # the second in which it came belongs to neither side
-                for (volume, shard, outcome), count in counts.items():
-                    # Where a limit was lowered refusals are what was asked for.
-                    good = outcome == "served" or (outcome == "refused" and lowered(volume))
-                    group = groups[touched(volume), second > at]
-                    group.ended[shard] += count
-                    group.bad[shard] += 0 if good else count
-                    if outcome == "served":
-                        group.taken[shard] += self._taken[second][volume, shard, outcome]
-        kept = [second for second in self._seconds if since <= second < at]
-        spans = max(1.0, len(kept)), max(1.0, now / 1000 - at - 1)
-        return judged(groups, spans, self.criteria, frozenset(dead))
-
-
-def judged(
-    groups: dict[tuple[bool, bool], Counts],
-    spans: tuple[float, float],
-    criteria: Criteria,
-    dead: frozenset[int],
-) -> Verdict:
-    """Before and after, touched and not (keys: touched, after), over so many seconds each."""
-    mine0, mine1 = groups[True, False], groups[True, True]
-    other0, other1 = groups[False, False], groups[False, True]
-    seen = wrong = expected = over = variance = 0.0
-    usual = sum(mine0.bad.values()) / max(1, sum(mine0.ended.values()))  # of the touched, wherever they went
-    growth = (sum(mine1.ended.values()) / spans[1]) / max(1e-9, sum(mine0.ended.values()) / spans[0])
-    for shard, count in mine1.ended.items():
-        if shard in dead:
+        self._counts: defaultdict[int, Counter[Sample]] = defaultdict(Counter)
+        self._latencies_ms: defaultdict[int, Counter[Sample]] = defaultdict(Counter)
+
+    def record_request(
+        self, now_ms: float, volume: str, shard: int, outcome: str, latency_ms: float = 0.0
+    ) -> None:
+        """Count a request that ended as "served", "refused" or "failed"; a listing has :data:`LISTING_SHARD`."""
+        second = int(now_ms // 1000)
+        if second not in self._counts:
+            self._forget_before(
+                second - int((self.criteria.baseline_ms + self.criteria.watch_ms) // 1000) - 2
+            )
+        self._counts[second][volume, shard, outcome] += 1
+        self._latencies_ms[second][volume, shard, outcome] += latency_ms  # type: ignore[assignment]
+
+    def _forget_before(self, oldest_second: int) -> None:
+        for second in [second for second in self._counts if second < oldest_second]:
+            del self._counts[second]
+            self._latencies_ms.pop(second, None)
+
+    def evaluate(
+        self,
+        applied_at_ms: float,
+        now_ms: float,
+        is_affected: VolumePredicate,
+        shards_without_endpoint: Iterable[int] = (),
+        has_lowered_limit: VolumePredicate = lambda _: False,
+    ) -> CanaryVerdict:
+        """Return the verdict, now, on a change that was applied at a time."""
+        applied_second = int(applied_at_ms // 1000)
+        first_second = applied_second - int(self.criteria.baseline_ms // 1000)
+        seconds_before = [second for second in self._counts if first_second <= second < applied_second]
+        comparison = Comparison(
+            before_seconds=max(1.0, len(seconds_before)),
+            after_seconds=max(1.0, now_ms / 1000 - applied_second - 1),
+        )
+        for second, counts in self._counts.items():
+            if second < first_second or second == applied_second:  # that second belongs to neither side
+                continue
+            for (volume, shard, outcome), count in counts.items():
+                # Where a limit was lowered, refusals are intended.
+                expected = outcome == "served" or (outcome == "refused" and has_lowered_limit(volume))
+                group = comparison.group(is_affected(volume), second > applied_second)
+                group.ended[shard] += count
+                group.failed[shard] += 0 if expected else count
+                if outcome == "served":
+                    group.served_ms[shard] += self._latencies_ms[second][volume, shard, outcome]
+        return evaluate_counts(comparison, self.criteria, frozenset(shards_without_endpoint))
+
+
+def evaluate_counts(
+    comparison: Comparison, criteria: CanaryCriteria, shards_without_endpoint: frozenset[int]
+) -> CanaryVerdict:
+    """Return the verdict on the counts before and after a change."""
+    requests = 0.0
+    failed = 0.0
+    expected = 0.0
+    excess = 0.0
+    variance = 0.0
+    growth = comparison.load_ratio()
+    overall_ratio = comparison.affected_before.overall_failure_ratio()
+    for shard, count in comparison.affected_after.ended.items():
+        if shard in shards_without_endpoint:
+            continue
+        ratio = _expected_failure_ratio(comparison, shard, growth, overall_ratio)
+        if ratio is None:
             continue
-        if other0.ended[shard] - other0.bad[shard] >= 5 and other1.ended[shard] - other1.bad[shard] < 5:
-            continue  # those who would tell a trouble of the shard's own have not been heard yet
-        before = _share(mine0, shard)
-        rise = _share(other1, shard) - _share(other0, shard) if other1.ended[shard] >= 5 else 0.0
-        surge = (count / spans[1]) / max(1e-9, mine0.ended[shard] / spans[0]) if mine0.ended[shard] else 1.0
-        shift = surge / growth if growth > 0 else 1.0
-        if shift > MOVED and mine0.ended[shard]:
-            # Guards against harm that hides behind a shard's own bad name: what was moved there fared as all of it did before.
-            stayed = 1 / shift
-            before, surge = stayed * before + (1 - stayed) * usual, growth
-        slower = _mean(other1, shard) > SLOWER * _mean(other0, shard) > 0
-        if (slower or rise > TROUBLE) and mine0.ended[shard] and surge < MOVED:
-            continue  # a trouble of the shard's own: what was sent there before still is, and others suffer too
-        by_surge = 1 - (1 - before) / surge if surge > 1 else 0.0
-        base = min(1.0, max(before + max(0.0, rise), by_surge))
-        seen += count
-        wrong += mine1.bad[shard]
-        expected += base * count
-        spread = min(0.25, max(base * (1 - base), 0.01))
-        mine = spread * count + spread * count * count / max(1, mine0.ended[shard])
-        more = mine1.bad[shard] - base * count
-        if more > LIKELY * math.sqrt(mine):  # a shard that fares better than expected makes up for no other
-            over += more
-            variance += mine
-    samples = int(seen)
-    if samples < criteria.samples:
-        return Verdict(False, f"{samples} requests so far; {criteria.samples} are needed", samples=samples)
-    excess = over / seen
-    sure = over / math.sqrt(variance) if variance else 0.0
-    said = f"{wrong / seen:.0%} of {samples} requests refused or failed, {expected / seen:.0%} expected"
-    return Verdict(excess > criteria.excess and sure > criteria.sure, said, excess, sure, samples)
-
-
-def _mean(counts: Counts, shard: int) -> float:
-    served = counts.ended[shard] - counts.bad[shard]
-    return counts.taken[shard] / served if served >= 5 else 0.0
-
-
-def _share(counts: Counts, shard: int) -> float:
-    return (counts.bad[shard] + 0.5) / (counts.ended[shard] + 1.0) if counts.ended[shard] else 0.0
-
-
-def touched(old: Config, new: Config) -> Asked:
-    """Which volumes a change touches: their rule, their plan's figures, or a route that may take their requests."""
-    plans = {plan.name: plan for plan in old.plans}, {plan.name: plan for plan in new.plans}
-    routes = set(old.routes) ^ set(new.routes)
-    patterns = {route.pattern.volume for route in routes}
+        shard_failed = comparison.affected_after.failed[shard]
+        requests += count
+        failed += shard_failed
+        expected += ratio * count
+        shard_excess = shard_failed - ratio * count
+        shard_variance = _excess_variance(ratio, count, comparison.affected_before.ended[shard])
+        # A shard that does better than expected makes up for no other.
+        if shard_excess > MIN_SHARD_STANDARD_ERRORS * math.sqrt(shard_variance):
+            excess += shard_excess
+            variance += shard_variance
+    request_count = int(requests)
+    if request_count < criteria.min_requests:
+        reason = f"{request_count} requests so far; {criteria.min_requests} are needed"
+        return CanaryVerdict(False, reason, requests=request_count)
+    excess_ratio = excess / requests
+    standard_errors = excess / math.sqrt(variance) if variance else 0.0
+    reason = f"{failed / requests:.0%} of {request_count} requests refused or failed, {expected / requests:.0%} expected"
+    harmful = excess_ratio > criteria.max_excess_ratio and standard_errors > criteria.min_standard_errors
+    return CanaryVerdict(harmful, reason, excess_ratio, standard_errors, request_count)
+
+
+def _expected_failure_ratio(
+    comparison: Comparison, shard: int, growth: float, overall_ratio: float
+) -> float | None:
+    """Return the affected group's failure ratio at a shard without the change; None where the shard tells nothing.
+
+    ``growth`` and ``overall_ratio``: the group's load relative to before, and its failure ratio before, over all shards.
+    """
+    affected_before = comparison.affected_before
+    unaffected_before = comparison.unaffected_before
+    unaffected_after = comparison.unaffected_after
+    had_witnesses = unaffected_before.served(shard) >= MIN_GROUP_REQUESTS
+    if had_witnesses and unaffected_after.served(shard) < MIN_GROUP_REQUESTS:
+        return None  # the requests that would show a fault of the shard's own have not finished yet
+    ratio_before = affected_before.failure_ratio(shard)
+    rise = 0.0
+    if unaffected_after.ended[shard] >= MIN_GROUP_REQUESTS:
+        rise = unaffected_after.failure_ratio(shard) - unaffected_before.failure_ratio(shard)
+    load_ratio = comparison.shard_load_ratio(shard)
+    moved_ratio = load_ratio / growth if growth > 0 else 1.0
+    if moved_ratio > MOVED_LOAD_RATIO and affected_before.ended[shard]:
+        # Requests that were moved to a shard with many failures are compared with how all of the group did before.
+        stayed = 1 / moved_ratio
+        ratio_before = stayed * ratio_before + (1 - stayed) * overall_ratio
+        load_ratio = growth
+    latency_before_ms = unaffected_before.mean_latency_ms(shard)
+    slower = unaffected_after.mean_latency_ms(shard) > SHARD_FAULT_LATENCY_RATIO * latency_before_ms > 0
+    shard_fault = slower or rise > SHARD_FAULT_FAILURE_RISE
+    if shard_fault and affected_before.ended[shard] and load_ratio < MOVED_LOAD_RATIO:
+        return None  # as much is sent there as before, and unaffected requests suffer too
+    ratio_by_load = 1 - (1 - ratio_before) / load_ratio if load_ratio > 1 else 0.0
+    return min(1.0, max(ratio_before + max(0.0, rise), ratio_by_load))
+
+
+def _excess_variance(ratio: float, count_after: int, count_before: int) -> float:
+    """Return the variance of the failures above ``ratio``, which itself was estimated from ``count_before`` requests."""
+    variance = min(MAX_VARIANCE, max(ratio * (1 - ratio), MIN_VARIANCE))
+    return variance * count_after + variance * count_after * count_after / max(1, count_before)
+
+
+def affected_volumes(old: Config, new: Config) -> VolumePredicate:
+    """Return which volumes a change affects: by their block, their plan's values, or a route that may take their requests."""
+    old_plans = {plan.name: plan for plan in old.plans}
+    new_plans = {plan.name: plan for plan in new.plans}
+    route_patterns = {route.pattern.volume for route in set(old.routes) ^ set(new.routes)}
 
     @cache
-    def found(volume: str) -> bool:
-        a, b = old.volume(volume), new.volume(volume)
-        if a is None or b is None:
-            return a is not b
-        same = (a.plan, a.shards, a.gateways) == (b.plan, b.shards, b.gateways)
-        return (
-            not same
-            or plans[0].get(a.plan) != plans[1].get(b.plan)
-            or any(fnmatchcase(volume, p) for p in patterns)
-        )
+    def is_affected(volume: str) -> bool:
+        before = old.volume(volume)
+        after = new.volume(volume)
+        if before is None or after is None:
+            return before is not after
+        if (before.plan, before.shards, before.gateways) != (after.plan, after.shards, after.gateways):
+            return True
+        if old_plans.get(before.plan) != new_plans.get(after.plan):
+            return True
+        return any(fnmatchcase(volume, pattern) for pattern in route_patterns)
+
+    return is_affected
 
-    return found
 
+def volumes_with_lowered_limit(old: Config, new: Config) -> VolumePredicate:
+    """Return which volumes have a lower limit or burst than before, or a limit where they had none."""
+    old_plans = {plan.name: plan for plan in old.plans}
+    new_plans = {plan.name: plan for plan in new.plans}
 
-def lowered(old: Config, new: Config) -> Asked:
-    """Which volumes have a lower limit than before, or one where they had none."""
-    plans = {plan.name: plan for plan in old.plans}, {plan.name: plan for plan in new.plans}
+    def plan_of(volume: str, config: Config, plans: dict[str, api.Plan]) -> api.Plan | None:
+        block = config.volume(volume)
+        return plans.get(block.plan) if block is not None else None
 
     @cache
-    def found(volume: str) -> bool:
-        a, b = old.volume(volume), new.volume(volume)
-        before = plans[0].get(a.plan) if a is not None else None
-        after = plans[1].get(b.plan) if b is not None else None
+    def has_lowered_limit(volume: str) -> bool:
+        before = plan_of(volume, old, old_plans)
+        after = plan_of(volume, new, new_plans)
         if before is None or after is None or not after.limit_units_per_s:
             return False
         return (
@@ -199,4 +303,4 @@
             or after.limit_burst_units < before.limit_burst_units
         )
 
-    return found
+    return has_lowered_limit
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -1,17 +1,16 @@
-"""Versions and the trail of what was done with them: an SQLite file, synced at each step, with a hash chain over all of it.
+"""The change log: all versions of one gateway's configuration and every step taken with them, in an SQLite file.
 
-The hash of an entry is SHA-256 over the one before it and all its own columns; a version's text is under the hash of the entry
-that proposed it. So an entry that is altered, removed or put in between shows, unless all after it are written anew.
+Each step is one transaction, synced before it returns. A hash chain covers all entries: an entry's hash is SHA-256 over the
+hash before it and all its own columns, and a proposed version's text is part of its entry's hash. So an entry that is altered,
+removed or inserted is detected, unless all later ones are rewritten too.
 
-History is bounded: :meth:`Trail.prune` moves the oldest entries, and versions that nothing needs, to files beside it
-(``trail-SEQ.jsonl``, SEQ the first entry in it), and says so in an entry of its own, with where the gateway stood by then. The chain
-goes on over them: an archive that is missing or altered shows as well, where archives are asked for.
+History is bounded: :meth:`ChangeLog.prune` moves the oldest entries, and versions that are not needed any more, to archives
+(:mod:`winchdyke.config_rollout.change_log_archive`) and records in an entry of its own where the chain continues. An archive
+that is missing or altered is detected as well, where archives are to be verified.
 """
 
 from __future__ import annotations
 
-import dataclasses
-import hashlib
 import json
 import math
 import os
@@ -19,445 +18,447 @@
 import time
 from collections.abc import Iterable, Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-from winchdyke.config_rollout.rollout_state import RolloutState, Step, standing
-from winchdyke.durable_files import replace
-
-FILE = "changes.db"
+from winchdyke.config_rollout import change_log_archive
+from winchdyke.config_rollout.change_log_records import (
+    ENTRY_COLUMNS,
+    HASHED_COLUMNS,
+    STEP_COLUMNS,
+    VERSION_COLUMNS,
+    ChangeLogError,
+    ConcurrentStepError,
+    LogEntry,
+    PruneRecord,
+    Row,
+    Version,
+    entry_hash,
+    version_content,
+    version_digest,
+)
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, replay
+
+__all__ = ["DATABASE_FILE", "ChangeLog", "ChangeLogError", "ConcurrentStepError", "LogEntry", "Version"]
+
+DATABASE_FILE = "changes.db"
+BUSY_TIMEOUT_SECONDS = 5.0
+FORMAT_VERSION = 2  # 2: with at_ms
+MAX_NEWER_FORMATS = 16  # a number that is larger by more than this is damage, not a later format
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS versions (id INTEGER PRIMARY KEY, parent INTEGER NOT NULL, text TEXT NOT NULL, difference TEXT NOT NULL);
 CREATE TABLE IF NOT EXISTS trail (
     seq INTEGER PRIMARY KEY, unix_ms REAL NOT NULL, who TEXT NOT NULL, what TEXT NOT NULL, version INTEGER NOT NULL,
     until_ms REAL NOT NULL, note TEXT NOT NULL, origin TEXT NOT NULL, hash TEXT NOT NULL, at_ms REAL NOT NULL DEFAULT 0);
 """
-INSERT = "INSERT INTO trail VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
-FORMAT = 2  # 2: with at_ms
-COLUMNS = "seq, unix_ms, who, what, version, until_ms, note, origin, hash, at_ms"
-PASSING = ("SQLITE_FULL", "SQLITE_BUSY", "SQLITE_LOCKED", "SQLITE_IOERR", "SQLITE_CANTOPEN", "SQLITE_READONLY",
-           "SQLITE_PERM", "SQLITE_NOMEM", "SQLITE_AUTH", "SQLITE_INTERRUPT", "SQLITE_PROTOCOL")  # fmt: skip
-LIKELY = 16  # formats further on that there may be one day; a greater number is damage
-
-
-class ChangeLogError(Exception):
-    """A trail that can't be used, or a step that can't be taken; says what is wrong and what to do.
-
-    ``damaged``: the file itself is no longer what was written.
-    """
-
-    def __init__(self, text: str, damaged: bool = False) -> None:
-        super().__init__(text)
-        self.damaged = damaged
-
-
-@dataclass(frozen=True, slots=True)
-class Entry:
-    """One entry of the trail."""
-
-    seq: int
-    unix_ms: float
-    who: str
-    what: str
-    version: int
-    until_ms: float
-    note: str
-    origin: str
-    hash: str
-    at_ms: float = 0.0
+INSERT_ENTRY = "INSERT INTO trail VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?)"
+INSERT_VERSION = "INSERT INTO versions VALUES (?, ?, ?, ?)"
+TRANSIENT_ERRORS = (  # SQLite's names of errors that do not mean a damaged file
+    "SQLITE_FULL", "SQLITE_BUSY", "SQLITE_LOCKED", "SQLITE_IOERR", "SQLITE_CANTOPEN", "SQLITE_READONLY",
+    "SQLITE_PERM", "SQLITE_NOMEM", "SQLITE_AUTH", "SQLITE_INTERRUPT", "SQLITE_PROTOCOL",
+)  # fmt: skip
 
 
-@dataclass(frozen=True, slots=True)
-class Version:
-    """The whole settings of a version, the one it was made from, and what differs between them (JSON)."""
-
-    id: int
-    parent: int
-    text: str
-    difference: str
-
-
-def _hash(before: str, row: tuple[object, ...], text: str, at_ms: float) -> str:
-    told = [before, *row, text, at_ms] if at_ms else [before, *row, text]
-    return hashlib.sha256(json.dumps(told, ensure_ascii=False).encode()).hexdigest()
-
-
-def _digest(row: Iterable[object]) -> str:
-    return hashlib.sha256(json.dumps(list(row), ensure_ascii=False).encode()).hexdigest()
-
-
-def _damaged(error: sqlite3.Error) -> bool:
-    return not (getattr(error, "sqlite_errorname", "") or "").startswith(PASSING)
+def _is_damage(error: sqlite3.Error) -> bool:
+    name = getattr(error, "sqlite_errorname", "") or ""
+    return not name.startswith(TRANSIENT_ERRORS)
 
 
 class ChangeLog:
-    """The versions of one gateway. Any process may add to it; each step is one transaction, synced."""
+    """The change log of one gateway. Any process may append to it; each step is one synced transaction.
+
+    All methods raise ChangeLogError where the file can't be used.
+    """
 
     def __init__(self, folder: Path, create: bool = True) -> None:
-        self.path = folder / FILE
+        """Open the change log in a folder. ``create``: begin it where it does not exist."""
+        self.path = folder / DATABASE_FILE
         if not create and not self.path.exists():
             raise ChangeLogError(f"{self.path} is not there; 'winchdyke changes propose' begins it")
         try:
             folder.mkdir(parents=True, exist_ok=True, mode=0o700)
-            with self._open() as db:
-                found = int(db.execute("PRAGMA user_version").fetchone()[0])
-                if found < 0 or found > FORMAT + LIKELY:
-                    raise ChangeLogError(f"{self.path} says it is of format {found}, which no trail is", True)
-                if found > FORMAT:
-                    raise ChangeLogError(
-                        f"{self.path} is of format {found}; this version reads up to {FORMAT}: use a newer one"
-                    )
-                if found < FORMAT:
-                    self._bring_up(db, found)
+            with self._connect() as db:
+                self._check_format(db)
             os.chmod(self.path, 0o600)
         except OSError as error:
             raise ChangeLogError(f"{self.path} can't be used: {error.strerror or error}") from error
 
+    def _check_format(self, db: sqlite3.Connection) -> None:
+        found = _stored_format(db)
+        if found < 0 or found > FORMAT_VERSION + MAX_NEWER_FORMATS:
+            raise ChangeLogError(f"{self.path} says it is of format {found}, which no trail is", True)
+        if found > FORMAT_VERSION:
+            raise ChangeLogError(
+                f"{self.path} is of format {found}; this version reads up to {FORMAT_VERSION}: use a newer one"
+            )
+        if found < FORMAT_VERSION:
+            self._migrate(db, found)
+
     @staticmethod
-    def _bring_up(db: sqlite3.Connection, found: int) -> None:
+    def _migrate(db: sqlite3.Connection, found: int) -> None:
         db.execute("BEGIN IMMEDIATE")
-        if int(db.execute("PRAGMA user_version").fetchone()[0]) == found:  # nobody else did so meanwhile
+        if _stored_format(db) == found:  # no other process has done so meanwhile
             for statement in SCHEMA.split(";"):
                 db.execute(statement)
             if found == 1:
                 db.execute("ALTER TABLE trail ADD COLUMN at_ms REAL NOT NULL DEFAULT 0")
-            db.execute(f"PRAGMA user_version = {FORMAT}")
+            db.execute(f"PRAGMA user_version = {FORMAT_VERSION}")
         db.execute("COMMIT")
 
     @contextmanager
-    def _open(self) -> Iterator[sqlite3.Connection]:
-        db = sqlite3.connect(self.path, timeout=5.0, isolation_level=None)
+    def _connect(self) -> Iterator[sqlite3.Connection]:
+        db = sqlite3.connect(self.path, timeout=BUSY_TIMEOUT_SECONDS, isolation_level=None)
         try:
             db.execute("PRAGMA journal_mode = WAL")
             db.execute("PRAGMA synchronous = FULL")
             yield db
         except sqlite3.Error as error:
             raise ChangeLogError(
-                f"{self.path}: {error}; nothing was changed by this step", _damaged(error)
+                f"{self.path}: {error}; nothing was changed by this step", _is_damage(error)
             ) from error
         finally:
             db.close()
 
     @contextmanager
-    def _reading(self) -> Iterator[sqlite3.Connection]:
-        # Guards against reading half of what a move to the archives does: all is read as it was at one moment.
-        with self._open() as db:
+    def _read_transaction(self) -> Iterator[sqlite3.Connection]:
+        # One transaction shows one moment: a concurrent prune is seen whole or not at all.
+        with self._connect() as db:
             db.execute("BEGIN")
             yield db
             db.execute("COMMIT")
 
     @contextmanager
-    def _writing(self) -> Iterator[sqlite3.Connection]:
-        with self._open() as db:
+    def _write_transaction(self) -> Iterator[sqlite3.Connection]:
+        with self._connect() as db:
             db.execute("BEGIN IMMEDIATE")
             try:
                 yield db
                 db.execute("COMMIT")
             except BaseException:
-                if db.in_transaction:  # SQLite ends it by itself where the disk is full
+                if db.in_transaction:  # SQLite rolls back by itself where the disk is full
                     db.execute("ROLLBACK")
                 raise
 
-    def propose(
-        self, text: str, parent: int, difference: str, who: str, why: str, origin: str, number: int = 0
+    # Writing
+
+    def add_version(
+        self,
+        text: str,
+        parent: int,
+        difference: str,
+        actor: str,
+        reason: str,
+        origin: str,
+        number: int = 0,
     ) -> int:
-        """Keep a version; its number, which is the next one where none is given."""
-        with self._writing() as db:
-            version = number or int(db.execute("SELECT COALESCE(MAX(id), 0) + 1 FROM versions").fetchone()[0])
-            db.execute("INSERT INTO versions VALUES (?, ?, ?, ?)", (version, parent, text, difference))
-            self._add(db, Step("proposed", version), who, why, origin)
+        """Store a proposed version and return its number; ``number`` 0: the next free one."""
+        with self._write_transaction() as db:
+            version = number or _scalar(db, "SELECT COALESCE(MAX(id), 0) + 1 FROM versions")
+            db.execute(INSERT_VERSION, (version, parent, text, difference))
+            self._insert(db, Step("proposed", version), actor, reason, origin)
             return version
 
-    def add(
-        self, step: Step, who: str, note: str = "", origin: str = "", expect: RolloutState | None = None
+    def append(
+        self,
+        step: Step,
+        actor: str,
+        note: str = "",
+        origin: str = "",
+        expected: RolloutState | None = None,
     ) -> None:
-        """Take a step. TrailError where it does not follow, or others have gone on since ``expect``."""
-        self.add_all([(step, note)], who, origin, expect)
-
-    def add_all(
-        self, steps: list[tuple[Step, str]], who: str, origin: str = "", expect: RolloutState | None = None
+        """Take one step. Raises as :meth:`append_all` does."""
+        self.append_all([(step, note)], actor, origin, expected)
+
+    def append_all(
+        self,
+        steps: list[tuple[Step, str]],
+        actor: str,
+        origin: str = "",
+        expected: RolloutState | None = None,
     ) -> None:
-        """Take several steps, each with its note, all or none."""
-        with self._writing() as db:
-            now = self._standing(db)
-            if expect is not None and now != expect:
-                raise ChangeLogError(
+        """Take several steps, each with its note, all or none.
+
+        Raises:
+            ConcurrentStepError: The present state is not the ``expected`` one.
+            ChangeLogError: A step does not follow.
+        """
+        with self._write_transaction() as db:
+            state = self._state(db)
+            if expected is not None and state != expected:
+                raise ConcurrentStepError(
                     "another step was taken meanwhile; look at 'winchdyke changes log', and try again"
                 )
             for step, note in steps:
                 try:
-                    now = now.after(step)
+                    state = state.advance(step)
                 except ValueError as error:
                     raise ChangeLogError(str(error)) from error
-                self._add(db, step, who, note, origin)
+                self._insert(db, step, actor, note, origin)
 
-    def _add(self, db: sqlite3.Connection, step: Step, who: str, note: str, origin: str) -> None:
-        last = db.execute("SELECT seq, hash FROM trail ORDER BY seq DESC LIMIT 1").fetchone() or (0, "")
-        row = (
-            last[0] + 1,
+    def _insert(self, db: sqlite3.Connection, step: Step, actor: str, note: str, origin: str) -> None:
+        last = db.execute("SELECT seq, hash FROM trail ORDER BY seq DESC LIMIT 1").fetchone()
+        last_seq, last_hash = last or (0, "")
+        hashed_row = (
+            last_seq + 1,
             float(step.unix_ms or time.time() * 1000),
-            who,
-            step.what,
+            actor,
+            step.action,
             step.version,
-            float(step.until_ms),
+            float(step.confirm_by_ms),
             note,
             origin,
         )
-        made = _hash(last[1], row, self._content(db, step), float(step.at_ms))
-        db.execute(INSERT, (*row, made, float(step.at_ms)))
+        activate_at_ms = float(step.activate_at_ms)
+        new_hash = entry_hash(
+            last_hash, hashed_row, _proposed_content(db, step.action, step.version), activate_at_ms
+        )
+        db.execute(INSERT_ENTRY, (*hashed_row, new_hash, activate_at_ms))
 
-    @staticmethod
-    def _content(db: sqlite3.Connection, step: Step) -> str:
-        if step.what != "proposed":
-            return ""
-        found = db.execute(
-            "SELECT parent, text, difference FROM versions WHERE id = ?", (step.version,)
-        ).fetchone()
-        return json.dumps(found)
+    # Reading
 
     @staticmethod
-    def _standing(db: sqlite3.Connection) -> RolloutState:
-        base, after = _base(db)
+    def _state(db: sqlite3.Connection) -> RolloutState:
+        prune = _last_prune(db)
         rows = db.execute(
-            "SELECT what, version, unix_ms, until_ms, at_ms FROM trail WHERE seq > ? ORDER BY seq", (after,)
+            f"SELECT {STEP_COLUMNS} FROM trail WHERE seq > ? ORDER BY seq", (prune.seq if prune else 0,)
         )
-        return standing((Step(*row) for row in rows), base)
-
-    def standing(self) -> RolloutState:
-        """Where the gateway stands."""
-        with self._reading() as db:
-            return self._standing(db)
-
-    def last(self) -> int:
-        """The number of the last entry."""
-        with self._reading() as db:
-            return int(db.execute("SELECT COALESCE(MAX(seq), 0) FROM trail").fetchone()[0])
-
-    def entries(self) -> list[Entry]:
-        """All entries, the oldest first."""
-        return self.after(0)
-
-    def after(self, seq: int) -> list[Entry]:
-        """The entries behind one, the oldest first."""
-        with self._reading() as db:
-            return [
-                Entry(*row)
-                for row in db.execute(f"SELECT {COLUMNS} FROM trail WHERE seq > ? ORDER BY seq", (seq,))
-            ]
+        base = prune.state if prune else RolloutState()
+        return replay((Step(*row) for row in rows), base)
+
+    def state(self) -> RolloutState:
+        """Return the state of the rollout."""
+        with self._read_transaction() as db:
+            return self._state(db)
+
+    def last_seq(self) -> int:
+        """Return the number of the last entry; 0 where there is none."""
+        with self._read_transaction() as db:
+            return _scalar(db, "SELECT COALESCE(MAX(seq), 0) FROM trail")
+
+    def entries(self) -> list[LogEntry]:
+        """Return all entries that are not archived, the oldest first."""
+        return self.entries_after(0)
+
+    def entries_after(self, seq: int) -> list[LogEntry]:
+        """Return the entries behind one, the oldest first."""
+        with self._read_transaction() as db:
+            rows = db.execute(f"SELECT {ENTRY_COLUMNS} FROM trail WHERE seq > ? ORDER BY seq", (seq,))
+            return [LogEntry(*row) for row in rows]
 
     def version(self, number: int) -> Version:
-        """A version. TrailError where there is none of that number."""
-        with self._reading() as db:
-            row = db.execute(
-                "SELECT id, parent, text, difference FROM versions WHERE id = ?", (number,)
-            ).fetchone()
+        """Return a version. Raises ChangeLogError where there is none of that number."""
+        with self._read_transaction() as db:
+            row = db.execute(f"SELECT {VERSION_COLUMNS} FROM versions WHERE id = ?", (number,)).fetchone()
         if row is None:
             raise ChangeLogError(
                 f"there is no version {number} here; see 'winchdyke changes log', and the archives beside {self.path}"
             )
         return Version(*row)
 
-    def blame(self) -> dict[str, Entry]:
-        """For each value that was ever changed and applied (``kind.name.key``), the entry of its last change, by who asked."""
+    def blame(self) -> dict[str, LogEntry]:
+        """Return, by path (``kind.name.key``), the entry that last changed each value that was ever applied.
+
+        It is the entry that proposed the change; for a value that an undo changed, the entry of the undo.
+        """
         entries = self.entries()
-        proposed = {entry.version: entry for entry in entries if entry.what == "proposed"}
-        found: dict[str, Entry] = {}
+        proposals = {entry.version: entry for entry in entries if entry.action == "proposed"}
+        last_changes: dict[str, LogEntry] = {}
         serving = 0
         for entry in entries:
-            if entry.what not in ("applied", "undone"):
+            if entry.action not in ("applied", "undone"):
                 continue
-            # An undo changes what either version changed: the one that is left, or the one that is gone back to.
-            changed = (entry.version,) if entry.what == "applied" else (serving, entry.version)
-            asked = proposed.get(entry.version, entry) if entry.what == "applied" else entry
-            for version in changed if serving != entry.version else ():
-                try:
-                    difference = self.version(version).difference
-                except ChangeLogError:
-                    continue  # in the archives
-                for change in json.loads(difference):
-                    found[change["path"]] = asked
+            if entry.version == serving:
+                continue
+            if entry.action == "applied":
+                responsible = proposals.get(entry.version, entry)
+                versions: tuple[int, ...] = (entry.version,)
+            else:
+                # An undo changes what either version changed: the one that is left and the one that is returned to.
+                responsible = entry
+                versions = (serving, entry.version)
+            for path in self._changed_paths(versions):
+                last_changes[path] = responsible
             serving = entry.version
-        return found
+        return last_changes
 
-    def export(self) -> Iterator[str]:
-        """All of it as lines of JSON: the versions, then the trail with its hashes."""
-        with self._reading() as db:
-            for row in db.execute("SELECT id, parent, text, difference FROM versions ORDER BY id").fetchall():
+    def _changed_paths(self, versions: Iterable[int]) -> Iterator[str]:
+        for number in versions:
+            try:
+                difference = self.version(number).difference
+            except ChangeLogError:
+                continue  # it was archived
+            for change in json.loads(difference):
+                yield change["path"]
+
+    def export_lines(self) -> Iterator[str]:
+        """Yield all versions, then all entries with their hashes, as lines of JSON."""
+        with self._read_transaction() as db:
+            for row in db.execute(f"SELECT {VERSION_COLUMNS} FROM versions ORDER BY id").fetchall():
                 yield json.dumps({"version": row}, ensure_ascii=False)
-            for row in db.execute(f"SELECT {COLUMNS} FROM trail ORDER BY seq").fetchall():
+            for row in db.execute(f"SELECT {ENTRY_COLUMNS} FROM trail ORDER BY seq").fetchall():
                 yield json.dumps({"entry": row}, ensure_ascii=False)
 
-    def take_in(self, lines: Iterable[str]) -> int:
-        """What was exported, into a trail that is empty; TrailError where it is not, or the chain does not fit."""
-        with self._writing() as db:
-            if db.execute("SELECT COUNT(*) FROM trail").fetchone()[0]:
+    def import_lines(self, lines: Iterable[str]) -> int:
+        """Read an export into an empty change log and return how many entries it has.
+
+        Raises:
+            ChangeLogError: The change log is not empty, a line can't be read, or the hash chain does not verify.
+        """
+        with self._write_transaction() as db:
+            if _scalar(db, "SELECT COUNT(*) FROM trail"):
                 raise ChangeLogError(f"{self.path} is not empty; take it in at a folder of its own")
             for number, line in enumerate(lines, 1):
                 try:
-                    found = json.loads(line)
-                    if "version" in found:
-                        db.execute("INSERT INTO versions VALUES (?, ?, ?, ?)", found["version"])
+                    record = json.loads(line)
+                    if "version" in record:
+                        db.execute(INSERT_VERSION, record["version"])
                     else:
-                        db.execute(INSERT, [*found["entry"], 0.0][:10])
+                        db.execute(INSERT_ENTRY, [*record["entry"], 0.0][:10])  # format 1 has no at_ms
                 except (ValueError, KeyError, TypeError, sqlite3.Error) as error:
                     raise ChangeLogError(f"line {number} is no line of an export: {error}") from error
-            if said := self._unfit(db):
-                raise ChangeLogError(f"the export does not fit together: {said[0]}")
-            return int(db.execute("SELECT COUNT(*) FROM trail").fetchone()[0])
-
-    def prune(self, keep: int) -> int:
-        """Move all but the last ``keep`` versions, and the entries about them, to an archive; how many entries went."""
-        with self._writing() as db:
-            now = self._standing(db)
-            needed = {now.serving, now.before, now.staged, now.applying}
-            newest = db.execute("SELECT id FROM versions ORDER BY id DESC LIMIT ?", (keep,)).fetchall()
-            if len(newest) < keep or now.applying:
-                return 0
-            first = db.execute(
-                "SELECT MIN(seq) FROM trail WHERE what = 'proposed' AND version = ?", newest[-1]
-            ).fetchone()
-            if not first[0]:
-                return 0
-            base, after = _base(db)
-            rows = db.execute(
-                f"SELECT {COLUMNS} FROM trail WHERE seq > ? AND seq < ? ORDER BY seq", (after, first[0])
-            ).fetchall()
-            old = db.execute(
-                "SELECT id, parent, text, difference FROM versions WHERE id < ? ORDER BY id", newest[-1]
+            if faults := _chain_faults(db):
+                raise ChangeLogError(f"the export does not fit together: {faults[0]}")
+            return _scalar(db, "SELECT COUNT(*) FROM trail")
+
+    # Archives
+
+    def prune(self, retained_versions: int) -> int:
+        """Move all but the newest versions, and the entries before them, to an archive; returns how many entries were moved.
+
+        Versions that are served, staged, being applied, or the target of an undo stay.
+        """
+        with self._write_transaction() as db:
+            state = self._state(db)
+            newest = db.execute(
+                "SELECT id FROM versions ORDER BY id DESC LIMIT ?", (retained_versions,)
             ).fetchall()
-            gone = [row for row in old if row[0] not in needed]
-            kept = {str(row[0]): _digest(row[1:]) for row in old if row[0] in needed}
-            if not rows:
+            if len(newest) < retained_versions or state.applying:
                 return 0
-            cut = Entry(*rows[-1])
-            steps = (Step(e.what, e.version, e.unix_ms, e.until_ms, e.at_ms) for e in map(_entry, rows))
-            stood = standing(steps, base)
-            self._archive(rows, gone)
-            told = {"seq": cut.seq, "hash": cut.hash, "standing": dataclasses.asdict(stood), "kept": kept}
-            self._add(db, Step("pruned", 0), "gateway", json.dumps(told), "")
-            db.execute("DELETE FROM trail WHERE seq <= ?", (cut.seq,))
-            db.executemany("DELETE FROM versions WHERE id = ?", [(row[0],) for row in gone])
-            return len(rows)
-
-    def _archive(self, rows: list[tuple[object, ...]], gone: list[tuple[object, ...]]) -> None:
-        path = self.path.parent / f"trail-{rows[0][0]:08}.jsonl"
-        lines = [{"version": row} for row in gone] + [{"entry": row} for row in rows]
-        text = "".join(json.dumps(line, ensure_ascii=False) + "\n" for line in lines)
-        try:
-            replace(path, text.encode(), path.with_suffix(".new"))
-        except OSError as error:
-            raise ChangeLogError(
-                f"{path} can't be written: {error.strerror}; nothing was moved there"
-            ) from error
-
-    def archives(self) -> list[Path]:
-        """The files that hold what was moved out, the oldest first."""
-        return sorted(self.path.parent.glob("trail-*.jsonl"))
+            oldest_retained = newest[-1][0]
+            first_seq = db.execute(
+                "SELECT MIN(seq) FROM trail WHERE what = 'proposed' AND version = ?", (oldest_retained,)
+            ).fetchone()[0]
+            if not first_seq:
+                return 0
+            return self._move_to_archive(db, state, first_seq, oldest_retained)
 
-    def archived(self) -> Iterator[Entry]:
-        """The entries that were moved to the archives, the oldest first. TrailError where one can't be read."""
-        with self._reading() as db:
-            last = (_pruned(db) or {"seq": 0})["seq"]
-        for path in self.archives():
-            for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
-                try:
-                    found = json.loads(line)
-                    # Beyond the last: written by a move that a kill cut short; they are in the trail still.
-                    if "entry" in found and found["entry"][0] <= last:
-                        yield Entry(*found["entry"])
-                except (ValueError, TypeError) as error:
-                    raise ChangeLogError(
-                        f"{path}, line {number}: not an entry of a trail: {error}"
-                    ) from error
-
-    def whole(self) -> list[Entry]:
-        """All entries, those in the archives too, the oldest first, also while some are moved out. TrailError as above.
-
-        Guards against a move between two readings, which hid all that it moved: what is here is read first, so that
-        what goes meanwhile is met twice and not never.
+    def _move_to_archive(
+        self, db: sqlite3.Connection, state: RolloutState, before_seq: int, before_version: int
+    ) -> int:
+        last_prune = _last_prune(db)
+        entry_rows = db.execute(
+            f"SELECT {ENTRY_COLUMNS} FROM trail WHERE seq > ? AND seq < ? ORDER BY seq",
+            (last_prune.seq if last_prune else 0, before_seq),
+        ).fetchall()
+        if not entry_rows:
+            return 0
+        version_rows = db.execute(
+            f"SELECT {VERSION_COLUMNS} FROM versions WHERE id < ? ORDER BY id", (before_version,)
+        ).fetchall()
+        needed = {state.serving, state.previous, state.staged, state.applying}
+        moved_versions = [row for row in version_rows if row[0] not in needed]
+        entries = [LogEntry(*row) for row in entry_rows]
+        base = last_prune.state if last_prune else RolloutState()
+        record = PruneRecord(
+            seq=entries[-1].seq,
+            hash=entries[-1].hash,
+            state=replay((entry.step() for entry in entries), base),
+            version_digests={
+                str(row[0]): version_digest(row[1:]) for row in version_rows if row[0] in needed
+            },
+        )
+        change_log_archive.write_archive(self.path.parent, entry_rows, moved_versions)
+        self._insert(db, Step("pruned", 0), "gateway", record.to_note(), "")
+        db.execute("DELETE FROM trail WHERE seq <= ?", (record.seq,))
+        db.executemany("DELETE FROM versions WHERE id = ?", [(row[0],) for row in moved_versions])
+        return len(entry_rows)
+
+    def archive_paths(self) -> list[Path]:
+        """Return the archives, the oldest first."""
+        return change_log_archive.archive_paths(self.path.parent)
+
+    def archived_entries(self) -> Iterator[LogEntry]:
+        """Yield the archived entries, the oldest first. Raises ChangeLogError where an archive can't be read."""
+        with self._read_transaction() as db:
+            prune = _last_prune(db)
+        yield from change_log_archive.read_entries(self.path.parent, prune.seq if prune else 0)
+
+    def all_entries(self) -> list[LogEntry]:
+        """Return all entries, archived ones first, the oldest first. Raises as :meth:`archived_entries` does.
+
+        The database is read before the archives: entries that a concurrent prune moves are then seen twice rather than never,
+        and taken once.
         """
-        here = self.entries()
-        first = here[0].seq if here else math.inf
-        return [*(entry for entry in self.archived() if entry.seq < first), *here]
+        entries = self.entries()
+        first_seq = entries[0].seq if entries else math.inf
+        archived = [entry for entry in self.archived_entries() if entry.seq < first_seq]
+        return archived + entries
+
+    # Verification
 
     def verify(self, archives: bool = False) -> list[str]:
-        """What does not fit in the chain, in words; nothing where all does. ``archives``: those count as well."""
-        said = self._unfit_archives() if archives else []
-        with self._reading() as db:
-            return said + self._unfit(db)
-
-    def _unfit_archives(self) -> list[str]:
-        said: list[str] = []
-        versions: dict[int, list[object]] = {}
-        entries: list[tuple[str, Entry]] = []
-        for path in self.archives():
-            for number, line in enumerate(path.read_bytes().splitlines(), 1):
-                try:
-                    found = json.loads(line)
-                    if "version" in found:
-                        versions[found["version"][0]] = found["version"][1:]
-                    else:
-                        entries.append((path.name, Entry(*found["entry"])))
-                except (ValueError, TypeError, KeyError, IndexError) as error:
-                    said.append(f"{path.name}, line {number}: not a line of a trail: {error}")
-        with self._reading() as db:
-            told = _pruned(db)
-        before = ""
-        for name, entry in entries:
-            if told is None or entry.seq > told["seq"]:
-                continue  # a move that a kill cut short: they are in the trail still
-            content = ""
-            if entry.what == "proposed":
-                if entry.version not in versions:
-                    try:
-                        made = self.version(entry.version)
-                        versions[entry.version] = [made.parent, made.text, made.difference]
-                    except ChangeLogError:
-                        said.append(f"{name}: version {entry.version} is in none of the archives")
-                content = json.dumps(versions.get(entry.version))
-            if _hash(before, dataclasses.astuple(entry)[:8], content, entry.at_ms) != entry.hash:
-                said.append(f"{name}: entry {entry.seq} was altered, or one before it is not there")
-            before = entry.hash
-        if told and told["hash"] != before:
-            said.append(f"the archives do not end at entry {told['seq']}, as the trail says")
-        return said
-
-    def _unfit(self, db: sqlite3.Connection) -> list[str]:
-        said: list[str] = []
-        told = _pruned(db)
-        before, seq = (told["hash"], told["seq"]) if told else ("", 0)
-        for row in db.execute(f"SELECT {COLUMNS} FROM trail ORDER BY seq").fetchall():
-            entry = Entry(*row)
-            if entry.seq != seq + 1:
-                said.append(f"entry {seq + 1} is missing before {entry.seq}")
-            content = self._content(db, Step(entry.what, entry.version))
-            if _hash(before, tuple(row[:8]), content, entry.at_ms) != entry.hash:
-                said.append(
-                    f"entry {entry.seq} ({entry.what} {entry.version}) was altered, or one before it is not there"
-                )
-            before, seq = entry.hash, entry.seq
-        for number, digest in (told["kept"] if told else {}).items():  # proposed in what was moved out
-            row = db.execute(
-                "SELECT parent, text, difference FROM versions WHERE id = ?", (number,)
-            ).fetchone()
-            if row is not None and _digest(row) != digest:
-                said.append(f"version {number} was altered")
-        return said
+        """Return what does not fit in the hash chain, in words; nothing where all does. ``archives``: verify these as well."""
+        faults = self._archive_faults() if archives else []
+        with self._read_transaction() as db:
+            return faults + _chain_faults(db)
+
+    def _archive_faults(self) -> list[str]:
+        verifier = change_log_archive.ArchiveVerifier(self.path.parent, self.version)
+        with self._read_transaction() as db:
+            prune = _last_prune(db)
+        return verifier.verify(prune)
+
+
+def _chain_faults(db: sqlite3.Connection) -> list[str]:
+    faults: list[str] = []
+    prune = _last_prune(db)
+    previous_hash = prune.hash if prune else ""
+    previous_seq = prune.seq if prune else 0
+    for row in db.execute(f"SELECT {ENTRY_COLUMNS} FROM trail ORDER BY seq").fetchall():
+        entry = LogEntry(*row)
+        if entry.seq != previous_seq + 1:
+            faults.append(f"entry {previous_seq + 1} is missing before {entry.seq}")
+        content = _proposed_content(db, entry.action, entry.version)
+        if entry_hash(previous_hash, row[:HASHED_COLUMNS], content, entry.activate_at_ms) != entry.hash:
+            faults.append(
+                f"entry {entry.seq} ({entry.action} {entry.version}) was altered, or one before it is not there"
+            )
+        previous_hash = entry.hash
+        previous_seq = entry.seq
+    return faults + _altered_versions(db, prune)
+
+
+def _altered_versions(db: sqlite3.Connection, prune: PruneRecord | None) -> list[str]:
+    """Check the versions that stay although the entries that proposed them were archived."""
+    faults = []
+    for number, digest in (prune.version_digests if prune else {}).items():
+        row = _version_columns(db, number)
+        if row is not None and version_digest(row) != digest:
+            faults.append(f"version {number} was altered")
+    return faults
 
 
-def _entry(row: tuple[object, ...]) -> Entry:
-    return Entry(*row)  # type: ignore[arg-type]
+def _version_columns(db: sqlite3.Connection, number: int | str) -> Row | None:
+    row: Row | None = db.execute(
+        "SELECT parent, text, difference FROM versions WHERE id = ?", (number,)
+    ).fetchone()
+    return row
 
 
-def _pruned(db: sqlite3.Connection) -> dict[str, Any] | None:
+def _proposed_content(db: sqlite3.Connection, action: str, version: int) -> str:
+    """Return what an entry's hash covers of the version that it proposes."""
+    if action != "proposed":
+        return ""
+    return version_content(_version_columns(db, version))
+
+
+def _last_prune(db: sqlite3.Connection) -> PruneRecord | None:
     row = db.execute("SELECT note FROM trail WHERE what = 'pruned' ORDER BY seq DESC LIMIT 1").fetchone()
-    try:
-        return json.loads(row[0]) if row else None
-    except ValueError as error:
-        raise ChangeLogError(f"the entry on what was moved out can't be read: {error}", True) from error
+    return PruneRecord.from_note(row[0]) if row else None
+
+
+def _stored_format(db: sqlite3.Connection) -> int:
+    return _scalar(db, "PRAGMA user_version")
 
 
-def _base(db: sqlite3.Connection) -> tuple[RolloutState, int]:
-    told = _pruned(db)
-    return (RolloutState(**told["standing"]), told["seq"]) if told else (RolloutState(), 0)
+def _scalar(db: sqlite3.Connection, statement: str) -> int:
+    return int(db.execute(statement).fetchone()[0])
--- /dev/null
+++ b/winchdyke/config_rollout/change_log_records.py
@@ -0,0 +1,155 @@
+"""The records of the change log: entries, versions, their hashes, and how their fields are named where they are stored. Pure.
+
+The stored names (columns of the database, keys of JSON) and the hashed texts never change; :data:`STORED_STATE_KEYS` maps them
+to the names used in the code.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import hashlib
+import json
+from collections.abc import Iterable, Sequence
+from dataclasses import dataclass
+from typing import Any
+
+from winchdyke.config_rollout.rollout_state import RolloutState, Step
+
+Row = Sequence[Any]
+
+ENTRY_COLUMNS = (
+    "seq, unix_ms, who, what, version, until_ms, note, origin, hash, at_ms"  # in the order of LogEntry
+)
+HASHED_COLUMNS = 8  # of them, from the first on; the activation time is hashed apart, where there is one
+STEP_COLUMNS = "what, version, unix_ms, until_ms, at_ms"  # in the order of Step
+VERSION_COLUMNS = "id, parent, text, difference"  # in the order of Version
+STORED_STATE_KEYS = {
+    "serving": "serving",
+    "staged": "staged",
+    "staged_until_ms": "staged_confirm_by_ms",
+    "applying": "applying",
+    "before": "previous",
+    "until_ms": "confirm_by_ms",
+    "staged_at_ms": "staged_activate_at_ms",
+    "undoing": "undoing",
+    "instant_ms": "activated_at_ms",
+}
+
+
+class ChangeLogError(Exception):
+    """A change log that can't be used, or a step that can't be taken; its text tells what is wrong and what to do.
+
+    ``damaged``: the stored data is no longer what was written.
+    """
+
+    def __init__(self, text: str, damaged: bool = False) -> None:
+        super().__init__(text)
+        self.damaged = damaged
+
+
+class ConcurrentStepError(ChangeLogError):
+    """A step was refused because another process has taken one meanwhile."""
+
+
+@dataclass(frozen=True, slots=True)
+class LogEntry:
+    """One entry of the change log; the fields are in the order of the stored columns.
+
+    Attributes:
+        seq: The entry's number, from 1 on, without gaps.
+        unix_ms: When the step was taken.
+        actor: Who took it.
+        action: What was done (``rollout_state.ACTIONS``).
+        version: With which version.
+        confirm_by_ms: The Unix time by which the version has to be confirmed; 0: no confirmation is needed.
+        note: The reason, or the result.
+        origin: From where the step was requested.
+        hash: The entry's link in the hash chain (:func:`entry_hash`).
+        activate_at_ms: The Unix time for which the version is staged; 0: at once.
+    """
+
+    seq: int
+    unix_ms: float
+    actor: str
+    action: str
+    version: int
+    confirm_by_ms: float
+    note: str
+    origin: str
+    hash: str
+    activate_at_ms: float = 0.0
+
+    def step(self) -> Step:
+        """Return the step that the entry records."""
+        return Step(self.action, self.version, self.unix_ms, self.confirm_by_ms, self.activate_at_ms)
+
+    def hashed_values(self) -> tuple[object, ...]:
+        """Return the values that the entry's hash covers, but for the activation time."""
+        return dataclasses.astuple(self)[:HASHED_COLUMNS]
+
+
+@dataclass(frozen=True, slots=True)
+class Version:
+    """The text of one version, the version that it was made from, and the difference between the two as JSON."""
+
+    id: int
+    parent: int
+    text: str
+    difference: str
+
+
+def entry_hash(
+    previous_hash: str, values: Iterable[object], version_content: str, activate_at_ms: float
+) -> str:
+    """Return the SHA-256 of an entry: over the hash before it, its values, and the version that it proposes.
+
+    ``version_content``: :func:`version_content` of a proposed version; "" for all other actions.
+    """
+    hashed = [previous_hash, *values, version_content]
+    if activate_at_ms:  # entries of format 1 have none, and keep their hashes
+        hashed.append(activate_at_ms)
+    return hashlib.sha256(json.dumps(hashed, ensure_ascii=False).encode()).hexdigest()
+
+
+def version_content(columns: Row | None) -> str:
+    """Return parent, text and difference of a version as they are hashed; None: there is no such version."""
+    return json.dumps(columns)
+
+
+def version_digest(columns: Iterable[object]) -> str:
+    """Return the SHA-256 of parent, text and difference of a version whose proposal was archived."""
+    return hashlib.sha256(json.dumps(list(columns), ensure_ascii=False).encode()).hexdigest()
+
+
+@dataclass(frozen=True, slots=True)
+class PruneRecord:
+    """What the entry on a prune records of the entries that were moved to an archive.
+
+    Attributes:
+        seq: The last entry that was moved.
+        hash: Its hash, from which the chain continues.
+        state: The state of the rollout after it.
+        version_digests: By number (as text), the digests of versions that stay although their proposal was moved.
+    """
+
+    seq: int
+    hash: str
+    state: RolloutState
+    version_digests: dict[str, str]
+
+    def to_note(self) -> str:
+        """Return the record as the note of its entry."""
+        state = {stored: getattr(self.state, field) for stored, field in STORED_STATE_KEYS.items()}
+        return json.dumps(
+            {"seq": self.seq, "hash": self.hash, "standing": state, "kept": self.version_digests}
+        )
+
+    @classmethod
+    def from_note(cls, note: str) -> PruneRecord:
+        """Read the record from the note of its entry. Raises ChangeLogError where it is damaged."""
+        try:
+            stored = json.loads(note)
+            state = {STORED_STATE_KEYS[key]: value for key, value in stored["standing"].items()}
+            return cls(stored["seq"], stored["hash"], RolloutState(**state), stored["kept"])
+        except (ValueError, KeyError, TypeError, AttributeError) as error:
+            raise ChangeLogError(f"the entry on what was moved out can't be read: {error}", True) from error
--- a/winchdyke/config_rollout/controller.py
+++ b/winchdyke/config_rollout/controller.py
@@ -1,4 +1,4 @@
-"""A serving gateway and its trail: what is staged is checked once more, applied at one instant, undone where it is not confirmed."""
+"""Follows a serving gateway's change log: checks staged versions, applies each at its instant, and rolls back harmful ones."""
 
 from __future__ import annotations
 
@@ -11,315 +11,369 @@
 import anyio.to_thread
 import structlog
 
-from winchdyke import interface as api
-from winchdyke.config import Config, ConfigError, parse
+from winchdyke.config import Config, ConfigError
 from winchdyke.config.meaning import diff
-from winchdyke.config_rollout import last_known_good
-from winchdyke.config_rollout.canary_analysis import Asked, CanaryObserver, Criteria, lowered, touched
+from winchdyke.config_rollout.canary_analysis import (
+    CanaryCriteria,
+    CanaryObserver,
+    VolumePredicate,
+    affected_volumes,
+    volumes_with_lowered_limit,
+)
 from winchdyke.config_rollout.change_log import ChangeLogError
-from winchdyke.config_rollout.cutover import Going, Phase, limits_differ, moved, phase
-from winchdyke.config_rollout.edit import text_of
-from winchdyke.config_rollout.hot_reload import fixed
-from winchdyke.config_rollout.last_known_good import GATEWAY
-from winchdyke.config_rollout.rollout_state import RolloutState, Step, due, recover
+from winchdyke.config_rollout.cutover import EffectiveConfig, Phase, limits_differ, phase_at
+from winchdyke.config_rollout.hot_reload import requiring_restart
+from winchdyke.config_rollout.journal import GatewayJournal
+from winchdyke.config_rollout.rollout_state import RolloutState, Step, due_step, recover
+from winchdyke.config_rollout.swap import PreparedSwap, prepare_swap
 
-LOOK_S = 0.1
-NEAR_MS = 300.0  # before an instant, from which on it is waited for
-SAY_S = 10.0  # between words on a trail that can't be written
-SLICE = 100  # accounts at once
-SPARE = 1.25  # times the versions that are kept, from which on the oldest are moved out
+POLL_SECONDS = 0.1
+PRECISE_WAIT_MS = 300.0  # before an instant, within which the controller sleeps until exactly then
+ERROR_LOG_INTERVAL_SECONDS = 10.0
+REFILL_BATCH_VOLUMES = 100
+MAX_LISTED_KEYS = 5  # in a note that names what needs a restart
 
 
-@dataclass(frozen=True)
-class Prepared:
-    """All that a swap needs, made beside the event loop: ``known`` accounts were looked at for it."""
+@dataclass(frozen=True, slots=True)
+class CheckedVersion:
+    """A staged version that passed the check, and the state in which it did."""
+
+    state: RolloutState
+    config: Config
 
-    before: Going
-    after: Going
-    version: int
-    settings: api.Settings
-    plans: dict[str, api.Plan]
-    known: int
 
+@dataclass(frozen=True, slots=True)
+class ObservedChange:
+    """A change that was applied and is being observed for harm."""
 
-def prepared(before: Going, after: Going, version: int, names: list[str]) -> Prepared:
-    """Work out a swap. Slow: not for the event loop."""
-    return Prepared(before, after, version, after.settings(), moved(names, before, after), len(names))
+    applied_at_ms: float
+    version: int
+    previous: int
+    is_affected: VolumePredicate
+    has_lowered_limit: VolumePredicate
 
 
 class RolloutController:
-    """Follows the trail in a folder. ``swap`` puts settings into service; it runs in the event loop and waits for nothing."""
+    """Follows the change log in a folder.
+
+    Attributes:
+        change_log: The change log.
+        canary: Has to be told of each finished request.
+        wall_clock_ms: The clock of stated instants, in Unix ms.
+        last_swap_ms: For how long the last swap occupied the event loop.
+        stopping: Set at a shutdown: nothing new is begun, and a staged version waits for the next start.
+    """
 
     def __init__(
         self,
         folder: Path,
         config: Config,
-        swap: Callable[[Prepared], None],
-        accounts: Callable[[], list[str]],
-        clock: Callable[[], float],
-        dead: Callable[[], set[int]],
-        freshen: Callable[[list[str]], None] = lambda _: None,
-        criteria: Criteria | None = None,
+        swap: Callable[[PreparedSwap], None],
+        volume_names: Callable[[], list[str]],
+        clock_ms: Callable[[], float],
+        shards_without_endpoint: Callable[[], set[int]],
+        refill_quotas: Callable[[list[str]], None] = lambda _: None,
+        criteria: CanaryCriteria | None = None,
     ) -> None:
-        self._freshen = freshen
-        self.folder, self._swap, self._accounts = folder, swap, accounts
-        self._keep, self._apart = config.changes.keep, config.changes.clocks_apart
-        self.trail, self._damage = last_known_good.opened(folder)
-        self._clock, self._dead, self.watch = clock, dead, CanaryObserver(criteria or Criteria())
-        self.wall: Callable[[], float] = lambda: time.time() * 1000  # the clock of stated instants
-        self._watched: tuple[float, int, int, Asked, Asked] | None = (
-            None  # since, version, before; touched, lowered
-        )
-        self._going, self._version = Going(config, config), 0
-        self._ready: tuple[RolloutState, Config] | None = None  # what is staged, and passed the check
-        self._settles = 0.0  # the instant whose lower limits count still
-        self._owed: list[tuple[Step, str]] = []  # what could not be written yet
-        self._known = 0  # accounts that have the plans of this phase
-        self._seen, self._found = -1, RolloutState()
-        self._said, self._swaps = 0.0, 0
+        """Open the change log. Raises ChangeLogError.
+
+        ``swap``: puts a configuration into service; runs in the event loop without waiting. ``volume_names``: the volumes that
+        the scheduler has quotas for, in the order of their arrival. ``clock_ms``: the scheduler's monotonic clock.
+        """
+        self.folder = folder
+        self._swap = swap
+        self._volume_names = volume_names
+        self._clock_ms = clock_ms
+        self._shards_without_endpoint = shards_without_endpoint
+        self._refill_quotas = refill_quotas
+        self._max_clock_skew_ms = config.changes.clocks_apart
+        self._journal = GatewayJournal(folder, config.changes.keep)
+        self.change_log = self._journal.change_log
+        self.canary = CanaryObserver(criteria or CanaryCriteria())
+        self.wall_clock_ms: Callable[[], float] = lambda: time.time() * 1000
+        self.last_swap_ms = 0.0
         self.stopping = False
         self._log = structlog.get_logger("changes")
-        self.pause_ms = 0.0  # of the last swap
-
-    def begin(self) -> None:
-        """At a start: the old or the new version, whole; the trail says which and why."""
-        if self._damage:
-            self._log.error("changes", trouble=self._damage)
-        found = self.trail.standing()
-        if not found.serving:
-            own = text_of(self._going.config)
-            first = self.trail.propose(own, 0, "[]", GATEWAY, "the gateway's own file", "")
-            self.trail.add_all(
-                [(Step(what, first), "") for what in ("staged", "applying", "applied")], GATEWAY
-            )
-            found = self.trail.standing()
-        steps, why = recover(found)
-        self._owe([(step, why) for step in steps])
-        for step in steps:
-            found = found.after(step)
-        config = self._read(found.serving)
-        before, at = Going(self._going.config, self._going.config), Phase.NEW
-        if found.instant_ms and found.before:
-            at = phase(self.wall(), found.instant_ms, self._apart)
-            self._settles = found.instant_ms if at is Phase.NEW_LOWER else 0.0
-        old = self._read(found.before) if self._settles else config
-        self._serve(prepared(before, Going(old, config, at), found.serving, []))
-        self._snapshot(found)
-        self._log.info("changes", version=found.serving, why=why)
-
-    def _read(self, version: int) -> Config:
-        return parse(self.trail.version(version).text, f"version {version}")
-
-    def _serve(self, swap: Prepared) -> None:
-        began = time.perf_counter()
-        self._swap(swap)
-        self.pause_ms = (time.perf_counter() - began) * 1000
-        self._going, self._version, self._known = swap.after, swap.version, swap.known
-        self._swaps += 1
-
-    async def _turn(self, after: Going, version: int) -> None:
-        names = self._accounts()
-        swap = await anyio.to_thread.run_sync(prepared, self._going, after, version, names)
-        await self._fresh(swap)
-        self._serve(swap)
-
-    async def _fresh(self, swap: Prepared) -> None:
-        """All that can be done before the instant, a little at a time."""
-        names = list(swap.plans)
-        for at in range(0, len(names), SLICE):
-            self._freshen(names[at : at + SLICE])
-            await anyio.sleep(0)
+        self._effective = EffectiveConfig(config, config)
+        self._version = 0
+        self._volumes_with_phase_plans = 0  # later ones have no plan of the present phase yet
+        self._swap_count = 0
+        self._checked: CheckedVersion | None = None
+        self._observed: ObservedChange | None = None
+        self._settling_instant_ms = (
+            0.0  # the instant after which the lower limits are still in effect; 0: none
+        )
+        self._last_read_seq = -1
+        self._state = RolloutState()
+        self._error_logged_at_ms = 0.0
+
+    def start(self) -> None:
+        """Serve the version that the change log leaves the gateway at, after completing what a crash interrupted."""
+        state = self._journal.begin(self._effective.config)
+        recovery = recover(state)
+        for step in recovery.steps:
+            self._journal.defer(step, recovery.reason)
+        self._journal.flush()
+        for step in recovery.steps:
+            state = state.advance(step)
+        config = self._journal.read_config(state.serving)
+        phase = Phase.NEW
+        if state.activated_at_ms and state.previous:
+            phase = self._phase_at(state.activated_at_ms)
+            self._settling_instant_ms = state.activated_at_ms if phase is Phase.NEW_LOWER else 0.0
+        old = self._journal.read_config(state.previous) if self._settling_instant_ms else config
+        own = EffectiveConfig(self._effective.config, self._effective.config)
+        self._serve(prepare_swap(own, EffectiveConfig(old, config, phase), state.serving, []))
+        self._journal.save_last_known_good(state)
+        self._log.info("config_version_served", version=state.serving, reason=recovery.reason)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the change log until cancelled."""
         while True:
             try:
-                await self._look()
+                await self._poll()
             except ChangeLogError as error:
-                if self._clock() >= self._said + SAY_S * 1000 or not self._said:
-                    self._said = self._clock()
-                    self._log.warning("changes", trouble=str(error))
-            await anyio.sleep(LOOK_S)
-
-    async def _look(self) -> None:
-        if self._owed:
-            await anyio.to_thread.run_sync(self._owe, [])
-        if self._watched is not None:
-            await self._judge(*self._watched)
-        if await anyio.to_thread.run_sync(self.trail.last) != self._seen:
-            self._found = await anyio.to_thread.run_sync(self._stands)
-        await self._phases()
-        if self.stopping or self._owed:
-            return  # what is staged stays so, for the next start
-        found = self._found
-        if found.staged and not await self._checked(found):
+                self._log_unavailable(error)
+            await anyio.sleep(POLL_SECONDS)
+
+    def _log_unavailable(self, error: ChangeLogError) -> None:
+        now_ms = self._clock_ms()
+        next_ms = self._error_logged_at_ms + ERROR_LOG_INTERVAL_SECONDS * 1000
+        if now_ms >= next_ms or not self._error_logged_at_ms:
+            self._error_logged_at_ms = now_ms
+            self._log.warning("change_log_unavailable", error=str(error))
+
+    async def _poll(self) -> None:
+        if self._journal.has_deferred_steps:
+            await anyio.to_thread.run_sync(self._journal.flush)
+        if self._observed is not None:
+            await self._evaluate_canary(self._observed)
+        if await anyio.to_thread.run_sync(self.change_log.last_seq) != self._last_read_seq:
+            self._state = await anyio.to_thread.run_sync(self._read_state)
+        await self._update_phase()
+        if self.stopping or self._journal.has_deferred_steps:
             return
-        left = found.staged_at_ms - self.wall()
-        if found.staged and not found.applying and 0 < left < NEAR_MS:
-            await anyio.sleep(left / 1000)
-        step = due(found, self.wall())
+        state = self._state
+        if state.staged and not await self._check_staged(state):
+            return
+        wait_ms = state.staged_activate_at_ms - self.wall_clock_ms()
+        if state.staged and not state.applying and 0 < wait_ms < PRECISE_WAIT_MS:
+            await anyio.sleep(wait_ms / 1000)
+        step = due_step(state, self.wall_clock_ms())
         if step is None:
             return
-        if step.what == "undoing":
+        if step.action == "undoing":
             await self._undo(step.version, "not confirmed in time")
-        elif self._ready is None:
+        elif self._checked is None:
             await self._undo(step.version, "asked for")
         else:
-            await self._apply(step, found, self._ready[1])
-
-    def _stands(self) -> RolloutState:
-        self._seen = self.trail.last()
-        return self.trail.standing()
-
-    async def _phases(self) -> None:
-        """The limits that count around an instant."""
-        going, found = self._going, self._found
-        if self._settles:
-            if phase(self.wall(), self._settles, self._apart) is Phase.NEW:
-                self._settles = 0.0
-                await self._turn(Going(going.new, going.new), self._version)
-            elif len(names := self._accounts()) > self._known:
-                await self._late(names)
+            await self._apply(step, state, self._checked.config)
+
+    def _read_state(self) -> RolloutState:
+        self._last_read_seq = self.change_log.last_seq()
+        return self.change_log.state()
+
+    # Swaps
+
+    def _serve(self, swap: PreparedSwap) -> None:
+        began = time.perf_counter()
+        self._swap(swap)
+        self.last_swap_ms = (time.perf_counter() - began) * 1000
+        self._effective = swap.new
+        self._version = swap.version
+        self._volumes_with_phase_plans = swap.volume_count
+        self._swap_count += 1
+
+    async def _change_to(self, new: EffectiveConfig, version: int) -> None:
+        names = self._volume_names()
+        swap = await anyio.to_thread.run_sync(prepare_swap, self._effective, new, version, names)
+        await self._refill_ahead(swap)
+        self._serve(swap)
+
+    async def _refill_ahead(self, swap: PreparedSwap) -> None:
+        """Refill the quotas of a swap in batches, between which other tasks run, so that the swap itself is short."""
+        names = list(swap.plans)
+        for first in range(0, len(names), REFILL_BATCH_VOLUMES):
+            self._refill_quotas(names[first : first + REFILL_BATCH_VOLUMES])
+            await anyio.sleep(0)
+
+    # The phases around an instant
+
+    def _phase_at(self, activate_at_ms: float) -> Phase:
+        return phase_at(self.wall_clock_ms(), activate_at_ms, self._max_clock_skew_ms)
+
+    async def _update_phase(self) -> None:
+        """Put the lower limits into effect before an instant, and out of effect after it."""
+        if self._settling_instant_ms:
+            await self._settle()
+            return
+        effective = self._effective
+        checked = self._checked
+        phase = Phase.OLD
+        if checked is not None and checked.state.staged != self._state.staged:
+            checked = None
+        if checked is not None and self._state.staged_activate_at_ms:
+            phase = self._phase_at(self._state.staged_activate_at_ms)
+        if (
+            checked is not None
+            and phase is Phase.OLD_LOWER
+            and limits_differ(effective.config, checked.config)
+        ):
+            if effective.phase is not Phase.OLD_LOWER or effective.new is not checked.config:
+                lower = EffectiveConfig(effective.config, checked.config, Phase.OLD_LOWER)
+                await self._change_to(lower, self._version)
+            else:
+                await self._cover_new_volumes()
+        elif (
+            effective.phase is Phase.OLD_LOWER and phase is Phase.OLD
+        ):  # withdrawn, or staged for a later instant
+            await self._change_to(EffectiveConfig(effective.config, effective.config), self._version)
+
+    async def _settle(self) -> None:
+        new = self._effective.new
+        if self._phase_at(self._settling_instant_ms) is Phase.NEW:
+            self._settling_instant_ms = 0.0
+            await self._change_to(EffectiveConfig(new, new), self._version)
+        else:
+            await self._cover_new_volumes()
+
+    async def _cover_new_volumes(self) -> None:
+        """Give volumes that came during a phase its plans: the scheduler knows plans by name alone, not by phase."""
+        names = self._volume_names()
+        if len(names) <= self._volumes_with_phase_plans:
             return
-        staged = self._ready if self._ready is not None and self._ready[0].staged == found.staged else None
-        at = found.staged_at_ms
-        now = phase(self.wall(), at, self._apart) if staged is not None and at else Phase.OLD
-        if staged is not None and now is Phase.OLD_LOWER and limits_differ(going.config, staged[1]):
-            if going.at is not Phase.OLD_LOWER or going.new is not staged[1]:
-                await self._turn(Going(going.config, staged[1], Phase.OLD_LOWER), self._version)
-            elif len(names := self._accounts()) > self._known:
-                await self._late(names)
-        elif going.at is Phase.OLD_LOWER and now is Phase.OLD:  # withdrawn, or put off
-            await self._turn(Going(going.config, going.config), self._version)
-
-    async def _late(self, names: list[str]) -> None:
-        """Accounts that came in a phase whose limits the scheduler can't tell by their plan's name."""
-        new, going = names[self._known :], self._going
-        plain = Going(going.config, going.config)
-        swap = await anyio.to_thread.run_sync(prepared, plain, going, self._version, new)
-        self._serve(Prepared(going, going, self._version, swap.settings, swap.plans, len(names)))
-
-    async def _checked(self, found: RolloutState) -> bool:
-        """Whether what is staged passed; it is refused where it does not."""
-        if self._ready is not None and self._ready[0] == found:
+        new_names = names[self._volumes_with_phase_plans :]
+        effective = self._effective
+        plain = EffectiveConfig(effective.config, effective.config)
+        swap = await anyio.to_thread.run_sync(prepare_swap, plain, effective, self._version, new_names)
+        self._serve(PreparedSwap(effective, effective, self._version, swap.settings, swap.plans, len(names)))
+
+    # Checking
+
+    async def _check_staged(self, state: RolloutState) -> bool:
+        """Return whether the staged version may be applied; where not, it is refused."""
+        if self._checked is not None and self._checked.state == state:
             return True
-        self._ready = None
-        made, undo = await anyio.to_thread.run_sync(self._made, found.staged)
-        if found.staged == found.serving:
-            await self._add(Step("refused", found.staged), "it is served already")
-            return False
-        if undo and found.staged == found.before:
+        self._checked = None
+        parent, is_undo = await anyio.to_thread.run_sync(self._staged_from, state.staged)
+        if state.staged == state.serving:
+            return await self._refuse(state, "it is served already")
+        if is_undo and state.staged == state.previous:
             return True
         try:
-            config = await anyio.to_thread.run_sync(self._read, found.staged)
-            needs = fixed(await anyio.to_thread.run_sync(diff, self._going.config, config))
+            config = await anyio.to_thread.run_sync(self._journal.read_config, state.staged)
+            changes = await anyio.to_thread.run_sync(diff, self._effective.config, config)
         except ConfigError as error:
-            await self._add(Step("refused", found.staged), f"does not pass the check: {error}")
-            return False
-        if needs:
-            await self._add(Step("refused", found.staged), f"needs a start: {', '.join(needs[:5])}")
-            return False
-        if made != found.serving:
-            # Guards against a change that was undone and comes back within another that was made on top of it.
-            text = f"made from version {made}, and {found.serving} is served; apply it again, which puts it on top"
-            await self._add(Step("refused", found.staged), text)
-            return False
-        self._ready = found, config
-        if found.staged_at_ms > self.wall():
-            await self._add(Step("ready", found.staged), "checked")
-            self._found = await anyio.to_thread.run_sync(self._stands)
-            self._ready = self._found, config
-            return self._found.staged == found.staged
-        return True
-
-    def _made(self, version: int) -> tuple[int, bool]:
-        last = [
-            entry for entry in self.trail.entries() if entry.what == "staged" and entry.version == version
-        ][-1]
-        return self.trail.version(version).parent, last.note == "undo"
-
-    async def _apply(self, step: Step, found: RolloutState, config: Config) -> None:
-        old, at = self._going, found.staged_at_ms
-        now = phase(self.wall(), at, self._apart)
+            return await self._refuse(state, f"does not pass the check: {error}")
+        if keys := requiring_restart(changes):
+            return await self._refuse(state, f"needs a start: {', '.join(keys[:MAX_LISTED_KEYS])}")
+        if parent != state.serving:
+            # It may contain a change that has been undone since it was made.
+            return await self._refuse(
+                state,
+                f"made from version {parent}, and {state.serving} is served; apply it again, which puts it on top",
+            )
+        self._checked = CheckedVersion(state, config)
+        if state.staged_activate_at_ms <= self.wall_clock_ms():
+            return True
+        await self._append(Step("ready", state.staged), "checked")
+        self._state = await anyio.to_thread.run_sync(self._read_state)
+        self._checked = CheckedVersion(self._state, config)
+        return self._state.staged == state.staged
+
+    def _staged_from(self, version: int) -> tuple[int, bool]:
+        """Return a staged version's parent, and whether it was staged by an undo."""
+        staged = [
+            entry
+            for entry in self.change_log.entries()
+            if entry.action == "staged" and entry.version == version
+        ]
+        return self.change_log.version(version).parent, staged[-1].note == "undo"
+
+    async def _refuse(self, state: RolloutState, reason: str) -> bool:
+        await self._append(Step("refused", state.staged), reason)
+        return False
+
+    # Applying and undoing
+
+    async def _apply(self, step: Step, state: RolloutState, config: Config) -> None:
+        old = self._effective
+        activate_at_ms = state.staged_activate_at_ms
+        phase = self._phase_at(activate_at_ms)
         if not limits_differ(old.config, config):
-            now = Phase.NEW
-        after = Going(old.config, config, now) if now is Phase.NEW_LOWER else Going(config, config)
-        names = self._accounts()
-        swap = await anyio.to_thread.run_sync(prepared, old, after, step.version, names)
-        judged = touched(old.config, config), lowered(old.config, config)
-        await self._add(step, "", found)
-        await self._fresh(swap)
-        self._ready = None
-        since = (
-            self._clock()
-        )  # not after the trail is written: what fails meanwhile is the change's, not the time before's
+            phase = Phase.NEW
+        settles = phase is Phase.NEW_LOWER
+        new = EffectiveConfig(old.config, config, phase) if settles else EffectiveConfig(config, config)
+        names = self._volume_names()
+        swap = await anyio.to_thread.run_sync(prepare_swap, old, new, step.version, names)
+        is_affected = affected_volumes(old.config, config)
+        has_lowered_limit = volumes_with_lowered_limit(old.config, config)
+        await self._append(step, "", state)
+        await self._refill_ahead(swap)
+        self._checked = None
+        applied_at_ms = (
+            self._clock_ms()
+        )  # before the log is written: failures meanwhile are due to the change
         self._serve(swap)
-        applied = Step("applied", step.version, until_ms=found.staged_until_ms)
+        await self._record_applied(step.version, state, old)
+        self._settling_instant_ms = activate_at_ms if settles else 0.0
+        self._observed = ObservedChange(
+            applied_at_ms, step.version, state.serving, is_affected, has_lowered_limit
+        )
+        await self._housekeep()
+
+    async def _record_applied(self, version: int, state: RolloutState, old: EffectiveConfig) -> None:
+        applied = Step("applied", version, confirm_by_ms=state.staged_confirm_by_ms)
         try:
-            await self._add(applied, f"swapped in {self.pause_ms:.2f} ms")
+            await self._append(applied, f"swapped in {self.last_swap_ms:.2f} ms")
         except ChangeLogError as error:
-            # Guards against settings that are served and would be gone with a kill, where the disk is full.
-            await self._turn(Going(old.config, old.config), found.serving)
-            self._owed.append(
-                (Step("undone", found.serving), f"version {step.version} could not be kept: {error}")
+            # A version that is not in the log would be lost in a crash, so the old one is served again.
+            await self._change_to(EffectiveConfig(old.config, old.config), state.serving)
+            self._journal.defer(
+                Step("undone", state.serving), f"version {version} could not be kept: {error}"
             )
             raise
-        self._settles = at if now is Phase.NEW_LOWER else 0.0
-        self._watched = since, step.version, found.serving, *judged
-        await anyio.to_thread.run_sync(self._housekeeping)
-
-    async def _judge(self, since: float, version: int, before: int, mine: Asked, less: Asked) -> None:
-        now = self._clock()
-        found = self.watch.verdict(since, now, mine, self._dead(), less)
-        if found.bad:
-            await self._undo(before, f"version {version} does harm: {found.why}")
-        elif now - since >= self.watch.criteria.watch:
-            self._log.info("changes", version=version, verdict="good", why=found.why)
-            self._watched = None
-
-    async def _undo(self, version: int, why: str) -> None:
-        """Back to the version before. It is served even where the trail can't be written: harm goes on otherwise."""
-        self._watched, self._ready, self._settles = None, None, 0.0
-        config = await anyio.to_thread.run_sync(self._read, version)
-        try:
-            await self._add(Step("undoing", version), why)
-        except ChangeLogError:
-            self._owed.append((Step("undoing", version), why))
-        await self._turn(Going(config, config), version)
-        steps = [(Step("undone", version), f"swapped in {self.pause_ms:.2f} ms")]
-        self._log.info("changes", step="undone", version=version, note=steps[0][1])
-        await anyio.to_thread.run_sync(self._owe, steps)
-        await anyio.to_thread.run_sync(self._housekeeping)
-
-    def _owe(self, steps: list[tuple[Step, str]]) -> None:
-        """Write what is owed, in one go; it stays owed where that fails."""
-        self._owed += steps
-        if self._owed:
-            try:
-                self.trail.add_all(self._owed, GATEWAY)
-            except ChangeLogError as error:
-                self._log.warning("changes", trouble=str(error))
-            else:
-                self._owed.clear()
-
-    def _housekeeping(self) -> None:
-        found = self.trail.standing()
-        self._snapshot(found)
-        if self._swaps % max(1, int(self._keep * (SPARE - 1))) == 0 and (
-            gone := self.trail.prune(self._keep)
-        ):
-            self._log.info("changes", moved_out=gone)
 
-    def _snapshot(self, found: RolloutState) -> None:
-        if found.until_ms or found.applying:
-            return
+    async def _evaluate_canary(self, observed: ObservedChange) -> None:
+        now_ms = self._clock_ms()
+        verdict = self.canary.evaluate(
+            observed.applied_at_ms,
+            now_ms,
+            observed.is_affected,
+            self._shards_without_endpoint(),
+            observed.has_lowered_limit,
+        )
+        if verdict.harmful:
+            await self._undo(observed.previous, f"version {observed.version} does harm: {verdict.reason}")
+        elif now_ms - observed.applied_at_ms >= self.canary.criteria.watch_ms:
+            self._log.info("config_canary_passed", version=observed.version, reason=verdict.reason)
+            self._observed = None
+
+    async def _undo(self, version: int, reason: str) -> None:
+        """Return to the version before, also where the change log can't be written: harm would go on otherwise."""
+        self._observed = None
+        self._checked = None
+        self._settling_instant_ms = 0.0
+        config = await anyio.to_thread.run_sync(self._journal.read_config, version)
+        step = Step("undoing", version)
         try:
-            last_known_good.keep(self.folder, found.serving, self.trail.version(found.serving).text)
-        except OSError as error:
-            self._log.warning(
-                "changes", trouble=f"{last_known_good.SERVED} can't be written: {error.strerror}"
-            )
-
-    async def _add(self, step: Step, note: str, expect: RolloutState | None = None) -> None:
-        self._log.info("changes", step=step.what, version=step.version, note=note)
-        await anyio.to_thread.run_sync(self.trail.add, step, GATEWAY, note, "", expect)
+            await self._append(step, reason)
+        except ChangeLogError:
+            self._journal.defer(step, reason)
+        await self._change_to(EffectiveConfig(config, config), version)
+        undone = Step("undone", version)
+        note = f"swapped in {self.last_swap_ms:.2f} ms"
+        self._log_step(undone, note)
+        self._journal.defer(undone, note)
+        await anyio.to_thread.run_sync(self._journal.flush)
+        await self._housekeep()
+
+    async def _append(self, step: Step, note: str, expected: RolloutState | None = None) -> None:
+        self._log_step(step, note)
+        await anyio.to_thread.run_sync(self._journal.append, step, note, expected)
+
+    def _log_step(self, step: Step, note: str) -> None:
+        self._log.info("config_rollout_step", action=step.action, version=step.version, note=note)
+
+    async def _housekeep(self) -> None:
+        await anyio.to_thread.run_sync(self._journal.housekeep, self._swap_count)
