--- a/winchdyke/config_rollout/cutover.py
+++ b/winchdyke/config_rollout/cutover.py
@@ -1,17 +1,17 @@
-"""What a gateway goes by around the instant that a change is staged for, where clocks differ. Pure.
+"""Which version and which limits a gateway applies around the instant for which a version is staged. Pure.
 
-Gateways share nothing, so each takes up a change when its own clock says so. Let all their clocks be less than ``apart`` from
-each other, and the instant be T. By its own clock, a gateway goes by
+Gateways apply a version independently, each when its own clock reaches the instant. Let any two clocks be less than
+``max_clock_skew_ms`` apart, and the instant be T. By its own clock, a gateway applies
 
-    before T - apart            the old version
-    from T - apart to T         the old version, but each limit the lower of the two
-    from T to T + apart         the new version, but each limit the lower of the two
-    from T + apart on           the new version
+    before T - skew            the old version
+    from T - skew to T         the old version, each limit being the lower one of the two versions
+    from T to T + skew         the new version, each limit being the lower one of the two versions
+    from T + skew on           the new version
 
-When the first gateway takes up the new version, its clock says T, so all others say more than T - apart: they hold the lower limits.
-When the last one does, its clock says T, so all others say less than T + apart: they hold them still. So from the first to the
-last the sum over gateways is that of the lower limit, with no word between them. A change that is taken up as it arrives has no
-such time: in sum, what holds then lies between the two limits.
+When the first gateway changes over its clock reads T, so every other clock reads more than T - skew: all apply the lower limits.
+When the last one does, every other clock reads less than T + skew: all still apply them. So from the first changeover to the
+last one the sum over all gateways is bounded by the lower limit, without communication. A version that is applied at once has
+no such interval: meanwhile the sum lies between the two limits.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Phase(enum.Enum):
-    """Which version counts, and whose limits."""
+    """The version in effect, and whose limits are."""
 
     OLD = "the old version"
     OLD_LOWER = "the old version, the lower limits"
@@ -33,79 +33,93 @@
     NEW = "the new version"
 
 
-def phase(now: float, at: float, apart: float) -> Phase:
-    """The phase of a change staged for ``at``, by one clock; all in milliseconds. ``at`` 0: it counts as it arrives."""
-    if not at:
+def phase_at(now_ms: float, activate_at_ms: float, max_clock_skew_ms: float) -> Phase:
+    """Return the phase at ``now_ms`` of a version staged for ``activate_at_ms``; 0: it is applied at once."""
+    if not activate_at_ms:
         return Phase.NEW
-    if now < at - apart:
+    if now_ms < activate_at_ms - max_clock_skew_ms:
         return Phase.OLD
-    if now < at:
+    if now_ms < activate_at_ms:
         return Phase.OLD_LOWER
-    return Phase.NEW_LOWER if now < at + apart else Phase.NEW
+    if now_ms < activate_at_ms + max_clock_skew_ms:
+        return Phase.NEW_LOWER
+    return Phase.NEW
 
 
-def lower(mine: api.Plan, other: api.Plan | None) -> api.Plan:
-    """A plan with the lower of two plans' limits; 0 is no limit."""
-    limited = [plan for plan in (mine, other) if plan is not None and plan.limit_units_per_s]
+def with_lower_limits(plan: api.Plan, other: api.Plan | None) -> api.Plan:
+    """Return ``plan`` with the lower of both plans' limits and bursts; a limit of 0 is no limit."""
+    limited = [each for each in (plan, other) if each is not None and each.limit_units_per_s]
     if not limited:
-        return mine
-    limit, burst = (
-        min(plan.limit_units_per_s for plan in limited),
-        min(plan.limit_burst_units for plan in limited),
+        return plan
+    return dataclasses.replace(
+        plan,
+        limit_units_per_s=min(each.limit_units_per_s for each in limited),
+        limit_burst_units=min(each.limit_burst_units for each in limited),
     )
-    return dataclasses.replace(mine, limit_units_per_s=limit, limit_burst_units=burst)
 
 
-class Going:
-    """What a gateway goes by in one phase between two versions."""
-
-    def __init__(self, old: Config, new: Config, at: Phase = Phase.NEW) -> None:
-        self.old, self.new, self.at = old, new, at
-        after = at in (Phase.NEW, Phase.NEW_LOWER)
-        self.config, self._other = (new, old) if after else (old, new)
-        self._lower = at in (Phase.OLD_LOWER, Phase.NEW_LOWER)
-        self._plans, self._others = _plans(self.config), _plans(self._other)
-
-    def plan(self, name: str) -> api.Plan | None:
-        """A volume's plan; None where the version that counts has no such volume."""
-        volume = self.config.volume(name)
-        mine = self._plans.get(volume.plan) if volume is not None else None
-        if mine is None or not self._lower:
-            return mine
-        volume = self._other.volume(name)
-        return lower(mine, self._others.get(volume.plan) if volume is not None else None)
+class EffectiveConfig:
+    """The configuration that a gateway applies in one phase between two versions."""
+
+    def __init__(self, old: Config, new: Config, phase: Phase = Phase.NEW) -> None:
+        self.old = old
+        self.new = new
+        self.phase = phase
+        if phase in (Phase.NEW, Phase.NEW_LOWER):
+            self.config = new
+            self._other_config = old
+        else:
+            self.config = old
+            self._other_config = new
+        self._uses_lower_limits = phase in (Phase.OLD_LOWER, Phase.NEW_LOWER)
+        self._plans = _plans_by_name(self.config)
+        self._other_plans = _plans_by_name(self._other_config)
+
+    def plan(self, volume_name: str) -> api.Plan | None:
+        """Return a volume's plan; None where the version in effect has no such volume."""
+        volume = self.config.volume(volume_name)
+        plan = self._plans.get(volume.plan) if volume is not None else None
+        if plan is None or not self._uses_lower_limits:
+            return plan
+        other_volume = self._other_config.volume(volume_name)
+        other_plan = self._other_plans.get(other_volume.plan) if other_volume is not None else None
+        return with_lower_limits(plan, other_plan)
 
     def settings(self) -> api.Settings:
-        """What the scheduler goes by; plans that both versions have carry the lower limits where those count."""
+        """Return the scheduler's settings; plans of both versions have the lower limits in the phases that use them."""
         settings = self.config.settings()
-        if not self._lower:
+        if not self._uses_lower_limits:
             return settings
-        plans = tuple(lower(plan, self._others.get(plan.name)) for plan in settings.plans)
+        plans = tuple(with_lower_limits(plan, self._other_plans.get(plan.name)) for plan in settings.plans)
         return dataclasses.replace(settings, plans=plans)
 
 
-def _plans(config: Config) -> dict[str, api.Plan]:
+def _plans_by_name(config: Config) -> dict[str, api.Plan]:
     return {plan.name: plan for plan in config.plans}
 
 
-def moved(names: Iterable[str], before: Going, after: Going) -> dict[str, api.Plan]:
-    """The accounts among ``names`` whose plan becomes another one, or has other figures. Slow: not for the event loop."""
-    found = {}
-    for name in names:
-        plan = after.plan(name)
-        if plan is not None and plan != before.plan(name):
-            found[name] = plan
-    return found
+def changed_plans(
+    volume_names: Iterable[str], old: EffectiveConfig, new: EffectiveConfig
+) -> dict[str, api.Plan]:
+    """Return the new plan of each volume whose plan or whose plan's values change. Too slow for the event loop."""
+    changed = {}
+    for name in volume_names:
+        plan = new.plan(name)
+        if plan is not None and plan != old.plan(name):
+            changed[name] = plan
+    return changed
 
 
 def limits_differ(old: Config, new: Config) -> bool:
-    """Whether two versions may differ in any volume's limit, so that the phases between them count."""
-    plans = _plans(old), _plans(new)
+    """Return whether any volume's limit may differ between two versions, so that the phases between them matter."""
     if old.volumes != new.volumes:
         return True
+    old_plans = _plans_by_name(old)
+    new_plans = _plans_by_name(new)
     return any(
-        (plan.limit_units_per_s, plan.limit_burst_units) != (other.limit_units_per_s, other.limit_burst_units)
-        for name, plan in plans[0].items()
-        for other in [plans[1].get(name)]
-        if other is not None
+        _limits(old_plans[name]) != _limits(new_plans[name]) for name in old_plans if name in new_plans
     )
+
+
+def _limits(plan: api.Plan) -> tuple[float, float]:
+    return plan.limit_units_per_s, plan.limit_burst_units
--- a/winchdyke/config_rollout/edit.py
+++ b/winchdyke/config_rollout/edit.py
@@ -1,76 +1,113 @@
-"""Edits of settings: single values set, and two edits of one version put together. Pure."""
+"""Edits of a configuration: single values set, blocks removed, and two edits of one version merged. Pure."""
 
 from __future__ import annotations
 
 import difflib
 from collections.abc import Iterable
+from dataclasses import dataclass
 
 from winchdyke.config.diagnostics import Source, Span
 from winchdyke.config.loading import Values
-from winchdyke.config.meaning import Change, apply, table
+from winchdyke.config.meaning import Change, apply, diff, table
 from winchdyke.config.model import Config
 from winchdyke.config.schema import BLOCKS
 from winchdyke.config.syntax import Word
 from winchdyke.config.types import Wrong
 from winchdyke.config.writing import written
-from winchdyke.config_rollout.hot_reload import LIVE, LIVE_KEYS, lives, merged
+from winchdyke.config_rollout.hot_reload import RELOADABLE_BLOCKS, RELOADABLE_KEYS, is_reloadable
 
 
 class EditError(Exception):
-    """An edit that can't be made; says what is wrong and what to do."""
+    """An edit that can't be made; its text tells what is wrong and what to do."""
 
 
-def text_of(config: Config) -> str:
-    """Settings as text; read back, they mean the same."""
+@dataclass(frozen=True, slots=True)
+class Conflict:
+    """One value that two edits of the same version change differently."""
+
+    own: Change
+    other: Change
+
+
+def config_text(config: Config) -> str:
+    """Return a configuration as text; parsed again, it is equal."""
     return written(table(config))
 
 
-def edited(config: Config, kind: str, name: str, values: Iterable[str], new: bool = False) -> str:
-    """The text of settings in which a block has other values, each ``KEY=VALUE``; ``new``: one that is not there yet."""
-    found = {where: dict(keys) for where, keys in table(config).items()}
-    if kind not in LIVE and kind not in LIVE_KEYS:
-        can = ", ".join(sorted([*LIVE, *LIVE_KEYS]))
-        raise EditError(f"a {kind} can't change in service; what can is {can}")
-    if new:
-        if (kind, name) in found:
+def set_values(config: Config, kind: str, name: str, assignments: Iterable[str], is_new: bool = False) -> str:
+    """Return the text of a configuration in which a block has other values.
+
+    ``assignments``: each ``KEY=VALUE``. ``is_new``: the block is added.
+
+    Raises:
+        EditError: The block or a key does not exist or can't change without a restart, or a value does not parse.
+    """
+    values = {block: dict(keys) for block, keys in table(config).items()}
+    if kind not in RELOADABLE_BLOCKS and kind not in RELOADABLE_KEYS:
+        reloadable = ", ".join(sorted([*RELOADABLE_BLOCKS, *RELOADABLE_KEYS]))
+        raise EditError(f"a {kind} can't change in service; what can is {reloadable}")
+    if is_new:
+        if (kind, name) in values:
             raise EditError(f"there is a {kind} {name} already; set its values without --new")
-        found[kind, name] = {}
-    _there(found, kind, name)
-    known = BLOCKS[kind].keys
-    for text in values:
-        key, given, value = text.partition("=")
-        key = key.strip()
-        if not given or key not in known:
-            raise EditError(f"{text!r} is no KEY=VALUE of a {kind}; the keys are {', '.join(known)}")
-        if not lives(kind, key):
-            can = ", ".join(sorted(LIVE_KEYS[kind]))
-            raise EditError(f"{key} of a {kind} can't change in service; what can is {can}")
-        span = Span(Source("the command line", text), 1)
-        try:
-            items = tuple(
-                tuple(Word(word, False, span) for word in part.split()) for part in value.split(",")
-            )
-            found[kind, name][key] = known[key].type.read(items)
-        except Wrong as wrong:
-            raise EditError(f"{key}: {wrong}; {wrong.fix}") from wrong
-    return written(found)
-
-
-def removed(config: Config, kind: str, name: str) -> str:
-    """The text of settings without a block."""
-    found = table(config)
-    _there(found, kind, name)
-    return written({where: keys for where, keys in found.items() if where != (kind, name)})
-
-
-def _there(found: Values, kind: str, name: str) -> None:
-    if (kind, name) not in found:
-        there = sorted(each for there, each in found if there == kind)
-        near = difflib.get_close_matches(name, there, 1) or there[:5]
-        raise EditError(f"there is no {kind} {name}; there is {', '.join(near)}")
-
-
-def rebased(base: Config, mine: Config, theirs: Config) -> tuple[str, list[tuple[Change, Change]]]:
-    """My edit of ``base`` on top of theirs, and the values that both change differently."""
-    ours, clashes = merged(base, mine, theirs)
-    return ("", clashes) if clashes else (text_of(apply(theirs, ours)), [])
+        values[kind, name] = {}
+    _require_block(values, kind, name)
+    for assignment in assignments:
+        key, value = _parse_assignment(kind, assignment)
+        values[kind, name][key] = value
+    return written(values)
+
+
+def _parse_assignment(kind: str, assignment: str) -> tuple[str, object]:
+    known_keys = BLOCKS[kind].keys
+    key, separator, text = assignment.partition("=")
+    key = key.strip()
+    if not separator or key not in known_keys:
+        raise EditError(f"{assignment!r} is no KEY=VALUE of a {kind}; the keys are {', '.join(known_keys)}")
+    if not is_reloadable(kind, key):
+        reloadable = ", ".join(sorted(RELOADABLE_KEYS[kind]))
+        raise EditError(f"{key} of a {kind} can't change in service; what can is {reloadable}")
+    span = Span(Source("the command line", assignment), 1)
+    items = tuple(tuple(Word(word, False, span) for word in item.split()) for item in text.split(","))
+    try:
+        return key, known_keys[key].type.read(items)
+    except Wrong as error:
+        raise EditError(f"{key}: {error}; {error.fix}") from error
+
+
+def remove_block(config: Config, kind: str, name: str) -> str:
+    """Return the text of a configuration without one block. Raises EditError where there is no such block."""
+    values = table(config)
+    _require_block(values, kind, name)
+    return written({block: keys for block, keys in values.items() if block != (kind, name)})
+
+
+def _require_block(values: Values, kind: str, name: str) -> None:
+    if (kind, name) in values:
+        return
+    names = sorted(block_name for block_kind, block_name in values if block_kind == kind)
+    suggestions = difflib.get_close_matches(name, names, 1) or names[:5]
+    raise EditError(f"there is no {kind} {name}; there is {', '.join(suggestions)}")
+
+
+def rebase(base: Config, own: Config, other: Config) -> tuple[str, list[Conflict]]:
+    """Apply the changes from ``base`` to ``own`` on top of ``other``.
+
+    Returns the text of the merged configuration, or "" and the values that both sides change differently.
+    """
+    own_changes = diff(base, own)
+    conflicts = find_conflicts(own_changes, diff(base, other))
+    if conflicts:
+        return "", conflicts
+    return config_text(apply(other, own_changes)), []
+
+
+def find_conflicts(own_changes: list[Change], other_changes: list[Change]) -> list[Conflict]:
+    """Return each pair of changes that give one value, or a block and a value in it, different new values."""
+    return [Conflict(own, other) for own in own_changes for other in other_changes if _conflicts(own, other)]
+
+
+def _conflicts(own: Change, other: Change) -> bool:
+    if (own.kind, own.name) != (other.kind, other.name):
+        return False
+    same_value = own.key == other.key or not own.key or not other.key
+    return same_value and bool(own.new != other.new)
--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -1,10 +1,10 @@
-"""New settings in a serving gateway at one instant, between two batches of the scheduler's.
+"""Puts new settings into a running scheduler at one instant, between two of its batches.
 
-Only what is decided for each request anew may change: plans, volumes, routes, pools; and peers and the fleet's seeds, where other
-gateways are reached. What lives on lives on: windows, accounts,
-cold credit, budgets, suspicions. The seam to the module is :func:`retell`: it sets what the scheduler goes by, and clips each
-account to its new plan. A lowered limit binds from the instant; a raised one begins with what the account held, so that it
-gives no burst. A request that is held goes on at the shard it was taken for, to its last attempt.
+Only what is decided anew for each request can change: plans, volumes, routes and pools; and peers and the seeds of the fleet,
+which name where other gateways are. Concurrency limits, quota balances, slow-start credit, retry budgets and suspicions are
+kept. :func:`apply_settings` replaces the scheduler's settings and clips each quota to its new plan: a lowered limit takes
+effect at once; a raised one starts with the units that the quota had, so that it allows no burst. A queued request stays at
+the shard for which it was admitted, up to its last attempt.
 """
 
 from __future__ import annotations
@@ -12,73 +12,70 @@
 from collections.abc import Iterable, Mapping
 
 from winchdyke import interface as api
-from winchdyke.config.meaning import Change, diff
-from winchdyke.config.model import Config
-from winchdyke.policy import Scheduler
+from winchdyke.config.meaning import Change
+from winchdyke.policy import Scheduler, VolumeQuota
 
-LIVE = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
-LIVE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks that need a start otherwise
+RELOADABLE_BLOCKS = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
+RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks that need a restart otherwise
+RECENT_REFILL_MS = (
+    100.0  # a quota refilled within this time is not refilled again; it gets fewer units, never more
+)
 
 
-def lives(kind: str, key: str) -> bool:
-    """Whether a key of a kind of block may change in service."""
-    return kind in LIVE or key in LIVE_KEYS.get(kind, ())
+def is_reloadable(kind: str, key: str) -> bool:
+    """Return whether a key of a kind of block may change without a restart."""
+    return kind in RELOADABLE_BLOCKS or key in RELOADABLE_KEYS.get(kind, ())
 
 
-def fixed(changes: list[Change]) -> list[str]:
-    """What can't change in service, in words: it needs a start."""
+def requiring_restart(changes: list[Change]) -> list[str]:
+    """Return the changed values that need a restart, as ``KIND NAME KEY``."""
     return [
         f"{change.kind} {change.name} {change.key}".replace("  ", " ").strip()
         for change in changes
-        if not lives(change.kind, change.key)
+        if not is_reloadable(change.kind, change.key)
     ]
 
 
-FRESH_MS = 100.0  # what an account would have filled up by in so long may be left out: never more than it should have
+def refill_quotas(scheduler: Scheduler, volume_names: Iterable[str], now_ms: float) -> None:
+    """Refill some volumes' quotas under their present plans, ahead of :func:`apply_settings`, which is then shorter."""
+    for name in volume_names:
+        if (quota := scheduler.quotas.get(name)) is not None:
+            quota.refill(now_ms)
 
 
-def freshen(scheduler: Scheduler, names: Iterable[str], now: float) -> None:
-    """Fill accounts up by the plans they have, a few at a time before :func:`retell`, so that it finds little to do."""
-    for name in names:
-        if (volume := scheduler.quotas.get(name)) is not None:
-            volume.refill(now)
+def apply_settings(
+    scheduler: Scheduler, settings: api.Settings, plans: Mapping[str, api.Plan], now_ms: float
+) -> int:
+    """Replace a scheduler's settings and the plans of the named volumes; returns how many quotas got another plan.
 
-
-def retell(scheduler: Scheduler, settings: api.Settings, plans: Mapping[str, api.Plan], now: float) -> int:
-    """Let a scheduler go by new plans from now on, and give accounts their plans (``instant.moved`` finds them); how many."""
-    scheduler.settings = scheduler.retry_budget.settings = settings
+    ``plans``: by volume name, as :func:`winchdyke.config_rollout.cutover.changed_plans` finds them.
+    """
+    scheduler.settings = settings
+    scheduler.retry_budget.settings = settings
     scheduler.plans = {plan.name: plan for plan in settings.plans}
-    changed, volumes, largest = 0, scheduler.quotas, settings.max_request_units
+    quotas = scheduler.quotas
+    changed_count = 0
     for name, plan in plans.items():
-        volume = volumes.get(name)
-        if volume is None:
-            continue
-        if now - volume.refilled_at_ms > FRESH_MS:
-            volume.refill(now)  # by the old plan up to this instant
-        else:
-            volume.refilled_at_ms = now
-        if not volume.plan.limit_units_per_s:
-            # Guards against a course cut off for as long as it was free: without a limit all that it sent was taken from an
-            # account that nothing fills.
-            volume.limit_units = 0.0
-        volume.plan, volume.settings = plan, settings
-        if volume.limit_units > (most := plan.limit_burst_units / volume.sharing_gateways):
-            volume.limit_units = most
-        if volume.reserved_units > (most := (plan.reserved_units_per_s + largest) * volume.gateway_fraction):
-            volume.reserved_units = most
-        changed += 1
-    return changed
-
-
-def merged(base: Config, mine: Config, theirs: Config) -> tuple[list[Change], list[tuple[Change, Change]]]:
-    """Two edits of one version: mine as changes on theirs, and the values that both touch differently."""
-    ours, others = diff(base, mine), diff(base, theirs)
-    clashes = [
-        (a, b)
-        for a in ours
-        for b in others
-        if (a.kind, a.name) == (b.kind, b.name)
-        and (a.key == b.key or not a.key or not b.key)
-        and a.new != b.new
-    ]
-    return ours, clashes
+        quota = quotas.get(name)
+        if quota is not None:
+            _change_plan(quota, plan, settings, now_ms)
+            changed_count += 1
+    return changed_count
+
+
+def _change_plan(quota: VolumeQuota, plan: api.Plan, settings: api.Settings, now_ms: float) -> None:
+    if now_ms - quota.refilled_at_ms > RECENT_REFILL_MS:
+        quota.refill(now_ms)  # by the old plan up to this instant
+    else:
+        quota.refilled_at_ms = now_ms
+    if not quota.plan.limit_units_per_s:
+        # Without a limit the balance is only ever charged and never refilled: a limited volume must not begin with that debt.
+        quota.limit_units = 0.0
+    quota.plan = plan
+    quota.settings = settings
+    max_limit_units = plan.limit_burst_units / quota.sharing_gateways
+    if quota.limit_units > max_limit_units:
+        quota.limit_units = max_limit_units
+    max_reserved_units = (plan.reserved_units_per_s + settings.max_request_units) * quota.gateway_fraction
+    if quota.reserved_units > max_reserved_units:
+        quota.reserved_units = max_reserved_units
--- a/winchdyke/config_rollout/last_known_good.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -1,8 +1,9 @@
-"""A trail as a gateway finds it at its start: whole, or damaged, and then put aside and begun anew from what is served.
+"""Opens the change log at a gateway's start; a damaged one is set aside and begun anew from the last known good version.
 
-Beside the trail lies ``served.json``, written whole, synced and renamed after each version that is applied for good: its number, its
-text, and their SHA-256. A trail whose chain does not fit is renamed, never deleted; its successor begins with that version, and says
-why. So a damaged file is no reason to refuse a start, nor to serve what nobody applied.
+``served.json`` lies beside the change log and is replaced atomically after each version that is applied and needs no
+confirmation. It holds the version's number, its text, and a SHA-256 of both. A change log whose hash chain does not verify is
+renamed, never deleted; its successor begins with that version and records the reason. So a damaged file neither prevents a
+start nor leads to a version being served that nobody applied.
 """
 
 from __future__ import annotations
@@ -14,68 +15,79 @@
 
 import msgspec
 
-from winchdyke.config_rollout.change_log import FILE, ChangeLog, ChangeLogError
+from winchdyke.config_rollout.change_log import DATABASE_FILE, ChangeLog, ChangeLogError
 from winchdyke.config_rollout.rollout_state import Step
 from winchdyke.durable_files import replace, sync_folder
 
-SERVED = "served.json"
-GATEWAY = "gateway"
+SERVED_FILE = "served.json"
+GATEWAY_ACTOR = "gateway"  # who took a step, where the gateway itself did
+SQLITE_FILE_SUFFIXES = ("", "-wal", "-shm")
 
 
 class LastKnownGood(msgspec.Struct):
-    """A version that was applied for good."""
+    """The last version that was applied and needs no confirmation."""
 
     version: int
     text: str
     sha256: str
 
 
-def _digest(version: int, text: str) -> str:
+def _checksum(version: int, text: str) -> str:
     return hashlib.sha256(f"{version}\n{text}".encode()).hexdigest()
 
 
-def keep(folder: Path, version: int, text: str) -> None:
-    """Write what is served for good. OSError."""
-    data = msgspec.json.encode(LastKnownGood(version, text, _digest(version, text)))
-    replace(folder / SERVED, data, folder / (SERVED + ".new"))
+def save(folder: Path, version: int, text: str) -> None:
+    """Replace the last known good version. Raises OSError."""
+    data = msgspec.json.encode(LastKnownGood(version, text, _checksum(version, text)))
+    replace(folder / SERVED_FILE, data, folder / (SERVED_FILE + ".new"))
 
 
-def kept(folder: Path) -> LastKnownGood | None:
-    """What was served for good last; None where there is none, or it is damaged."""
+def load(folder: Path) -> LastKnownGood | None:
+    """Return the last known good version; None where there is none, or it is damaged."""
     try:
-        found = msgspec.json.decode((folder / SERVED).read_bytes(), type=LastKnownGood)
+        found = msgspec.json.decode((folder / SERVED_FILE).read_bytes(), type=LastKnownGood)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
         return None
-    return found if found.sha256 == _digest(found.version, found.text) else None
+    return found if found.sha256 == _checksum(found.version, found.text) else None
 
 
-def opened(folder: Path) -> tuple[ChangeLog, str]:
-    """The trail in a folder, and what was wrong with the one that lay there; TrailError where none can be kept there."""
+def open_change_log(folder: Path) -> tuple[ChangeLog, str]:
+    """Open the change log in a folder; returns it with the damage of the one that was replaced, or "".
+
+    Raises:
+        ChangeLogError: No change log can be kept in the folder.
+    """
     try:
-        trail = ChangeLog(folder)
-        said = trail.verify()
+        change_log = ChangeLog(folder)
+        faults = change_log.verify()
     except ChangeLogError as error:
         if not error.damaged:
             raise
-        said = [str(error)]
+        faults = [str(error)]
     except (ValueError, TypeError, KeyError) as error:  # values of other types than were written
-        said = [f"{folder / FILE} holds what no trail does: {error}"]
-    if not said:
-        return trail, ""
-    aside = f"damaged-{time.time_ns() // 1_000_000}-{FILE}"
+        faults = [f"{folder / DATABASE_FILE} holds what no trail does: {error}"]
+    if not faults:
+        return change_log, ""
+    aside = _set_aside(folder)
+    reason = f"the trail was damaged ({faults[0]}); it is kept as {aside}"
+    change_log = ChangeLog(folder)
+    if good := load(folder):
+        change_log.add_version(good.text, 0, "[]", GATEWAY_ACTOR, reason, "", good.version)
+        steps = [(Step(action, good.version), reason) for action in ("staged", "applying", "applied")]
+        change_log.append_all(steps, GATEWAY_ACTOR)
+    return change_log, reason
+
+
+def _set_aside(folder: Path) -> str:
+    """Rename the database and its journals; returns the database's new name."""
+    aside = f"damaged-{time.time_ns() // 1_000_000}-{DATABASE_FILE}"
     try:
-        for end in ("", "-wal", "-shm"):
-            if (folder / (FILE + end)).exists():
-                os.rename(folder / (FILE + end), folder / (aside + end))
+        for suffix in SQLITE_FILE_SUFFIXES:
+            if (folder / (DATABASE_FILE + suffix)).exists():
+                os.rename(folder / (DATABASE_FILE + suffix), folder / (aside + suffix))
         sync_folder(folder)
     except OSError as error:
         raise ChangeLogError(
-            f"{folder / FILE} is damaged, and can't be put aside: {error.strerror}"
+            f"{folder / DATABASE_FILE} is damaged, and can't be put aside: {error.strerror}"
         ) from error
-    why = f"the trail was damaged ({said[0]}); it is kept as {aside}"
-    trail = ChangeLog(folder)
-    if found := kept(folder):
-        trail.propose(found.text, 0, "[]", GATEWAY, why, "", found.version)
-        steps = [(Step(what, found.version), why) for what in ("staged", "applying", "applied")]
-        trail.add_all(steps, GATEWAY)
-    return trail, why
+    return aside
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -1,67 +1,76 @@
-"""All that can be asked about changes, the same from the command line and over the admin API. Each operation is a plain value.
+"""The operations on a change log, the same from the command line and over the admin API. Each is a plain value.
 
-:meth:`Desk.do` carries one out on a trail and gives back plain data for JSON. It waits for no gateway: what a gateway then does is
-read from the trail.
+:meth:`ChangeOperations.execute` carries one out and returns plain data for JSON. It waits for no gateway: what a gateway then
+does is read from the change log.
 """
 
 from __future__ import annotations
 
-import dataclasses
 import json
 import time
-from typing import Any
+from collections.abc import Callable
+from typing import Any, ClassVar
 
 import msgspec
 
 from winchdyke.config import Config, ConfigError, parse
-from winchdyke.config.meaning import Change, diff
-from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
-from winchdyke.config_rollout.edit import EditError, edited, rebased, removed
-from winchdyke.config_rollout.hot_reload import fixed
-from winchdyke.config_rollout.rollout_state import HELD, RolloutState, Step
+from winchdyke.config.meaning import diff
+from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError, ConcurrentStepError, LogEntry
+from winchdyke.config_rollout.edit import Conflict, EditError, rebase, remove_block, set_values
+from winchdyke.config_rollout.hot_reload import requiring_restart
+from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, RolloutState, Step
 
-WORD = 4096  # most characters of a name or a reason
+MAX_TEXT_CHARACTERS = 4096  # of a name, a path or a reason
+MAX_LISTED_KEYS = 5  # in an error that names what needs a restart
 
 
 class OperationError(Exception):
-    """An operation that can't be done; ``code`` is for programs, ``text`` for people."""
+    """An operation that can't be carried out.
 
-    def __init__(self, code: str, text: str, more: dict[str, Any] | None = None) -> None:
+    Attributes:
+        code: The reason, for programs.
+        text: What is wrong and what to do, for people.
+        details: More data for programs.
+    """
+
+    def __init__(self, code: str, text: str, details: dict[str, Any] | None = None) -> None:
         super().__init__(text)
-        self.code, self.text, self.more = code, text, more or {}
+        self.code = code
+        self.text = text
+        self.details = details or {}
 
 
-class Stand(msgspec.Struct, tag="standing", tag_field="op", forbid_unknown_fields=True):
-    """Where the gateway stands."""
+class Status(msgspec.Struct, tag="standing", tag_field="op", forbid_unknown_fields=True):
+    """Report which versions are served and staged."""
 
 
 class Show(msgspec.Struct, tag="show", tag_field="op", forbid_unknown_fields=True):
-    """A version, whole and by its difference."""
+    """Return a version's text and its difference."""
 
     version: int
 
 
 class Log(msgspec.Struct, tag="log", tag_field="op", forbid_unknown_fields=True):
-    """The trail's entries behind one; ``archives``: those moved out as well."""
+    """Return the entries behind one; ``archives``: archived ones as well."""
 
     after: int = 0
     archives: bool = False
 
 
 class Blame(msgspec.Struct, tag="blame", tag_field="op", forbid_unknown_fields=True):
-    """Who changed each value last, below a path."""
+    """Return who last changed each value below a path."""
 
     path: str = ""
 
 
 class Verify(msgspec.Struct, tag="verify", tag_field="op", forbid_unknown_fields=True):
-    """Whether the chain holds; ``archives``: over those as well."""
+    """Verify the hash chain; ``archives``: over archived entries as well."""
 
     archives: bool = False
 
 
 class Propose(msgspec.Struct, tag="propose", tag_field="op", forbid_unknown_fields=True):
-    """Keep settings as a version; ``check``: only say what it would change."""
+    """Store a configuration as a version; ``check``: only report what it would change."""
 
     text: str
     parent: int = 0
@@ -70,7 +79,7 @@
 
 
 class Set(msgspec.Struct, tag="set", tag_field="op", forbid_unknown_fields=True):
-    """Make a version with other values of one block, or without it; ``new``: a block that is not there yet."""
+    """Make a version in which one block has other values, is added (``new``) or removed (``remove``)."""
 
     kind: str
     name: str
@@ -83,7 +92,7 @@
 
 
 class Stage(msgspec.Struct, tag="stage", tag_field="op", forbid_unknown_fields=True):
-    """Have a version checked by the gateway, and applied: as it arrives, at an instant (Unix ms), or held till told again."""
+    """Have the gateway check a version and apply it: at once, at an instant (Unix ms), or after another stage (``hold``)."""
 
     version: int
     at_ms: float = 0.0
@@ -93,242 +102,324 @@
 
 
 class Withdraw(msgspec.Struct, tag="withdraw", tag_field="op", forbid_unknown_fields=True):
-    """Take back what is staged."""
+    """Withdraw the staged version."""
 
     why: str = ""
 
 
 class Confirm(msgspec.Struct, tag="confirm", tag_field="op", forbid_unknown_fields=True):
-    """Keep what is on trial."""
+    """Confirm the version that is on trial."""
 
     why: str = ""
 
 
 class Undo(msgspec.Struct, tag="undo", tag_field="op", forbid_unknown_fields=True):
-    """Go back to the version before."""
+    """Return to the version before."""
 
     why: str = ""
 
 
 class Export(msgspec.Struct, tag="export", tag_field="op", forbid_unknown_fields=True):
-    """All versions and entries, as lines of JSON."""
+    """Return all versions and entries as lines of JSON."""
 
 
 Operation = (
-    Stand | Show | Log | Blame | Verify | Propose | Set | Stage | Withdraw | Confirm | Undo | Export
+    Status | Show | Log | Blame | Verify | Propose | Set | Stage | Withdraw | Confirm | Undo | Export
 )  # fmt: skip
-READING = (Stand, Show, Log, Blame, Verify, Export)
+READ_ONLY_OPERATIONS = (Status, Show, Log, Blame, Verify, Export)
+
 
+def operation_name(operation: Operation) -> str:
+    """Return the name of an operation as it stands in its JSON (``op``)."""
+    return str(operation.__struct_config__.tag)
 
-def read(data: bytes | dict[str, Any]) -> Operation:
-    """An operation from JSON; DeskError where it is none."""
+
+def parse_operation(data: bytes | dict[str, Any]) -> Operation:
+    """Read an operation from JSON. Raises OperationError where it is none."""
     try:
-        found: Operation = (
+        operation: Operation = (
             msgspec.convert(data, type=Operation)
             if isinstance(data, dict)
             else msgspec.json.decode(data, type=Operation)
         )
-        return found
     except msgspec.MsgspecError as error:
         raise OperationError("not-an-operation", f"not an operation of this API: {error}") from error
+    return operation
 
 
 class ChangeOperations:
-    """Carries out operations on a trail for one person. Calls read and write files: not for the event loop."""
-
-    def __init__(self, trail: ChangeLog, who: str, origin: str) -> None:
-        self.trail, self.who, self.origin = trail, who, origin
-
-    def do(self, operation: Operation) -> dict[str, Any]:
-        """The result, as plain data. DeskError with what is wrong and what to do."""
-        for word in ("why", "name", "path"):
-            if len(getattr(operation, word, "")) > WORD:
-                raise OperationError("too-long", f"{word} is longer than {WORD} characters")
+    """Carries out operations on a change log in one person's name. Reads and writes files: not for the event loop."""
+
+    def __init__(self, change_log: ChangeLog, actor: str, origin: str) -> None:
+        self.change_log = change_log
+        self.actor = actor
+        self.origin = origin
+
+    def execute(self, operation: Operation) -> dict[str, Any]:
+        """Carry out an operation and return its result as plain data.
+
+        Raises:
+            OperationError: With what is wrong and what to do.
+        """
+        for field in ("why", "name", "path"):
+            if len(getattr(operation, field, "")) > MAX_TEXT_CHARACTERS:
+                raise OperationError("too-long", f"{field} is longer than {MAX_TEXT_CHARACTERS} characters")
         try:
-            result: dict[str, Any] = getattr(self, "_" + type(operation).__name__.lower())(operation)
+            return self._HANDLERS[type(operation)](self, operation)
+        except ConcurrentStepError as error:
+            raise OperationError("conflict", str(error)) from error
         except ChangeLogError as error:
-            code = "conflict" if "meanwhile" in str(error) else "trail"
-            raise OperationError(code, str(error)) from error
-        return result
+            raise OperationError("trail", str(error)) from error
 
-    # What is read
+    # Reading
 
-    def _stand(self, _: Stand) -> dict[str, Any]:
-        found = self.trail.standing()
-        held = found.staged_at_ms == HELD
-        at = None if held or not found.staged_at_ms else found.staged_at_ms
+    def _status(self, _: Status) -> dict[str, Any]:
+        state = self.change_log.state()
+        on_hold = state.staged_activate_at_ms == ON_HOLD_MS
+        activate_at_ms = None if on_hold else state.staged_activate_at_ms or None
         return {
-            "serving": found.serving, "before": found.before, "trial_until_ms": found.until_ms or None,
-            "staged": found.staged or None, "staged_at_ms": at, "held": held, "applying": found.applying or None,
-            "last": self.trail.last(), "now_ms": time.time() * 1000,
-        }  # fmt: skip
+            "serving": state.serving,
+            "before": state.previous,
+            "trial_until_ms": state.confirm_by_ms or None,
+            "staged": state.staged or None,
+            "staged_at_ms": activate_at_ms,
+            "held": on_hold,
+            "applying": state.applying or None,
+            "last": self.change_log.last_seq(),
+            "now_ms": time.time() * 1000,
+        }
 
     def _show(self, operation: Show) -> dict[str, Any]:
-        made = self.trail.version(operation.version)
-        entry = next(
-            (
-                entry
-                for entry in self.trail.entries()
-                if entry.what == "proposed" and entry.version == made.id
-            ),
-            None,
-        )
-        found: dict[str, Any] = {"version": made.id, "parent": made.parent, "text": made.text}
-        found["difference"] = json.loads(made.difference)
-        if entry is not None:
-            found |= {"who": entry.who, "why": entry.note, "unix_ms": entry.unix_ms, "origin": entry.origin}
-        return found
+        version = self.change_log.version(operation.version)
+        result: dict[str, Any] = {
+            "version": version.id,
+            "parent": version.parent,
+            "text": version.text,
+            "difference": json.loads(version.difference),
+        }
+        for entry in self.change_log.entries():
+            if entry.action == "proposed" and entry.version == version.id:
+                return result | {
+                    "who": entry.actor,
+                    "why": entry.note,
+                    "unix_ms": entry.unix_ms,
+                    "origin": entry.origin,
+                }
+        return result
 
     def _log(self, operation: Log) -> dict[str, Any]:
-        entries = self.trail.whole() if operation.archives else self.trail.after(operation.after)
-        return {"entries": [_told(entry) for entry in entries if entry.seq > operation.after]}
+        log = self.change_log
+        entries = log.all_entries() if operation.archives else log.entries_after(operation.after)
+        return {"entries": [_entry_data(entry) for entry in entries if entry.seq > operation.after]}
 
     def _blame(self, operation: Blame) -> dict[str, Any]:
         path = operation.path
-        found = self.trail.blame().items()
         return {
             "values": {
-                name: _told(entry)
-                for name, entry in sorted(found)
+                name: _entry_data(entry)
+                for name, entry in sorted(self.change_log.blame().items())
                 if not path or name == path or name.startswith(path + ".")
             }
         }
 
     def _verify(self, operation: Verify) -> dict[str, Any]:
-        return {"wrong": self.trail.verify(operation.archives), "entries": self.trail.last()}
+        return {
+            "wrong": self.change_log.verify(operation.archives),
+            "entries": self.change_log.last_seq(),
+        }
 
     def _export(self, _: Export) -> dict[str, Any]:
-        return {"lines": list(self.trail.export())}
+        return {"lines": list(self.change_log.export_lines())}
 
-    # What is changed
+    # Making versions
 
     def _config(self, version: int) -> Config:
-        return _parsed(self.trail.version(version).text, f"version {version}")
+        return _parse_config(self.change_log.version(version).text, f"version {version}")
 
     def _propose(self, operation: Propose) -> dict[str, Any]:
-        parent = operation.parent or self.trail.standing().serving
-        return self._keep(self._config(parent), operation.text, parent, operation.why, operation.check)
+        parent = operation.parent or self.change_log.state().serving
+        return self._add_version(self._config(parent), operation.text, parent, operation.why, operation.check)
 
     def _set(self, operation: Set) -> dict[str, Any]:
-        parent = operation.parent or self.trail.standing().serving
+        parent = operation.parent or self.change_log.state().serving
         old = self._config(parent)
         try:
             if operation.remove:
-                text = removed(old, operation.kind, operation.name)
+                text = remove_block(old, operation.kind, operation.name)
             else:
-                text = edited(old, operation.kind, operation.name, operation.values, operation.new)
+                text = set_values(old, operation.kind, operation.name, operation.values, operation.new)
         except EditError as error:
             raise OperationError("no-edit", str(error)) from error
-        return self._keep(old, text, parent, operation.why, operation.check)
+        return self._add_version(old, text, parent, operation.why, operation.check)
 
-    def _keep(self, old: Config, text: str, parent: int, why: str, check: bool = False) -> dict[str, Any]:
-        new = _parsed(text, "the new version")
+    def _add_version(
+        self, old: Config, text: str, parent: int, reason: str, check_only: bool = False
+    ) -> dict[str, Any]:
+        new = _parse_config(text, "the new version")
         changes = diff(old, new)
         if not changes:
             raise OperationError("no-difference", f"nothing differs from version {parent}")
-        if needs := fixed(changes):
+        if keys := requiring_restart(changes):
             raise OperationError(
                 "needs-start",
-                f"{', '.join(needs[:5])} can't change in service; put that into the gateway's file and start it anew",
+                f"{', '.join(keys[:MAX_LISTED_KEYS])} can't change in service; put that into the gateway's file and"
+                " start it anew",
             )
-        found: dict[str, Any] = {"parent": parent, "changes": [change.data() for change in changes]}
-        if not check:
-            data = json.dumps(found["changes"], default=str)
-            found["version"] = self.trail.propose(text, parent, data, self.who, why, self.origin)
-        return found
+        result: dict[str, Any] = {"parent": parent, "changes": [change.data() for change in changes]}
+        if not check_only:
+            difference = json.dumps(result["changes"], default=str)
+            result["version"] = self.change_log.add_version(
+                text, parent, difference, self.actor, reason, self.origin
+            )
+        return result
+
+    # Steps
 
     def _stage(self, operation: Stage) -> dict[str, Any]:
-        found = self.trail.standing()
-        version, merged = operation.version, None
-        made = self.trail.version(version)
-        if version == found.serving:
+        state = self.change_log.state()
+        version = operation.version
+        merged_from = None
+        parent = self.change_log.version(version).parent
+        if version == state.serving:
             raise OperationError("served", f"version {version} is served already")
-        if made.parent != found.serving:
-            if version == found.before:
+        if parent != state.serving:
+            if version == state.previous:
                 raise OperationError(
                     "undone", f"version {version} was served before; 'winchdyke changes undo' goes back to it"
                 )
-            merged = version
-            version = self._merge(made.parent, version, found, operation.why)
-        now = time.time() * 1000
-        at = HELD if operation.hold else operation.at_ms
-        if at and at < now:
-            raise OperationError("past", f"the instant is {(now - at) / 1000:.1f} s in the past")
-        until = 0.0
-        if operation.confirm_within_ms and not operation.hold:
-            until = max(at, now) + operation.confirm_within_ms
-        steps = [(Step("staged", version, until_ms=until, at_ms=at), operation.why)]
-        if found.staged and found.staged != version:
-            steps.insert(0, (Step("withdrawn", found.staged), f"version {version} is staged instead"))
-        self.trail.add_all(steps, self.who, self.origin, found)
+            merged_from = version
+            version = self._merge(parent, version, state.serving, operation.why)
+        step = _staged_step(operation, version)
+        return self._append_staged(
+            state, step, operation.why, f"version {version} is staged instead", self.origin, merged_from
+        )
+
+    def _append_staged(
+        self,
+        state: RolloutState,
+        step: Step,
+        note: str,
+        withdrawal_note: str,
+        origin: str,
+        merged_from: int | None,
+    ) -> dict[str, Any]:
+        """Stage a version in place of another one that may be staged, which is withdrawn."""
+        steps = [(step, note)]
+        withdrawn = state.staged if state.staged and state.staged != step.version else None
+        if withdrawn is not None:
+            steps.insert(0, (Step("withdrawn", withdrawn), withdrawal_note))
+        self.change_log.append_all(steps, self.actor, origin, state)
         return {
-            "version": version, "merged_from": merged, "withdrawn": found.staged if len(steps) > 1 else None,
-            "after": self.trail.last() - 1,
-        }  # fmt: skip
+            "version": step.version,
+            "merged_from": merged_from,
+            "withdrawn": withdrawn,
+            "after": self.change_log.last_seq() - 1,
+        }
 
-    def _merge(self, base: int, mine: int, found: RolloutState, why: str) -> int:
-        theirs = self._config(found.serving)
+    def _merge(self, base: int, own: int, serving: int, reason: str) -> int:
+        """Make a version that applies the changes from ``base`` to ``own`` to the served one; returns its number."""
+        served_config = self._config(serving)
         try:
-            text, clashes = rebased(self._config(base), self._config(mine), theirs)
+            text, conflicts = rebase(self._config(base), self._config(own), served_config)
         except OperationError as error:
             raise OperationError(
-                "conflict", f"version {mine} was made from {base}, which can't be read: {error.text}"
+                "conflict", f"version {own} was made from {base}, which can't be read: {error.text}"
             ) from error
-        if clashes:
-            raise OperationError("conflict", *_clashing(mine, base, found.serving, clashes))
-        made = self._keep(theirs, text, found.serving, f"merged from {mine}; {why}".rstrip("; "))
-        return int(made["version"])
+        if conflicts:
+            raise _conflict_error(own, base, serving, conflicts)
+        note = f"merged from {own}; {reason}".rstrip("; ")
+        return int(self._add_version(served_config, text, serving, note)["version"])
 
     def _withdraw(self, operation: Withdraw) -> dict[str, Any]:
-        found = self.trail.standing()
-        if not found.staged:
+        state = self.change_log.state()
+        if not state.staged:
             raise OperationError("nothing-staged", "no version is staged")
-        self.trail.add_all([(Step("withdrawn", found.staged), operation.why)], self.who, self.origin, found)
-        return {"version": found.staged}
+        step = Step("withdrawn", state.staged)
+        self.change_log.append(step, self.actor, operation.why, self.origin, state)
+        return {"version": state.staged}
 
     def _confirm(self, operation: Confirm) -> dict[str, Any]:
-        found = self.trail.standing()
-        if not found.until_ms:
-            raise OperationError("no-trial", f"version {found.serving} is not on trial")
-        step = Step("confirmed", found.serving)
-        self.trail.add_all([(step, operation.why)], self.who, self.origin, found)
-        return {"version": found.serving}
+        state = self.change_log.state()
+        if not state.confirm_by_ms:
+            raise OperationError("no-trial", f"version {state.serving} is not on trial")
+        step = Step("confirmed", state.serving)
+        self.change_log.append(step, self.actor, operation.why, self.origin, state)
+        return {"version": state.serving}
 
     def _undo(self, operation: Undo) -> dict[str, Any]:
-        found = self.trail.standing()
-        if not found.before or found.before == found.serving:
+        state = self.change_log.state()
+        if not state.previous or state.previous == state.serving:
             raise OperationError("nothing-before", "there is no version before the one that is served")
-        steps = [(Step("staged", found.before), "undo")]
-        if found.staged and found.staged != found.before:
-            # What is staged was made on top of what is undone: it has to be applied anew, which puts it on what is served.
-            steps.insert(0, (Step("withdrawn", found.staged), "what it was made from is undone"))
-        origin = f"{self.origin} {operation.why}".strip()
-        self.trail.add_all(steps, self.who, origin, found)
-        return {
-            "version": found.before, "withdrawn": found.staged if len(steps) > 1 else None,
-            "after": self.trail.last() - 1,
-        }  # fmt: skip
-
+        # The staged version was made from the one that is undone: staging it again merges it with what is then served.
+        result = self._append_staged(
+            state,
+            Step("staged", state.previous),
+            "undo",
+            "what it was made from is undone",
+            f"{self.origin} {operation.why}".strip(),
+            None,
+        )
+        del result["merged_from"]
+        return result
 
-def _parsed(text: str, name: str) -> Config:
+    _HANDLERS: ClassVar[dict[type, Callable[..., dict[str, Any]]]] = {
+        Status: _status,
+        Show: _show,
+        Log: _log,
+        Blame: _blame,
+        Verify: _verify,
+        Propose: _propose,
+        Set: _set,
+        Stage: _stage,
+        Withdraw: _withdraw,
+        Confirm: _confirm,
+        Undo: _undo,
+        Export: _export,
+    }
+
+
+def _staged_step(operation: Stage, version: int) -> Step:
+    now_ms = time.time() * 1000
+    activate_at_ms = ON_HOLD_MS if operation.hold else operation.at_ms
+    if activate_at_ms and activate_at_ms < now_ms:
+        raise OperationError("past", f"the instant is {(now_ms - activate_at_ms) / 1000:.1f} s in the past")
+    confirm_by_ms = 0.0
+    if operation.confirm_within_ms and not operation.hold:
+        confirm_by_ms = max(activate_at_ms, now_ms) + operation.confirm_within_ms
+    return Step("staged", version, confirm_by_ms=confirm_by_ms, activate_at_ms=activate_at_ms)
+
+
+def _parse_config(text: str, name: str) -> Config:
     try:
         return parse(text, name)
     except ConfigError as error:
         raise OperationError("check", f"{name} does not pass the check:\n{error}") from error
 
 
-def _told(entry: Any) -> dict[str, Any]:
-    told = dataclasses.asdict(entry)
-    return told | {"held": True, "at_ms": 0.0} if entry.at_ms == HELD else told
-
-
-def _clashing(
-    mine: int, base: int, serving: int, clashes: list[tuple[Change, Change]]
-) -> tuple[str, dict[str, Any]]:
-    lines = [f"  yours: {a.text}\n  theirs: {b.text}" for a, b in clashes]
-    text = (
-        f"version {mine} was made from {base}, and {serving} is served; both change the same:\n"
-        + "\n".join(lines)
-        + "\nmake a version from the one that is served"
-    )
-    return text, {"edits": [{"yours": a.data(), "theirs": b.data()} for a, b in clashes]}
+def _entry_data(entry: LogEntry) -> dict[str, Any]:
+    """Return an entry under the names of the API."""
+    data = {
+        "seq": entry.seq,
+        "unix_ms": entry.unix_ms,
+        "who": entry.actor,
+        "what": entry.action,
+        "version": entry.version,
+        "until_ms": entry.confirm_by_ms,
+        "note": entry.note,
+        "origin": entry.origin,
+        "hash": entry.hash,
+        "at_ms": entry.activate_at_ms,
+    }
+    if entry.activate_at_ms == ON_HOLD_MS:  # JSON has no infinity
+        data |= {"held": True, "at_ms": 0.0}
+    return data
+
+
+def _conflict_error(own: int, base: int, serving: int, conflicts: list[Conflict]) -> OperationError:
+    lines = [
+        f"version {own} was made from {base}, and {serving} is served; both change the same:",
+        *(f"  yours: {conflict.own.text}\n  theirs: {conflict.other.text}" for conflict in conflicts),
+        "make a version from the one that is served",
+    ]
+    edits = [{"yours": conflict.own.data(), "theirs": conflict.other.data()} for conflict in conflicts]
+    return OperationError("conflict", "\n".join(lines), {"edits": edits})
--- a/winchdyke/config_rollout/rollout_state.py
+++ b/winchdyke/config_rollout/rollout_state.py
@@ -1,12 +1,13 @@
-"""Where a gateway stands between versions of its settings, from its trail alone. Pure.
+"""The state of a rollout, computed from the steps in the change log alone. Pure.
 
     proposed -> staged [-> ready] -> applying -> applied [-> confirmed]   applied, not confirmed in time -> undoing -> undone
-                staged -> refused by the gateway, or withdrawn by a person
+                staged -> refused by the gateway, or withdrawn by an operator
 
-A version is staged for the moment it arrives, for a stated instant, or held until it is told to go (:data:`HELD`).
+A version is staged to be applied at once, at a stated instant, or on hold until it is staged again (:data:`ON_HOLD_MS`).
 
-Each step is on the trail, synced, before it has any effect. A kill leaves the trail at one of them, and :func:`recover` says
-which version is served from then on, whole, and why: the old one unless the new one was applied for good.
+Each step is written to the change log and synced before it takes effect. After a crash the log therefore ends with one of
+these steps, and :func:`recover` tells which complete version is served from then on: the earlier one, unless the new one was
+applied without a pending confirmation.
 """
 
 from __future__ import annotations
@@ -14,118 +15,168 @@
 import math
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
+from typing import NamedTuple
 
-STEPS = (
+ACTIONS = (
     "proposed", "staged", "ready", "refused", "withdrawn", "applying", "applied", "confirmed", "undoing", "undone", "pruned",
 )  # fmt: skip
-HELD = math.inf  # staged, and checked, until it is staged again with an instant or none
+ON_HOLD_MS = math.inf  # the activation time of a version that waits until it is staged again
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One entry of the trail: what was done with which version; ``until_ms``: confirmed by then, or undone.
-
-    ``at_ms``: the instant (Unix ms, by the gateway's own clock) that it is staged for; 0: as it arrives.
+    """What was done with which version.
+
+    Attributes:
+        action: One of :data:`ACTIONS`.
+        version: The number of the version.
+        unix_ms: When it was done; 0: not recorded yet.
+        confirm_by_ms: The Unix time by which the version has to be confirmed; 0: no confirmation is needed.
+        activate_at_ms: The Unix time, by the gateway's own clock, at which a staged version is applied; 0: at once.
     """
 
-    what: str
+    action: str
     version: int
     unix_ms: float = 0.0
-    until_ms: float = 0.0
-    at_ms: float = 0.0
+    confirm_by_ms: float = 0.0
+    activate_at_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class RolloutState:
-    """The version that is served, the one that waits to be applied, the one being applied, and a trial's end."""
+    """Which versions are served, staged and being applied. Version 0: none.
+
+    Attributes:
+        serving: The version in service.
+        staged: The version that waits to be applied.
+        staged_confirm_by_ms: The Unix time by which the staged version has to be confirmed; 0: no confirmation is needed.
+        applying: The version that is being applied or rolled back to.
+        previous: The version that an undo returns to.
+        confirm_by_ms: The Unix time by which the served version has to be confirmed; 0: it is not on trial.
+        staged_activate_at_ms: The Unix time at which the staged version is applied; 0: at once.
+        undoing: Whether ``applying`` is the target of an undo, which a restart completes.
+        activated_at_ms: The instant for which the version being applied, or applied last, was staged; 0: none.
+    """
 
     serving: int = 0
     staged: int = 0
-    staged_until_ms: float = 0.0
+    staged_confirm_by_ms: float = 0.0
     applying: int = 0
-    before: int = 0  # what an undo goes back to
-    until_ms: float = 0.0  # 0: what is served was applied for good
-    staged_at_ms: float = 0.0
-    undoing: bool = False  # what is being applied is an undo: a start finishes it
-    instant_ms: float = 0.0  # for which what is applied, or being applied, was staged
-
-    def after(self, step: Step) -> RolloutState:
-        """The standing one step on. ValueError where the step does not follow."""
-        if step.what == "staged":
-            return replace(self, staged=step.version, staged_until_ms=step.until_ms, staged_at_ms=step.at_ms)
-        if step.what in ("refused", "withdrawn") and step.version == self.staged:
-            return replace(self, staged=0, staged_at_ms=0.0)
-        if step.what in ("applying", "undoing"):
-            if self.applying:
-                raise ValueError(f"version {step.version} is applied while {self.applying} still is")
-            if step.what == "undoing" and step.version != self.before:
-                raise ValueError(f"an undo goes back to version {self.before}, not to {step.version}")
-            mine = step.version == self.staged
-            return replace(
-                self,
-                staged=0 if mine else self.staged,
-                staged_at_ms=0.0 if mine else self.staged_at_ms,
-                applying=step.version,
-                undoing=step.what == "undoing",
-                instant_ms=self.staged_at_ms if mine and step.what == "applying" else 0.0,
-            )
-        if step.what == "applied":
-            if self.applying != step.version:
-                raise ValueError(f"version {step.version} was applied without being begun")
-            return replace(
-                self,
-                serving=step.version,
-                before=self.serving,
-                applying=0,
-                undoing=False,
-                until_ms=step.until_ms,
-            )
-        if step.what == "confirmed":
-            return replace(self, until_ms=0.0)
-        if step.what == "undone":
-            return replace(
-                self,
-                serving=step.version,
-                applying=0,
-                undoing=False,
-                before=self.serving if step.version != self.serving else self.before,
-                until_ms=0.0,
-                instant_ms=0.0,
-            )
-        if step.what in STEPS:
-            return self
-        raise ValueError(f"{step.what!r} is no step of a change")
-
-
-def standing(steps: Iterable[Step], base: RolloutState = RolloutState()) -> RolloutState:
-    """Where a trail leaves a gateway; ``base``: what the entries before the first of ``steps`` came to."""
-    found = base
+    previous: int = 0
+    confirm_by_ms: float = 0.0
+    staged_activate_at_ms: float = 0.0
+    undoing: bool = False
+    activated_at_ms: float = 0.0
+
+    def advance(self, step: Step) -> RolloutState:
+        """Return the state after a step.
+
+        Raises:
+            ValueError: The step does not follow from this state, or its action is unknown.
+        """
+        match step.action:
+            case "staged":
+                return replace(
+                    self,
+                    staged=step.version,
+                    staged_confirm_by_ms=step.confirm_by_ms,
+                    staged_activate_at_ms=step.activate_at_ms,
+                )
+            case "refused" | "withdrawn" if step.version == self.staged:
+                return replace(self, staged=0, staged_activate_at_ms=0.0)
+            case "applying" | "undoing":
+                return self._begin(step)
+            case "applied":
+                return self._finish_apply(step)
+            case "confirmed":
+                return replace(self, confirm_by_ms=0.0)
+            case "undone":
+                return self._finish_undo(step)
+            case action if action in ACTIONS:
+                return self
+            case action:
+                raise ValueError(f"{action!r} is no step of a change")
+
+    def _begin(self, step: Step) -> RolloutState:
+        if self.applying:
+            raise ValueError(f"version {step.version} is applied while {self.applying} still is")
+        undoing = step.action == "undoing"
+        if undoing and step.version != self.previous:
+            raise ValueError(f"an undo goes back to version {self.previous}, not to {step.version}")
+        is_staged = step.version == self.staged
+        return replace(
+            self,
+            staged=0 if is_staged else self.staged,
+            staged_activate_at_ms=0.0 if is_staged else self.staged_activate_at_ms,
+            applying=step.version,
+            undoing=undoing,
+            activated_at_ms=self.staged_activate_at_ms if is_staged and not undoing else 0.0,
+        )
+
+    def _finish_apply(self, step: Step) -> RolloutState:
+        if self.applying != step.version:
+            raise ValueError(f"version {step.version} was applied without being begun")
+        return replace(
+            self,
+            serving=step.version,
+            previous=self.serving,
+            applying=0,
+            undoing=False,
+            confirm_by_ms=step.confirm_by_ms,
+        )
+
+    def _finish_undo(self, step: Step) -> RolloutState:
+        return replace(
+            self,
+            serving=step.version,
+            applying=0,
+            undoing=False,
+            previous=self.serving if step.version != self.serving else self.previous,
+            confirm_by_ms=0.0,
+            activated_at_ms=0.0,
+        )
+
+
+class Recovery(NamedTuple):
+    """The steps that a start adds to an interrupted change log, and the reason in words."""
+
+    steps: list[Step]
+    reason: str
+
+
+def replay(steps: Iterable[Step], base: RolloutState = RolloutState()) -> RolloutState:
+    """Return the state after all steps, beginning with ``base``. Raises ValueError where a step does not follow."""
+    state = base
     for step in steps:
-        found = found.after(step)
-    return found
-
-
-def recover(found: RolloutState) -> tuple[list[Step], str]:
-    """The steps that a start adds to a trail that a kill cut, and why; none where nothing was under way."""
-    if found.undoing:
-        # Guards against a harmful version that is served for good because a kill came between an undo's two entries.
-        why = f"ended while version {found.serving} was being undone"
-        return [Step("undone", found.applying)], f"{why}: version {found.applying} is served"
-    if found.applying and not found.until_ms:
-        why = f"ended while version {found.applying} was being applied"
-        return [Step("undone", found.serving)], f"{why}: version {found.serving} is served"
-    if found.until_ms:
-        why = f"ended before version {found.serving} was confirmed"
-        return [Step("undone", found.before)], f"{why}: version {found.before} is served again"
-    return [], f"version {found.serving} is served" if found.serving else "no version was applied"
-
-
-def due(found: RolloutState, now_unix_ms: float) -> Step | None:
-    """What is to be done now: undo what was not confirmed in time, or begin what is staged."""
-    if found.applying:
+        state = state.advance(step)
+    return state
+
+
+def recover(state: RolloutState) -> Recovery:
+    """Return the steps that complete or revert what was under way; none where nothing was."""
+    if state.undoing:
+        # An undo may be in response to harm, so an interrupted one is completed and never reverted.
+        cause = f"ended while version {state.serving} was being undone"
+        return Recovery([Step("undone", state.applying)], f"{cause}: version {state.applying} is served")
+    if state.applying and not state.confirm_by_ms:
+        cause = f"ended while version {state.applying} was being applied"
+        return Recovery([Step("undone", state.serving)], f"{cause}: version {state.serving} is served")
+    if state.confirm_by_ms:
+        cause = f"ended before version {state.serving} was confirmed"
+        return Recovery(
+            [Step("undone", state.previous)], f"{cause}: version {state.previous} is served again"
+        )
+    if state.serving:
+        return Recovery([], f"version {state.serving} is served")
+    return Recovery([], "no version was applied")
+
+
+def due_step(state: RolloutState, now_unix_ms: float) -> Step | None:
+    """Return the step to take now: undo a version whose trial is over, or apply the staged one; None: neither is due."""
+    if state.applying:
         return None
-    if found.until_ms and now_unix_ms >= found.until_ms:
-        return Step("undoing", found.before)
-    if found.staged and now_unix_ms >= found.staged_at_ms:
-        return Step("applying", found.staged)
+    if state.confirm_by_ms and now_unix_ms >= state.confirm_by_ms:
+        return Step("undoing", state.previous)
+    if state.staged and now_unix_ms >= state.staged_activate_at_ms:
+        return Step("applying", state.staged)
     return None
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -14,7 +14,7 @@
 from winchdyke.interface import AttemptOutcome
 from winchdyke.object_api import store_protocol
 from winchdyke.object_api.sinks import Sink
-from winchdyke.quotas.token_bucket import OverLimit
+from winchdyke.quotas.token_bucket import QuotaExceededError
 
 WHOLE = 64 * 1024  # an answer up to this many bytes is read whole before any of it is the client's
 CHUNK = 256 * 1024  # what the transport reads at once; less would be cut out of that, with a copy
@@ -189,7 +189,7 @@
             await connection.stream.send(head + codec.end())
             self._all_sent = True
             self._phase("store")
-        except (ClientDisconnectedError, ProtocolError, BodyStoreFull, OverLimit) as error:
+        except (ClientDisconnectedError, ProtocolError, BodyStoreFull, QuotaExceededError) as error:
             self._fault = error
             group.cancel_scope.cancel()
         except LOST:
@@ -264,7 +264,7 @@
             ended.outcome = AttemptOutcome.SERVED
         except ClientDisconnectedError as error:
             ended.outcome, ended.fault = AttemptOutcome.CANCELLED, error
-        except OverLimit as error:  # nothing of it was said to the client where it had not begun
+        except QuotaExceededError as error:  # nothing of it was said to the client where it had not begun
             ended.outcome, ended.fault, ended.relayed = AttemptOutcome.CANCELLED, error, moved > 0
         except (*LOST, ProtocolError):
             pass
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -20,8 +20,9 @@
 from winchdyke.admin.server import Admin, AdminError, listen
 from winchdyke.config import Config
 from winchdyke.config_rollout.change_log import ChangeLogError
-from winchdyke.config_rollout.controller import Prepared, RolloutController
-from winchdyke.config_rollout.cutover import moved
+from winchdyke.config_rollout.controller import RolloutController
+from winchdyke.config_rollout.cutover import changed_plans
+from winchdyke.config_rollout.swap import PreparedSwap
 from winchdyke.discovery.endpoint_view import Bounds as Belief
 from winchdyke.discovery.endpoint_view import EndpointEvidence
 from winchdyke.discovery.follower import EndpointFollower
@@ -79,7 +80,7 @@
         self.pool.greet = self._greet
         self.service.on_word, self.service.on_refused = self.membership.heard, self.membership.refused
         self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
-        self.live = self._live()
+        self.rollout = self._make_rollout()
         self.writeback = self._writeback()
         self.address = ("", 0)
         self.addresses: list[tuple[str, int]] = []
@@ -126,7 +127,7 @@
         self.service.writeback = made
         return made
 
-    def _live(self) -> RolloutController | None:
+    def _make_rollout(self) -> RolloutController | None:
         if not self.config.changes.folder:
             return None
         try:
@@ -136,19 +137,19 @@
                 self._swap,
                 self.engine.accounts,
                 self.engine.clock,
-                self._dead,
-                self.engine.freshen,
+                self._shards_without_endpoint,
+                self.engine.refill_quotas,
             )
-            watch, clock = live.watch, self.engine.clock
-            self.service.on_end = lambda volume, shard, outcome, took: watch.ended(
+            watch, clock = live.canary, self.engine.clock
+            self.service.on_end = lambda volume, shard, outcome, took: watch.record_request(
                 clock(), volume, shard, outcome, took
             )
-            live.begin()
+            live.start()
         except ChangeLogError as error:
             raise StartError(f"{error}; see changes, folder") from error
         return live
 
-    def _dead(self) -> set[int]:
+    def _shards_without_endpoint(self) -> set[int]:
         """Shards that have no node by the list's or the nodes' own word: no change of settings does that."""
         usable = {
             known.shard
@@ -157,18 +158,18 @@
         }
         return {known.shard for known in self.membership.belief.known.values()} - usable
 
-    def _swap(self, prepared: Prepared) -> None:
+    def _swap(self, prepared: PreparedSwap) -> None:
         """Other settings from this instant on: nothing else runs while this does."""
         # Guards against what was asked under the old version and is decided by the new one: its plan may be gone by then.
         self.engine.turn()
         plans = prepared.plans
-        if new := self.engine.accounts(prepared.known):  # that have come since it was prepared
-            plans = {**plans, **moved(new, prepared.before, prepared.after)}
+        if new := self.engine.accounts(prepared.volume_count):  # that have come since it was prepared
+            plans = {**plans, **changed_plans(new, prepared.old, prepared.new)}
         if self.service.snapshot.version != prepared.version:
-            self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
-        self.engine.retell(prepared.settings, plans)
+            self.service.snapshot = ConfigSnapshot(prepared.new.config, prepared.version)
+        self.engine.apply_settings(prepared.settings, plans)
         if self.fleet is not None:
-            self.fleet.expect(prepared.after.config)
+            self.fleet.expect(prepared.new.config)
 
     def _membership(self) -> EndpointFollower:
         where, name, clock = self.config.nodes, self.config.gateway.name, self.engine.clock
@@ -239,8 +240,8 @@
             self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
             group.start_soon(self.membership.run)
             group.start_soon(self._sweep)
-            if self.live is not None:
-                group.start_soon(self.live.run)
+            if self.rollout is not None:
+                group.start_soon(self.rollout.run)
             if self.writeback is not None:
                 group.start_soon(self.writeback.run, self.engine.held)
             if self.fleet is not None:
@@ -256,7 +257,9 @@
                 group.start_soon(self.s3.run)
             if admins:
                 admin = Admin(
-                    self.config.admin, self.live.trail if self.live is not None else None, self.fleet
+                    self.config.admin,
+                    self.rollout.change_log if self.rollout is not None else None,
+                    self.fleet,
                 )
                 for listener in admins:
                     group.start_soon(self._accept_admin, listener, admin, accepting, group)
@@ -310,7 +313,7 @@
         return found
 
     async def _admin_listeners(self, others: list[SocketListener]) -> list[SocketListener]:
-        folder = self.live.folder if self.live is not None else None
+        folder = self.rollout.folder if self.rollout is not None else None
         if folder is None and self.fleet is not None:
             folder = Path(self.config.fleet.keep) if self.config.fleet.keep else None
             if folder is None and not self.config.admin.socket:
@@ -438,15 +441,15 @@
                 if connection.due <= now:
                     await connection.expire()
             self.engine.answer_overdue(now)
-            self.service.tolls.settle()
+            self.service.byte_meter.settle()
             if self.service.recorder is not None and now >= told + TELL_MS:
                 told = now
                 self.service.recorder.tell()
 
     async def _drain(self) -> None:
         self.service.stopping = True
-        if self.live is not None:
-            self.live.stopping = True  # nothing new is begun: what is staged stays so for the next start
+        if self.rollout is not None:
+            self.rollout.stopping = True  # nothing new is begun: what is staged stays so for the next start
         await anyio.sleep(LAST_WORD_S)  # for requests that are on their way
         longest = max(kind.rules.deadline_ms for kind in self.config.kinds) / 1000
         with anyio.move_on_after(longest + STOP_SLACK_S):
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -128,22 +128,26 @@
         scheduler = self._scheduler
         return list(islice(scheduler.quotas, since, None)) if isinstance(scheduler, Scheduler) else []
 
-    def retell(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
+    def apply_settings(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
         """Go by other plans from the next batch on; how many accounts changed theirs."""
-        from winchdyke.config_rollout.hot_reload import retell
+        from winchdyke.config_rollout.hot_reload import apply_settings
 
         self.settings = settings
         scheduler = self._scheduler
-        return retell(scheduler, settings, plans, self.clock()) if isinstance(scheduler, Scheduler) else 0
+        return (
+            apply_settings(scheduler, settings, plans, self.clock())
+            if isinstance(scheduler, Scheduler)
+            else 0
+        )
 
-    def freshen(self, names: list[str]) -> None:
+    def refill_quotas(self, names: list[str]) -> None:
         """Fill accounts up to now."""
-        from winchdyke.config_rollout.hot_reload import freshen
+        from winchdyke.config_rollout.hot_reload import refill_quotas
 
         if isinstance(self._scheduler, Scheduler):
-            freshen(self._scheduler, names, self.clock())
+            refill_quotas(self._scheduler, names, self.clock())
 
-    def purse(self, volume: str) -> VolumeQuota | None:
+    def quota(self, volume: str) -> VolumeQuota | None:
         """The scheduler's account of a volume; None where it has not heard of it."""
         scheduler = self._scheduler
         return scheduler.quotas.get(volume) if isinstance(scheduler, Scheduler) else None
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -39,7 +39,7 @@
 from winchdyke.object_api.answers import RequestError
 from winchdyke.object_api.sinks import Sink
 from winchdyke.quotas.byte_metering import ByteMeter, MeteredSink, TransferCharge
-from winchdyke.quotas.token_bucket import OverLimit, units_of, weigh
+from winchdyke.quotas.token_bucket import QuotaExceededError, charge_reservation, units_for_bytes
 from winchdyke.writeback.log import Full, LogError
 
 BODIES = ("put", "post", "put-part", "complete-upload")
@@ -98,7 +98,7 @@
     excess: float = 0.0  # units that its body counts beyond what the scheduler is told
     unit_bytes: int = 0
     limit: float = 0.0  # of its course, over all gateways, in units a second; 0: none
-    bill: TransferCharge | None = None  # what it pays of that beyond what the scheduler is told
+    charge: TransferCharge | None = None  # what it pays of that beyond what the scheduler is told
     ask: api.Request | None = None
     attempts: int = 0
     nodes: list[str] = field(default_factory=list)
@@ -152,7 +152,7 @@
         self.config, self.engine, self.pool, self.clock = config, engine, pool, clock
         self.bodies = BodyStore(config.limits.body_total, config.limits.body_memory)
         self.writeback: WriteBack | None = None
-        self.tolls = ByteMeter(clock, engine.purse, lambda: engine.settings.max_request_units)
+        self.byte_meter = ByteMeter(clock, engine.quota, lambda: engine.settings.max_request_units)
         self.stopping = False
         self.active = 0
         self._born, self._count = (
@@ -297,11 +297,11 @@
             self._keys.add(mine)
         try:
             final = await self._one(connection, head, operation, kind, volume, request, record, source, sink)
-            return await self._settle_bill(record, operation, final)
+            return await self._settle_charge(record, operation, final)
         finally:
             self._keys.discard(mine)
-            if record.bill is not None:
-                record.bill.close()
+            if record.charge is not None:
+                record.charge.close()
 
     async def _one(
         self,
@@ -325,25 +325,25 @@
         size = min(size, limits.object_bytes) if size is not None else None  # a range may end anywhere
         known = size if operation.name == "get" else source.length
         if known is not None and known > units * kind.unit_bytes and operation.name in PAID:
-            record.excess = units_of(known, kind.unit_bytes) - units
+            record.excess = units_for_bytes(known, kind.unit_bytes) - units
         if record.limit and operation.name in PAID:
             if size is None and operation.name == "get" and not operation.part:
-                size = self.tolls.sizes.of(operation.volume, operation.key)
+                size = self.byte_meter.object_sizes.get(operation.volume, operation.key)
                 if size is not None:
-                    units = min(largest, units_of(size, kind.unit_bytes))
+                    units = min(largest, units_for_bytes(size, kind.unit_bytes))
             length = size if operation.name == "get" else source.length
             if length is None or size is not None or length > units * kind.unit_bytes:
                 since = self.clock()
                 until = since + max(
                     0.0, left - rules.latency_objective_ms
                 )  # what has not its aim left then is given up
-                bill = record.bill = self.tolls.bill(
+                bill = record.charge = self.byte_meter.open_charge(
                     operation.volume, record.limit, volume.gateways, kind.unit_bytes, units, until
                 )
                 try:
                     if not await self._paid(bill, length, connection, record):
                         return FinalResponse(0, "gone", "client-gone")
-                except OverLimit as error:
+                except QuotaExceededError as error:
                     return _over(error)
                 left -= self.clock() - since
                 if operation.name == "get":
@@ -470,21 +470,21 @@
             (answer.head.get(b"etag") or "") if answer is not None else "",
         )
 
-    async def _settle_bill(
+    async def _settle_charge(
         self, record: AccessLogRecord, operation: routes.Operation, final: FinalResponse
     ) -> FinalResponse:
         """Pay for an answer that was held whole, before it is the client's; remember how large the object is."""
-        bill, answer = record.bill, final.answer
+        bill, answer = record.charge, final.answer
         if bill is None or final.outcome != "served":
             return final
         if operation.name == "get" and answer is not None:
             try:
-                await bill.before(len(answer.body))
-            except OverLimit as error:
+                await bill.charge_length(len(answer.body))
+            except QuotaExceededError as error:
                 return _over(error)
-            bill.moved += len(answer.body)
+            bill.transferred_bytes += len(answer.body)
         if operation.range is None and not operation.part and operation.name in ("get", "put"):
-            self.tolls.sizes.heard(operation.volume, operation.key, bill.moved)
+            self.byte_meter.object_sizes.record(operation.volume, operation.key, bill.transferred_bytes)
         return final
 
     async def _paid(
@@ -501,7 +501,7 @@
             with here:
                 if connection.eof:
                     here.cancel()
-                await bill.before(length)
+                await bill.charge_length(length)
         finally:
             connection.on_gone = before
             record.held_ms += self.clock() - since
@@ -695,7 +695,7 @@
                 ticket.on_cancel = ticket.on_call_off = None
         if operation.name == "get" and not record.excess and ended.moved > record.unit_bytes:
             assert record.ask is not None
-            record.excess = max(0.0, units_of(ended.moved, record.unit_bytes) - record.ask.units)
+            record.excess = max(0.0, units_for_bytes(ended.moved, record.unit_bytes) - record.ask.units)
             self._weigh(ticket, record)
         if ended.told.word is not None:
             self.on_word(send.endpoint, ended.told.word)
@@ -707,9 +707,9 @@
     def _weigh(self, ticket: RequestHandle, record: AccessLogRecord) -> None:
         """The course's reserve pays for what the scheduler was not told."""
         ask = record.ask
-        account = self.engine.purse(ask.volume) if ask is not None else None
+        account = self.engine.quota(ask.volume) if ask is not None else None
         if account is not None and ask is not None:
-            weigh(account, record.excess, ask.units)
+            charge_reservation(account, record.excess, ask.units)
 
     def _tell(self, ticket: RequestHandle, number: int, node: str, ended: AttemptResult) -> None:
         told = ended.told
@@ -737,7 +737,7 @@
             return FinalResponse(ended.status, "failed", reason, relayed=True)
         if isinstance(fault, ClientDisconnectedError):
             return FinalResponse(0, "gone", "client-gone")
-        if isinstance(fault, OverLimit):
+        if isinstance(fault, QuotaExceededError):
             return _over(fault)
         if isinstance(fault, ProtocolError):
             return FinalResponse(fault.status, "failed", fault.reason, str(fault))
@@ -877,7 +877,7 @@
     )
 
 
-def _over(error: OverLimit) -> FinalResponse:
+def _over(error: QuotaExceededError) -> FinalResponse:
     return FinalResponse(503, "refused", "over-limit", str(error), error.wait_ms)
 
 
@@ -887,7 +887,7 @@
     async def counted() -> Bytes:
         data = await read()
         if data:
-            await bill.took(len(data))
+            await bill.record_bytes(len(data))
         return data
 
     return counted
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -16,7 +16,7 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from winchdyke.config_rollout.rollout_state import Step, due, recover, standing
+from winchdyke.config_rollout.rollout_state import Step, due_step, recover, replay
 from winchdyke.model.checker import Broken
 
 UNTIL = 2.0
@@ -42,14 +42,14 @@
 
     def steps(self) -> Iterable[str]:
         """All that may happen next."""
-        found = standing(self.trail)
+        found = replay(self.trail)
         if self.edits:
             yield from ("stage", "stage on trial")
-            if found.before and found.before != found.serving:
+            if found.previous and found.previous != found.serving:
                 yield "undo"
             if found.staged:
                 yield "withdraw"
-        if found.until_ms:
+        if found.confirm_by_ms:
             yield "confirm"
             if self.now < UNTIL + 1:
                 yield "time"
@@ -59,7 +59,7 @@
             yield "start"
         elif self.doing:
             yield "go on"
-        elif due(found, self.now) is not None:
+        elif due_step(found, self.now) is not None:
             yield "begin"
 
     def after(self, step: str) -> Changing:
@@ -72,9 +72,9 @@
         version = self.made + 1
         return replace(
             self,
-            trail=(*self.trail, Step("staged", version, until_ms=until)),
+            trail=(*self.trail, Step("staged", version, confirm_by_ms=until)),
             made=version,
-            parents=(*self.parents, standing(self.trail).serving),
+            parents=(*self.parents, replay(self.trail).serving),
             edits=self.edits - 1,
         )
 
@@ -82,22 +82,22 @@
         return self._stage(UNTIL)
 
     def _undo(self) -> Changing:
-        found = standing(self.trail)
+        found = replay(self.trail)
         gone = (Step("withdrawn", found.staged),) if found.staged else ()
         # Asked for by a person: what comes back with it, comes back by their will.
         return replace(
             self,
-            trail=(*self.trail, *gone, Step("staged", found.before)),
+            trail=(*self.trail, *gone, Step("staged", found.previous)),
             edits=self.edits - 1,
-            expired=self.expired - {found.before},
+            expired=self.expired - {found.previous},
         )
 
     def _withdraw(self) -> Changing:
-        step = Step("withdrawn", standing(self.trail).staged)
+        step = Step("withdrawn", replay(self.trail).staged)
         return replace(self, trail=(*self.trail, step), edits=self.edits - 1)
 
     def _confirm(self) -> Changing:
-        version = standing(self.trail).serving
+        version = replay(self.trail).serving
         return replace(self, trail=(*self.trail, Step("confirmed", version)), final=version)
 
     def _time(self) -> Changing:
@@ -107,29 +107,29 @@
         return replace(self, serves=0, doing=(), target=0, kills=self.kills - 1)
 
     def _start(self) -> Changing:
-        found = standing(self.trail)
+        found = replay(self.trail)
         added = () if self.careless == "recover" else tuple(recover(found)[0])
         trail = (*self.trail, *added)
-        serving = standing(trail).serving
+        serving = replay(trail).serving
         final = serving if added else self.final
         if found.undoing and serving != found.applying:
             raise Broken("finished: a start left an undo that was begun")
-        expired = self.expired | ({found.serving} if found.until_ms and added else set())
+        expired = self.expired | ({found.serving} if found.confirm_by_ms and added else set())
         return replace(self, trail=trail, serves=serving, final=final, expired=frozenset(expired))
 
     def _begin(self) -> Changing:
-        found = standing(self.trail)
-        step = due(found, self.now)
+        found = replay(self.trail)
+        step = due_step(found, self.now)
         assert step is not None
-        if step.what == "applying" and step.version == found.before and step.version != self.made:
+        if step.action == "applying" and step.version == found.previous and step.version != self.made:
             step = Step("undoing", step.version)  # asked for
-        undoing = step.what == "undoing"
+        undoing = step.action == "undoing"
         expired = self.expired
-        if undoing and found.until_ms and step.version != found.staged:
+        if undoing and found.confirm_by_ms and step.version != found.staged:
             expired |= {found.serving}
         if not undoing and self.parents[step.version] != found.serving and self.careless != "parent":
             return replace(self, trail=(*self.trail, Step("refused", step.version)))
-        until = 0.0 if undoing else found.staged_until_ms
+        until = 0.0 if undoing else found.staged_confirm_by_ms
         trail = self.trail if self.careless == "begin" else (*self.trail, step)
         return replace(
             self, trail=trail, doing=("swap", "undone" if undoing else "applied"), target=step.version, until=until,
@@ -140,9 +140,9 @@
         what, *rest = self.doing
         if what == "swap":
             return replace(self, serves=self.target, doing=tuple(rest))
-        step = Step(what, self.target, until_ms=self.until if what == "applied" else 0.0)
+        step = Step(what, self.target, confirm_by_ms=self.until if what == "applied" else 0.0)
         try:
-            standing(self.trail).after(step)
+            replay(self.trail).advance(step)
         except ValueError as error:
             raise Broken(f"known: {error}") from error
         final = self.target if what == "undone" or not self.until else self.final
@@ -156,10 +156,10 @@
         return found
 
     def _check(self) -> None:
-        found = standing(self.trail)
+        found = replay(self.trail)
         if self.serves and not self.doing and self._within(self.serves) & self.expired:
             raise Broken("gone: what nobody confirmed is served within another version")
-        staged = {step.version for step in self.trail if step.what == "staged"}
+        staged = {step.version for step in self.trail if step.action == "staged"}
         if self.serves and self.serves not in staged:
             raise Broken("known: a version is served that nobody staged")
         if self.serves and not self.doing and self.serves != found.serving:
@@ -167,7 +167,7 @@
         if (
             self.serves
             and not self.doing
-            and not found.until_ms
+            and not found.confirm_by_ms
             and not found.applying
             and self.final != found.serving
         ):
@@ -179,7 +179,7 @@
 
     def key(self) -> Hashable:
         """All of it, but for how the trail came to where it stands."""
-        staged = frozenset(step.version for step in self.trail if step.what == "staged")
+        staged = frozenset(step.version for step in self.trail if step.action == "staged")
         rest = (
             self.serves,
             self.doing,
@@ -193,4 +193,4 @@
             self.parents,
             self.expired,
         )
-        return standing(self.trail), staged, rest
+        return replay(self.trail), staged, rest
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -15,7 +15,7 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, replace
 
-from winchdyke.config_rollout.cutover import Phase, phase
+from winchdyke.config_rollout.cutover import Phase, phase_at
 from winchdyke.model.checker import Broken
 
 AT, APART, END = 4.0, 2.0, 9
@@ -64,7 +64,7 @@
 
     def _phase(self, number: int, start: bool) -> Phase:
         clock = self.now + self.offsets[number]
-        found = phase(clock, AT, APART)
+        found = phase_at(clock, AT, APART)
         if self.careless == "early" and found is Phase.OLD_LOWER:
             return Phase.OLD
         if self.careless == "settle" and found is Phase.NEW_LOWER:
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -1,6 +1,6 @@
-"""Metering of bodies: waits before a body begins, charges it as it passes, and settles afterwards.
+"""Metering of bodies: waits for quota before a body begins, charges it as it is transferred, and refunds what was not used.
 
-The rules are in :mod:`winchdyke.quotas.token_bucket`.
+The accounting is in :mod:`winchdyke.quotas.token_bucket`.
 """
 
 from __future__ import annotations
@@ -13,212 +13,281 @@
 
 from winchdyke.http1 import AnswerHead, Bytes
 from winchdyke.object_api.sinks import Sink
-from winchdyke.quotas.token_bucket import Account, OverLimit, QuotaBalance, units_of
+from winchdyke.quotas.token_bucket import QuotaBalance, QuotaExceededError, TransferDebt, units_for_bytes
 
-LEAST_WAIT_MS = 2.0  # between two looks at a debt
-STEP = 16.0  # units of a body of unknown length that are paid for at once
+MIN_WAIT_MS = 2.0  # between two looks at a debt
+STREAM_STEP_UNITS = 16.0  # of a body of unknown length, charged at once
+MAX_OBJECT_SIZES = 10_000
 
 
 @dataclass(slots=True)
-class _Course:
-    account: Account
-    turn: anyio.Lock = field(default_factory=anyio.Lock)  # in turn of arrival
-    bills: int = 0  # requests that have a bill open
+class _VolumeMeter:
+    debt: TransferDebt
+    lock: anyio.Lock = field(default_factory=anyio.Lock)  # first come, first served
+    open_charges: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """A course's part of its limit at this gateway: units a second, and the units that its small requests always find."""
+class QuotaShare:
+    """This gateway's part of a volume's limit, and the units of its bucket that are kept for small requests."""
 
-    rate: float
-    keep: float
+    rate_units_per_s: float
+    small_request_units: float
 
 
-class Sizes:
-    """How large objects were when last heard of: what a whole read of one is likely to cost. Bounded, the oldest go first."""
+class ObjectSizes:
+    """The last known sizes of objects, from which the cost of reading one is estimated. Bounded: the oldest are dropped."""
 
-    def __init__(self, most: int = 10_000) -> None:
-        self._most = most
-        self._known: OrderedDict[tuple[str, str], int] = OrderedDict()
+    def __init__(self, max_objects: int = MAX_OBJECT_SIZES) -> None:
+        self._max_objects = max_objects
+        self._bytes_by_object: OrderedDict[tuple[str, str], int] = OrderedDict()
 
-    def heard(self, volume: str, key: str, size: int) -> None:
-        """An object's size, in bytes."""
-        self._known[volume, key] = size
-        self._known.move_to_end((volume, key))
-        if len(self._known) > self._most:
-            self._known.popitem(last=False)
+    def record(self, volume: str, key: str, size_bytes: int) -> None:
+        """Store an object's size."""
+        self._bytes_by_object[volume, key] = size_bytes
+        self._bytes_by_object.move_to_end((volume, key))
+        if len(self._bytes_by_object) > self._max_objects:
+            self._bytes_by_object.popitem(last=False)
 
-    def of(self, volume: str, key: str) -> int | None:
-        """The size that was heard last; None where none was. A guess: others may have written since."""
-        return self._known.get((volume, key))
+    def get(self, volume: str, key: str) -> int | None:
+        """Return the last known size in bytes; None where none is known. It may have changed through other gateways."""
+        return self._bytes_by_object.get((volume, key))
 
 
 class ByteMeter:
-    """The accounts of one gateway. ``purse`` finds the scheduler's account of a volume, ``clock`` is in milliseconds."""
+    """The debts of one gateway's volumes.
+
+    ``clock_ms``: the scheduler's clock. ``find_balance``: the scheduler's token bucket of a volume, None where it has none yet.
+    ``max_request_units``: the most units of a request that the scheduler accounts for.
+    """
 
     def __init__(
         self,
-        clock: Callable[[], float],
-        purse: Callable[[str], QuotaBalance | None],
-        largest: Callable[[], float],
+        clock_ms: Callable[[], float],
+        find_balance: Callable[[str], QuotaBalance | None],
+        max_request_units: Callable[[], float],
     ) -> None:
-        self._clock, self._purse, self._largest = clock, purse, largest
-        self._courses: dict[str, _Course] = {}
-        self._fallback: dict[str, Terms] = {}  # of courses the scheduler has not heard of yet
-        self.sizes = Sizes()
+        self._clock_ms = clock_ms
+        self._find_balance = find_balance
+        self._max_request_units = max_request_units
+        self._meters: dict[str, _VolumeMeter] = {}
+        self._fallback_shares: dict[str, QuotaShare] = {}  # of volumes that the scheduler does not know yet
+        self.object_sizes = ObjectSizes()
 
     def __len__(self) -> int:
-        return len(self._courses)
+        return len(self._meters)
 
     @property
-    def largest(self) -> float:
-        """Units of the largest request that the scheduler is told in full."""
-        return self._largest()
-
-    def debt(self, volume: str) -> float:
-        """What a volume owes here, in units."""
-        course = self._courses.get(volume)
-        return course.account.debt if course is not None else 0.0
-
-    def terms(self, volume: str, rate: float, gateways: int) -> Terms:
-        """The scheduler's word where it has one: it knows the lower limit around an instant, and the most gateways so far."""
-        purse = self._purse(volume)
-        if purse is not None:
-            rate, gateways = purse.plan.limit_units_per_s, max(purse.sharing_gateways, gateways)
-        return Terms(rate / gateways, self._largest())
+    def max_request_units(self) -> float:
+        """The most units of a request that the scheduler accounts for."""
+        return self._max_request_units()
+
+    def debt_units(self, volume: str) -> float:
+        """Return what a volume owes at this gateway."""
+        meter = self._meters.get(volume)
+        return meter.debt.units if meter is not None else 0.0
+
+    def quota_share(self, volume: str, rate_units_per_s: float, gateways: int) -> QuotaShare:
+        """Return this gateway's part of a volume's limit.
+
+        The scheduler's values are preferred: they include lower limits around an instant and the most gateways seen.
+        """
+        balance = self._find_balance(volume)
+        if balance is not None:
+            rate_units_per_s = balance.plan.limit_units_per_s
+            gateways = max(balance.sharing_gateways, gateways)
+        return QuotaShare(rate_units_per_s / gateways, self._max_request_units())
 
     def settle(self) -> None:
-        """Pay off all debts up to now, and forget courses that owe nothing. Called a few times a second."""
-        for volume, course in list(self._courses.items()):
-            self._settle(volume, course)
-            if course.account.clear and not course.bills:
-                del self._courses[volume], self._fallback[volume]
-
-    def _settle(self, volume: str, course: _Course) -> Terms:
-        fallback = self._fallback[volume]
-        purse = self._purse(volume)
-        terms = fallback if purse is None else self.terms(volume, fallback.rate, 1)
-        course.account.settle(self._clock(), purse, terms.rate, terms.keep)
-        return terms
-
-    def bill(
-        self, volume: str, rate: float, gateways: int, unit_bytes: int, told: float, until: float
+        """Pay off all debts up to now, and forget volumes without any. To be called a few times a second."""
+        for volume, meter in list(self._meters.items()):
+            self._settle_volume(volume, meter)
+            if meter.debt.is_settled and not meter.open_charges:
+                del self._meters[volume]
+                del self._fallback_shares[volume]
+
+    def _settle_volume(self, volume: str, meter: _VolumeMeter) -> QuotaShare:
+        share = self._fallback_shares[volume]
+        balance = self._find_balance(volume)
+        if balance is not None:
+            share = self.quota_share(volume, share.rate_units_per_s, 1)
+        meter.debt.settle(self._clock_ms(), balance, share.rate_units_per_s, share.small_request_units)
+        return share
+
+    def open_charge(
+        self,
+        volume: str,
+        rate_units_per_s: float,
+        gateways: int,
+        unit_bytes: int,
+        scheduled_units: float,
+        deadline_ms: float,
     ) -> TransferCharge:
-        """Open a request's bill: ``told`` units are the scheduler's, ``until`` (ms) it may wait."""
-        course = self._courses.get(volume)
-        if course is None:
-            course = self._courses[volume] = _Course(Account(self._clock()))
-        self._fallback[volume] = Terms(rate / gateways, self._largest())
-        course.bills += 1
-        return TransferCharge(self, volume, course, unit_bytes, told, until)
-
-    def take(self, volume: str, units: float) -> None:
-        """What is small comes out of the purse at once, whatever is in it: the scheduler waits until it is full enough again."""
-        purse = self._purse(volume)
-        if purse is not None:
-            purse.refill(self._clock())
-            purse.limit_units -= units
-
-    async def pay(self, volume: str, course: _Course, units: float, until: float) -> None:
-        """Wait in turn until nothing is owed, then owe ``units``. OverLimit where that is not within ``until``."""
-        account, clock = course.account, self._clock
-        terms = self._settle(volume, course)
-        if account.clear and not account.queued:
-            account.owe(units)
+        """Begin to charge a request, of which the scheduler accounts for ``scheduled_units``.
+
+        ``deadline_ms``: until when it may wait for quota, by the meter's clock.
+        """
+        meter = self._meters.get(volume)
+        if meter is None:
+            meter = self._meters[volume] = _VolumeMeter(TransferDebt(self._clock_ms()))
+        self._fallback_shares[volume] = QuotaShare(rate_units_per_s / gateways, self._max_request_units())
+        meter.open_charges += 1
+        return TransferCharge(self, volume, meter, unit_bytes, scheduled_units, deadline_ms)
+
+    def charge_now(self, volume: str, units: float) -> None:
+        """Charge a small excess to the bucket at once, below zero if need be: the scheduler waits until it has refilled."""
+        balance = self._find_balance(volume)
+        if balance is not None:
+            balance.refill(self._clock_ms())
+            balance.limit_units -= units
+
+    async def charge_when_settled(
+        self, volume: str, meter: _VolumeMeter, units: float, deadline_ms: float
+    ) -> None:
+        """Wait in turn until the volume owes nothing, then charge ``units``.
+
+        Raises:
+            QuotaExceededError: That is not so before ``deadline_ms``.
+        """
+        debt = meter.debt
+        share = self._settle_volume(volume, meter)
+        if debt.is_settled and not debt.queued_units:
+            debt.add(units)
             return
-        if terms.rate > 0 and clock() + account.soonest_ms(terms.rate) > until:
-            raise OverLimit(account.surely_ms(terms.rate))
-        account.queued += units
+        rate = share.rate_units_per_s
+        if rate > 0 and self._clock_ms() + debt.earliest_settled_ms(rate) > deadline_ms:
+            raise QuotaExceededError(debt.latest_settled_ms(rate))
+        debt.queued_units += units
         try:
-            with anyio.move_on_after(max(0.0, until - clock()) / 1000):
-                async with course.turn:
-                    while not account.clear:
-                        terms = self._settle(volume, course)
-                        if account.clear:
-                            break
-                        wait = max(LEAST_WAIT_MS, account.soonest_ms(terms.rate))
-                        if clock() + wait > until:
-                            break
-                        await anyio.sleep(wait / 1000)
-                    if account.clear:
-                        account.owe(units)
+            with anyio.move_on_after(max(0.0, deadline_ms - self._clock_ms()) / 1000):
+                async with meter.lock:
+                    await self._wait_until_settled(volume, meter, deadline_ms)
+                    if debt.is_settled:
+                        debt.add(units)
                         return
         finally:
-            account.queued = max(0.0, account.queued - units)
-        terms = self._settle(volume, course)
-        raise OverLimit(account.surely_ms(terms.rate) if terms.rate > 0 else 0.0)
-
-    def close(self, volume: str, course: _Course, unpaid: float) -> None:
-        """A bill is closed; what it paid for in vain is given back."""
-        course.bills -= 1
-        if unpaid > 0:
-            self._settle(volume, course)
-            course.account.give_back(unpaid, self._purse(volume))
+            debt.queued_units = max(0.0, debt.queued_units - units)
+        rate = self._settle_volume(volume, meter).rate_units_per_s
+        raise QuotaExceededError(debt.latest_settled_ms(rate) if rate > 0 else 0.0)
+
+    async def _wait_until_settled(self, volume: str, meter: _VolumeMeter, deadline_ms: float) -> None:
+        """Wait until the volume owes nothing; returns early where that can't be before the deadline."""
+        while not meter.debt.is_settled:
+            share = self._settle_volume(volume, meter)
+            if meter.debt.is_settled:
+                return
+            wait_ms = max(MIN_WAIT_MS, meter.debt.earliest_settled_ms(share.rate_units_per_s))
+            if self._clock_ms() + wait_ms > deadline_ms:
+                return
+            await anyio.sleep(wait_ms / 1000)
+
+    def close_charge(self, volume: str, meter: _VolumeMeter, unused_units: float) -> None:
+        """End a charge and refund what was not used."""
+        meter.open_charges -= 1
+        if unused_units > 0:
+            self._settle_volume(volume, meter)
+            meter.debt.refund(unused_units, self._find_balance(volume))
 
 
 class TransferCharge:
-    """What one request of a limited course has to pay, and has paid, beyond what the scheduler is told."""
+    """What one request of a limited volume is charged beyond what the scheduler accounts for.
+
+    Attributes:
+        paid_units: The units charged so far.
+        transferred_bytes: The bytes of its body so far.
+    """
 
     def __init__(
-        self, tolls: ByteMeter, volume: str, course: _Course, unit_bytes: int, told: float, until: float
+        self,
+        byte_meter: ByteMeter,
+        volume: str,
+        volume_meter: _VolumeMeter,
+        unit_bytes: int,
+        scheduled_units: float,
+        deadline_ms: float,
     ) -> None:
-        self._tolls, self._volume, self._course = tolls, volume, course
-        self._unit_bytes, self._told, self._until = unit_bytes, told, until
-        self.paid, self.moved = 0.0, 0  # units beyond what was told; bytes
+        self._byte_meter = byte_meter
+        self._volume = volume
+        self._volume_meter = volume_meter
+        self._unit_bytes = unit_bytes
+        self._scheduled_units = scheduled_units
+        self._deadline_ms = deadline_ms
         self._open = True
+        self.paid_units = 0.0
+        self.transferred_bytes = 0
+
+    async def charge_length(self, length: int) -> None:
+        """Charge a body whose length in bytes is known, before it is transferred.
+
+        Raises:
+            QuotaExceededError: There is no quota for it in time.
+        """
+        units = units_for_bytes(length, self._unit_bytes)
+        excess_units = units - self._scheduled_units - self.paid_units
+        if excess_units <= 0:
+            return
+        if units <= self._byte_meter.max_request_units:
+            self._byte_meter.charge_now(self._volume, excess_units)
+            self.paid_units += excess_units
+        else:
+            await self._charge_when_settled(excess_units)
+
+    async def _charge_when_settled(self, units: float) -> None:
+        await self._byte_meter.charge_when_settled(self._volume, self._volume_meter, units, self._deadline_ms)
+        self.paid_units += units
+
+    async def record_bytes(self, count: int) -> None:
+        """Count transferred bytes. What was not charged before is charged in steps, each once the volume owes nothing.
 
-    async def before(self, length: int) -> None:
-        """A body whose length is known, before anything is done for it."""
-        units = units_of(length, self._unit_bytes)
-        excess = units - self._told - self.paid
-        if excess > 0 and units <= self._tolls.largest:
-            self._tolls.take(self._volume, excess)
-            self.paid += excess
-        elif excess > 0:
-            await self._pay(excess)
-
-    async def _pay(self, units: float) -> None:
-        await self._tolls.pay(self._volume, self._course, units, self._until)
-        self.paid += units
-
-    async def took(self, more: int) -> None:
-        """So many bytes have come. What was not paid for before is paid in steps, each once nothing is owed: the body waits for it."""
-        self.moved += more
-        if self.moved > (self._told + self.paid) * self._unit_bytes:
-            lacks = units_of(self.moved, self._unit_bytes) - self._told - self.paid
-            await self._pay(max(STEP, lacks))
-
-    def endure(self) -> None:
-        """An answer of unknown length has begun: it is the client's from now on, and may take its time."""
-        self._until = float("inf")
+        Raises:
+            QuotaExceededError: There is no quota for a step in time.
+        """
+        self.transferred_bytes += count
+        if self.transferred_bytes > (self._scheduled_units + self.paid_units) * self._unit_bytes:
+            units = units_for_bytes(self.transferred_bytes, self._unit_bytes)
+            missing_units = units - self._scheduled_units - self.paid_units
+            await self._charge_when_settled(max(STREAM_STEP_UNITS, missing_units))
+
+    def remove_deadline(self) -> None:
+        """Let the rest of the body wait for quota without a limit: a response of unknown length has begun."""
+        self._deadline_ms = float("inf")
 
     def close(self) -> None:
-        """The request is over: what was paid for and not moved is given back."""
-        if self._open:
-            self._open = False
-            used = max(0.0, units_of(self.moved, self._unit_bytes) - self._told) if self.moved else 0.0
-            self._tolls.close(self._volume, self._course, self.paid - used)
+        """End the charge with the request; what was charged and not transferred is refunded."""
+        if not self._open:
+            return
+        self._open = False
+        used_units = 0.0
+        if self.transferred_bytes:
+            units = units_for_bytes(self.transferred_bytes, self._unit_bytes)
+            used_units = max(0.0, units - self._scheduled_units)
+        self._byte_meter.close_charge(self._volume, self._volume_meter, self.paid_units - used_units)
 
 
 class MeteredSink:
-    """A sink before another one: what is read from a store is paid for before it is the client's."""
+    """A sink that charges what is read from a store before passing it on to another sink."""
 
-    def __init__(self, bill: TransferCharge, sink: Sink) -> None:
-        self._bill, self._sink = bill, sink
+    def __init__(self, charge: TransferCharge, sink: Sink) -> None:
+        self._charge = charge
+        self._sink = sink
 
     async def begin_stream(self, head: AnswerHead) -> None:
-        """Its length is known here at the latest. OverLimit, with nothing said to the client, where it has no room."""
+        """Charge a response of known length, then pass its head on.
+
+        Raises:
+            QuotaExceededError: There is no quota for it in time; nothing was passed on.
+        """
         if head.length is not None:
-            await self._bill.before(head.length)
+            await self._charge.charge_length(head.length)
         else:
-            self._bill.endure()
+            self._charge.remove_deadline()
         await self._sink.begin_stream(head)
 
     async def data(self, data: Bytes) -> None:
-        """A piece."""
-        await self._bill.took(len(data))
+        """Charge a piece and pass it on. Raises QuotaExceededError."""
+        await self._charge.record_bytes(len(data))
         await self._sink.data(data)
 
     async def finish(self) -> None:
-        """The end."""
+        """Pass the end on."""
         await self._sink.finish()
--- a/winchdyke/quotas/token_bucket.py
+++ b/winchdyke/quotas/token_bucket.py
@@ -1,21 +1,23 @@
-"""The limit of a course for what the scheduler is not told of. Pure: no clock, no I/O.
+"""A volume's rate limit for the bytes that the scheduler does not account for. Pure: no clock, no I/O.
 
-The scheduler is told at most ``largest_units`` for a request, and a usual size where none is known: more would never fit a
-course's store of units. So a body of 16 MiB counts there as a few units, and what it is beyond them, its *excess*, is paid here.
+The scheduler accounts for at most ``max_request_units`` of a request, and for a usual size where none is known: a larger request
+would never fit into a volume's token bucket. So a body of 16 MiB counts there as a few units; the units beyond, its *excess*, are
+charged here.
 
-There is one purse for a course at a gateway, and it is the scheduler's own: the units that its limit has filled up and its small
-requests pay from. An excess makes a *debt*. While a debt stands nothing else with an excess may begin, and the purse pays it off:
+A volume has one token bucket at a gateway, the scheduler's own, which its limit fills and its small requests are paid from. An
+excess makes a *debt*. While there is a debt no other request with an excess may begin, and the bucket pays the debt off:
 
-- a part ``SHARE`` of what fills the purse, always: so a debt ends in a time that can be told beforehand (``Retry-After``);
-- all that the purse holds beyond ``keep``: what small requests leave.
+- by the fraction ``DEBT_RATE_FRACTION`` of the rate that fills the bucket, always, so that a debt ends within a time that is known
+  beforehand (``Retry-After``);
+- by all that the bucket holds beyond ``small_request_units``: what small requests do not use.
 
-The small requests of the course go on meanwhile with the other part of the rate, and with ``keep`` units that the purse may store up.
-The scheduler decides about them as ever; it only finds less in the purse.
+Meanwhile the volume's small requests have the rest of the rate, and ``small_request_units`` that the bucket may accumulate. The
+scheduler decides about them as always; it only finds less in the bucket.
 
-In sum. Per gateway let *r* be its part of the limit and *b* its part of the burst. What is moved is what the scheduler took from
-the purse, what was paid off from it, and the debt that stands. The purse is filled at *r* and holds *b* at the most, a debt begins
-only where none stands and is one object's: so over any time *t* a gateway moves at most ``r t + b`` and one object, and all *n* of
-them ``limit t + burst`` and one object each. What holds in other respects is in ``docs/limits.md``.
+Bound: per gateway let *r* be its part of the limit and *b* its part of the burst. What is transferred is what the scheduler took
+from the bucket, what was paid off from it, and the present debt. The bucket fills at *r* and holds at most *b*, and a debt begins
+only where there is none and is due to one object. So over any time *t* a gateway transfers at most ``r t + b`` and one object, and
+*n* gateways ``limit t + burst`` and one object each. Further properties are in ``docs/limits.md``.
 """
 
 from __future__ import annotations
@@ -24,12 +26,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-SHARE = 0.5  # of what fills the purse that always pays the debt; the rest is for what is small
-LEAST = 1e-9  # below it a debt is paid
+DEBT_RATE_FRACTION = 0.5  # of the rate that fills the bucket; small requests have the rest
+NEGLIGIBLE_DEBT_UNITS = 1e-9
 
 
-class OverLimit(Exception):
-    """The course's limit leaves no room within the request's time. ``wait_ms``: after it there surely is some."""
+class QuotaExceededError(Exception):
+    """A volume's limit leaves no capacity within the request's time. ``wait_ms``: after which there surely is some."""
 
     def __init__(self, wait_ms: float) -> None:
         super().__init__(f"the limit of this course is used up; there is room again in {wait_ms:.0f} ms")
@@ -37,94 +39,115 @@
 
 
 class PlanLimits(Protocol):
-    """A plan, as far as it matters here: units a second, and units."""
+    """The limits of a plan."""
 
     @property
-    def limit_units_per_s(self) -> float: ...
+    def limit_units_per_s(self) -> float:
+        """The rate over all gateways; 0: no limit."""
+        ...
+
     @property
-    def limit_burst_units(self) -> float: ...
+    def limit_burst_units(self) -> float:
+        """The size of the token bucket over all gateways."""
+        ...
 
 
 class QuotaBalance(Protocol):
-    """The scheduler's account of a course at this gateway (:class:`winchdyke.policy.Volume`)."""
+    """The scheduler's token bucket of a volume at this gateway (:class:`winchdyke.policy.VolumeQuota`)."""
 
-    limit_units: float  # the units in it
+    limit_units: float  # the units in the bucket
     sharing_gateways: int
 
     @property
-    def plan(self) -> PlanLimits: ...
-    def refill(self, now: float) -> None:
-        """Fill it up to now (ms)."""
-
+    def plan(self) -> PlanLimits:
+        """The volume's plan."""
+        ...
 
-def units_of(length: int, unit_bytes: int) -> float:
-    """What so many bytes count, in full: at least one unit."""
-    return float(max(1, math.ceil(length / unit_bytes)))
+    def refill(self, now: float) -> None:
+        """Fill the bucket up to a time in milliseconds."""
 
 
 class ReservationBalance(Protocol):
-    """The scheduler's account of a course, as far as its reserve goes."""
+    """The scheduler's balance of a volume's reservation."""
 
     reserved_units: float
 
 
-def weigh(account: ReservationBalance, excess: float, told: float) -> None:
-    """Let a course's reserve pay for what a request counts beyond what the scheduler was told, as it is sent.
+def units_for_bytes(length: int, unit_bytes: int) -> float:
+    """Return the units of a body of ``length`` bytes, rounded up; at least one."""
+    return float(max(1, math.ceil(length / unit_bytes)))
 
-    Guards against a course whose large objects are all in its reserve, being told as small ones: it then has several times
-    what was promised to it, at the cost of others, whatever made the node short. As with what is told, at most one request stays owed.
+
+def charge_reservation(balance: ReservationBalance, excess_units: float, scheduled_units: float) -> None:
+    """Charge a volume's reservation with the units of a request that the scheduler did not account for, when it is sent.
+
+    Without it a volume whose large objects are all within its reservation, accounted for as small ones, would get several times
+    its reservation at the expense of others. At most the units of one request stay owed.
     """
-    account.reserved_units = max(account.reserved_units - excess, -(told + excess))
+    balance.reserved_units = max(balance.reserved_units - excess_units, -(scheduled_units + excess_units))
 
 
 @dataclass(slots=True)
-class Account:
-    """One course's debt at one gateway, in units. ``at`` (ms): up to when it has been paid off."""
+class TransferDebt:
+    """The debt of one volume at one gateway.
 
-    at: float
-    debt: float = 0.0
-    queued: float = 0.0  # excess of those that wait for the debt to end
+    Attributes:
+        settled_at_ms: Up to when it has been paid off.
+        units: The units that are owed.
+        queued_units: The excess of the requests that wait for the debt to be settled.
+    """
+
+    settled_at_ms: float
+    units: float = 0.0
+    queued_units: float = 0.0
 
     @property
-    def clear(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether nothing is owed."""
-        return self.debt <= LEAST
+        return self.units <= NEGLIGIBLE_DEBT_UNITS
 
-    def settle(self, now: float, purse: QuotaBalance | None, rate: float, keep: float) -> None:
-        """Pay off up to ``now`` (ms), at ``rate`` units a second of the whole; without a purse yet, its part of the rate alone.
+    def settle(
+        self, now_ms: float, balance: QuotaBalance | None, rate_units_per_s: float, small_request_units: float
+    ) -> None:
+        """Pay off up to a time, with ``rate_units_per_s`` being the rate that fills the bucket.
 
-        A clock that goes back is a clock that stands. A limit that is no more (``rate`` 0) leaves nothing to pay.
+        Without a bucket yet only the fixed part of the rate is paid. A clock that goes back counts as stopped. Without a limit
+        (rate 0) nothing is left to pay.
         """
-        span, self.at = max(0.0, now - self.at) / 1000, max(now, self.at)
-        if rate <= 0:
-            self.debt = 0.0
-        if self.clear:
+        elapsed_seconds = max(0.0, now_ms - self.settled_at_ms) / 1000
+        self.settled_at_ms = max(now_ms, self.settled_at_ms)
+        if rate_units_per_s <= 0:
+            self.units = 0.0
+        if self.is_settled:
+            return
+        payment = min(self.units, DEBT_RATE_FRACTION * rate_units_per_s * elapsed_seconds)
+        if balance is not None:
+            # The payment may take the bucket below zero, by what came into it just now: that part of the debt stands there.
+            balance.refill(now_ms)
+            payment += min(
+                self.units - payment, max(0.0, balance.limit_units - payment - small_request_units)
+            )
+            balance.limit_units -= payment
+        self.units -= payment
+
+    def add(self, units: float) -> None:
+        """Owe the excess of a body."""
+        self.units += units
+
+    def refund(self, units: float, balance: QuotaBalance | None) -> None:
+        """Give back what was charged and not transferred; what exceeds the debt goes to the bucket, as far as it fits."""
+        self.units -= units
+        if self.units >= 0:
             return
-        due = min(self.debt, SHARE * rate * span)
-        if purse is not None:
-            # The purse may be taken below nothing by what came in just now: then that much of the debt stands there.
-            purse.refill(now)
-            due += min(self.debt - due, max(0.0, purse.limit_units - due - keep))
-            purse.limit_units -= due
-        self.debt -= due
-
-    def owe(self, units: float) -> None:
-        """A body's excess: what it counts beyond what the scheduler is told."""
-        self.debt += units
-
-    def give_back(self, units: float, purse: QuotaBalance | None) -> None:
-        """What was paid for and never moved."""
-        self.debt -= units
-        if self.debt < 0:
-            if purse is not None:
-                most = purse.plan.limit_burst_units / purse.sharing_gateways
-                purse.limit_units = max(purse.limit_units, min(most, purse.limit_units - self.debt))
-            self.debt = 0.0
-
-    def soonest_ms(self, rate: float) -> float:
-        """After which the debt may be paid at the earliest, if all of the rate goes to it."""
-        return 0.0 if self.clear else self.debt / rate * 1000
-
-    def surely_ms(self, rate: float) -> float:
-        """After which what is owed, and what waits already, is paid for, whatever the small requests take."""
-        return (self.debt + self.queued) / (SHARE * rate) * 1000
+        if balance is not None:
+            max_units = balance.plan.limit_burst_units / balance.sharing_gateways
+            balance.limit_units = max(balance.limit_units, min(max_units, balance.limit_units - self.units))
+        self.units = 0.0
+
+    def earliest_settled_ms(self, rate_units_per_s: float) -> float:
+        """Return the milliseconds until the debt is settled, if all of the rate pays it."""
+        return 0.0 if self.is_settled else self.units / rate_units_per_s * 1000
+
+    def latest_settled_ms(self, rate_units_per_s: float) -> float:
+        """Return the milliseconds until the debt and all queued excess are paid, whatever small requests use."""
+        return (self.units + self.queued_units) / (DEBT_RATE_FRACTION * rate_units_per_s) * 1000
