--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -63,7 +63,7 @@
 def test_what_s3_puts_is_acknowledged_from_the_log_too(tmp_path):
     @played
     async def run():
-        from test_limits import ask
+        from test_quotas import ask
 
         async with rig(config(tmp_path)) as it:
             assert (await ask(it, "s3", "PUT", "/school-1/a", b"hello")).status == 200
