--- a/benchmarks/two_settings.py
+++ b/benchmarks/two_settings.py
@@ -36,7 +36,7 @@
         more = {"without": "", "with": settings.many(5000, 2000).replace("class = submit", "class = fetch")}
     elif what == "fleet":
         secret = base64.b64encode(bytes(32)).decode()
-        keys.write(where / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
+        keys.write_keys(where / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
         text = f'fleet {{\n    listen = 127.0.0.1:0\n    keys = "{where}/fleet.keys"\n}}\n'
         more = {"without": "", "with": text}
     else:
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -182,7 +182,7 @@
         admin_keys.Key("alice-test", secret, "alice", START_MS),
         admin_keys.Key("bob-test", secret, "bob", START_MS, START_MS + 1000),
     ]
-    admin_keys.write(folder / "admin-keys.json", admin)
+    admin_keys.write_keys(folder / "admin-keys.json", admin)
 
     master = folder / "test-master-keys"
     older = base64.urlsafe_b64encode(b"winchdyke-test-data-older-master")
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -14,9 +14,9 @@
 from rig import played, rig, settings
 
 from winchdyke import durable_files
-from winchdyke.admin.client import There
-from winchdyke.admin.keys import Key, KeysError, Ring, made, read, write
-from winchdyke.admin.signing import SKEW_S, Guard, Message, NotSigned, sign
+from winchdyke.admin.client import AdminClient
+from winchdyke.admin.keys import Key, KeyFileError, KeyRing, create_key, read_keys, write_keys
+from winchdyke.admin.signing import MAX_CLOCK_SKEW_SECONDS, Message, SignatureError, SignatureVerifier, sign
 from winchdyke.cli.main import main
 from winchdyke.config.model import Admin, Changes, Listen
 from winchdyke.config_rollout.operations import OperationError
@@ -36,111 +36,111 @@
     return message
 
 
-def guard_of(tmp_path, *keys: Key) -> Guard:
-    write(tmp_path / "keys", list(keys))
-    started = time.time() - SKEW_S - 2
+def make_verifier(tmp_path, *keys: Key) -> SignatureVerifier:
+    write_keys(tmp_path / "keys", list(keys))
+    started = time.time() - MAX_CLOCK_SKEW_SECONDS - 2
     clock = iter([started])
-    return Guard(Ring(tmp_path / "keys"), lambda: next(clock, time.time()))
+    return SignatureVerifier(KeyRing(tmp_path / "keys"), lambda: next(clock, time.time()))
 
 
-def refused(guard: Guard, message: Message, body: bytes = BODY) -> str:
-    with pytest.raises(NotSigned) as error:
-        guard.let_in(message, body)
+def refused(verifier: SignatureVerifier, message: Message, body: bytes = BODY) -> str:
+    with pytest.raises(SignatureError) as error:
+        verifier.verify(message, body)
     return error.value.code
 
 
 def test_what_is_signed_is_let_in_once_and_what_was_changed_on_its_way_never(tmp_path):
-    key = made("ann", 0.0)
-    guard = guard_of(tmp_path, key)
+    key = create_key("ann", 0.0)
+    verifier = make_verifier(tmp_path, key)
     message = signed(key)
-    assert guard.let_in(message, BODY).who == "ann"
-    assert refused(guard, message) == "replayed"
+    assert verifier.verify(message, BODY).who == "ann"
+    assert refused(verifier, message) == "replayed"
     for change in (
         {"method": "GET"},
         {"url": "http://127.0.0.1:7000/v1/other"},
         {"url": "http://127.0.0.1:7001/v1/changes"},  # another gateway
     ):
-        assert refused(guard, dataclasses.replace(signed(key), **change)) == "signature"
-    assert refused(guard, signed(key), b'{"op": "undo"}') == "signature"
+        assert refused(verifier, dataclasses.replace(signed(key), **change)) == "signature"
+    assert refused(verifier, signed(key), b'{"op": "undo"}') == "signature"
     plain = signed(key)
     plain.headers = {"host": "127.0.0.1:7000"}
-    assert refused(guard, plain) == "signature"
+    assert refused(verifier, plain) == "signature"
     other = dataclasses.replace(signed(key))
     other.headers["Signature"] = signed(key).headers["Signature"]
-    assert refused(guard, other) == "signature"
-    assert refused(guard, signed(made("ann", 0.0))) == "signature", "a key that is not in the file"
-    forged = Key(key.id, made("x", 0.0).secret, "ann")
-    assert refused(guard, signed(forged)) == "signature"
+    assert refused(verifier, other) == "signature"
+    assert refused(verifier, signed(create_key("ann", 0.0))) == "signature", "a key that is not in the file"
+    forged = Key(key.id, create_key("x", 0.0).secret, "ann")
+    assert refused(verifier, signed(forged)) == "signature"
 
 
 @pytest.mark.parametrize("off", [-120, 60])
 def test_a_signature_from_another_time_is_refused(tmp_path, off):
-    key = made("ann", 0.0)
-    assert refused(guard_of(tmp_path, key), signed(key, created=time.time() + off)) == "signature"
+    key = create_key("ann", 0.0)
+    assert refused(make_verifier(tmp_path, key), signed(key, created_unix_s=time.time() + off)) == "signature"
 
 
 def test_what_may_have_been_signed_before_a_start_is_refused_for_its_nonce_is_gone(tmp_path):
-    key = made("ann", 0.0)
-    write(tmp_path / "keys", [key])
+    key = create_key("ann", 0.0)
+    write_keys(tmp_path / "keys", [key])
     message = signed(key)
-    assert refused(Guard(Ring(tmp_path / "keys")), message) == "just-started"
+    assert refused(SignatureVerifier(KeyRing(tmp_path / "keys")), message) == "just-started"
 
 
 def test_keys_that_are_over_or_withdrawn_are_refused_and_rotation_overlaps(tmp_path):
     now = time.time() * 1000
-    old = Key("ann-1", made("ann", 0.0).secret, "ann", 0.0, now - 1)
-    early = Key("ann-2", made("ann", 0.0).secret, "ann", now + 60_000)
-    key = made("ann", 0.0)
-    guard = guard_of(tmp_path, old, early, key)
-    assert refused(guard, signed(old)) == refused(guard, signed(early)) == "signature"
+    old = Key("ann-1", create_key("ann", 0.0).secret, "ann", 0.0, now - 1)
+    early = Key("ann-2", create_key("ann", 0.0).secret, "ann", now + 60_000)
+    key = create_key("ann", 0.0)
+    verifier = make_verifier(tmp_path, old, early, key)
+    assert refused(verifier, signed(old)) == refused(verifier, signed(early)) == "signature"
     file = str(tmp_path / "keys")
     fresh = ran("keys", "rotate", file, key.id, "--overlap", "1h", "--to", str(tmp_path / "mine")).strip()
-    assert guard.let_in(signed(key), BODY).id == key.id
-    (mine,) = read(tmp_path / "mine")
-    assert mine.id == fresh and guard.let_in(signed(mine), BODY).who == "ann"
+    assert verifier.verify(signed(key), BODY).id == key.id
+    (mine,) = read_keys(tmp_path / "mine")
+    assert mine.id == fresh and verifier.verify(signed(mine), BODY).who == "ann"
     assert "withdrawn" in ran("keys", "withdraw", file, key.id)
-    assert refused(guard, signed(key)) == "signature" and guard.let_in(signed(mine), BODY)
+    assert refused(verifier, signed(key)) == "signature" and verifier.verify(signed(mine), BODY)
     listed = ran("keys", "list", file)
     assert fresh in listed and mine.secret not in listed and "does not count" in listed
     assert "has no key" in ran("keys", "withdraw", file, "nobody", ends=1)
 
 
 def test_a_file_of_keys_that_others_may_read_or_that_is_damaged_lets_nobody_in(tmp_path):
-    key = made("ann", 0.0)
-    guard, path = guard_of(tmp_path, key), tmp_path / "keys"
-    assert guard.let_in(signed(key), BODY)
+    key = create_key("ann", 0.0)
+    verifier, path = make_verifier(tmp_path, key), tmp_path / "keys"
+    assert verifier.verify(signed(key), BODY)
     path.chmod(0o640)
-    assert refused(guard, signed(key)) == "keys"
-    with pytest.raises(KeysError, match="chmod 600"):
-        read(path)
+    assert refused(verifier, signed(key)) == "keys"
+    with pytest.raises(KeyFileError, match="chmod 600"):
+        read_keys(path)
     path.chmod(0o600)
-    assert guard.let_in(signed(key), BODY)
+    assert verifier.verify(signed(key), BODY)
     for text, said in [
         ("{}", "no file of keys"),
         ('{"keys": [{"id": "a", "secret": "AAAA", "who": "a"}]}', "fewer than"),
         ('{"keys": [{"id": "a", "secret": "%", "who": "a"}]}', "no file of keys"),
     ]:
         path.write_text(text)
-        with pytest.raises(KeysError, match=said):
-            read(path)
-        assert refused(guard, signed(key)) == "keys"
+        with pytest.raises(KeyFileError, match=said):
+            read_keys(path)
+        assert refused(verifier, signed(key)) == "keys"
     path.unlink()
-    assert refused(guard, signed(key)) == "keys"
-    with pytest.raises(KeysError, match="keys new"):
-        read(path)
+    assert refused(verifier, signed(key)) == "keys"
+    with pytest.raises(KeyFileError, match="keys new"):
+        read_keys(path)
 
 
 def test_a_full_store_of_nonces_refuses_and_forgets_none(tmp_path, monkeypatch):
     from winchdyke.admin import signing
 
-    monkeypatch.setattr(signing, "NONCES", 2)
-    key = made("ann", 0.0)
-    guard = guard_of(tmp_path, key)
+    monkeypatch.setattr(signing, "MAX_NONCES", 2)
+    key = create_key("ann", 0.0)
+    verifier = make_verifier(tmp_path, key)
     first = signed(key)
-    guard.let_in(first, BODY)
-    guard.let_in(signed(key), BODY)
-    assert refused(guard, signed(key)) == "busy"
-    assert refused(guard, first) == "replayed"
+    verifier.verify(first, BODY)
+    verifier.verify(signed(key), BODY)
+    assert refused(verifier, signed(key)) == "busy"
+    assert refused(verifier, first) == "replayed"
 
 
 # On sockets
@@ -156,7 +156,9 @@
 ):
     from winchdyke.admin import signing
 
-    monkeypatch.setattr(signing, "SKEW_S", -2)  # the first seconds after a start are another test's
+    monkeypatch.setattr(
+        signing, "MAX_CLOCK_SKEW_SECONDS", -2
+    )  # the first seconds after a start are another test's
 
     @played
     async def run():
@@ -192,11 +194,11 @@
                 "who is told by the key, not by the caller"
             )
             assert "give --key" in await there(lambda: ran("changes", "log", tcp, ends=1))
-            session = There(tcp, mine)
-            assert (await there(lambda: session.call(op="standing")))["serving"] == 3
+            session = AdminClient(tcp, mine)
+            assert (await there(lambda: session.execute(op="standing")))["serving"] == 3
             ran("keys", "withdraw", str(file), name)
             with pytest.raises(OperationError, match="not signed with a key that counts"):
-                await there(lambda: session.call(op="undo"))
+                await there(lambda: session.execute(op="undo"))
             assert it.gateway.service.snapshot.version == 3
 
     run()
@@ -251,11 +253,11 @@
 
 
 def test_a_listener_that_cant_be_had_is_an_error_that_names_the_setting(tmp_path):
-    from winchdyke.admin.server import AdminError, listen
+    from winchdyke.admin.listeners import AdminError, open_listeners
 
     async def said(settings: Admin) -> str:
         with pytest.raises(AdminError) as error:
-            await listen(settings, tmp_path)
+            await open_listeners(settings, tmp_path)
         return str(error.value)
 
     async def run() -> None:
@@ -266,27 +268,27 @@
         assert "is no socket" in await said(Admin(str(tmp_path / "file")))
         assert "too long" in await said(Admin("/" + "x" * 200))
         path = str(tmp_path / "s")
-        (first,) = await listen(Admin(path), tmp_path)
+        (first,) = await open_listeners(Admin(path), tmp_path)
         assert "another gateway" in await said(Admin(path))
         await first.aclose()
-        (second,) = await listen(
+        (second,) = await open_listeners(
             Admin(path), tmp_path
         )  # what a process that is gone has left is no hindrance
         await second.aclose()
-        assert await listen(Admin("none"), tmp_path) == []
+        assert await open_listeners(Admin("none"), tmp_path) == []
 
     anyio.run(run)
 
 
 def test_a_file_of_keys_is_never_seen_half_written(tmp_path, monkeypatch):
     path = tmp_path / "keys"
-    write(path, [made("ann", 0.0)])
+    write_keys(path, [create_key("ann", 0.0)])
     before = path.read_bytes()
 
     def full(_: int) -> None:
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(durable_files.os, "fsync", full)
-    with pytest.raises(KeysError, match="No space"):
-        write(path, [])
+    with pytest.raises(KeyFileError, match="No space"):
+        write_keys(path, [])
     assert path.read_bytes() == before
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -395,7 +395,7 @@
 
 def test_peers_and_seeds_of_the_fleet_change_in_service_by_the_command(tmp_path):
     """The page named a command that the command line did not take: peers could be changed by a whole file alone."""
-    keys.write(tmp_path / "keys", [keys.Key("k", base64.b64encode(b"k" * 32).decode(), "fleet")])
+    keys.write_keys(tmp_path / "keys", [keys.Key("k", base64.b64encode(b"k" * 32).decode(), "fleet")])
     fleet = Fleet(Listen("127.0.0.1", 0), seeds=(Listen("127.0.0.1", 9),), keys=str(tmp_path / "keys"))
 
     @played
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -38,7 +38,7 @@
 
 
 def ring(path: Path, *numbers: int) -> None:
-    keys.write(path, [keys.Key(f"k{number}", secret(number), "fleet") for number in numbers])
+    keys.write_keys(path, [keys.Key(f"k{number}", secret(number), "fleet") for number in numbers])
 
 
 def config(where: Path, name: str, **more: Any) -> Config:
@@ -294,7 +294,7 @@
             for numbers in ((1, 2), (2, 1), (2,)):
                 ring(tmp_path / "keys", *numbers)
                 await anyio.sleep(1.3)
-            sealed = [key.id for key in one._keys.good(time.time() * 1000)]
+            sealed = [key.id for key in one._keys.valid_keys(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
             assert states(one) == {"two": "alive"} and one.standing()["members"][0]["heard_ms"] < 1000
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -221,16 +221,16 @@
 def test_keys_of_the_admin_api_are_read(tmp_path):
     """Ids, persons, times and secrets, and which keys count when."""
     path = copied("keys", tmp_path) / "admin-keys.json"
-    keys = admin_keys.read(path)
-    assert [(key.id, key.who, key.since_ms, key.until_ms) for key in keys] == [
+    keys = admin_keys.read_keys(path)
+    assert [(key.id, key.who, key.valid_from_ms, key.valid_until_ms) for key in keys] == [
         ("alice-test", "alice", START_MS, 0.0),
         ("bob-test", "bob", START_MS, START_MS + 1000),
     ]
-    assert [key.raw() for key in keys] == [b"winchdyke test data, not secret!"] * 2
-    ring = admin_keys.Ring(path)
-    assert [key.id for key in ring.good(START_MS - 1)] == []
-    assert [key.id for key in ring.good(START_MS)] == ["alice-test", "bob-test"]
-    assert [key.id for key in ring.good(START_MS + 1000)] == ["alice-test"]
+    assert [key.secret_bytes() for key in keys] == [b"winchdyke test data, not secret!"] * 2
+    ring = admin_keys.KeyRing(path)
+    assert [key.id for key in ring.valid_keys(START_MS - 1)] == []
+    assert [key.id for key in ring.valid_keys(START_MS)] == ["alice-test", "bob-test"]
+    assert [key.id for key in ring.valid_keys(START_MS + 1000)] == ["alice-test"]
 
 
 def test_access_keys_are_read_and_their_secrets_opened(tmp_path):
--- a/winchdyke/admin/__init__.py
+++ b/winchdyke/admin/__init__.py
@@ -1,1 +1,11 @@
-"""The admin API: changes asked for over a listener of its own, by people who are known by their socket or their key."""
+"""The admin API: operations on changes and the state of the fleet, over a listener of its own.
+
+Callers are authenticated by the system where they use the unix socket, and by their key's signature over TCP.
+
+Public names:
+    ``server.AdminServer``, ``listeners.open_listeners``: the gateway's side.
+    ``client.AdminClient``: the caller's side.
+    ``keys``, ``signing``: files of shared keys, and requests signed with them.
+
+The package may import ``winchdyke.config``, ``winchdyke.config_rollout``, ``winchdyke.durable_files`` and ``winchdyke.http1``.
+"""
--- a/winchdyke/admin/client.py
+++ b/winchdyke/admin/client.py
@@ -1,4 +1,4 @@
-"""The other end of the admin API: for the command line, and for programs. Waits for answers; not for an event loop."""
+"""The caller's side of the admin API, for the command line and for programs. Blocking: not for an event loop."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 import json
 import socket
 import time
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 from urllib.parse import urlsplit
 
-from winchdyke.admin.keys import Key, KeysError, read
+from winchdyke.admin.keys import Key, KeyFileError, read_keys
 from winchdyke.config_rollout.operations import OperationError
 
-TIMEOUT_S = 60.0
-TRIES = 3  # where a gateway has just started
+TIMEOUT_SECONDS = 60.0
+MAX_ATTEMPTS = 3  # at a gateway that has just started and asks to retry
+MAX_RETRY_WAIT_SECONDS = 10.0
+UNIX_SCHEME = "unix:"
 
 
-class _Local(http.client.HTTPConnection):
+class _UnixConnection(http.client.HTTPConnection):
     def __init__(self, path: str) -> None:
-        super().__init__("localhost", timeout=TIMEOUT_S)
+        super().__init__("localhost", timeout=TIMEOUT_SECONDS)
         self._path = path
 
     def connect(self) -> None:
@@ -28,76 +31,107 @@
         self.sock.connect(self._path)
 
 
-class There:
-    """A gateway's admin API at ``unix:PATH`` or ``http://HOST:PORT``."""
+@dataclass(frozen=True, slots=True)
+class _Response:
+    status: int
+    retry_after_seconds: float
+    data: dict[str, Any]
 
-    def __init__(self, where: str, key_file: Path | None = None, who: str = "") -> None:
-        self.where, self._who = where, who
-        self._path = where.removeprefix("unix:") if where.startswith("unix:") else ""
+
+class AdminClient:
+    """A gateway's admin API at ``unix:PATH`` or ``http://HOST:PORT``.
+
+    All methods raise OperationError, with the gateway's code and text or with the reason why it was not reached.
+    """
+
+    def __init__(self, target: str, key_file: Path | None = None, actor: str = "") -> None:
+        """Prepare a connection; it is opened with the first request.
+
+        ``key_file``: needed over TCP, where requests are signed. ``actor``: who acts, where the unix socket's user is not enough.
+        """
+        self._target = target
+        self._actor = actor
         self._key: Key | None = None
         self._connection: http.client.HTTPConnection
-        if self._path:
-            self._connection = _Local(self._path)
+        if target.startswith(UNIX_SCHEME):
+            self._connection = _UnixConnection(target.removeprefix(UNIX_SCHEME))
             return
-        parts = urlsplit(where)
+        parts = urlsplit(target)
         if parts.scheme != "http" or not parts.hostname or parts.path not in ("", "/"):
             raise OperationError(
-                "where", f"{where} is no place of an admin API: unix:PATH or http://HOST:PORT"
+                "where", f"{target} is no place of an admin API: unix:PATH or http://HOST:PORT"
             )
         if key_file is None:
-            raise OperationError("no-key", f"{where} wants signed requests: give --key FILE")
-        try:
-            now = time.time() * 1000
-            good = [key for key in read(key_file) if key.good(now)]
-        except KeysError as error:
-            raise OperationError("key", str(error)) from error
-        if not good:
-            raise OperationError("key", f"{key_file}: none of its keys counts now; ask for another one")
-        self._key = max(good, key=lambda key: key.since_ms)
-        self._connection = http.client.HTTPConnection(parts.hostname, parts.port or 80, timeout=TIMEOUT_S)
-
-    def call(self, **operation: Any) -> dict[str, Any]:
-        """Ask for an operation; DeskError with the gateway's words."""
-        return self._until_told(json.dumps(operation).encode(), "/v1/changes")
-
-    def fleet(self) -> dict[str, Any]:
-        """What it believes of the other gateways; DeskError with its words."""
-        return self._until_told(b"{}", "/v1/fleet")
-
-    def _until_told(self, body: bytes, path: str) -> dict[str, Any]:
-        for left in range(TRIES - 1, -1, -1):
-            status, after, found = self._ask(body, path)
-            if status == 200:
-                return found
-            if status == 503 and after and left:
-                time.sleep(min(after, 10.0))
+            raise OperationError("no-key", f"{target} wants signed requests: give --key FILE")
+        self._key = _newest_valid_key(key_file)
+        self._connection = http.client.HTTPConnection(
+            parts.hostname, parts.port or 80, timeout=TIMEOUT_SECONDS
+        )
+
+    def execute(self, **operation: Any) -> dict[str, Any]:
+        """Have an operation carried out; its fields are those of ``config_rollout.operations``, with ``op`` as its name."""
+        return self._post_with_retries("/v1/changes", json.dumps(operation).encode())
+
+    def fleet_status(self) -> dict[str, Any]:
+        """Return what the gateway knows of the other gateways."""
+        return self._post_with_retries("/v1/fleet", b"{}")
+
+    def _post_with_retries(self, path: str, body: bytes) -> dict[str, Any]:
+        for attempts_left in range(MAX_ATTEMPTS - 1, -1, -1):
+            response = self._post(path, body)
+            if response.status == 200:
+                return response.data
+            if response.status == 503 and response.retry_after_seconds and attempts_left:
+                time.sleep(min(response.retry_after_seconds, MAX_RETRY_WAIT_SECONDS))
                 continue
-            text = str(found.pop("text", f"the gateway answered {status}"))
-            raise OperationError(str(found.pop("error", "http")), text, found)
+            raise _error(response)
         raise AssertionError
 
-    def _ask(self, body: bytes, path: str) -> tuple[int, float, dict[str, Any]]:
+    def _post(self, path: str, body: bytes) -> _Response:
         headers = {"content-type": "application/json"}
-        if self._who:
-            headers["winchdyke-who"] = self._who
+        if self._actor:
+            headers["winchdyke-who"] = self._actor
         if self._key is not None:
-            from winchdyke.admin.signing import Message, sign
-
-            place = f"{self._connection.host}:{self._connection.port}"
-            headers["host"] = place
-            message = Message("POST", f"http://{place}{path}", headers)
-            sign(message, body, self._key)
+            self._sign(path, body, headers, self._key)
         try:
             self._connection.request("POST", path, body, headers)
-            answer = self._connection.getresponse()
-            data = answer.read()
+            response = self._connection.getresponse()
+            text = response.read()
         except (OSError, http.client.HTTPException) as error:
             self._connection.close()
             reason = getattr(error, "strerror", None) or str(error) or type(error).__name__
-            raise OperationError("unreachable", f"no gateway answers at {self.where}: {reason}") from error
-        try:
-            found = json.loads(data)
-        except ValueError:
-            found = {}
-        after = answer.getheader("retry-after") or "0"
-        return answer.status, float(after), found if isinstance(found, dict) else {}
+            raise OperationError("unreachable", f"no gateway answers at {self._target}: {reason}") from error
+        retry_after_seconds = float(response.getheader("retry-after") or "0")
+        return _Response(response.status, retry_after_seconds, _json_object(text))
+
+    def _sign(self, path: str, body: bytes, headers: dict[str, str], key: Key) -> None:
+        from winchdyke.admin.signing import Message, sign
+
+        authority = f"{self._connection.host}:{self._connection.port}"
+        headers["host"] = authority
+        sign(Message("POST", f"http://{authority}{path}", headers), body, key)
+
+
+def _newest_valid_key(key_file: Path) -> Key:
+    now_ms = time.time() * 1000
+    try:
+        valid_keys = [key for key in read_keys(key_file) if key.is_valid(now_ms)]
+    except KeyFileError as error:
+        raise OperationError("key", str(error)) from error
+    if not valid_keys:
+        raise OperationError("key", f"{key_file}: none of its keys counts now; ask for another one")
+    return max(valid_keys, key=lambda key: key.valid_from_ms)
+
+
+def _json_object(text: bytes) -> dict[str, Any]:
+    try:
+        data = json.loads(text)
+    except ValueError:
+        return {}
+    return data if isinstance(data, dict) else {}
+
+
+def _error(response: _Response) -> OperationError:
+    details = dict(response.data)
+    text = str(details.pop("text", f"the gateway answered {response.status}"))
+    return OperationError(str(details.pop("error", "http")), text, details)
--- a/winchdyke/admin/keys.py
+++ b/winchdyke/admin/keys.py
@@ -1,7 +1,7 @@
-"""Keys of the admin API: a file that its owner alone may read, with shared secrets, whose they are, and from when till when.
+"""Keys of the admin API and of the fleet: a file that only its owner may read, with shared secrets, their owners and validity.
 
-Rotation with overlap: a person's new key is added, and the old one given an end; both are good until then. The file is looked at
-anew for each request, so a key that is withdrawn is refused from the next request on, on connections that are open as well.
+Keys are rotated with overlap: a person's new key is added, and the old one gets an end; both are valid until then. The file is
+checked for changes at each request, so a key that is withdrawn is rejected from the next request on, also on open connections.
 """
 
 from __future__ import annotations
@@ -14,84 +14,93 @@
 
 from winchdyke.durable_files import OwnError, Watched, read_own, write_own
 
-SECRET_BYTES = 32
+MIN_SECRET_BYTES = 32
+KEY_ID_SUFFIX_BYTES = 4
 
 
-class KeysError(Exception):
-    """A file of keys that can't be used; says what is wrong and what to do."""
+class KeyFileError(Exception):
+    """A file of keys that can't be used; its text tells what is wrong and what to do."""
 
 
 class Key(msgspec.Struct, forbid_unknown_fields=True):
-    """A shared secret (base64) of a person; times in Unix ms, 0: none."""
+    """A person's shared secret, as it is stored.
+
+    Attributes:
+        id: The name of the key.
+        secret: The secret in base64.
+        who: The person.
+        valid_from_ms: The Unix time from which it is valid.
+        valid_until_ms: The Unix time until which it is valid; 0: without end.
+    """
 
     id: str
     secret: str
     who: str
-    since_ms: float = 0.0
-    until_ms: float = 0.0
+    valid_from_ms: float = msgspec.field(default=0.0, name="since_ms")
+    valid_until_ms: float = msgspec.field(default=0.0, name="until_ms")
 
-    def good(self, now_ms: float) -> bool:
-        """Whether it counts now."""
-        return self.since_ms <= now_ms and (not self.until_ms or now_ms < self.until_ms)
+    def is_valid(self, now_ms: float) -> bool:
+        """Return whether the key is valid at a Unix time."""
+        return self.valid_from_ms <= now_ms and (not self.valid_until_ms or now_ms < self.valid_until_ms)
 
-    def raw(self) -> bytes:
-        """The secret's bytes."""
+    def secret_bytes(self) -> bytes:
+        """Return the decoded secret. Raises ValueError where it is no base64."""
         return base64.b64decode(self.secret, validate=True)
 
 
-class _File(msgspec.Struct, forbid_unknown_fields=True):
+class _KeyFile(msgspec.Struct, forbid_unknown_fields=True):
     keys: list[Key]
 
 
-def read(path: Path) -> list[Key]:
-    """The keys in a file. KeysError where others than its owner may read it, or it holds something else."""
+def read_keys(path: Path) -> list[Key]:
+    """Read a file of keys. Raises KeyFileError where others than its owner may read it, or it holds something else."""
     try:
         data = read_own(path)
     except OwnError as error:
-        raise KeysError(f"{error}; 'winchdyke keys new' makes such a file") from error
+        raise KeyFileError(f"{error}; 'winchdyke keys new' makes such a file") from error
     try:
-        keys = msgspec.json.decode(data, type=_File).keys
-        if any(len(key.raw()) < SECRET_BYTES for key in keys):
-            raise KeysError(f"{path}: a secret has fewer than {SECRET_BYTES} bytes; make another key")
+        keys = msgspec.json.decode(data, type=_KeyFile).keys
+        if any(len(key.secret_bytes()) < MIN_SECRET_BYTES for key in keys):
+            raise KeyFileError(f"{path}: a secret has fewer than {MIN_SECRET_BYTES} bytes; make another key")
     except (msgspec.MsgspecError, ValueError) as error:
-        raise KeysError(f"{path} is no file of keys: {error}") from error
+        raise KeyFileError(f"{path} is no file of keys: {error}") from error
     if len({key.id for key in keys}) != len(keys):
-        raise KeysError(f"{path}: two keys have one id; withdraw one of them")
+        raise KeyFileError(f"{path}: two keys have one id; withdraw one of them")
     return keys
 
 
-def write(path: Path, keys: list[Key]) -> None:
-    """Write a file of keys whole: it is never seen half written, nor readable to others."""
+def write_keys(path: Path, keys: list[Key]) -> None:
+    """Replace a file of keys atomically; only its owner may read it. Raises KeyFileError."""
     try:
-        write_own(path, msgspec.json.format(msgspec.json.encode(_File(keys)), indent=2) + b"\n")
+        write_own(path, msgspec.json.format(msgspec.json.encode(_KeyFile(keys)), indent=2) + b"\n")
     except OwnError as error:
-        raise KeysError(str(error)) from error
+        raise KeyFileError(str(error)) from error
 
 
-def made(who: str, now_ms: float, until_ms: float = 0.0) -> Key:
-    """A new key, drawn from the system's source of secrets."""
-    secret = base64.b64encode(secrets.token_bytes(SECRET_BYTES)).decode()
-    return Key(f"{who}-{secrets.token_hex(4)}", secret, who, now_ms, until_ms)
+def create_key(who: str, now_ms: float, valid_until_ms: float = 0.0) -> Key:
+    """Return a new key with a random secret, valid from now on; ``valid_until_ms`` 0: without end."""
+    secret = base64.b64encode(secrets.token_bytes(MIN_SECRET_BYTES)).decode()
+    return Key(f"{who}-{secrets.token_hex(KEY_ID_SUFFIX_BYTES)}", secret, who, now_ms, valid_until_ms)
 
 
-class Ring:
-    """The keys in a file, read anew when it changes."""
+class KeyRing:
+    """The keys in a file, read again when it changes."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._keys = Watched(path, lambda path: {key.id: key for key in read(path)})
+        self._keys = Watched(path, lambda path: {key.id: key for key in read_keys(path)})
 
-    def good(self, now_ms: float) -> list[Key]:
-        """All keys that count now, in the file's order. KeysError where the file can't be used."""
-        try:
-            return [key for key in self._keys.get().values() if key.good(now_ms)]
-        except OSError as error:
-            raise KeysError(f"{self.path} can't be read: {error.strerror}") from error
+    def valid_keys(self, now_ms: float) -> list[Key]:
+        """Return all keys that are valid at a Unix time, in the file's order. Raises KeyFileError."""
+        return [key for key in self._by_id().values() if key.is_valid(now_ms)]
+
+    def find(self, key_id: str, now_ms: float) -> Key | None:
+        """Return the key of an id where it is valid at a Unix time. Raises KeyFileError; then no key is valid."""
+        key = self._by_id().get(key_id)
+        return key if key is not None and key.is_valid(now_ms) else None
 
-    def find(self, name: str, now_ms: float) -> Key | None:
-        """The key of an id that counts now. KeysError where the file can't be used: then nobody's does."""
+    def _by_id(self) -> dict[str, Key]:
         try:
-            key = self._keys.get().get(name)
+            return self._keys.get()
         except OSError as error:
-            raise KeysError(f"{self.path} can't be read: {error.strerror}") from error
-        return key if key is not None and key.good(now_ms) else None
+            raise KeyFileError(f"{self.path} can't be read: {error.strerror}") from error
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -40,11 +40,11 @@
 
 
 def _standing(where: str, key: Path | None) -> dict[str, Any]:
-    from winchdyke.admin.client import There
+    from winchdyke.admin.client import AdminClient
     from winchdyke.config_rollout.operations import OperationError
 
     try:
-        return There(where, key).fleet()
+        return AdminClient(where, key).fleet_status()
     except OperationError as error:
         raise click.ClickException(error.text) from None
 
--- a/winchdyke/cli/keys.py
+++ b/winchdyke/cli/keys.py
@@ -19,22 +19,22 @@
 
 
 def _read(file: Path, none_yet: bool = False) -> list[Any]:
-    from winchdyke.admin.keys import KeysError, read
+    from winchdyke.admin.keys import KeyFileError, read_keys
 
     if none_yet and not file.exists():
         return []
     try:
-        return read(file)
-    except KeysError as error:
+        return read_keys(file)
+    except KeyFileError as error:
         raise click.ClickException(str(error)) from None
 
 
 def _write(file: Path, keys: list[Any]) -> None:
-    from winchdyke.admin.keys import KeysError, write
+    from winchdyke.admin.keys import KeyFileError, write_keys
 
     try:
-        write(file, keys)
-    except KeysError as error:
+        write_keys(file, keys)
+    except KeyFileError as error:
         raise click.ClickException(str(error)) from None
 
 
@@ -56,10 +56,10 @@
 )
 def new(file: Path, who: str, counts: str | None, to: Path | None) -> None:
     """Make a key, and the file where there is none."""
-    from winchdyke.admin.keys import made
+    from winchdyke.admin.keys import create_key
 
     keys, now = _read(file, none_yet=True), time.time() * 1000
-    key = made(who, now, now + span(counts, "--for") if counts else 0.0)
+    key = create_key(who, now, now + span(counts, "--for") if counts else 0.0)
     _write(file, [*keys, key])
     if to is not None:
         _write(to, [key])
@@ -77,13 +77,13 @@
 )
 def rotate(file: Path, name: str, overlap: str, to: Path | None) -> None:
     """Make another key for the owner of key ID; both count for a while."""
-    from winchdyke.admin.keys import made
+    from winchdyke.admin.keys import create_key
 
     keys, now = _read(file), time.time() * 1000
     old = _mine(keys, name, file)
     end = now + span(overlap, "--overlap")
     old.until_ms = min(old.until_ms, end) if old.until_ms else end
-    key = made(old.who, now)
+    key = create_key(old.who, now)
     _write(file, [*keys, key])
     if to is not None:
         _write(to, [key])
--- a/winchdyke/cli/rollout_client.py
+++ b/winchdyke/cli/rollout_client.py
@@ -31,9 +31,9 @@
 
     try:
         if target.startswith(REMOTE_SCHEMES):
-            from winchdyke.admin.client import There
+            from winchdyke.admin.client import AdminClient
 
-            execute: Execute = There(target, key_file, actor or "").call
+            execute: Execute = AdminClient(target, key_file, actor or "").execute
         else:
             execute = _open_folder(Path(target), actor or getpass.getuser())
     except (OperationError, ChangeLogError) as error:
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -339,14 +339,14 @@
 
 async def settle(names: list[str], where: Path) -> dict[str, Any]:
     """What each running gateway's admin socket says of the others now: states by member."""
-    from winchdyke.admin.client import There
+    from winchdyke.admin.client import AdminClient
     from winchdyke.config_rollout.operations import OperationError
 
     found: dict[str, Any] = {}
 
     def ask(path: Path) -> dict[str, Any] | None:
         try:
-            return There(f"unix:{path}").fleet()
+            return AdminClient(f"unix:{path}").fleet_status()
         except OperationError:
             return None
 
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -75,7 +75,7 @@
 
     async def _start_links(self) -> None:
         secret = base64.b64encode(random.Random(self.day.seed).randbytes(32)).decode()
-        keys.write(self.where / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
+        keys.write_keys(self.where / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
         self.links = Links(self.names, self.day.seed, self.record, self._fleet_port)
         await self.links.start()
 
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -17,7 +17,8 @@
 from anyio.streams.tls import TLSStream
 
 from winchdyke import interface as api
-from winchdyke.admin.server import Admin, AdminError, listen
+from winchdyke.admin.listeners import AdminError, open_listeners
+from winchdyke.admin.server import AdminServer
 from winchdyke.config import Config
 from winchdyke.config_rollout.change_log import ChangeLogError
 from winchdyke.config_rollout.controller import RolloutController
@@ -256,7 +257,7 @@
             if self.s3 is not None:
                 group.start_soon(self.s3.run)
             if admins:
-                admin = Admin(
+                admin = AdminServer(
                     self.config.admin,
                     self.rollout.change_log if self.rollout is not None else None,
                     self.fleet,
@@ -321,7 +322,7 @@
         elif folder is None:
             return []
         try:
-            found = await listen(self.config.admin, folder or Path("."))
+            found = await open_listeners(self.config.admin, folder or Path("."))
         except AdminError as error:
             for listener in others:
                 await listener.aclose()
@@ -330,10 +331,10 @@
         return found
 
     async def _accept_admin(
-        self, listener: SocketListener, admin: Admin, scopes: list[anyio.CancelScope], group: TaskGroup
+        self, listener: SocketListener, admin: AdminServer, scopes: list[anyio.CancelScope], group: TaskGroup
     ) -> None:
         """Those who ask for changes have connections of their own, few at once: they take none from clients."""
-        places = anyio.Semaphore(admin.connections)
+        places = anyio.Semaphore(admin.max_connections)
 
         async def one(stream: SocketStream) -> None:
             connection = ClientConnection(stream, self.config.limits, self.engine.clock)
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -21,7 +21,7 @@
 import structlog
 from anyio.abc import SocketAttribute, SocketListener, SocketStream, TaskGroup
 
-from winchdyke.admin.keys import KeysError, Ring
+from winchdyke.admin.keys import KeyFileError, KeyRing
 from winchdyke.config.model import Config
 from winchdyke.membership import datagrams, events, member_cache
 from winchdyke.membership import swim as m
@@ -54,7 +54,7 @@
         self._log = structlog.get_logger("fleet")
         self.counts: Counter[str] = Counter()
         self.history: deque[dict[str, object]] = deque(maxlen=HISTORY)
-        self._keys = Ring(Path(self.fleet.keys))
+        self._keys = KeyRing(Path(self.fleet.keys))
         self._secrets: list[bytes] = []
         self._udp: socket.socket | None = None
         self._listeners: list[SocketListener] = []
@@ -144,15 +144,15 @@
 
     def _read_keys(self, first: bool = False) -> None:
         try:
-            good = self._keys.good(time.time() * 1000)
-        except KeysError as error:
+            good = self._keys.valid_keys(time.time() * 1000)
+        except KeyFileError as error:
             if first:
                 raise MembershipError(f"{error}; see fleet, keys") from error
             self._log.warning("fleet", trouble=f"{error}; the keys before go on counting")
             return
         if not good and first:
             raise MembershipError(f"{self.fleet.keys} holds no key that counts now; see fleet, keys")
-        self._secrets = [key.raw()[:64] for key in good] or self._secrets
+        self._secrets = [key.secret_bytes()[:64] for key in good] or self._secrets
 
     # The life of it.
 
