--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -75,7 +75,7 @@
     Mutant("refused though it may have run", P, "self.request_class.repeat_safety is RepeatSafety.IDEMPOTENCY_KEY\n            and self.request_class.deduplication_scope is DeduplicationScope.ALL", "True"),
     Mutant("end of a request not heard", P, "if held.finished or event.request_finished:", "if held.finished:", rules=(1, 2, 6), test="test_the_reserve_does_not_wait_out_a_pause_while_the_node_answers_in_time"),
     # Limits for every byte
-    Mutant("large bodies not paid for", T, "await self._byte_meter.charge_when_settled(\n            self._volume, self._volume_meter, units, self._deadline_ms\n        )", "pass"),
+    Mutant("large bodies not paid for", T, "await self._byte_meter.charge_when_settled(self._volume, self._volume_meter, units, self._deadline_ms)", "pass"),
     Mutant("debts do not stand in the way", T, "if debt.is_settled and not debt.queued_units:", "if True:"),
     Mutant("debts paid by nobody", L, "        self.units -= payment", "        self.units = 0.0"),
     Mutant("small answers not paid for", T, "            self._byte_meter.charge_now(self._volume, excess_units)\n", "            pass\n", test="test_small_reads_of_unknown_size_come_out_of_the_bucket"),
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -89,7 +89,7 @@
     origin: str
 
 
-class _RejectedRequest(Exception):
+class _RequestRejectedError(Exception):
     def __init__(
         self, status: int, code: str, text: str, peer: str, retry_after_seconds: float = 0.0
     ) -> None:
@@ -162,7 +162,7 @@
         body = await self._read_body(connection)
         try:
             caller = self._authenticate(connection.stream, head, body)
-        except _RejectedRequest as rejected:
+        except _RequestRejectedError as rejected:
             connection.close_after = True
             self._log.warning("admin_request_rejected", reason=rejected.code, peer=rejected.peer)
             return rejected.response()
@@ -217,7 +217,7 @@
             key = self._verifier.verify(Message(head.method, url, headers), body)
         except SignatureError as error:
             status = STATUS_BY_SIGNATURE_CODE.get(error.code, 401)
-            raise _RejectedRequest(
+            raise _RequestRejectedError(
                 status, error.code, error.text, str(peer), error.retry_after_seconds
             ) from error
         return Caller(key.who, f"{peer[0]}, key {key.id}")
@@ -228,7 +228,7 @@
     credentials = raw_socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
     pid, uid, _ = struct.unpack("3i", credentials)
     if uid not in (0, os.geteuid()):
-        raise _RejectedRequest(403, "not-yours", "only its owner may use this socket", f"uid {uid}")
+        raise _RequestRejectedError(403, "not-yours", "only its owner may use this socket", f"uid {uid}")
     given_name = (head.get(ACTOR_HEADER) or "")[:MAX_ACTOR_CHARACTERS]
     user = _user_name(uid)
     return Caller(given_name or user, f"socket, {user}, process {pid}")
--- a/winchdyke/cli/keys.py
+++ b/winchdyke/cli/keys.py
@@ -18,10 +18,10 @@
     """Keys of the admin API. FILE is a gateway's `admin, keys`; a running gateway goes by it from the next request on."""
 
 
-def _read(file: Path, none_yet: bool = False) -> list[Any]:
+def _read(file: Path, may_be_missing: bool = False) -> list[Any]:
     from winchdyke.admin.keys import KeyFileError, read_keys
 
-    if none_yet and not file.exists():
+    if may_be_missing and not file.exists():
         return []
     try:
         return read_keys(file)
@@ -38,28 +38,30 @@
         raise click.ClickException(str(error)) from None
 
 
-def _mine(keys: list[Any], name: str, file: Path) -> Any:
+def _find(keys: list[Any], key_id: str, file: Path) -> Any:
     for key in keys:
-        if key.id == name:
+        if key.id == key_id:
             return key
-    raise click.ClickException(f"{file} has no key {name}; 'winchdyke keys list {file}' shows them")
+    raise click.ClickException(f"{file} has no key {key_id}; 'winchdyke keys list {file}' shows them")
 
 
 @command.command("new")
 @FILE
-@click.option("--who", required=True, help="Whose it is; it stands on the trail of what is done with it.")
+@click.option("--who", required=True, help="Whose it is; the change log names them.")
 @click.option(
-    "--for", "counts", default=None, metavar="TIME", help="How long it counts; for good where not given."
+    "--for", "lifetime", default=None, metavar="TIME", help="How long it counts; for good where not given."
 )
 @click.option(
     "--to", type=click.Path(path_type=Path, dir_okay=False), help="Write it to a file for its owner, too."
 )
-def new(file: Path, who: str, counts: str | None, to: Path | None) -> None:
+def new(file: Path, who: str, lifetime: str | None, to: Path | None) -> None:
     """Make a key, and the file where there is none."""
     from winchdyke.admin.keys import create_key
 
-    keys, now = _read(file, none_yet=True), time.time() * 1000
-    key = create_key(who, now, now + span(counts, "--for") if counts else 0.0)
+    keys = _read(file, may_be_missing=True)
+    now_ms = time.time() * 1000
+    valid_until_ms = now_ms + span(lifetime, "--for") if lifetime else 0.0
+    key = create_key(who, now_ms, valid_until_ms)
     _write(file, [*keys, key])
     if to is not None:
         _write(to, [key])
@@ -68,22 +70,23 @@
 
 @command.command("rotate")
 @FILE
-@click.argument("name", metavar="ID")
+@click.argument("key_id", metavar="ID")
 @click.option(
     "--overlap", default="24h", show_default=True, metavar="TIME", help="How long the old one counts still."
 )
 @click.option(
     "--to", type=click.Path(path_type=Path, dir_okay=False), help="Write the new one to a file for its owner."
 )
-def rotate(file: Path, name: str, overlap: str, to: Path | None) -> None:
+def rotate(file: Path, key_id: str, overlap: str, to: Path | None) -> None:
     """Make another key for the owner of key ID; both count for a while."""
     from winchdyke.admin.keys import create_key
 
-    keys, now = _read(file), time.time() * 1000
-    old = _mine(keys, name, file)
-    end = now + span(overlap, "--overlap")
-    old.until_ms = min(old.until_ms, end) if old.until_ms else end
-    key = create_key(old.who, now)
+    keys = _read(file)
+    now_ms = time.time() * 1000
+    old = _find(keys, key_id, file)
+    overlap_end_ms = now_ms + span(overlap, "--overlap")
+    old.valid_until_ms = min(old.valid_until_ms, overlap_end_ms) if old.valid_until_ms else overlap_end_ms
+    key = create_key(old.who, now_ms)
     _write(file, [*keys, key])
     if to is not None:
         _write(to, [key])
@@ -92,22 +95,20 @@
 
 @command.command("withdraw")
 @FILE
-@click.argument("name", metavar="ID")
-def withdraw(file: Path, name: str) -> None:
+@click.argument("key_id", metavar="ID")
+def withdraw(file: Path, key_id: str) -> None:
     """Take key ID away; it is refused from the next request on."""
     keys = _read(file)
-    gone = _mine(keys, name, file)
-    _write(file, [key for key in keys if key is not gone])
-    click.echo(f"{name} is withdrawn")
+    withdrawn = _find(keys, key_id, file)
+    _write(file, [key for key in keys if key is not withdrawn])
+    click.echo(f"{key_id} is withdrawn")
 
 
 @command.command("list")
 @FILE
 def show(file: Path) -> None:
     """The keys, without their secrets."""
-    now = time.time() * 1000
+    now_ms = time.time() * 1000
     for key in _read(file):
-        until = when(key.until_ms)
-        click.echo(
-            f"{key.id:24} {key.who:16} {'counts' if key.good(now) else 'does not count':14} until {until}"
-        )
+        validity = "counts" if key.is_valid(now_ms) else "does not count"
+        click.echo(f"{key.id:24} {key.who:16} {validity:14} until {when(key.valid_until_ms)}")
