--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -13,13 +13,12 @@
 
 from winchdyke import interface as api
 from winchdyke.config.meaning import Change
-from winchdyke.policy import Scheduler, VolumeQuota
+from winchdyke.scheduling import Scheduler
+from winchdyke.scheduling.quota import VolumeQuota
 
 RELOADABLE_BLOCKS = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
 RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks that need a restart otherwise
-RECENT_REFILL_MS = (
-    100.0  # a quota refilled within this time is not refilled again; it gets fewer units, never more
-)
+RECENT_REFILL_MS = 100.0  # a quota refilled within this time is not refilled again, which gives it less
 
 
 def is_reloadable(kind: str, key: str) -> bool:
--- a/winchdyke/quotas/token_bucket.py
+++ b/winchdyke/quotas/token_bucket.py
@@ -53,7 +53,7 @@
 
 
 class QuotaBalance(Protocol):
-    """The scheduler's token bucket of a volume at this gateway (:class:`winchdyke.policy.VolumeQuota`)."""
+    """The scheduler's token bucket of a volume at this gateway (:class:`winchdyke.scheduling.quota.VolumeQuota`)."""
 
     limit_units: float  # the units in the bucket
     sharing_gateways: int
