--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -83,19 +83,19 @@
 
     def edit(self, trail: ChangeLog) -> None:
         """One step of an editor."""
-        desk = ChangeOperations(trail, "editor", "here")
+        operations = ChangeOperations(trail, "editor", "here")
         try:
             what = self.draw.choice(("set", "set", "set", "undo", "confirm"))
             if what == "undo":
-                desk.execute(Undo())
+                operations.execute(Undo())
             elif what == "confirm":
-                desk.execute(Confirm())
+                operations.execute(Confirm())
             else:
                 weight = f"weight={self.draw.randrange(1, 1_000_000)}"
-                made = desk.execute(Set("plan", self.draw.choice(("school", "contest")), [weight]))
+                made = operations.execute(Set("plan", self.draw.choice(("school", "contest")), [weight]))
                 at = time.time() * 1000 + 150 if self.draw.random() < 0.3 else 0.0
                 within = self.draw.choice((0.0, 0.0, 200.0))
-                desk.execute(Stage(made["version"], at_ms=at, confirm_within_ms=within))
+                operations.execute(Stage(made["version"], at_ms=at, confirm_within_ms=within))
             self.counts[what] += 1
         except OperationError as error:
             self.counts["no " + error.code] += 1
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -93,14 +93,14 @@
             group.start_soon(client, gateway, number, took, lambda: on)
         await anyio.sleep(3)
         swaps.clear()
-        desk = ChangeOperations(gateway.rollout.change_log, "benchmark", "here")
+        operations = ChangeOperations(gateway.rollout.change_log, "benchmark", "here")
         first = gateway.rollout.change_log.version(1).text
         versions = (changed(first), first)
         for number in range(applies):
             text = versions[number % 2]
             began = time.perf_counter()
-            made = await anyio.to_thread.run_sync(desk.execute, Propose(text))
-            await anyio.to_thread.run_sync(desk.execute, Stage(made["version"]))
+            made = await anyio.to_thread.run_sync(operations.execute, Propose(text))
+            await anyio.to_thread.run_sync(operations.execute, Stage(made["version"]))
             while gateway.service.snapshot.version != made["version"]:
                 await anyio.sleep(0.02)
             checks.append((began, time.perf_counter()))
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -7,7 +7,7 @@
     done    once all clocks are past the instant by what they may be apart, each serves the new version with its limit
 
 A gateway that learns of the change only when its instant is gone is told of apart: it holds the old version till then, so the
-first holds only among those that know of it in time; the desk refuses an instant in the past.
+first holds only among those that know of it in time; ``ChangeOperations`` refuses an instant in the past.
 """
 
 from __future__ import annotations
