--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -12,6 +12,7 @@
 import sys
 import time
 from concurrent.futures import ThreadPoolExecutor
+from typing import get_args
 
 import anyio
 import anyio.to_thread
@@ -38,6 +39,7 @@
 from winchdyke.config_rollout.operations import (
     ChangeOperations,
     Log,
+    Operation,
     OperationError,
     Propose,
     Set,
@@ -47,6 +49,7 @@
     Undo,
     Verify,
     Withdraw,
+    operation_name,
     parse_operation,
 )
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
@@ -458,6 +461,46 @@
     assert change_log.verify(), "one whose entry is in an archive"
 
 
+@pytest.mark.parametrize("key", ["seq", "hash", "standing", "kept"])
+def test_a_prune_entry_that_lacks_a_value_is_damage_and_the_rest_stays_readable(tmp_path, key):
+    change_log = make_change_log(tmp_path, 12)
+    assert change_log.prune(3) > 0
+    remaining = change_log.entries()
+    note = json.loads(remaining[-1].note)
+    del note[key]
+    with sqlite3.connect(change_log.path) as db:
+        db.execute("UPDATE trail SET note = ? WHERE seq = ?", (json.dumps(note), remaining[-1].seq))
+    read_without = change_log.state if key in ("seq", "standing") else change_log.verify
+    with pytest.raises(ChangeLogError, match=f"can't be read: '{key}'") as error:
+        read_without()
+    assert error.value.damaged
+    assert change_log.entries()[:-1] == remaining[:-1]
+    opened, reason = last_known_good.open_change_log(tmp_path)
+    assert "damaged" in reason and opened.entries() == []
+
+
+REQUESTED_OPERATIONS = [
+    {"op": "standing"},
+    {"op": "show", "version": 1},
+    {"op": "log"},
+    {"op": "blame"},
+    {"op": "verify"},
+    {"op": "propose", "text": ""},
+    {"op": "set", "kind": "plan", "name": "a"},
+    {"op": "stage", "version": 1},
+    {"op": "withdraw"},
+    {"op": "confirm"},
+    {"op": "undo"},
+    {"op": "export"},
+]
+
+
+def test_every_operation_has_a_handler_and_the_name_of_its_json():
+    found = [parse_operation(fields) for fields in REQUESTED_OPERATIONS]
+    assert [operation_name(each) for each in found] == [fields["op"] for fields in REQUESTED_OPERATIONS]
+    assert {type(each) for each in found} == set(get_args(Operation)) == set(ChangeOperations._HANDLERS)
+
+
 def test_a_change_log_of_the_first_format_is_migrated(tmp_path):
     change_log = make_change_log(tmp_path, 2)
     with sqlite3.connect(change_log.path) as db:
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -358,9 +358,9 @@
         moved_versions = [row for row in version_rows if row[0] not in needed]
         entries = [LogEntry(*row) for row in entry_rows]
         base = last_prune.state if last_prune else RolloutState()
-        record = PruneRecord(
+        record = PruneRecord.create(
             seq=entries[-1].seq,
-            hash=entries[-1].hash,
+            last_hash=entries[-1].hash,
             state=replay((entry.step() for entry in entries), base),
             version_digests={
                 str(row[0]): version_digest(row[1:]) for row in version_rows if row[0] in needed
--- a/winchdyke/config_rollout/change_log_records.py
+++ b/winchdyke/config_rollout/change_log_records.py
@@ -123,33 +123,66 @@
 
 @dataclass(frozen=True, slots=True)
 class PruneRecord:
-    """What the entry on a prune records of the entries that were moved to an archive.
+    """What the entry on a prune records of the entries that were moved to an archive, as it is stored.
 
-    Attributes:
-        seq: The last entry that was moved.
-        hash: Its hash, from which the chain continues.
-        state: The state of the rollout after it.
-        version_digests: By number (as text), the digests of versions that stay although their proposal was moved.
+    Each value is read when it is asked for, and raises ChangeLogError where it is damaged: the rest stays usable.
     """
 
-    seq: int
-    hash: str
-    state: RolloutState
-    version_digests: dict[str, str]
+    stored: dict[str, Any]
 
-    def to_note(self) -> str:
-        """Return the record as the note of its entry."""
-        state = {stored: getattr(self.state, field) for stored, field in STORED_STATE_KEYS.items()}
-        return json.dumps(
-            {"seq": self.seq, "hash": self.hash, "standing": state, "kept": self.version_digests}
-        )
+    @classmethod
+    def create(
+        cls, seq: int, last_hash: str, state: RolloutState, version_digests: dict[str, str]
+    ) -> PruneRecord:
+        """Return a new record; the arguments are the properties of the same names, and ``hash``."""
+        stored_state = {key: getattr(state, field) for key, field in STORED_STATE_KEYS.items()}
+        return cls({"seq": seq, "hash": last_hash, "standing": stored_state, "kept": version_digests})
 
     @classmethod
     def from_note(cls, note: str) -> PruneRecord:
-        """Read the record from the note of its entry. Raises ChangeLogError where it is damaged."""
+        """Read a record from the note of its entry. Raises ChangeLogError where it is no JSON."""
         try:
-            stored = json.loads(note)
-            state = {STORED_STATE_KEYS[key]: value for key, value in stored["standing"].items()}
-            return cls(stored["seq"], stored["hash"], RolloutState(**state), stored["kept"])
-        except (ValueError, KeyError, TypeError, AttributeError) as error:
-            raise ChangeLogError(f"the entry on what was moved out can't be read: {error}", True) from error
+            return cls(json.loads(note))
+        except ValueError as error:
+            raise _damaged_prune(error) from error
+
+    def to_note(self) -> str:
+        """Return the record as the note of its entry."""
+        return json.dumps(self.stored)
+
+    @property
+    def seq(self) -> int:
+        """The last entry that was moved."""
+        seq: int = self._value("seq")
+        return seq
+
+    @property
+    def hash(self) -> str:
+        """Its hash, from which the chain continues."""
+        last_hash: str = self._value("hash")
+        return last_hash
+
+    @property
+    def state(self) -> RolloutState:
+        """The state of the rollout after it."""
+        stored_state = self._value("standing")
+        try:
+            return RolloutState(**{STORED_STATE_KEYS[key]: value for key, value in stored_state.items()})
+        except (KeyError, AttributeError) as error:
+            raise _damaged_prune(error) from error
+
+    @property
+    def version_digests(self) -> dict[str, str]:
+        """By number (as text), the digests of versions that stay although their proposal was moved."""
+        digests: dict[str, str] = self._value("kept")
+        return digests
+
+    def _value(self, key: str) -> Any:
+        try:
+            return self.stored[key]
+        except (KeyError, TypeError) as error:
+            raise _damaged_prune(error) from error
+
+
+def _damaged_prune(error: Exception) -> ChangeLogError:
+    return ChangeLogError(f"the entry on what was moved out can't be read: {error}", damaged=True)
