--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -22,7 +22,7 @@
 from winchdyke.config.loading import load_file
 from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
-from winchdyke.config_rollout.hot_reload import fixed
+from winchdyke.config_rollout.hot_reload import requiring_restart
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.membership import datagrams, member_cache
 from winchdyke.membership.agent import MembershipAgent
@@ -46,7 +46,7 @@
 
 
 def ring(path: Path, *numbers: int) -> None:
-    keys.write(path, [keys.Key(f"k{number}", secret(number), "fleet") for number in numbers])
+    keys.write_keys(path, [keys.Key(f"k{number}", secret(number), "fleet") for number in numbers])
 
 
 def config(where: Path, name: str, **more: Any) -> Config:
@@ -295,10 +295,10 @@
             assert states(one) == {} and one.status()["alone"]
             fleet = replace(one.config.fleet, seeds=(Listen(*two.address),))
             after = replace(one.config, fleet=fleet)
-            assert fixed(diff(one.config, after)) == []
-            assert fixed(diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))) == [
-                "fleet interval"
-            ]
+            assert requiring_restart(diff(one.config, after)) == []
+            assert requiring_restart(
+                diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))
+            ) == ["fleet interval"]
             one.update_config(after)
             await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
 
@@ -315,7 +315,7 @@
             for numbers in ((1, 2), (2, 1), (2,)):
                 ring(tmp_path / "keys", *numbers)
                 await anyio.sleep(1.3)
-            sealed = [key.id for key in one.keys.ring.good(time.time() * 1000)]
+            sealed = [key.id for key in one.keys.ring.valid_keys(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
             assert states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
--- a/tests/test_membership_logs.py
+++ b/tests/test_membership_logs.py
@@ -49,7 +49,7 @@
 
 def test_a_broken_file_of_keys_is_logged_by_name_and_the_earlier_keys_stay_in_use(tmp_path):
     path = tmp_path / "keys"
-    keys.write(path, [keys.Key("k1", base64.b64encode(b"1" * 32).decode(), "fleet")])
+    keys.write_keys(path, [keys.Key("k1", base64.b64encode(b"1" * 32).decode(), "fleet")])
     shared = SharedKeys(str(path))
     shared.load()
     before = list(shared.secrets)
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -17,7 +17,7 @@
 from winchdyke.interface import AttemptOutcome
 from winchdyke.object_api import store_protocol
 from winchdyke.object_api.sinks import Sink
-from winchdyke.quotas.token_bucket import OverLimit
+from winchdyke.quotas.token_bucket import QuotaExceededError
 
 MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024  # a larger response is streamed
 RECEIVE_BYTES = 256 * 1024  # the transport's own read size: a smaller one would copy each read into pieces
@@ -237,7 +237,7 @@
             await connection.stream.send(head + codec.end())
             self._write_completed = True
             self._enter_phase("store")
-        except (ClientDisconnectedError, ProtocolError, BodyStoreFullError, OverLimit) as error:
+        except (ClientDisconnectedError, ProtocolError, BodyStoreFullError, QuotaExceededError) as error:
             self._client_error = error
             group.cancel_scope.cancel()
         except CONNECTION_ERRORS:
@@ -322,7 +322,7 @@
         except ClientDisconnectedError as error:
             result.outcome = AttemptOutcome.CANCELLED
             result.error = error
-        except OverLimit as error:
+        except QuotaExceededError as error:
             result.outcome = AttemptOutcome.CANCELLED
             result.error = error
             result.streamed = body_bytes > 0  # the head is sent with the first chunk
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -14,11 +14,13 @@
 from anyio.abc import SocketAttribute, SocketListener, TaskGroup
 
 from winchdyke import interface as api
-from winchdyke.admin.server import Admin, AdminError, listen
+from winchdyke.admin import listeners as admin_listeners
+from winchdyke.admin.server import AdminServer
 from winchdyke.config import Config
 from winchdyke.config_rollout.change_log import ChangeLogError
-from winchdyke.config_rollout.controller import Prepared, RolloutController
-from winchdyke.config_rollout.cutover import moved
+from winchdyke.config_rollout.controller import RolloutController
+from winchdyke.config_rollout.cutover import changed_plans
+from winchdyke.config_rollout.swap import PreparedSwap
 from winchdyke.discovery.endpoint_view import EndpointEvidence
 from winchdyke.discovery.seeds import Seeds
 from winchdyke.gateway import composition
@@ -92,7 +94,7 @@
         self.service.exchanges.on_endpoint_evidence = self.membership.heard
         self.service.exchanges.on_connect_failed = self.membership.refused
         self.fleet = MembershipAgent(config, clock) if config.fleet.listen is not None else None
-        self.live = self._make_rollout()
+        self.rollout = self._make_rollout()
         self.writeback = composition.open_write_back(config, clock, self.service)
         self.address = ("", 0)
         self.addresses: list[tuple[str, int]] = []
@@ -121,12 +123,12 @@
                 self._shards_without_endpoint,
                 self.engine.refill_quotas,
             )
-            watch = rollout.watch
+            watch = rollout.canary
             clock = self.engine.clock
-            self.service.on_request_end = lambda volume, shard, outcome, total_ms: watch.ended(
+            self.service.on_request_end = lambda volume, shard, outcome, total_ms: watch.record_request(
                 clock(), volume, shard, outcome, total_ms
             )
-            rollout.begin()
+            rollout.start()
         except ChangeLogError as error:
             raise StartError(f"{error}; see changes, folder") from error
         return rollout
@@ -137,18 +139,18 @@
         usable = {known.shard for known in view.known.values() if view.usable(known.name)}
         return {known.shard for known in view.known.values()} - usable
 
-    def _swap(self, prepared: Prepared) -> None:
+    def _swap(self, prepared: PreparedSwap) -> None:
         """Apply another version of the configuration, for all requests from now on."""
         # Events of requests that arrived under the old version must be decided by it: the new one may lack their plans.
         self.engine.process_events()
         plans = prepared.plans
-        if new_volumes := self.engine.volumes_with_quota(prepared.known):  # since it was prepared
-            plans = {**plans, **moved(new_volumes, prepared.before, prepared.after)}
+        if new_volumes := self.engine.volumes_with_quota(prepared.volume_count):  # since it was prepared
+            plans = {**plans, **changed_plans(new_volumes, prepared.old, prepared.new)}
         if self.service.snapshot.version != prepared.version:
-            self.service.snapshot = ConfigSnapshot(prepared.after.config, prepared.version)
+            self.service.snapshot = ConfigSnapshot(prepared.new.config, prepared.version)
         self.engine.apply_settings(prepared.settings, plans)
         if self.fleet is not None:
-            self.fleet.update_config(prepared.after.config)
+            self.fleet.update_config(prepared.new.config)
 
     # Endpoints
 
@@ -238,8 +240,8 @@
         if folder is None:
             return []
         try:
-            sockets = await listen(self.config.admin, folder)
-        except AdminError as error:
+            sockets = await admin_listeners.open_listeners(self.config.admin, folder)
+        except admin_listeners.AdminError as error:
             for listener in listeners:
                 await listener.socket.aclose()
             raise StartError(str(error)) from error
@@ -248,8 +250,8 @@
 
     def _admin_folder(self) -> Path | None:
         """Return the folder of the admin socket; None where there is nothing to administer, or no place for it."""
-        if self.live is not None:
-            return self.live.folder
+        if self.rollout is not None:
+            return self.rollout.folder
         if self.fleet is None:
             return None
         if self.config.fleet.keep:
@@ -271,8 +273,8 @@
         self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
         group.start_soon(self.membership.run)
         group.start_soon(self._sweep)
-        if self.live is not None:
-            group.start_soon(self.live.run)
+        if self.rollout is not None:
+            group.start_soon(self.rollout.run)
         if self.writeback is not None:
             group.start_soon(self.writeback.run, self.engine.queue_lengths)
         if self.fleet is None:
@@ -293,10 +295,10 @@
             group.start_soon(self.s3.run)
         if not admin_sockets:
             return
-        change_log = self.live.trail if self.live is not None else None
-        admin = Admin(self.config.admin, change_log, self.fleet)
+        change_log = self.rollout.change_log if self.rollout is not None else None
+        admin = AdminServer(self.config.admin, change_log, self.fleet)
         for socket in admin_sockets:
-            group.start_soon(self.admins.accept, socket, admin.handle, admin.connections, group)
+            group.start_soon(self.admins.accept, socket, admin.handle, admin.max_connections, group)
 
     async def _sweep(self) -> None:
         """Find what only the passing of time changes."""
@@ -326,8 +328,8 @@
 
     async def _drain_connections(self) -> None:
         self.service.stopping = True
-        if self.live is not None:
-            self.live.stopping = True  # a change that is staged stays so for the next start
+        if self.rollout is not None:
+            self.rollout.stopping = True  # a change that is staged stays so for the next start
         await anyio.sleep(LAST_REQUEST_SECONDS)
         longest_deadline_ms = max(kind.rules.deadline_ms for kind in self.config.kinds)
         with anyio.move_on_after(longest_deadline_ms / 1000 + SHUTDOWN_MARGIN_SECONDS):
--- a/winchdyke/gateway/final_response.py
+++ b/winchdyke/gateway/final_response.py
@@ -12,7 +12,7 @@
 from winchdyke.interface import AttemptOutcome
 from winchdyke.object_api import answers
 from winchdyke.object_api.answers import RequestError
-from winchdyke.quotas.token_bucket import OverLimit
+from winchdyke.quotas.token_bucket import QuotaExceededError
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
     return FinalResponse(error.status, "refused", error.reason, str(error))
 
 
-def over_limit(error: OverLimit) -> FinalResponse:
+def over_limit(error: QuotaExceededError) -> FinalResponse:
     """Return the response to a transfer that its volume's limit doesn't allow in time."""
     return FinalResponse(503, "refused", "over-limit", str(error), error.wait_ms)
 
@@ -79,7 +79,7 @@
         return _of_streamed_attempt(result)
     if isinstance(error, ClientDisconnectedError):
         return client_disconnected()
-    if isinstance(error, OverLimit):
+    if isinstance(error, QuotaExceededError):
         return over_limit(error)
     if isinstance(error, ProtocolError):
         return body_error(error)
--- a/winchdyke/gateway/metering.py
+++ b/winchdyke/gateway/metering.py
@@ -19,7 +19,7 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.http1 import Bytes
 from winchdyke.quotas.byte_metering import ByteMeter, MeteredSink, TransferCharge
-from winchdyke.quotas.token_bucket import OverLimit, units_of, weigh
+from winchdyke.quotas.token_bucket import QuotaExceededError, charge_reservation, units_for_bytes
 
 TRANSFER_OPERATIONS = ("get", "put", "post", "put-part")
 
@@ -60,14 +60,14 @@
         range_bytes = self._range_bytes(context)
         length = range_bytes if is_read else context.source.length
         if length is not None and length > context.units * unit_bytes:
-            record.excess_units = units_of(length, unit_bytes) - context.units
+            record.excess_units = units_for_bytes(length, unit_bytes) - context.units
         if not record.limit_units_per_s:
             return False
         if is_read and range_bytes is None and not operation.part:
-            known_bytes = self._byte_meter.sizes.of(operation.volume, operation.key)
+            known_bytes = self._byte_meter.object_sizes.get(operation.volume, operation.key)
             if known_bytes is not None:
                 max_units = self._scheduler_loop.settings.max_request_units
-                context.units = min(max_units, units_of(known_bytes, unit_bytes))
+                context.units = min(max_units, units_for_bytes(known_bytes, unit_bytes))
                 context.transfer_bytes = known_bytes
                 return True
         context.transfer_bytes = length
@@ -91,7 +91,7 @@
         give_up_at_ms = started_at_ms + max(
             0.0, context.time_left_ms - context.kind.rules.latency_objective_ms
         )
-        charge = self._byte_meter.bill(
+        charge = self._byte_meter.open_charge(
             context.operation.volume,
             record.limit_units_per_s,
             context.volume.gateways,
@@ -103,7 +103,7 @@
         try:
             if not await self._pay_in_advance(charge, context):
                 return final_response.client_disconnected()
-        except OverLimit as error:
+        except QuotaExceededError as error:
             return final_response.over_limit(error)
         context.time_left_ms -= self._clock() - started_at_ms
         if context.operation.name == "get":
@@ -128,7 +128,7 @@
             with scope:
                 if caller.disconnected:
                     scope.cancel()
-                await charge.before(context.transfer_bytes)
+                await charge.charge_length(context.transfer_bytes)
         finally:
             caller.on_disconnect = on_disconnect
             record.queued_ms += self._clock() - started_at_ms
@@ -142,12 +142,12 @@
             return final
         if operation.name == "get" and final.response is not None:
             try:
-                await charge.before(len(final.response.body))
-            except OverLimit as error:
+                await charge.charge_length(len(final.response.body))
+            except QuotaExceededError as error:
                 return final_response.over_limit(error)
-            charge.moved += len(final.response.body)
+            charge.transferred_bytes += len(final.response.body)
         if operation.range is None and not operation.part and operation.name in ("get", "put"):
-            self._byte_meter.sizes.heard(operation.volume, operation.key, charge.moved)
+            self._byte_meter.object_sizes.record(operation.volume, operation.key, charge.transferred_bytes)
         return final
 
     def charge_excess_before(self, record: AccessLogRecord) -> None:
@@ -160,13 +160,13 @@
         request = record.request
         if record.excess_units or result.body_bytes <= record.unit_bytes or request is None:
             return
-        record.excess_units = max(0.0, units_of(result.body_bytes, record.unit_bytes) - request.units)
+        record.excess_units = max(0.0, units_for_bytes(result.body_bytes, record.unit_bytes) - request.units)
         self._charge_reservation(request, record.excess_units)
 
     def _charge_reservation(self, request: api.Request | None, excess_units: float) -> None:
         quota = self._scheduler_loop.quota(request.volume) if request is not None else None
         if quota is not None and request is not None:
-            weigh(quota, excess_units, request.units)
+            charge_reservation(quota, excess_units, request.units)
 
 
 def _charged(read: Callable[[], Awaitable[Bytes]], charge: TransferCharge) -> Callable[[], Awaitable[Bytes]]:
@@ -175,7 +175,7 @@
     async def read_and_charge() -> Bytes:
         data = await read()
         if data:
-            await charge.took(len(data))
+            await charge.record_bytes(len(data))
         return data
 
     return read_and_charge
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -180,20 +180,20 @@
 
     def apply_settings(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
         """Apply other plans from the next batch on; return how many volumes' quotas changed."""
-        from winchdyke.config_rollout.hot_reload import retell
+        from winchdyke.config_rollout.hot_reload import apply_settings
 
         self.settings = settings
         scheduler = self._scheduler
         if not isinstance(scheduler, Scheduler):
             return 0
-        return retell(scheduler, settings, plans, self.clock())
+        return apply_settings(scheduler, settings, plans, self.clock())
 
     def refill_quotas(self, volumes: list[str]) -> None:
         """Refill the quotas of some volumes up to the present time."""
-        from winchdyke.config_rollout.hot_reload import freshen
+        from winchdyke.config_rollout.hot_reload import refill_quotas
 
         if isinstance(self._scheduler, Scheduler):
-            freshen(self._scheduler, volumes, self.clock())
+            refill_quotas(self._scheduler, volumes, self.clock())
 
     def quota(self, volume: str) -> VolumeQuota | None:
         """Return the scheduler's quota of a volume; None where it has had no request of it."""
