--- a/tests/test_crossings_orders.py
+++ b/tests/test_crossings_orders.py
@@ -179,8 +179,8 @@
                 play.faults.append(f"{one.id} was served {body!r}")
             one.writer.close()
         if (
-            it.gateway.scheduler_loop.tickets
-            or it.gateway.scheduler_loop.departed
+            it.gateway.scheduler_loop.open_requests
+            or it.gateway.scheduler_loop.disconnected_requests
             or it.gateway.scheduler_loop._scheduler.requests
         ):
             play.faults.append("something is left behind")
--- a/tests/test_crossings_sends.py
+++ b/tests/test_crossings_sends.py
@@ -130,11 +130,11 @@
             await until(lambda: len(it.store.seen) == 1)
             writer.close()
             await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
-            assert it.gateway.scheduler_loop.departed and not it.store.ends, (
+            assert it.gateway.scheduler_loop.disconnected_requests and not it.store.ends, (
                 "it may have run: its answer is still learnt from"
             )
             it.store.writers[0].write(GOOD)
-            await until(lambda: not it.gateway.scheduler_loop.departed)
+            await until(lambda: not it.gateway.scheduler_loop.disconnected_requests)
             assert not it.gateway.scheduler_loop._scheduler.requests
 
     asyncio.run(play())
@@ -337,11 +337,14 @@
             if lies:
                 it.store.writers[0].write(GOOD)
                 await asyncio.to_thread(select.select, [link.sock], [], [], 5.0)
-            it.gateway.scheduler_loop.answer_all("stopping")
+            it.gateway.scheduler_loop.finish_all("stopping")
             status, _, body = await asked
             assert (status, body == b"good") == ((200, True) if lies else (502, False))
             await wait_until_settled(it)
-            assert not it.gateway.scheduler_loop._scheduler.requests and not it.gateway.scheduler_loop.tickets
+            assert (
+                not it.gateway.scheduler_loop._scheduler.requests
+                and not it.gateway.scheduler_loop.open_requests
+            )
 
     asyncio.run(play())
 
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -24,7 +24,7 @@
 from winchdyke.platform.client_connection import ConnectionState
 from winchdyke.platform.service import PlatformGateway
 
-logs.set_up("none")
+logs.configure("none")
 ScriptedResponse = Callable[[asyncio.StreamWriter, bytes, int], Awaitable[None] | None]
 GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood"
 
@@ -325,7 +325,7 @@
                 said = await asyncio.wait_for(reader.read(), 3.0)
             assert not said or said.startswith((b"HTTP/1.1 4", b"HTTP/1.1 5"))
             assert not said.startswith((b"HTTP/1.1 429", b"HTTP/1.1 503"))
-            assert not it.store.seen and not it.gateway.scheduler_loop.tickets
+            assert not it.store.seen and not it.gateway.scheduler_loop.open_requests
             writer.close()
 
     asyncio.run(play())
@@ -411,10 +411,14 @@
             await until(lambda: bool(it.store.seen))
             writer.close()
             await until(lambda: it.gateway.counts["clients_disconnected"] == 1)
-            assert it.gateway.scheduler_loop.departed and not it.gateway.scheduler_loop.tickets
+            assert (
+                it.gateway.scheduler_loop.disconnected_requests
+                and not it.gateway.scheduler_loop.open_requests
+            )
             assert (await it.ask())[0] == 200 and it.store.connections <= 2
             assert (
-                not it.gateway.scheduler_loop.departed and not it.gateway.scheduler_loop._scheduler.requests
+                not it.gateway.scheduler_loop.disconnected_requests
+                and not it.gateway.scheduler_loop._scheduler.requests
             )
 
     asyncio.run(play())
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""TLS on the S3 listener: clients that check it, stalls, reloads, certificates that are over, clients' own."""
+"""TLS on the S3 listener and to stores: verification, stalled handshakes, reloads, expiry, client certificates."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 from winchdyke.config.model import Tls
 from winchdyke.gateway import tls
-from winchdyke.gateway.tls import Certificates, TlsError, load
+from winchdyke.gateway.tls import CertificateReloader, TlsError, load_server_context
 
 DAY = datetime.timedelta(days=1)
 
@@ -82,8 +82,8 @@
     return Tls(str(certificate), str(key), **more)
 
 
-def test_boto3_over_tls_a_handshake_that_stalls_and_a_certificate_changed_in_service(tmp_path, monkeypatch):
-    monkeypatch.setattr(tls, "LOOK_S", 0.0)
+def test_boto3_over_tls_with_a_stalled_handshake_and_a_certificate_reloaded_in_service(tmp_path, monkeypatch):
+    monkeypatch.setattr(tls, "FILE_CHECK_INTERVAL_SECONDS", 0.0)
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "first")
 
@@ -156,7 +156,7 @@
     run()
 
 
-def test_clients_that_must_show_a_certificate_and_the_oldest_version(tmp_path):
+def test_client_certificates_and_the_minimum_tls_version_are_enforced(tmp_path):
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "server")
     people = Issuer(tmp_path, "people")
@@ -189,25 +189,25 @@
     run()
 
 
-def test_what_cant_be_used_is_told_at_the_start(tmp_path):
+def test_unusable_certificates_are_errors_at_the_start(tmp_path):
     issuer = Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "one")
     now = time.time()
-    assert Certificates(settings_of(certificate, key)).context()
+    assert CertificateReloader(settings_of(certificate, key)).current_context()
     for settings, at, said in [
         (settings_of(tmp_path / "none", key), now, "can't be read"),
         (settings_of(key, key), now, "no certificate in PEM"),
         (settings_of(certificate, tmp_path / "none"), now, "can't be read"),
         (settings_of(issuer.path, key), now, "is not the key of"),
-        (settings_of(certificate, key), now + 40 * 24 * 3600, "is over since"),
-        (settings_of(certificate, key), now - 40 * 24 * 3600, "counts from"),
+        (settings_of(certificate, key), now + 40 * 24 * 3600, "the certificate expired at"),
+        (settings_of(certificate, key), now - 40 * 24 * 3600, "is not valid before"),
         (settings_of(certificate, key, clients=str(key)), now, "issuers"),
     ]:
         with pytest.raises(TlsError, match=said):
-            load(settings, at)
+            load_server_context(settings, at)
 
 
-def test_stores_over_tls_and_one_whose_certificate_is_anothers(tmp_path):
+def test_tls_to_stores_and_a_store_with_an_untrusted_certificate(tmp_path):
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "store")
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -221,7 +221,7 @@
             for _ in range(3):
                 assert (await it.ask("PUT", "/school-1/k", data)).status in (200, 201)
                 assert (await it.ask("GET", "/school-1/k")).body == data
-            assert it.gateway.pool.reused >= 4, "a kept connection is used again"
+            assert it.gateway.pool.connections_reused >= 4, "a kept connection is used again"
         others = Issuer(tmp_path, "others")
         config = dataclasses.replace(config, tls=Tls(stores=str(others.path)))
         async with rig(config, unit_ms=0.2, secure=context) as it:
@@ -233,4 +233,4 @@
 
     run()
     with pytest.raises(TlsError, match="stores' issuers"):
-        tls.load_stores(str(key))
+        tls.load_store_context(str(key))
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -25,7 +25,7 @@
     from winchdyke.gateway import logs
     from winchdyke.platform import configuration, service
 
-    logs.set_up("json", access=False)
+    logs.configure("json", access=False)
     try:
         asyncio.run(service.serve(_early_signals))
     except configuration.ConfigurationError as error:
--- a/winchdyke/platform/client_listener.py
+++ b/winchdyke/platform/client_listener.py
@@ -5,7 +5,7 @@
 import errno
 import socket
 
-from winchdyke.gateway.pool import NO_DESCRIPTORS
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS
 from winchdyke.platform import sockets
 from winchdyke.platform.client_connection import ClientConnection
 from winchdyke.platform.client_connections import ClientConnections
@@ -63,7 +63,7 @@
 
     def _may_retry(self, error: OSError) -> bool:
         """Whether to accept again at once after an error, having freed a descriptor where none was left."""
-        if error.errno in NO_DESCRIPTORS:
+        if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
             if self._eviction.evict_one():
                 return True
             self._pause()
--- a/winchdyke/platform/maintenance.py
+++ b/winchdyke/platform/maintenance.py
@@ -53,7 +53,7 @@
         self._worst_lag_seconds = max(self._worst_lag_seconds, now - self._expected_at)
         self._expected_at = now + MAINTENANCE_INTERVAL_SECONDS
         self._upstream_pool.close_expired(set(self._endpoints.addresses.values()))
-        self._scheduler_loop.answer_overdue(self._clock())
+        self._scheduler_loop.finish_overdue(self._clock())
         self._loop.call_later(MAINTENANCE_INTERVAL_SECONDS, self._run)
 
     def _log_state(self) -> None:
--- a/winchdyke/platform/request_forwarding.py
+++ b/winchdyke/platform/request_forwarding.py
@@ -40,7 +40,7 @@
         self.last_outcome: AttemptOutcome | None = None
         self.disconnected_at_ms = float("inf")
 
-    def tell(self, action: RequestAction) -> None:
+    def deliver(self, action: RequestAction) -> None:
         """Carry out an action of the scheduler, or of the scheduler loop in its place, at once."""
         self.forwarder.execute(self, action)
 
@@ -70,7 +70,7 @@
         """
         request = parsed.request
         loop = self._scheduler_loop
-        if request.request_id in loop.tickets or request.request_id in loop.departed:
+        if request.request_id in loop.open_requests or request.request_id in loop.disconnected_requests:
             raise ProtocolError(409, "id-in-use", "a request with this Req-Id is open")
         now_ms = self._clock()
         time_left_ms = request.time_left_ms - max(0.0, now_ms - received_at_ms)
@@ -79,7 +79,7 @@
         parsed.request = dataclasses.replace(request, time_left_ms=time_left_ms)
         forwarded = ForwardedRequest(self, client, parsed, now_ms + time_left_ms)
         client.on_disconnect = lambda: self._on_disconnect(forwarded)
-        loop.take(parsed.request, forwarded)
+        loop.submit(parsed.request, forwarded)
 
     def execute(self, forwarded: ForwardedRequest, action: RequestAction) -> None:
         """Carry out one action of the scheduler on a request."""
@@ -90,15 +90,15 @@
 
     def _on_disconnect(self, forwarded: ForwardedRequest) -> None:
         self.counts["clients_disconnected"] += 1
-        self.counts["clients_disconnected_before_attempt"] += not forwarded.attempts
+        self.counts["clients_disconnected_before_attempt"] += not forwarded.attempts_started
         forwarded.disconnected_at_ms = self._clock()
-        self._scheduler_loop.gone(forwarded)
+        self._scheduler_loop.client_disconnected(forwarded)
 
     def _start_attempt(self, forwarded: ForwardedRequest, action: api.StartAttempt) -> None:
-        number = forwarded.attempts
+        number = forwarded.attempts_started
         now_ms = self._clock()
-        forwarded.attempts += 1
-        deadline_ms = forwarded.end
+        forwarded.attempts_started += 1
+        deadline_ms = forwarded.deadline_ms
         if action.timeout_ms:
             deadline_ms = min(deadline_ms, now_ms + action.timeout_ms)
         address = self._endpoints.addresses.get(action.endpoint)
@@ -122,7 +122,7 @@
             forwarded.client.is_still_connected,
         )
         forwarded.on_cancel = lambda which: attempt.cancel() if which in (number, -1) else None
-        forwarded.on_call_off = lambda which: attempt.abandon() if which == number else None
+        forwarded.on_abandon = lambda which: attempt.abandon() if which == number else None
         attempt.start()
 
     def _count_late_send(self, forwarded: ForwardedRequest, attempt: UpstreamAttempt) -> None:
@@ -142,18 +142,18 @@
         outcome = result.outcome
         forwarded.last_outcome = outcome
         forwarded.on_cancel = None
-        forwarded.on_call_off = None
+        forwarded.on_abandon = None
         self.counts[outcome.name] += 1
-        served = outcome is AttemptOutcome.SERVED and not forwarded.closed
-        self._scheduler_loop.ended(
+        served = outcome is AttemptOutcome.SERVED and not forwarded.finished
+        self._scheduler_loop.attempt_ended(
             forwarded,
             api.AttemptEnded(
-                request_id=forwarded.id,
+                request_id=forwarded.request_id,
                 attempt=number,
                 endpoint=endpoint,
                 outcome=outcome,
                 latency_ms=latency_ms,
-                request_finished=served or forwarded.closed,
+                request_finished=served or forwarded.finished,
                 volume_usage_percent=result.volume_usage_percent,
                 units_via_other_gateways=result.units_via_other_gateways,
                 load_report=result.load_report,
@@ -164,12 +164,12 @@
             forwarded.client.respond(200, headers, body)
 
     def _respond_final(self, forwarded: ForwardedRequest, action: api.ShedRequest | api.FailRequest) -> None:
-        time_up = self._clock() >= forwarded.end
-        status, outcome, reason = outcomes.final(action, forwarded.last_outcome, time_up)
-        reason = forwarded.fault or reason
+        time_up = self._clock() >= forwarded.deadline_ms
+        status, outcome, reason = outcomes.final_status(action, forwarded.last_outcome, time_up)
+        reason = forwarded.override_reason or reason
         self.counts[f"{outcome}:{reason}"] += 1
-        text = outcomes.REASONS[reason]
-        status, headers, body = answers.error(status, outcome, reason, forwarded.id, text)
+        text = outcomes.REASON_TEXTS[reason]
+        status, headers, body = answers.error(status, outcome, reason, forwarded.request_id, text)
         retry_after_ms = action.retry_after_ms if isinstance(action, api.ShedRequest) else 0.0
         if retry_after_ms > 0:
             headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -55,7 +55,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at_ms = float("inf")
         self.scheduler_loop = SchedulerLoop(environment.settings, environment.seed)
-        self.scheduler_loop.on_post = self._schedule_turn
+        self.scheduler_loop.on_event_posted = self._schedule_turn
         descriptors = max(MIN_SHARED_DESCRIPTORS, environment.limits.max_descriptors - RESERVED_DESCRIPTORS)
         max_clients = int(descriptors * CLIENT_DESCRIPTOR_FRACTION)
         self.upstream_pool = self._make_upstream_pool(descriptors - max_clients)
@@ -63,7 +63,7 @@
         self.forwarder = RequestForwarder(self.scheduler_loop, self.upstream_pool, self.endpoints, self.clock)
         cached = self._read_cached_list()
         self.endpoints.apply(cached, EndpointListKind.CACHED)
-        self.scheduler_loop.turn()
+        self.scheduler_loop.process_events()
         listening_socket = sockets.open_listener(environment.listen_address, LISTEN_BACKLOG)
         self.clients = self._make_clients()
         self.idle_eviction = IdleEviction(self.clients)
@@ -139,11 +139,11 @@
 
     def _turn(self) -> None:
         self._turn_scheduled = False
-        self.scheduler_loop.turn()
+        self.scheduler_loop.process_events()
         self._set_timer()
 
     def _set_timer(self) -> None:
-        due_at_ms = self.scheduler_loop.next_due
+        due_at_ms = self.scheduler_loop.next_timer_at_ms
         if due_at_ms is None or due_at_ms >= self._timer_at_ms:
             return
         if self._timer is not None:
--- a/winchdyke/platform/shutdown_sequence.py
+++ b/winchdyke/platform/shutdown_sequence.py
@@ -53,12 +53,12 @@
         if now_ms >= schedule.closing_from_ms:
             self._clients.close_after_response = True
             self._eviction.close_idle()
-        if now_ms >= schedule.answer_by_ms and self._scheduler_loop.tickets:
+        if now_ms >= schedule.answer_by_ms and self._scheduler_loop.open_requests:
             # The process is ended at a time that nobody tells beforehand, and what is open then would be lost.
-            self._scheduler_loop.answer_all("stopping")
+            self._scheduler_loop.finish_all("stopping")
         if (
             not self._is_settled(schedule, now_ms)
-            or self._scheduler_loop.tickets
+            or self._scheduler_loop.open_requests
             or not self._process_pending()
         ):
             self._loop.call_later(SHUTDOWN_CHECK_SECONDS, self.advance)
--- a/winchdyke/platform/upstream_attempt.py
+++ b/winchdyke/platform/upstream_attempt.py
@@ -27,7 +27,7 @@
 import socket
 from collections.abc import Callable
 
-from winchdyke.gateway.pool import NO_DESCRIPTORS
+from winchdyke.gateway.pool import RESOURCE_EXHAUSTION_ERRNOS
 from winchdyke.interface import AttemptOutcome
 from winchdyke.platform import protocol, sockets
 from winchdyke.platform.protocol import AttemptResult
@@ -39,7 +39,7 @@
 # A response without a length is complete at the end of its connection, which follows its last byte closely; one whose connection
 # stays open for longer is malformed.
 CLOSE_DELIMITED_TIMEOUT_MS = 100.0
-LOCAL_RESOURCE_ERRORS = (*NO_DESCRIPTORS, errno.EADDRNOTAVAIL)
+LOCAL_RESOURCE_ERRORS = (*RESOURCE_EXHAUSTION_ERRNOS, errno.EADDRNOTAVAIL)
 RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.SHED)
 
 
