--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -30,10 +30,10 @@
 from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.config_rollout.rollout_state import HELD, Step
 from winchdyke.discovery import cache as nodes_disk
-from winchdyke.discovery.endpoint_view import Bounds, CachedEndpoint, Entry, State
+from winchdyke.discovery.endpoint_view import CachedEndpoint, DiscoveryBounds, DiscoveryStatus, ListedEndpoint
 from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.list_protocol import ReceivedList
-from winchdyke.discovery.sources import Fail, Tell
+from winchdyke.discovery.sources import OnFailure, OnList
 from winchdyke.gateway.writeback import WriteBackRecord, tag_of
 from winchdyke.latency_attribution import compact, ledger
 from winchdyke.latency_attribution.spans import Account, Annotation
@@ -95,31 +95,33 @@
 def write_nodes(folder: Path) -> None:
     """Two generations of the node list, the newer one with a node of each state."""
     folder.mkdir(mode=0o700)
-    first = CachedEndpoint("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
+    first = CachedEndpoint(
+        "192.0.2.1:9000", 0, "east", DiscoveryStatus.USABLE, "on the list", 5.0, "store-1", "boot-1"
+    )
     nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first]), rotate=False)
     nodes = [first]
-    for number, state in enumerate(State, 2):
+    for number, state in enumerate(DiscoveryStatus, 2):
         nodes.append(
             CachedEndpoint(
                 f"192.0.2.{number}:9000",
                 shard=number,
                 zone="west",
-                state=state,
-                why=f"test of {state.value}",
-                since=10.0 * number,
+                status=state,
+                reason=f"test of {state.value}",
+                status_since_ms=10.0 * number,
                 identity=f"store-{number}",
-                boot=f"boot-{number}",
-                started=2.5,
-                warm_known=True,
-                aged=True,
-                drained=state is State.DRAINING,
-                listed=state is State.USABLE,
-                by="list",
-                confirmed_unix=START_MS + number,
-                answered=100.5,
-                held_since=50.0 if state is State.USABLE else None,
-                tries=number,
-                next_try=200.0,
+                boot_id=f"boot-{number}",
+                started_at_ms=2.5,
+                start_time_known=True,
+                uptime_reported=True,
+                drain_announced=state is DiscoveryStatus.DRAINING,
+                listed=state is DiscoveryStatus.USABLE,
+                confirmed_by="list",
+                confirmed_unix_ms=START_MS + number,
+                last_response_at_ms=100.5,
+                omitted_since_ms=50.0 if state is DiscoveryStatus.USABLE else None,
+                failed_attempts=number,
+                next_attempt_at_ms=200.0,
             )
         )
     nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", nodes), rotate=True)
@@ -136,13 +138,13 @@
     def ask(self) -> None:
         """Nothing to do: the lists come by themselves."""
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Tell two nodes, then that the second one drains."""
         ready, draining = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
-        first = Entry("192.0.2.1:9000", ready, 0, identity="store-1")
-        second = Entry("192.0.2.2:9000", ready, 1, identity="store-2")
+        first = ListedEndpoint("192.0.2.1:9000", ready, 0, identity="store-1")
+        second = ListedEndpoint("192.0.2.2:9000", ready, 1, identity="store-2")
         await tell(self.name, ReceivedList("1", api.EndpointListKind.FULL, (first, second), 1))
-        drains = Entry("192.0.2.2:9000", draining, 1, identity="store-2")
+        drains = ListedEndpoint("192.0.2.2:9000", draining, 1, identity="store-2")
         await tell(self.name, ReceivedList("2", api.EndpointListKind.CHANGES, (drains,), 2))
         self._scope.cancel()
 
@@ -159,7 +161,9 @@
 
     with anyio.CancelScope() as scope, fixed_clock():
         source = ListedOnce(scope)
-        membership = EndpointFollower(Bounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder)
+        membership = EndpointFollower(
+            DiscoveryBounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder
+        )
         await membership.run()
 
 
--- a/tests/test_change_cases.py
+++ b/tests/test_change_cases.py
@@ -649,10 +649,10 @@
     lowered, raised = (5, 2), (2, 5)
     for limits in (lowered, raised):
         found = explore(Clocks(limits=limits))
-        assert found.whole and not found.broken, (found.broken, found.trace)
+        assert found.complete and not found.violation, (found.violation, found.trace)
         assert found.states > 500
     for careless, limits in (("early", lowered), ("settle", raised), ("restart", raised)):
-        assert explore(Clocks(careless=careless, limits=limits)).broken, careless
+        assert explore(Clocks(careless=careless, limits=limits)).violation, careless
 
 
 @pytest.mark.parametrize("limit", [(200, 24), (24, 200)])
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -549,13 +549,13 @@
 
 def test_every_interleaving_of_edits_kills_and_time_keeps_what_was_reported_and_serves_one_version_whole():
     found = explore(Changing())
-    assert found.whole and not found.broken, (found.broken, found.trace)
+    assert found.complete and not found.violation, (found.violation, found.trace)
     assert found.states > 1000
 
 
 @pytest.mark.parametrize("careless", ["recover", "begin"])
 def test_the_checker_catches_a_start_that_does_not_recover_and_an_apply_that_is_not_written_first(careless):
-    assert explore(Changing(careless=careless)).broken
+    assert explore(Changing(careless=careless)).violation
 
 
 @measured
--- a/tests/test_membership.py
+++ b/tests/test_discovery.py
@@ -16,16 +16,16 @@
 from winchdyke import interface as api
 from winchdyke.discovery import cache
 from winchdyke.discovery.endpoint_view import (
-    Bounds,
     CachedEndpoint,
+    DiscoveryBounds,
+    DiscoveryStatus,
     EndpointEvidence,
     EndpointView,
-    Entry,
-    State,
+    ListedEndpoint,
 )
-from winchdyke.discovery.sources import BURST, Allowance, backoff
+from winchdyke.discovery.sources import POLL_BURST, PollRateLimiter, jittered_backoff_seconds
 from winchdyke.model.checker import explore
-from winchdyke.model.membership import Membership as World
+from winchdyke.model.discovery import DiscoveryModel as World
 from winchdyke.standins.dns import Dns
 
 READY, DRAINING = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
@@ -35,7 +35,9 @@
 def kept(count: int = 2, **changes: object) -> cache.CachedEndpointList:
     nodes = [
         dataclasses.replace(
-            CachedEndpoint(name, n, identity=f"s{n}", state=State.USABLE, confirmed_unix=1000.0 + n),
+            CachedEndpoint(
+                name, n, identity=f"s{n}", status=DiscoveryStatus.USABLE, confirmed_unix_ms=1000.0 + n
+            ),
             **changes,
         )
         for n, name in enumerate(NAMES[:count])
@@ -44,10 +46,12 @@
 
 
 def believing(count: int = 4, **bounds: float) -> EndpointView:
-    belief = EndpointView(Bounds(**bounds))  # type: ignore[arg-type]
-    belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:count])], 0.0, version=5)
+    belief = EndpointView(DiscoveryBounds(**bounds))  # type: ignore[arg-type]
+    belief.apply_list(
+        "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:count])], 0.0, version=5
+    )
     for name in NAMES[:count]:
-        belief.heard(name, EndpointEvidence(f"id-{name}", "b1", 1e6), 1.0)
+        belief.record_response(name, EndpointEvidence(f"id-{name}", "b1", 1e6), 1.0)
     return belief
 
 
@@ -57,29 +61,35 @@
 def test_a_list_cut_at_any_byte_or_damaged_anywhere_falls_back_to_the_one_before(tmp_path):
     cache.save(tmp_path, kept(1), False)
     cache.save(tmp_path, kept(2), True)
-    whole = cache.path(tmp_path, 0).read_bytes()
+    whole = cache.generation_path(tmp_path, 0).read_bytes()
     for size in range(len(whole)):
-        cache.path(tmp_path, 0).write_bytes(whole[:size])
+        cache.generation_path(tmp_path, 0).write_bytes(whole[:size])
         found, said = cache.load(tmp_path)
-        assert found is not None and len(found.nodes) == 1
+        assert found is not None and len(found.endpoints) == 1
         assert "nodes.0" in said[0] and "nodes.1" in said[1]
     for at in range(len(whole)):
-        cache.path(tmp_path, 0).write_bytes(whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :])
+        cache.generation_path(tmp_path, 0).write_bytes(
+            whole[:at] + bytes([whole[at] ^ 0x41]) + whole[at + 1 :]
+        )
         found, said = cache.load(tmp_path)
-        assert found is not None and len(found.nodes) == 1 and said
+        assert found is not None and len(found.endpoints) == 1 and said
 
 
 def test_generations_keep_the_lists_before(tmp_path):
     for count in range(1, 6):
         cache.save(tmp_path, kept(count), True)
         cache.save(tmp_path, kept(count), False)
-    assert [len(cache.read(cache.path(tmp_path, n)).nodes) for n in range(3)] == [5, 4, 3]
+    assert [len(cache.read_generation(cache.generation_path(tmp_path, n)).endpoints) for n in range(3)] == [
+        5,
+        4,
+        3,
+    ]
     assert cache.load(tmp_path / "none") == (None, [])
 
 
 def test_a_newer_format_and_lists_that_others_may_write_are_refused(tmp_path):
     cache.save(tmp_path, kept(1), False)
-    where = cache.path(tmp_path, 0)
+    where = cache.generation_path(tmp_path, 0)
     assert where.stat().st_mode & 0o777 == 0o600
     whole = where.read_bytes()
     where.write_bytes(whole[:7] + b"\x09" + whole[8:])
@@ -106,101 +116,118 @@
         cache.save(tmp_path, kept(3), True)
     monkeypatch.undo()
     found, said = cache.load(tmp_path)
-    assert found is not None and len(found.nodes) == 1 and not said
+    assert found is not None and len(found.endpoints) == 1 and not said
     cache.save(tmp_path, kept(3), True)
-    assert len(cache.load(tmp_path)[0].nodes) == 3
+    assert len(cache.load(tmp_path)[0].endpoints) == 3
 
 
 # Belief
 
 
 def test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold():
-    belief = EndpointView(Bounds(trial_gap=20.0))
-    belief.restored(kept(3).nodes, 0.0)
-    assert belief.news() == []
-    assert belief.trial(0.0) == NAMES[2]
-    assert belief.trial(10.0) is None, "one at a time"
-    assert belief.trial(20.0) == NAMES[1]
-    assert belief.heard(NAMES[2], EndpointEvidence("s2"), 30.0)
-    (node,) = belief.news()
+    belief = EndpointView(DiscoveryBounds(min_health_check_interval_ms=20.0))
+    belief.restore_cached(kept(3).endpoints, 0.0)
+    assert belief.take_changes() == []
+    assert belief.next_health_check(0.0) == NAMES[2]
+    assert belief.next_health_check(10.0) is None, "one at a time"
+    assert belief.next_health_check(20.0) == NAMES[1]
+    assert belief.record_response(NAMES[2], EndpointEvidence("s2"), 30.0)
+    (node,) = belief.take_changes()
     assert (node.name, node.started_at_ms) == (NAMES[2], 30.0), "no word on its age: cold from now on"
-    assert belief.heard(NAMES[1], EndpointEvidence("s1", "b", 3_600_000.0), 40.0)
-    assert belief.news()[0].started_at_ms == 0.0, "warm by its own word"
-    belief.refused(NAMES[0], 50.0)
-    assert not belief.usable(NAMES[0])
+    assert belief.record_response(NAMES[1], EndpointEvidence("s1", "b", 3_600_000.0), 40.0)
+    assert belief.take_changes()[0].started_at_ms == 0.0, "warm by its own word"
+    belief.record_connect_failure(NAMES[0], 50.0)
+    assert not belief.is_usable(NAMES[0])
 
 
 def test_another_identity_at_an_address_is_sent_nothing_until_a_list_knows_it():
     belief = believing()
-    assert not belief.heard(NAMES[0], EndpointEvidence("stranger", "b9", 1e6), 2.0)
-    belief.news()
-    belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:4])], 3.0, version=6)
-    assert belief.known[NAMES[0]].state is State.REUSED, "the list is late"
+    assert not belief.record_response(NAMES[0], EndpointEvidence("stranger", "b9", 1e6), 2.0)
+    belief.take_changes()
+    belief.apply_list(
+        "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:4])], 3.0, version=6
+    )
+    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.REUSED, "the list is late"
     entries = [
-        Entry(name, READY, n, identity="stranger" if not n else "") for n, name in enumerate(NAMES[:4])
+        ListedEndpoint(name, READY, n, identity="stranger" if not n else "")
+        for n, name in enumerate(NAMES[:4])
     ]
-    belief.listed("list", entries, 4.0, version=7)
-    assert belief.usable(NAMES[0])
+    belief.apply_list("list", entries, 4.0, version=7)
+    assert belief.is_usable(NAMES[0])
 
 
 def test_an_empty_list_is_not_believed_while_the_nodes_answer_but_a_drain_is_kept():
     belief = believing(hold=1000.0)
-    belief.listed("list", [Entry(NAMES[0], DRAINING, 0)], 5.0, version=6, whole=False)
-    belief.listed("list", [], 10.0, version=7)
-    assert [belief.usable(name) for name in NAMES[:4]] == [False, True, True, True]
-    belief.refused(NAMES[1], 20.0)
-    assert belief.known[NAMES[1]].state is State.GONE, "it does not answer: gone at once"
+    belief.apply_list("list", [ListedEndpoint(NAMES[0], DRAINING, 0)], 5.0, version=6, whole=False)
+    belief.apply_list("list", [], 10.0, version=7)
+    assert [belief.is_usable(name) for name in NAMES[:4]] == [False, True, True, True]
+    belief.record_connect_failure(NAMES[1], 20.0)
+    assert belief.endpoints[NAMES[1]].status is DiscoveryStatus.GONE, "it does not answer: gone at once"
     belief.tick(1010.0)
-    assert not any(belief.usable(name) for name in NAMES), "believed once it has stood long enough"
+    assert not any(belief.is_usable(name) for name in NAMES), "believed once it has stood long enough"
 
 
 def test_one_node_left_out_is_gone_at_once():
     belief = believing()
-    belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:3])], 10.0, version=6)
-    assert [belief.usable(name) for name in NAMES[:4]] == [True, True, True, False]
+    belief.apply_list(
+        "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:3])], 10.0, version=6
+    )
+    assert [belief.is_usable(name) for name in NAMES[:4]] == [True, True, True, False]
 
 
 def test_versions_that_go_back_bring_nothing_back_and_take_nothing_away():
     belief = believing()
-    belief.listed(
+    belief.apply_list(
         "list",
-        [Entry(NAMES[0], DRAINING, 0), Entry(NAMES[1], api.EndpointStatus.REMOVED, 1)],
+        [ListedEndpoint(NAMES[0], DRAINING, 0), ListedEndpoint(NAMES[1], api.EndpointStatus.REMOVED, 1)],
         5.0,
         version=6,
         whole=False,
     )
-    old = [Entry(name, READY, n) for n, name in enumerate(NAMES[:3])]
-    belief.listed("list", old, 10.0, version=3)
-    states = [belief.known[name].state for name in NAMES[:4]]
-    assert states == [State.DRAINING, State.DOUBTFUL, State.USABLE, State.USABLE]
-    assert any("went back" in note for note in belief.notes)
+    old = [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:3])]
+    belief.apply_list("list", old, 10.0, version=3)
+    states = [belief.endpoints[name].status for name in NAMES[:4]]
+    assert states == [
+        DiscoveryStatus.DRAINING,
+        DiscoveryStatus.DOUBTFUL,
+        DiscoveryStatus.USABLE,
+        DiscoveryStatus.USABLE,
+    ]
+    assert any("went back" in note for note in belief.warnings)
     # Two lists in turn: neither takes away what the other names.
     for turn in range(4):
-        belief.listed(
-            "list", old if turn % 2 else [Entry(NAMES[3], READY, 3), *old], 20.0 + turn, version=3 + turn % 2
+        belief.apply_list(
+            "list",
+            old if turn % 2 else [ListedEndpoint(NAMES[3], READY, 3), *old],
+            20.0 + turn,
+            version=3 + turn % 2,
         )
-    assert belief.usable(NAMES[3])
+    assert belief.is_usable(NAMES[3])
 
 
 def test_a_drain_by_its_own_word_outlives_lists_that_do_not_know_it_and_ends_with_a_new_start():
     belief = believing()
-    belief.heard(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
-    belief.listed("list", [Entry(name, READY, n) for n, name in enumerate(NAMES[:4])], 6.0, version=6)
-    assert belief.known[NAMES[0]].state is State.DRAINING
-    belief.heard(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
-    assert belief.known[NAMES[0]].state is State.COLD
+    belief.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
+    belief.apply_list(
+        "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:4])], 6.0, version=6
+    )
+    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.DRAINING
+    belief.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
+    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.COLD
 
 
 def test_all_doubtful_and_none_answers_is_tried_on_and_on_ever_more_rarely():
-    belief = EndpointView(Bounds(trial_gap=1.0, retry=100.0, retry_most=1000.0))
-    belief.restored(kept(2).nodes, 0.0)
+    belief = EndpointView(
+        DiscoveryBounds(min_health_check_interval_ms=1.0, initial_backoff_ms=100.0, max_backoff_ms=1000.0)
+    )
+    belief.restore_cached(kept(2).endpoints, 0.0)
     tries: list[float] = []
     now = 0.0
     while now < 20_000:
-        name = belief.trial(now)
+        name = belief.next_health_check(now)
         if name is not None:
             tries.append(now)
-            belief.refused(name, now)
+            belief.record_connect_failure(name, now)
         now += 1.0
     assert 30 < len(tries) < 60
     assert len([at for at in tries if at > 10_000]) <= 2 * 11
@@ -210,31 +237,33 @@
     belief = believing()
     for turn in range(20):
         state = DRAINING if turn % 2 else READY
-        belief.listed("list", [Entry(NAMES[0], state, 0)], 1000.0 * turn, version=6 + turn, whole=False)
-        assert belief.usable(NAMES[0]) == (turn % 2 == 0)
+        belief.apply_list(
+            "list", [ListedEndpoint(NAMES[0], state, 0)], 1000.0 * turn, version=6 + turn, whole=False
+        )
+        assert belief.is_usable(NAMES[0]) == (turn % 2 == 0)
 
 
 def test_a_source_that_fails_hands_over_to_the_next_and_takes_over_again():
-    belief = EndpointView(Bounds(), ("list", "file"))
-    belief.listed("file", [Entry(NAMES[0], READY, 0), Entry(NAMES[1], READY, 1)], 0.0)
-    assert belief.usable(NAMES[1])
-    belief.listed("list", [Entry(NAMES[0], READY, 0)], 1.0)
-    assert not belief.usable(NAMES[1]), "the list service comes first"
-    belief.failed("list", 2.0)
-    assert belief.usable(NAMES[1])
-    belief.listed("list", [Entry(NAMES[0], READY, 0)], 3.0)
-    assert not belief.usable(NAMES[1])
+    belief = EndpointView(DiscoveryBounds(), ("list", "file"))
+    belief.apply_list("file", [ListedEndpoint(NAMES[0], READY, 0), ListedEndpoint(NAMES[1], READY, 1)], 0.0)
+    assert belief.is_usable(NAMES[1])
+    belief.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 1.0)
+    assert not belief.is_usable(NAMES[1]), "the list service comes first"
+    belief.mark_source_failed("list", 2.0)
+    assert belief.is_usable(NAMES[1])
+    belief.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 3.0)
+    assert not belief.is_usable(NAMES[1])
 
 
 def test_calls_to_a_service_are_bounded_and_spread():
     import random
 
-    allowance, now, calls = Allowance(), 1000.0, 0
+    allowance, now, calls = PollRateLimiter(), 1000.0, 0
     while now < 1060.0:
-        now += max(0.001, allowance.wait_s(now))
+        now += max(0.001, allowance.take_token(now))
         calls += 1
-    assert calls <= BURST + 2 * 60 + 2
-    waits = [backoff(4, random.Random(n)) for n in range(200)]
+    assert calls <= POLL_BURST + 2 * 60 + 2
+    waits = [jittered_backoff_seconds(4, random.Random(n)) for n in range(200)]
     assert min(waits) < 2.4 and max(waits) > 5.6 and max(waits) <= 6.0
 
 
@@ -243,13 +272,13 @@
 
 def test_every_interleaving_of_one_gateway_and_one_node_keeps_the_rules():
     found = explore(World(gateways=1, nodes=1, faults=2))
-    assert found.whole and not found.broken, found.trace
+    assert found.complete and not found.violation, found.trace
     assert found.states > 5000
 
 
 def test_every_interleaving_of_two_gateways_and_two_nodes_to_a_depth():
     found = explore(World(gateways=2, nodes=2, faults=2), depth=4)
-    assert not found.broken, found.trace
+    assert not found.violation, found.trace
     assert found.states > 1000
 
 
@@ -257,7 +286,7 @@
     """Takes whoever answers for the one that is meant."""
 
     def heard(self, name, word, now, unix=0.0):
-        known = self.known.get(name)
+        known = self.endpoints.get(name)
         if known is not None:
             known.identity = ""
         return super().heard(name, word, now, unix)
@@ -275,8 +304,8 @@
 
     def _entry(self, known, entry, by, now, unix, back):
         known.drained = False
-        if known.state is State.DRAINING:
-            known.state = State.USABLE
+        if known.state is DiscoveryStatus.DRAINING:
+            known.state = DiscoveryStatus.USABLE
         super()._entry(known, entry, by, now, unix, back)
 
 
@@ -294,7 +323,7 @@
         super()._entry(known, entry, by, now, unix, back)
         if not entry.started:
             known.started, known.aged = 0.0, True
-            self._warmth(known, now)
+            self._update_warmup(known, now)
 
 
 @pytest.mark.parametrize(
@@ -309,12 +338,12 @@
 )
 def test_the_checker_catches_each_mutant_of_the_state_machine(mutant, rule):
     found = explore(World(gateways=1, nodes=1, faults=2, kind=mutant))
-    assert found.broken.split(":")[0] in rule.split("|"), found
+    assert found.violation.split(":")[0] in rule.split("|"), found
 
 
 def test_the_checker_shows_why_a_first_connection_asks_who_is_there():
     found = explore(World(gateways=1, nodes=1, faults=2, greets=False))
-    assert found.broken.startswith(("identity", "cold")), found
+    assert found.violation.startswith(("identity", "cold")), found
 
 
 # On sockets
@@ -330,7 +359,7 @@
     nodes = [
         dataclasses.replace(
             CachedEndpoint(
-                store.name, store.spec.shard, "hall-a", State.USABLE, identity=store.identity, confirmed_unix=1e12
+                store.name, store.spec.shard, "hall-a", DiscoveryStatus.USABLE, identity=store.identity, confirmed_unix_ms=1e12
             ),
             **changes,
         )
@@ -381,7 +410,7 @@
             assert stranger.name not in heads and gone.name not in heads
             # Doubtful ones are tried one at a time, in an order by chance: it may be the last.
             known = it.gateway.membership.belief.known
-            await it.until(lambda: known[stranger.name].state is State.REUSED)
+            await it.until(lambda: known[stranger.name].state is DiscoveryStatus.REUSED)
             heads = [seen["who"] for seen in it.record.seen[mark:] if seen["what"] == "head"]
             assert stranger.name not in heads and gone.name not in heads
 
@@ -399,7 +428,9 @@
             assert (await it.ask("GET", "/school-1/object")).status == 404
             store.draining = True
             await it.ask("GET", "/school-1/object", winchdyke_time_left="300ms")
-            await it.until(lambda: it.gateway.membership.belief.known[store.name].state is State.DRAINING)
+            await it.until(
+                lambda: it.gateway.membership.belief.known[store.name].state is DiscoveryStatus.DRAINING
+            )
             await anyio.sleep(0.1)
             mark = len(it.record.seen)
             for _ in range(5):
@@ -409,7 +440,7 @@
             ]
             await anyio.sleep(1.2)
             found, _ = cache.load(tmp_path)
-            assert next(known for known in found.nodes if known.name == store.name).drained, (
+            assert next(known for known in found.endpoints if known.name == store.name).drain_announced, (
                 "kept for the next start"
             )
 
@@ -564,10 +595,15 @@
         async with rig(with_nodes(keep=str(tmp_path))) as it:
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
-                lambda: it.gateway.membership.belief.known[it.stores[0].name].state is State.DRAINING
+                lambda: (
+                    it.gateway.membership.belief.known[it.stores[0].name].state is DiscoveryStatus.DRAINING
+                )
             )
             await it.until(
-                lambda: cache.load(tmp_path)[0] is not None and cache.load(tmp_path)[0].nodes[0].drained
+                lambda: (
+                    cache.load(tmp_path)[0] is not None
+                    and cache.load(tmp_path)[0].endpoints[0].drain_announced
+                )
             )
             name = it.stores[0].name
             assert "8 nodes" in said("show", str(tmp_path))
@@ -627,7 +663,7 @@
             await anyio.sleep(0.3)
             assert source.calls - calls <= 1, "it waits at the service"
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(lambda: belief.known[it.stores[0].name].state is State.DRAINING)
+            await it.until(lambda: belief.known[it.stores[0].name].state is DiscoveryStatus.DRAINING)
             it.list._version, it.list._changes = 2, []
             it.list._entries[it.stores[0].name]["state"] = "ready"
             it.list._news.set()
@@ -668,4 +704,4 @@
         process.wait(5)
         process.stdout.close()
         found, said = cache.load(tmp_path)
-        assert found is not None and found.nodes and not said
+        assert found is not None and found.endpoints and not said
--- a/tests/test_fleet_checked.py
+++ b/tests/test_fleet_checked.py
@@ -12,13 +12,13 @@
 
 def test_two_members_are_explored_whole_and_nothing_is_broken():
     found = explore(Words(2, 3))
-    assert found.whole and not found.broken, found.trace
+    assert found.complete and not found.violation, found.trace
     assert found.states > 1000
 
 
 def test_three_members_to_a_depth():
     found = explore(Words(3, 2), most=4000)
-    assert not found.broken, found.trace
+    assert not found.violation, found.trace
 
 
 class LastWord(MemberTable):
@@ -80,4 +80,4 @@
 )
 def test_each_mutant_of_the_order_is_told(mutant, told):
     found = explore(Words(3, 3, mutant), most=60_000)
-    assert found.broken.startswith(told), found
+    assert found.violation.startswith(told), found
--- a/tests/test_fleet_node.py
+++ b/tests/test_fleet_node.py
@@ -23,7 +23,7 @@
 from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
 from winchdyke.config_rollout.hot_reload import fixed
-from winchdyke.discovery.seeds import Seeds
+from winchdyke.discovery.seeds import GatewaySeeds
 from winchdyke.membership import datagrams, member_cache
 from winchdyke.membership.agent import MembershipAgent, MembershipError
 from winchdyke.membership.resolver import AGAIN_MS, FRESH_MS, MOST, AddressResolver
@@ -172,9 +172,9 @@
     anyio.run(play)
 
 
-def follows(node: MembershipAgent, service: ListService) -> Seeds:
+def follows(node: MembershipAgent, service: ListService) -> GatewaySeeds:
     where = ("127.0.0.1", service.port, "/gateways")
-    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.listed)
+    return GatewaySeeds(where, node.config.nodes, node.config.gateway.name, clock, node.listed)
 
 
 def shown(node: MembershipAgent) -> str:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from winchdyke.config_rollout.change_log import ChangeLogError, Version
 from winchdyke.config_rollout.rollout_state import HELD, RolloutState
 from winchdyke.discovery import cache as nodes_disk
-from winchdyke.discovery.endpoint_view import CachedEndpoint, State
+from winchdyke.discovery.endpoint_view import CachedEndpoint, DiscoveryStatus
 from winchdyke.gateway.writeback import WriteBackRecord
 from winchdyke.latency_attribution import ledger
 from winchdyke.latency_attribution.live import held_now
@@ -146,28 +146,30 @@
 def test_both_generations_of_the_node_list_are_read(tmp_path):
     """Every field of each node."""
     folder = copied("nodes", tmp_path)
-    first = CachedEndpoint("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
+    first = CachedEndpoint(
+        "192.0.2.1:9000", 0, "east", DiscoveryStatus.USABLE, "on the list", 5.0, "store-1", "boot-1"
+    )
     others = [
         CachedEndpoint(
             f"192.0.2.{number}:9000",
             number,
             "west",
-            State(state),
+            DiscoveryStatus(state),
             f"test of {state}",
             10.0 * number,
             f"store-{number}",
             f"boot-{number}",
-            started=2.5,
-            warm_known=True,
-            aged=True,
-            drained=state == "draining",
+            started_at_ms=2.5,
+            start_time_known=True,
+            uptime_reported=True,
+            drain_announced=state == "draining",
             listed=state == "usable",
-            by="list",
-            confirmed_unix=START_MS + number,
-            answered=100.5,
-            held_since=50.0 if state == "usable" else None,
-            tries=number,
-            next_try=200.0,
+            confirmed_by="list",
+            confirmed_unix_ms=START_MS + number,
+            last_response_at_ms=100.5,
+            omitted_since_ms=50.0 if state == "usable" else None,
+            failed_attempts=number,
+            next_attempt_at_ms=200.0,
         )
         for number, state in enumerate(("doubtful", "usable", "cold", "draining", "gone", "reused"), 2)
     ]
@@ -175,7 +177,7 @@
     newest, said = nodes_disk.load(folder)
     assert said == []
     assert newest == nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", [first, *others])
-    before = nodes_disk.read(nodes_disk.path(folder, 1))
+    before = nodes_disk.read_generation(nodes_disk.generation_path(folder, 1))
     assert before == nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first])
 
 
--- a/winchdyke/discovery/cache.py
+++ b/winchdyke/discovery/cache.py
@@ -20,9 +20,9 @@
 from winchdyke.durable_files import sync_folder
 
 MAGIC, VERSION = b"WDNODES", 1
-HEAD = struct.Struct("<7sBIQ")
+HEADER = struct.Struct("<7sBIQ")
 GENERATIONS = 3
-LARGEST = 16 << 20
+MAX_PAYLOAD_BYTES = 16 << 20
 
 
 class EndpointCacheError(Exception):
@@ -32,12 +32,12 @@
 class CachedEndpointList(msgspec.Struct):
     """What is kept: when it was written (Unix ms), by which gateway, and what was believed of each node."""
 
-    unix_ms: float
+    saved_unix_ms: float
     gateway: str
-    nodes: list[CachedEndpoint]
+    endpoints: list[CachedEndpoint]
 
 
-def path(folder: Path, generation: int) -> Path:
+def generation_path(folder: Path, generation: int) -> Path:
     """Where a generation lies."""
     return folder / f"nodes.{generation}"
 
@@ -49,7 +49,7 @@
     descriptor = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         os.fchmod(descriptor, 0o600)
-        data = HEAD.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
+        data = HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
         view = memoryview(data)
         while view:
             view = view[os.write(descriptor, view) :]
@@ -58,20 +58,20 @@
         os.close(descriptor)
     if rotate:
         for generation in range(GENERATIONS - 1, 0, -1):
-            before = path(folder, generation - 1)
+            before = generation_path(folder, generation - 1)
             if before.exists():
                 if generation == 1:  # stays in its place until the new one takes it
                     spare = folder / "nodes.spare"
                     spare.unlink(missing_ok=True)
                     os.link(before, spare)
-                    spare.replace(path(folder, 1))
+                    spare.replace(generation_path(folder, 1))
                 else:
-                    before.replace(path(folder, generation))
-    new.replace(path(folder, 0))
+                    before.replace(generation_path(folder, generation))
+    new.replace(generation_path(folder, 0))
     sync_folder(folder)
 
 
-def read(where: Path) -> CachedEndpointList:
+def read_generation(where: Path) -> CachedEndpointList:
     """One generation. DiskError where it can't be used; FileNotFoundError where there is none."""
     _safe(where.parent, "folder")
     _safe(where, "file")
@@ -81,17 +81,17 @@
         raise
     except OSError as error:
         raise EndpointCacheError(f"{where} can't be read: {error.strerror}") from error
-    if len(data) < HEAD.size:
+    if len(data) < HEADER.size:
         raise EndpointCacheError(f"{where} is cut short: {len(data)} bytes")
-    magic, version, length, check = HEAD.unpack_from(data)
+    magic, version, length, check = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise EndpointCacheError(f"{where} is no node list")
     if version > VERSION:
         raise EndpointCacheError(
             f"{where} is of format {version}, and this release reads up to {VERSION}; a newer one wrote it"
         )
-    payload = data[HEAD.size :]
-    if len(payload) != length or length > LARGEST:
+    payload = data[HEADER.size :]
+    if len(payload) != length or length > MAX_PAYLOAD_BYTES:
         raise EndpointCacheError(f"{where} is cut short: {len(payload)} of {length} bytes")
     if xxhash.xxh3_64_intdigest(payload) != check:
         raise EndpointCacheError(f"{where} is damaged: its checksum does not fit")
@@ -126,18 +126,18 @@
     said: list[str] = []
     for generation in range(GENERATIONS):
         try:
-            found = read(path(folder, generation))
+            found = read_generation(generation_path(folder, generation))
         except FileNotFoundError:
             continue
         except EndpointCacheError as error:
             said.append(str(error))
             continue
         if generation:
-            said.append(f"the list before is used instead ({path(folder, generation).name})")
+            said.append(f"the list before is used instead ({generation_path(folder, generation).name})")
         return found, said
     return None, said
 
 
-def members(nodes: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
+def membership_key(nodes: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
     """What makes two lists differ enough to keep the one before."""
-    return frozenset((known.name, known.shard, known.state.value, known.identity) for known in nodes)
+    return frozenset((known.name, known.shard, known.status.value, known.identity) for known in nodes)
--- a/winchdyke/discovery/endpoint_view.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -22,7 +22,7 @@
 from winchdyke.interface import Endpoint, EndpointStatus
 
 
-class State(StrEnum):
+class DiscoveryStatus(StrEnum):
     """What is believed of a node."""
 
     DOUBTFUL = "doubtful"
@@ -34,14 +34,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class ListedEndpoint:
     """One node on a source's list. ``started``: on the gateway's clock, 0 for long ago."""
 
     name: str
-    state: EndpointStatus
+    status: EndpointStatus
     shard: int
     zone: str = ""
-    started: float = 0.0
+    started_at_ms: float = 0.0
     identity: str = ""
 
 
@@ -50,8 +50,8 @@
     """What a store says of itself: identity, the start it has lived since, for how long (ms), whether it drains."""
 
     identity: str = ""
-    boot: str = ""
-    up_ms: float | None = None
+    boot_id: str = ""
+    uptime_ms: float | None = None
     draining: bool = False
 
 
@@ -62,79 +62,79 @@
     name: str
     shard: int
     zone: str = ""
-    state: State = State.DOUBTFUL
-    why: str = ""
-    since: float = 0.0
+    status: DiscoveryStatus = DiscoveryStatus.DOUBTFUL
+    reason: str = ""
+    status_since_ms: float = 0.0
     identity: str = ""
-    boot: str = ""
-    started: float = 0.0  # on the gateway's clock; 0 for long ago
-    warm_known: bool = False  # whether anything told how long it has been up
-    aged: bool = False  # whether it said so itself, of this start, to this gateway
-    drained: bool = False
+    boot_id: str = ""
+    started_at_ms: float = 0.0  # on the gateway's clock; 0 for long ago
+    start_time_known: bool = False  # whether anything told how long it has been up
+    uptime_reported: bool = False  # whether it said so itself, of this start, to this gateway
+    drain_announced: bool = False
     listed: bool = False  # the source that counts names it
-    by: str = ""  # who confirmed it last, and when by the wall clock (Unix ms)
-    confirmed_unix: float = 0.0
-    answered: float = -1e18  # when it last answered
-    held_since: float | None = None  # left out by a list that lost much, and used on while it answers
-    tries: int = 0
-    next_try: float = 0.0
+    confirmed_by: str = ""  # who confirmed it last, and when by the wall clock (Unix ms)
+    confirmed_unix_ms: float = 0.0
+    last_response_at_ms: float = -1e18  # when it last answered
+    omitted_since_ms: float | None = None  # left out by a list that lost much, and used on while it answers
+    failed_attempts: int = 0
+    next_attempt_at_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class DiscoveryBounds:
     """Bounds of belief; times in milliseconds."""
 
-    warm_after: float = 10_000.0
-    trial_gap: float = 20.0  # between two trials of doubtful nodes
-    retry: float = 500.0  # after a trial that failed, doubling
-    retry_most: float = 15_000.0
-    vanish_share: float = 0.5  # of the nodes that a list may leave out at once before it is doubted
-    hold: float = 300_000.0  # for which such a list is doubted while the nodes answer
-    slack: float = 1_000.0  # by which two words on the same start may differ
-    heard: float = 10_000.0  # for which an answer counts as answering
+    warmup_ms: float = 10_000.0
+    min_health_check_interval_ms: float = 20.0  # between two trials of doubtful nodes
+    initial_backoff_ms: float = 500.0  # after a trial that failed, doubling
+    max_backoff_ms: float = 15_000.0
+    max_vanished_fraction: float = 0.5  # of the nodes that a list may leave out at once before it is doubted
+    omission_grace_ms: float = 300_000.0  # for which such a list is doubted while the nodes answer
+    start_time_tolerance_ms: float = 1_000.0  # by which two words on the same start may differ
+    response_freshness_ms: float = 10_000.0  # for which an answer counts as answering
 
 
 @dataclass(slots=True)
-class Source:
+class SourceState:
     """What one source told last."""
 
     name: str
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, ListedEndpoint] = field(default_factory=dict)
     version: int = 0
-    told: bool = False
+    has_reported: bool = False
     healthy: bool = False
-    back_since: float | None = None  # since when its versions have been older than one seen
+    regressed_since_ms: float | None = None  # since when its versions have been older than one seen
 
 
 class EndpointView:
     """What one gateway believes; ``sources`` in order of precedence."""
 
-    def __init__(self, bounds: Bounds, sources: Iterable[str] = ("list",)) -> None:
+    def __init__(self, bounds: DiscoveryBounds, sources: Iterable[str] = ("list",)) -> None:
         self.bounds = bounds
-        self.sources = {name: Source(name) for name in sources}
-        self.known: dict[str, CachedEndpoint] = {}
-        self.notes: list[str] = []  # what people should hear of, until it is taken
-        self._told: dict[str, Endpoint] = {}
-        self._next_trial = 0.0
+        self.sources = {name: SourceState(name) for name in sources}
+        self.endpoints: dict[str, CachedEndpoint] = {}
+        self.warnings: list[str] = []  # what people should hear of, until it is taken
+        self._published: dict[str, Endpoint] = {}
+        self._next_health_check_at_ms = 0.0
 
     # What comes in
 
-    def restored(self, kept: Iterable[CachedEndpoint], now: float) -> None:
+    def restore_cached(self, kept: Iterable[CachedEndpoint], now: float) -> None:
         """From the disk: nothing of it is used before it is confirmed; a drain and an identity are kept."""
         for each in kept:
-            if each.name not in self.known:
-                state = State.DRAINING if each.drained else State.DOUBTFUL
-                if each.state in (State.GONE, State.REUSED):
-                    state = each.state
-                self.known[each.name] = replace(
-                    each, state=state, why="from the list on the disk", since=now, started=0.0, warm_known=False, aged=False,
-                    listed=False, answered=-1e18, held_since=None, tries=0, next_try=now,
+            if each.name not in self.endpoints:
+                state = DiscoveryStatus.DRAINING if each.drain_announced else DiscoveryStatus.DOUBTFUL
+                if each.status in (DiscoveryStatus.GONE, DiscoveryStatus.REUSED):
+                    state = each.status
+                self.endpoints[each.name] = replace(
+                    each, status=state, reason="from the list on the disk", status_since_ms=now, started_at_ms=0.0, start_time_known=False, uptime_reported=False,
+                    listed=False, last_response_at_ms=-1e18, omitted_since_ms=None, failed_attempts=0, next_attempt_at_ms=now,
                 )  # fmt: skip
 
-    def listed(
+    def apply_list(
         self,
         name: str,
-        entries: Iterable[Entry],
+        entries: Iterable[ListedEndpoint],
         now: float,
         unix: float = 0.0,
         whole: bool = True,
@@ -145,261 +145,311 @@
         source = self.sources[name]
         entries = list(entries)
         back = 0 < version < source.version
-        if back and source.back_since is None:
-            source.back_since = now
-            self._note(
+        if back and source.regressed_since_ms is None:
+            source.regressed_since_ms = now
+            self._warn(
                 f"{name}: its list went back from version {source.version} to {version}; what came since is kept"
             )
-        if back and source.back_since is not None and now - source.back_since >= self.bounds.hold:
-            self._note(f"{name}: version {version} has stood for long; it counts from now on")
+        if (
+            back
+            and source.regressed_since_ms is not None
+            and now - source.regressed_since_ms >= self.bounds.omission_grace_ms
+        ):
+            self._warn(f"{name}: version {version} has stood for long; it counts from now on")
             back, source.version = False, version
         if not back:
-            source.back_since = None
+            source.regressed_since_ms = None
             source.version = version or source.version
         if whole:
             source.entries = {}
         source.entries.update({entry.name: entry for entry in entries})
-        source.told = source.healthy = True
-        if self._authority() is source:
-            self._believe(source, entries if not whole else None, now, unix, back or old)
+        source.has_reported = source.healthy = True
+        if self._authoritative_source() is source:
+            self._apply_source(source, entries if not whole else None, now, unix, back or old)
         for entry in entries:  # a drain counts whoever tells it
-            if entry.state is EndpointStatus.DRAINING and entry.name in self.known:
-                self._drain(self.known[entry.name], f"drains, by {name}", now)
+            if entry.status is EndpointStatus.DRAINING and entry.name in self.endpoints:
+                self._mark_draining(self.endpoints[entry.name], f"drains, by {name}", now)
 
-    def failed(self, name: str, now: float, unix: float = 0.0) -> None:
+    def mark_source_failed(self, name: str, now: float, unix: float = 0.0) -> None:
         """A source did not answer; the next in order counts, where there is one that does."""
         source = self.sources[name]
-        was = self._authority()
+        was = self._authoritative_source()
         source.healthy = False
-        after = self._authority()
+        after = self._authoritative_source()
         if after is not None and after is not was and after.healthy:
-            self._believe(after, None, now, unix, False)
+            self._apply_source(after, None, now, unix, False)
 
-    def heard(self, name: str, word: EndpointEvidence, now: float, unix: float = 0.0) -> bool:
+    def record_response(self, name: str, word: EndpointEvidence, now: float, unix: float = 0.0) -> bool:
         """A node answered. Whether it is the one that is meant: else nothing may be sent there."""
-        known = self.known.get(name)
+        known = self.endpoints.get(name)
         if known is None:
             return True
         if known.identity and word.identity and word.identity != known.identity:
-            if known.state is not State.REUSED:
-                self._note(f"{name}: {word.identity} answers where {known.identity} was; it is sent nothing")
-            self._set(known, State.REUSED, f"{word.identity} answers at its address", now)
-            known.answered = -1e18
+            if known.status is not DiscoveryStatus.REUSED:
+                self._warn(f"{name}: {word.identity} answers where {known.identity} was; it is sent nothing")
+            self._set_status(known, DiscoveryStatus.REUSED, f"{word.identity} answers at its address", now)
+            known.last_response_at_ms = -1e18
             return False
         known.identity = known.identity or word.identity
-        restarted = bool(known.boot and word.boot and word.boot != known.boot)
-        if restarted or not known.aged:
-            self._age(known, word, restarted, now)
-        known.boot = word.boot or known.boot
-        known.answered, known.tries, known.by, known.confirmed_unix = now, 0, "its answer", unix
+        restarted = bool(known.boot_id and word.boot_id and word.boot_id != known.boot_id)
+        if restarted or not known.uptime_reported:
+            self._record_uptime(known, word, restarted, now)
+        known.boot_id = word.boot_id or known.boot_id
+        known.last_response_at_ms, known.failed_attempts, known.confirmed_by, known.confirmed_unix_ms = (
+            now,
+            0,
+            "its answer",
+            unix,
+        )
         if restarted and not word.draining:
-            known.drained = False  # the one that drained is no more
+            known.drain_announced = False  # the one that drained is no more
         if word.draining:
-            self._drain(known, "drains, by its own word", now)
-        elif known.state in (State.DOUBTFUL, State.REUSED) or (
-            known.state is State.DRAINING and not known.drained
+            self._mark_draining(known, "drains, by its own word", now)
+        elif known.status in (DiscoveryStatus.DOUBTFUL, DiscoveryStatus.REUSED) or (
+            known.status is DiscoveryStatus.DRAINING and not known.drain_announced
         ):
             self._confirm(known, "answered under its identity" if known.identity else "answered", now)
-        elif known.state in (State.USABLE, State.COLD):
-            self._warmth(known, now)
-        return not known.drained and known.state is not State.GONE
+        elif known.status in (DiscoveryStatus.USABLE, DiscoveryStatus.COLD):
+            self._update_warmup(known, now)
+        return not known.drain_announced and known.status is not DiscoveryStatus.GONE
 
-    def refused(self, name: str, now: float) -> None:
+    def record_connect_failure(self, name: str, now: float) -> None:
         """A node could not be reached. A list in good health is believed against it; nothing else is."""
-        known = self.known.get(name)
+        known = self.endpoints.get(name)
         if known is None:
             return
-        known.answered = -1e18
-        known.tries += 1
-        known.next_try = now + min(self.bounds.retry_most, self.bounds.retry * 2 ** min(10, known.tries - 1))
-        if known.state in (State.USABLE, State.COLD) and (known.held_since is not None or not known.listed):
+        known.last_response_at_ms = -1e18
+        known.failed_attempts += 1
+        known.next_attempt_at_ms = now + min(
+            self.bounds.max_backoff_ms,
+            self.bounds.initial_backoff_ms * 2 ** min(10, known.failed_attempts - 1),
+        )
+        if known.status in (DiscoveryStatus.USABLE, DiscoveryStatus.COLD) and (
+            known.omitted_since_ms is not None or not known.listed
+        ):
             why = (
                 "does not answer, and the list left it out"
-                if known.held_since is not None
+                if known.omitted_since_ms is not None
                 else "does not answer"
             )
-            self._set(known, State.GONE if known.held_since is not None else State.DOUBTFUL, why, now)
+            self._set_status(
+                known,
+                DiscoveryStatus.GONE if known.omitted_since_ms is not None else DiscoveryStatus.DOUBTFUL,
+                why,
+                now,
+            )
 
     def tick(self, now: float) -> None:
         """What time alone changes: nodes warm up, and a list that stands long enough is believed."""
-        for known in self.known.values():
-            if known.state is State.COLD:
-                self._warmth(known, now)
-            if known.held_since is not None and now - known.held_since >= self.bounds.hold:
-                known.held_since = None
-                self._set(known, State.GONE, "left out by the list for long", now)
-
-    def trial(self, now: float) -> str | None:
+        for known in self.endpoints.values():
+            if known.status is DiscoveryStatus.COLD:
+                self._update_warmup(known, now)
+            if (
+                known.omitted_since_ms is not None
+                and now - known.omitted_since_ms >= self.bounds.omission_grace_ms
+            ):
+                known.omitted_since_ms = None
+                self._set_status(known, DiscoveryStatus.GONE, "left out by the list for long", now)
+
+    def next_health_check(self, now: float) -> str | None:
         """The next doubtful node to try: one at a time, the one that was confirmed last first."""
-        if now < self._next_trial:
+        if now < self._next_health_check_at_ms:
             return None
         due = [
-            known for known in self.known.values()
-            if known.next_try <= now
+            known for known in self.endpoints.values()
+            if known.next_attempt_at_ms <= now
             and (
-                known.state in (State.DOUBTFUL, State.REUSED)
-                or (known.held_since is not None and now - known.answered > self.bounds.heard)
+                known.status in (DiscoveryStatus.DOUBTFUL, DiscoveryStatus.REUSED)
+                or (known.omitted_since_ms is not None and now - known.last_response_at_ms > self.bounds.response_freshness_ms)
             )
         ]  # fmt: skip
         if not due:
             return None
-        self._next_trial = now + self.bounds.trial_gap
-        first = min(due, key=lambda known: (known.tries, -known.confirmed_unix, known.name))
-        first.next_try = now + self.bounds.retry
+        self._next_health_check_at_ms = now + self.bounds.min_health_check_interval_ms
+        first = min(due, key=lambda known: (known.failed_attempts, -known.confirmed_unix_ms, known.name))
+        first.next_attempt_at_ms = now + self.bounds.initial_backoff_ms
         return first.name
 
     # What goes out
 
-    def news(self) -> list[Endpoint]:
+    def take_changes(self) -> list[Endpoint]:
         """What the scheduler is to be told: all whose state for it changed since the last call."""
         found = []
-        for known in self.known.values():
-            node = self._node(known)
-            told = self._told.get(known.name)
+        for known in self.endpoints.values():
+            node = self._published_form(known)
+            told = self._published.get(known.name)
             if (node is not None or told is not None) and node != told:
                 gone = Endpoint(known.name, EndpointStatus.REMOVED, known.shard, known.zone)
                 found.append(node or gone)
                 if node is None:
-                    self._told.pop(known.name, None)
+                    self._published.pop(known.name, None)
                 else:
-                    self._told[known.name] = node
+                    self._published[known.name] = node
         return found
 
-    def all(self) -> list[Endpoint]:
+    def snapshot(self) -> list[Endpoint]:
         """The whole view for the scheduler, as of the last ``news``."""
-        return list(self._told.values())
+        return list(self._published.values())
 
-    def usable(self, name: str) -> bool:
+    def is_usable(self, name: str) -> bool:
         """Whether requests may go to a node."""
-        known = self.known.get(name)
-        return known is not None and known.state in (State.USABLE, State.COLD)
+        known = self.endpoints.get(name)
+        return known is not None and known.status in (DiscoveryStatus.USABLE, DiscoveryStatus.COLD)
 
-    def _node(self, known: CachedEndpoint) -> Endpoint | None:
-        if known.state in (State.USABLE, State.COLD):
-            started = known.started if known.state is State.COLD else 0.0
+    def _published_form(self, known: CachedEndpoint) -> Endpoint | None:
+        if known.status in (DiscoveryStatus.USABLE, DiscoveryStatus.COLD):
+            started = known.started_at_ms if known.status is DiscoveryStatus.COLD else 0.0
             return Endpoint(known.name, EndpointStatus.READY, known.shard, known.zone, started)
-        if known.state is State.DRAINING:
+        if known.status is DiscoveryStatus.DRAINING:
             return Endpoint(known.name, EndpointStatus.DRAINING, known.shard, known.zone)
         return None
 
     # How it is weighed
 
-    def _authority(self) -> Source | None:
-        told = [source for source in self.sources.values() if source.told]
+    def _authoritative_source(self) -> SourceState | None:
+        told = [source for source in self.sources.values() if source.has_reported]
         return next((source for source in told if source.healthy), told[0] if told else None)
 
-    def _believe(
-        self, source: Source, changed: list[Entry] | None, now: float, unix: float, back: bool
+    def _apply_source(
+        self, source: SourceState, changed: list[ListedEndpoint] | None, now: float, unix: float, back: bool
     ) -> None:
         entries = list(source.entries.values()) if changed is None else changed
         for entry in entries:
-            known = self.known.get(entry.name)
+            known = self.endpoints.get(entry.name)
             if known is None or entry.shard != known.shard:
-                known = self.known[entry.name] = CachedEndpoint(
-                    entry.name, entry.shard, entry.zone, since=now
+                known = self.endpoints[entry.name] = CachedEndpoint(
+                    entry.name, entry.shard, entry.zone, status_since_ms=now
                 )
-                if entry.state is EndpointStatus.REMOVED:
-                    known.state = State.GONE
-            self._entry(known, entry, source.name, now, unix, back)
+                if entry.status is EndpointStatus.REMOVED:
+                    known.status = DiscoveryStatus.GONE
+            self._apply_entry(known, entry, source.name, now, unix, back)
         if changed is None:
-            self._left_out(source, now, back)
+            self._apply_omissions(source, now, back)
 
-    def _entry(
-        self, known: CachedEndpoint, entry: Entry, by: str, now: float, unix: float, back: bool
+    def _apply_entry(
+        self, known: CachedEndpoint, entry: ListedEndpoint, by: str, now: float, unix: float, back: bool
     ) -> None:
-        if entry.state is EndpointStatus.REMOVED:
-            known.listed, known.held_since = False, None
-            known.drained = False
-            self._set(known, State.GONE, f"gone, by {by}", now)
+        if entry.status is EndpointStatus.REMOVED:
+            known.listed, known.omitted_since_ms = False, None
+            known.drain_announced = False
+            self._set_status(known, DiscoveryStatus.GONE, f"gone, by {by}", now)
             return
         other = bool(entry.identity and known.identity and entry.identity != known.identity)
-        later = entry.started != 0 and entry.started > known.started + self.bounds.slack
+        later = (
+            entry.started_at_ms != 0
+            and entry.started_at_ms > known.started_at_ms + self.bounds.start_time_tolerance_ms
+        )
         if back:
             # An older list: it brings nothing back that a later one, or the node itself, took away.
             known.listed, known.identity = True, known.identity or entry.identity
-            if known.state in (State.GONE, State.REUSED):
-                self._set(known, State.DOUBTFUL, f"named by an older list of {by}", now)
+            if known.status in (DiscoveryStatus.GONE, DiscoveryStatus.REUSED):
+                self._set_status(known, DiscoveryStatus.DOUBTFUL, f"named by an older list of {by}", now)
             return
-        if other or (later and known.warm_known and known.boot):
+        if other or (later and known.start_time_known and known.boot_id):
             # Another store, or another start of this one: what was known of the one before is over.
-            known.boot, known.drained, known.warm_known, known.aged = "", False, False, False
-        known.listed, known.held_since = True, None
+            known.boot_id, known.drain_announced, known.start_time_known, known.uptime_reported = (
+                "",
+                False,
+                False,
+                False,
+            )
+        known.listed, known.omitted_since_ms = True, None
         known.identity = entry.identity or known.identity
-        known.zone, known.by, known.confirmed_unix = entry.zone or known.zone, by, unix
-        if entry.started and (later or not known.warm_known):
-            known.started, known.warm_known = entry.started, True
-        elif not entry.started:
-            known.warm_known = (
+        known.zone, known.confirmed_by, known.confirmed_unix_ms = entry.zone or known.zone, by, unix
+        if entry.started_at_ms and (later or not known.start_time_known):
+            known.started_at_ms, known.start_time_known = entry.started_at_ms, True
+        elif not entry.started_at_ms:
+            known.start_time_known = (
                 True  # a list in good health says that it has been up for long, or nothing lately
             )
-        if entry.state is EndpointStatus.DRAINING:
-            self._drain(known, f"drains, by {by}", now)
-        elif known.state is State.DRAINING and known.drained and known.why.endswith("own word") and not later:
+        if entry.status is EndpointStatus.DRAINING:
+            self._mark_draining(known, f"drains, by {by}", now)
+        elif (
+            known.status is DiscoveryStatus.DRAINING
+            and known.drain_announced
+            and known.reason.endswith("own word")
+            and not later
+        ):
             pass  # the node knows it sooner than the list
-        elif known.state is State.REUSED and not other:
+        elif known.status is DiscoveryStatus.REUSED and not other:
             pass  # the list does not know yet who is there; a trial will tell
         else:
-            known.drained = False
+            known.drain_announced = False
             self._confirm(known, f"named by {by}", now)
 
-    def _left_out(self, source: Source, now: float, back: bool) -> None:
-        here = [known for known in self.known.values() if known.state in (State.USABLE, State.COLD)]
-        lost = [known for known in here if known.name not in source.entries and known.held_since is None]
-        mass = len(lost) >= 2 and len(lost) > self.bounds.vanish_share * len(here)
+    def _apply_omissions(self, source: SourceState, now: float, back: bool) -> None:
+        here = [
+            known
+            for known in self.endpoints.values()
+            if known.status in (DiscoveryStatus.USABLE, DiscoveryStatus.COLD)
+        ]
+        lost = [
+            known for known in here if known.name not in source.entries and known.omitted_since_ms is None
+        ]
+        mass = len(lost) >= 2 and len(lost) > self.bounds.max_vanished_fraction * len(here)
         if mass:
-            self._note(
+            self._warn(
                 f"{source.name}: its list leaves out {len(lost)} of {len(here)} nodes; those that answer are used on"
             )
-        for known in self.known.values():
-            if known.name in source.entries or known.held_since is not None:
+        for known in self.endpoints.values():
+            if known.name in source.entries or known.omitted_since_ms is not None:
                 continue
             known.listed = False
             if known in lost and (mass or back):
-                known.held_since, known.next_try = now, now
-                known.why = f"left out by {source.name} with many others; used while it answers"
-            elif known.state is not State.REUSED and known.state is not State.GONE:
-                if known.state is State.DOUBTFUL and (back or not source.entries):
+                known.omitted_since_ms, known.next_attempt_at_ms = now, now
+                known.reason = f"left out by {source.name} with many others; used while it answers"
+            elif known.status is not DiscoveryStatus.REUSED and known.status is not DiscoveryStatus.GONE:
+                if known.status is DiscoveryStatus.DOUBTFUL and (back or not source.entries):
                     continue  # an empty or an old list says nothing of one that is being tried
-                self._set(known, State.GONE, f"left out by {source.name}", now)
+                self._set_status(known, DiscoveryStatus.GONE, f"left out by {source.name}", now)
 
     def _confirm(self, known: CachedEndpoint, why: str, now: float) -> None:
-        if not known.warm_known:
-            known.started, known.warm_known = now, True  # what is not known to be warm counts as cold
-        cold = known.started and now - known.started < self.bounds.warm_after
-        self._set(known, State.COLD if cold else State.USABLE, why, now)
+        if not known.start_time_known:
+            known.started_at_ms, known.start_time_known = (
+                now,
+                True,
+            )  # what is not known to be warm counts as cold
+        cold = known.started_at_ms and now - known.started_at_ms < self.bounds.warmup_ms
+        self._set_status(known, DiscoveryStatus.COLD if cold else DiscoveryStatus.USABLE, why, now)
 
-    def _age(self, known: CachedEndpoint, word: EndpointEvidence, restarted: bool, now: float) -> None:
+    def _record_uptime(
+        self, known: CachedEndpoint, word: EndpointEvidence, restarted: bool, now: float
+    ) -> None:
         """How long it has been up: its own word, and a list's only where that makes it younger."""
-        known.aged = word.up_ms is not None
-        if word.up_ms is None:
+        known.uptime_reported = word.uptime_ms is not None
+        if word.uptime_ms is None:
             if restarted:
-                known.started, known.warm_known = now, True
+                known.started_at_ms, known.start_time_known = now, True
             return
-        started = now - word.up_ms
-        if restarted or not known.warm_known or started > known.started + self.bounds.slack:
-            known.started, known.warm_known = started, True
-
-    def _warmth(self, known: CachedEndpoint, now: float) -> None:
-        cold = bool(known.started) and now - known.started < self.bounds.warm_after
-        if cold != (known.state is State.COLD):
-            self._set(
+        started = now - word.uptime_ms
+        if (
+            restarted
+            or not known.start_time_known
+            or started > known.started_at_ms + self.bounds.start_time_tolerance_ms
+        ):
+            known.started_at_ms, known.start_time_known = started, True
+
+    def _update_warmup(self, known: CachedEndpoint, now: float) -> None:
+        cold = bool(known.started_at_ms) and now - known.started_at_ms < self.bounds.warmup_ms
+        if cold != (known.status is DiscoveryStatus.COLD):
+            self._set_status(
                 known,
-                State.COLD if cold else State.USABLE,
+                DiscoveryStatus.COLD if cold else DiscoveryStatus.USABLE,
                 "started lately" if cold else "has warmed up",
                 now,
             )
 
-    def _drain(self, known: CachedEndpoint, why: str, now: float) -> None:
-        known.drained = True
-        if known.state not in (State.GONE, State.REUSED):
-            self._set(known, State.DRAINING, why, now)
+    def _mark_draining(self, known: CachedEndpoint, why: str, now: float) -> None:
+        known.drain_announced = True
+        if known.status not in (DiscoveryStatus.GONE, DiscoveryStatus.REUSED):
+            self._set_status(known, DiscoveryStatus.DRAINING, why, now)
 
-    def _set(self, known: CachedEndpoint, state: State, why: str, now: float) -> None:
-        if state is not known.state:
-            known.since = now
-        known.state, known.why = state, why
-        if state in (State.DOUBTFUL, State.REUSED):
-            known.next_try = max(known.next_try, now)
+    def _set_status(self, known: CachedEndpoint, state: DiscoveryStatus, why: str, now: float) -> None:
+        if state is not known.status:
+            known.status_since_ms = now
+        known.status, known.reason = state, why
+        if state in (DiscoveryStatus.DOUBTFUL, DiscoveryStatus.REUSED):
+            known.next_attempt_at_ms = max(known.next_attempt_at_ms, now)
 
-    def _note(self, text: str) -> None:
-        self.notes.append(text)
+    def _warn(self, text: str) -> None:
+        self.warnings.append(text)
--- a/winchdyke/discovery/list_protocol.py
+++ b/winchdyke/discovery/list_protocol.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from winchdyke import interface as api
-from winchdyke.discovery.endpoint_view import Entry
+from winchdyke.discovery.endpoint_view import ListedEndpoint
 
 STATES = {
     "ready": api.EndpointStatus.READY,
@@ -21,11 +21,11 @@
 }
 
 
-class ListError(Exception):
+class EndpointListError(Exception):
     """An answer of the list service that can't be used; says what is wrong."""
 
 
-class Listed(msgspec.Struct):
+class EndpointJson(msgspec.Struct):
     """One node; ``started_unix_ms`` is absent where it has been up for long."""
 
     name: str
@@ -36,25 +36,25 @@
     identity: str = ""
 
 
-class Listing(msgspec.Struct):
+class EndpointListJson(msgspec.Struct):
     """A list, or what changed since ``token``'s predecessor."""
 
     token: str
     form: Literal["full", "changes", "cached"]
-    nodes: list[Listed]
+    nodes: list[EndpointJson]
     version: int = 0  # grows with every change; 0 where the service keeps none
 
 
 class ReceivedList(NamedTuple):
     """What a source told: the token for the next call, the form, the entries, and the list's version."""
 
-    token: str
+    resume_token: str
     kind: api.EndpointListKind
-    entries: tuple[Entry, ...]
+    entries: tuple[ListedEndpoint, ...]
     version: int
 
 
-class Reader:
+class ListParser:
     """Turns listings into events on the gateway's clock.
 
     A start's wall time is turned into monotonic time once and kept: turned anew each time, the clocks' drift would
@@ -64,29 +64,31 @@
     def __init__(self) -> None:
         self._started: dict[tuple[str, float], float] = {}
 
-    def read(self, data: bytes, now_ms: float, unix_ms: float) -> ReceivedList:
+    def parse(self, data: bytes, now_ms: float, unix_ms: float) -> ReceivedList:
         """What a listing tells. ListError where the bytes are no listing."""
         try:
-            listing = msgspec.json.decode(data, type=Listing)
+            listing = msgspec.json.decode(data, type=EndpointListJson)
         except msgspec.DecodeError as error:
-            raise ListError(f"the list can't be read: {error}") from error
+            raise EndpointListError(f"the list can't be read: {error}") from error
         names = [entry.name for entry in listing.nodes]
         if len(set(names)) != len(names):
-            raise ListError("the list names a node twice")
+            raise EndpointListError("the list names a node twice")
         for entry in listing.nodes:
             host, _, port = entry.name.rpartition(":")
             if not host or not port.isdigit() or not 0 < int(port) < 65536:
-                raise ListError(f"the list names {entry.name!r}, which is not HOST:PORT")
+                raise EndpointListError(f"the list names {entry.name!r}, which is not HOST:PORT")
         nodes = tuple(self._node(entry, now_ms, unix_ms) for entry in listing.nodes)
         if listing.form != "changes":
             kept = {(entry.name, entry.started_unix_ms) for entry in listing.nodes}
             self._started = {key: at for key, at in self._started.items() if key in kept}
         return ReceivedList(listing.token, FORMS[listing.form], nodes, listing.version)
 
-    def _node(self, entry: Listed, now_ms: float, unix_ms: float) -> Entry:
+    def _node(self, entry: EndpointJson, now_ms: float, unix_ms: float) -> ListedEndpoint:
         started = 0.0
         if entry.started_unix_ms > 0:
             # A start in the future is a clock that is off: it counts as now.
             at = min(now_ms, now_ms - (unix_ms - entry.started_unix_ms))
             started = self._started.setdefault((entry.name, entry.started_unix_ms), max(at, 1e-3))
-        return Entry(entry.name, STATES[entry.state], entry.shard, entry.zone, started, entry.identity)
+        return ListedEndpoint(
+            entry.name, STATES[entry.state], entry.shard, entry.zone, started, entry.identity
+        )
--- a/winchdyke/discovery/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -17,12 +17,12 @@
 from winchdyke import interface as api
 from winchdyke.config.model import Discovery
 from winchdyke.discovery.list_protocol import ReceivedList
-from winchdyke.discovery.sources import HttpSource, backoff
+from winchdyke.discovery.sources import ListServiceSource, jittered_backoff_seconds
 
-MOST = 1024  # gateways of a list that are taken: as many as members
+MAX_GATEWAYS = 1024  # gateways of a list that are taken: as many as members
 
 
-class Seeds:
+class GatewaySeeds:
     """Follows a list of gateways; ``told`` hears the addresses of those that are ready, each time they change."""
 
     def __init__(
@@ -35,7 +35,7 @@
     ) -> None:
         """``where``: host, port and path; asked by the gateway's name, with the times of the list of nodes."""
         host, port, path = where
-        self._source = HttpSource(replace(nodes, host=host, port=port, path=path), gateway, clock)
+        self._source = ListServiceSource(replace(nodes, host=host, port=port, path=path), gateway, clock)
         self._told, self._draw = told, random.Random(time.monotonic_ns())
         self._ready: set[str] = set()
         self._failures = 0
@@ -43,7 +43,7 @@
 
     async def run(self) -> None:
         """Follow the list until cancelled."""
-        self._source.ask()
+        self._source.request_poll()
         await self._source.run(self._heard, self._failed)
 
     async def _heard(self, _: str, heard: ReceivedList) -> None:
@@ -52,19 +52,19 @@
         if heard.kind is not api.EndpointListKind.CHANGES:
             self._ready = set()
         for entry in heard.entries:
-            if entry.state is api.EndpointStatus.READY:
+            if entry.status is api.EndpointStatus.READY:
                 self._ready.add(entry.name)
             else:
                 self._ready.discard(entry.name)
         if self._ready != before:
-            if len(self._ready) > MOST:
+            if len(self._ready) > MAX_GATEWAYS:
                 self._log.warning(
-                    "fleet", trouble=f"the list names {len(self._ready)} gateways: {MOST} are taken"
+                    "fleet", trouble=f"the list names {len(self._ready)} gateways: {MAX_GATEWAYS} are taken"
                 )
-            self._told(tuple(sorted(self._ready)[:MOST]))
+            self._told(tuple(sorted(self._ready)[:MAX_GATEWAYS]))
 
     async def _failed(self, _: str, why: str) -> None:
         self._failures += 1
         self._log.warning("fleet", trouble=f"the list of gateways can't be had: {why}; see fleet, list")
-        await anyio.sleep(backoff(self._failures, self._draw))
-        self._source.ask()
+        await anyio.sleep(jittered_backoff_seconds(self._failures, self._draw))
+        self._source.request_poll()
--- a/winchdyke/discovery/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -15,71 +15,88 @@
 
 from winchdyke import interface as api
 from winchdyke.config.model import Discovery
-from winchdyke.discovery.endpoint_view import Entry
-from winchdyke.discovery.list_protocol import ListError, Reader, ReceivedList
+from winchdyke.discovery.endpoint_view import ListedEndpoint
+from winchdyke.discovery.list_protocol import EndpointListError, ListParser, ReceivedList
 from winchdyke.gateway.attempts import LOST
 from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
 
-LIST_BYTES = 16 << 20
-GAP_S = 0.02  # between polls at the least: a service that never waits is not asked without end
-BURST, PER_S = 20.0, 2.0  # calls to a service that answers at once: so many, and then so many a second
-RETRY_S, RETRY_MOST_S = 0.5, 8.0  # of sources that choose their own time after a failure
+MAX_LIST_BYTES = 16 << 20
+MIN_POLL_INTERVAL_SECONDS = (
+    0.02  # between polls at the least: a service that never waits is not asked without end
+)
+POLL_BURST, POLLS_PER_SECOND = (
+    20.0,
+    2.0,
+)  # calls to a service that answers at once: so many, and then so many a second
+INITIAL_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS = (
+    0.5,
+    8.0,
+)  # of sources that choose their own time after a failure
 
-Tell = Callable[[str, ReceivedList], Awaitable[None]]
-Fail = Callable[[str, str], Awaitable[None]]
+OnList = Callable[[str, ReceivedList], Awaitable[None]]
+OnFailure = Callable[[str, str], Awaitable[None]]
 
 
-class Source(Protocol):
+class EndpointSource(Protocol):
     """One source. ``run`` tells and fails until it is cancelled; ``ask`` wakes it where it rests after a failure."""
 
     name: str
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Follow the list."""
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """Try again now, where it waits to be told when."""
 
 
-def backoff(failures: int, draw: random.Random, first: float = RETRY_S, most: float = RETRY_MOST_S) -> float:
+def jittered_backoff_seconds(
+    failures: int,
+    draw: random.Random,
+    first: float = INITIAL_BACKOFF_SECONDS,
+    most: float = MAX_BACKOFF_SECONDS,
+) -> float:
     """Seconds to rest after so many failures running: doubling, each spread over half to one and a half of it."""
     return min(most, first * 2.0 ** min(failures - 1, 20)) * (0.5 + draw.random())
 
 
 @dataclass
-class Allowance:
+class PollRateLimiter:
     """A bound on the calls that a gateway may cost a service: a bucket of tokens."""
 
-    tokens: float = BURST
-    at: float = 0.0
+    tokens: float = POLL_BURST
+    refilled_at_seconds: float = 0.0
 
-    def wait_s(self, now_s: float) -> float:
+    def take_token(self, now_s: float) -> float:
         """Take one, and say how long to wait before the call."""
-        self.tokens = min(BURST, self.tokens + (now_s - self.at) * PER_S) if self.at else BURST
-        self.at = now_s
+        self.tokens = (
+            min(POLL_BURST, self.tokens + (now_s - self.refilled_at_seconds) * POLLS_PER_SECOND)
+            if self.refilled_at_seconds
+            else POLL_BURST
+        )
+        self.refilled_at_seconds = now_s
         self.tokens -= 1.0
-        return max(0.0, -self.tokens / PER_S)
+        return max(0.0, -self.tokens / POLLS_PER_SECOND)
 
 
-class HttpSource:
+class ListServiceSource:
     """The list service: one long poll after another. After a failure the scheduler says when to ask again."""
 
     name = "list"
 
     def __init__(self, where: Discovery, gateway: str, clock: Callable[[], float]) -> None:
         self._where, self._gateway, self._clock = where, gateway, clock
-        self._reader, self._token, self._index = Reader(), "", 0
+        self._reader, self._token, self._index = ListParser(), "", 0
         self._asked = anyio.Event()
-        self._allowance = Allowance()
-        self.calls = 0
+        self._allowance = PollRateLimiter()
+        self.poll_count = 0
         if not where.must_ask:
             self._asked.set()
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """Follow the list, where that is not under way."""
         self._asked.set()
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Follow until cancelled."""
         while True:
             await self._asked.wait()
@@ -88,8 +105,10 @@
                     heard = await self._poll()
                     if heard is not None:
                         await tell(self.name, heard)
-                    await anyio.sleep(max(GAP_S, self._allowance.wait_s(time.monotonic())))
-            except (*LOST, ProtocolError, ListError) as error:
+                    await anyio.sleep(
+                        max(MIN_POLL_INTERVAL_SECONDS, self._allowance.take_token(time.monotonic()))
+                    )
+            except (*LOST, ProtocolError, EndpointListError) as error:
                 self._asked, self._token, self._index = anyio.Event(), "", 0
                 await fail(self.name, str(error) or type(error).__name__)
 
@@ -101,7 +120,7 @@
             target += f"&index={self._index}&wait={wait:.0f}ms"
         elif self._token:
             target += f"&since={quote(self._token, safe='')}&wait={wait:.0f}"
-        self.calls += 1
+        self.poll_count += 1
         with anyio.fail_after((wait + where.timeout) / 1000):
             async with await anyio.connect_tcp(where.host, where.port) as stream:
                 codec = ClientSide(64 * 1024)
@@ -115,14 +134,14 @@
                         codec.feed(await self._receive(stream))
                     else:
                         body += piece
-                    if len(body) > LIST_BYTES:
-                        raise ListError(f"the list is larger than {LIST_BYTES} bytes")
+                    if len(body) > MAX_LIST_BYTES:
+                        raise EndpointListError(f"the list is larger than {MAX_LIST_BYTES} bytes")
         if head.status == 204:
             return None
         if head.status != 200:
-            raise ListError(f"the list service answered {head.status}")
-        heard = self._reader.read(bytes(body), self._clock(), time.time() * 1000)
-        self._token = heard.token
+            raise EndpointListError(f"the list service answered {head.status}")
+        heard = self._reader.parse(bytes(body), self._clock(), time.time() * 1000)
+        self._token = heard.resume_token
         return heard if not where.by_index else self._indexed(heard, head)
 
     def _indexed(self, heard: ReceivedList, head: AnswerHead) -> ReceivedList | None:
@@ -133,7 +152,7 @@
         text = (head.get(b"x-index") or "").strip()
         index = int(text) if text.isdigit() else 0
         if index == 0:
-            raise ListError(f"the answer's X-Index is {text!r}; it must be a number from 1 on")
+            raise EndpointListError(f"the answer's X-Index is {text!r}; it must be a number from 1 on")
         same, back = index == self._index, index < self._index
         self._index = 0 if back else index
         self._token = "" if back else "index"
@@ -154,12 +173,12 @@
 
     def __init__(self, where: Path, clock: Callable[[], float], every_s: float = 0.5) -> None:
         self._where, self._clock, self._every = where, clock, every_s
-        self._reader = Reader()
+        self._reader = ListParser()
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """It looks at its own times."""
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Look until cancelled."""
         seen: tuple[int, int, int] | None = None
         failed = False
@@ -169,12 +188,12 @@
                 mark = found.st_mtime_ns, found.st_ino, found.st_size
                 if mark != seen:
                     data = await anyio.to_thread.run_sync(self._where.read_bytes)
-                    if len(data) > LIST_BYTES:
-                        raise ListError(f"the list is larger than {LIST_BYTES} bytes")
-                    heard = self._reader.read(data, self._clock(), time.time() * 1000)
+                    if len(data) > MAX_LIST_BYTES:
+                        raise EndpointListError(f"the list is larger than {MAX_LIST_BYTES} bytes")
+                    heard = self._reader.parse(data, self._clock(), time.time() * 1000)
                     seen, failed = mark, False
                     await tell(self.name, heard)
-            except (OSError, ListError) as error:
+            except (OSError, EndpointListError) as error:
                 seen = None
                 if not failed:
                     failed = True
@@ -195,10 +214,10 @@
         self._name, self._server, self._shards, self._every = name, server, shards, every_s
         self._draw = random.Random()
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """It asks at its own times."""
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Ask until cancelled."""
         from dns.exception import DNSException
 
@@ -209,13 +228,13 @@
             except (DNSException, OSError, ValueError) as error:
                 failures += 1
                 await fail(self.name, f"{self._name}: {str(error) or type(error).__name__}")
-                await anyio.sleep(backoff(failures, self._draw))
+                await anyio.sleep(jittered_backoff_seconds(failures, self._draw))
                 continue
             failures = 0
             await tell(self.name, ReceivedList("", api.EndpointListKind.FULL, entries, 0))
             await anyio.sleep(self._every * (0.5 + self._draw.random()))
 
-    async def _all(self) -> tuple[Entry, ...]:
+    async def _all(self) -> tuple[ListedEndpoint, ...]:
         import dns.asyncresolver
         import dns.resolver
 
@@ -235,7 +254,9 @@
                     if not _is_address(host)
                     else [host]
                 )
-                found.append(Entry(f"{next(iter(addresses))}:{record.port}", api.EndpointStatus.READY, shard))
+                found.append(
+                    ListedEndpoint(f"{next(iter(addresses))}:{record.port}", api.EndpointStatus.READY, shard)
+                )
         return tuple(found)
 
 
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -22,11 +22,11 @@
 from winchdyke.config_rollout.change_log import ChangeLogError
 from winchdyke.config_rollout.controller import Prepared, RolloutController
 from winchdyke.config_rollout.cutover import moved
-from winchdyke.discovery.endpoint_view import Bounds as Belief
+from winchdyke.discovery.endpoint_view import DiscoveryBounds as Belief
 from winchdyke.discovery.endpoint_view import EndpointEvidence
 from winchdyke.discovery.follower import EndpointFollower
-from winchdyke.discovery.seeds import Seeds
-from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
+from winchdyke.discovery.seeds import GatewaySeeds
+from winchdyke.discovery.sources import EndpointSource, FileSource, ListServiceSource, SrvSource
 from winchdyke.gateway.attempts import LOST
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.pool import NO_DESCRIPTORS, ConnectError, Connection, ConnectionPool
@@ -75,9 +75,12 @@
             recorder = Recorder(config.gateway.name, self.ledger, lambda: self.engine.observer)
         self.service = Service(config, self.engine, self.pool, self.engine.clock, recorder)
         self.membership = self._membership()
-        self.engine.watch = self.membership.ask
+        self.engine.watch = self.membership.request_poll
         self.pool.greet = self._greet
-        self.service.on_word, self.service.on_refused = self.membership.heard, self.membership.refused
+        self.service.on_word, self.service.on_refused = (
+            self.membership.record_response,
+            self.membership.record_connect_failure,
+        )
         self.fleet = MembershipAgent(config, self.engine.clock) if config.fleet.listen is not None else None
         self.live = self._live()
         self.writeback = self._writeback()
@@ -152,10 +155,10 @@
         """Shards that have no node by the list's or the nodes' own word: no change of settings does that."""
         usable = {
             known.shard
-            for known in self.membership.belief.known.values()
-            if self.membership.belief.usable(known.name)
+            for known in self.membership.view.endpoints.values()
+            if self.membership.view.is_usable(known.name)
         }
-        return {known.shard for known in self.membership.belief.known.values()} - usable
+        return {known.shard for known in self.membership.view.endpoints.values()} - usable
 
     def _swap(self, prepared: Prepared) -> None:
         """Other settings from this instant on: nothing else runs while this does."""
@@ -172,7 +175,7 @@
 
     def _membership(self) -> EndpointFollower:
         where, name, clock = self.config.nodes, self.config.gateway.name, self.engine.clock
-        sources: list[Source] = [HttpSource(where, name, clock)]
+        sources: list[EndpointSource] = [ListServiceSource(where, name, clock)]
         if where.file:
             sources.append(FileSource(Path(where.file), clock))
         if where.srv:
@@ -180,7 +183,9 @@
             host, _, port = where.dns.rpartition(":")
             sources.append(SrvSource(where.srv, (host, int(port)), shards))
         bounds = Belief(
-            warm_after=self.config.rules.warm_after, vanish_share=where.vanish_share, hold=where.hold
+            warmup_ms=self.config.rules.warm_after,
+            max_vanished_fraction=where.vanish_share,
+            omission_grace_ms=where.hold,
         )
         folder = Path(where.keep) if where.keep else None
         return EndpointFollower(bounds, sources, name, clock, self._listed, self._trial, folder)
@@ -195,14 +200,16 @@
         while not isinstance(piece := codec.body(), End):
             if isinstance(piece, Need):
                 codec.feed(await connection.stream.receive())
-        if not self.membership.heard(connection.node, store_protocol.told(head).word or EndpointEvidence()):
+        if not self.membership.record_response(
+            connection.node, store_protocol.told(head).word or EndpointEvidence()
+        ):
             raise ConnectError(f"{connection.node}: not the store that is meant, or it drains", False)
 
     async def _trial(self, node: str) -> bool:
         try:
             connection = await self.pool.get(node)
         except ConnectError:
-            self.membership.refused(node)
+            self.membership.record_connect_failure(node)
             return False
         await self.pool.put(connection)
         return True
@@ -247,7 +254,7 @@
                 group.start_soon(self.fleet.run)
                 if (where := self.config.fleet.list) is not None:
                     name = self.config.gateway.name
-                    seeds = Seeds(where, self.config.nodes, name, self.engine.clock, self.fleet.listed)
+                    seeds = GatewaySeeds(where, self.config.nodes, name, self.engine.clock, self.fleet.listed)
                     group.start_soon(seeds.run)
             accepting: list[anyio.CancelScope] = []
             for listener, handle in listeners:
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from winchdyke.config_rollout.rollout_state import Step, due, recover, standing
-from winchdyke.model.checker import Broken
+from winchdyke.model.checker import InvariantViolation
 
 UNTIL = 2.0
 
@@ -113,7 +113,7 @@
         serving = standing(trail).serving
         final = serving if added else self.final
         if found.undoing and serving != found.applying:
-            raise Broken("finished: a start left an undo that was begun")
+            raise InvariantViolation("finished: a start left an undo that was begun")
         expired = self.expired | ({found.serving} if found.until_ms and added else set())
         return replace(self, trail=trail, serves=serving, final=final, expired=frozenset(expired))
 
@@ -144,7 +144,7 @@
         try:
             standing(self.trail).after(step)
         except ValueError as error:
-            raise Broken(f"known: {error}") from error
+            raise InvariantViolation(f"known: {error}") from error
         final = self.target if what == "undone" or not self.until else self.final
         return replace(self, trail=(*self.trail, step), doing=tuple(rest), target=0, final=final)
 
@@ -158,12 +158,12 @@
     def _check(self) -> None:
         found = standing(self.trail)
         if self.serves and not self.doing and self._within(self.serves) & self.expired:
-            raise Broken("gone: what nobody confirmed is served within another version")
+            raise InvariantViolation("gone: what nobody confirmed is served within another version")
         staged = {step.version for step in self.trail if step.what == "staged"}
         if self.serves and self.serves not in staged:
-            raise Broken("known: a version is served that nobody staged")
+            raise InvariantViolation("known: a version is served that nobody staged")
         if self.serves and not self.doing and self.serves != found.serving:
-            raise Broken("whole: what is served is not what the trail says")
+            raise InvariantViolation("whole: what is served is not what the trail says")
         if (
             self.serves
             and not self.doing
@@ -171,11 +171,11 @@
             and not found.applying
             and self.final != found.serving
         ):
-            raise Broken(
+            raise InvariantViolation(
                 "kept: a version that was reported applied for good is not served, and was not undone"
             )
         if self.serves and not self.doing and found.applying:
-            raise Broken("whole: the trail says that a version is being applied, and nobody does")
+            raise InvariantViolation("whole: the trail says that a version is being applied, and nobody does")
 
     def key(self) -> Hashable:
         """All of it, but for how the trail came to where it stands."""
--- a/winchdyke/model/checker.py
+++ b/winchdyke/model/checker.py
@@ -7,17 +7,17 @@
 from typing import Protocol
 
 
-class Broken(Exception):
+class InvariantViolation(Exception):
     """An invariant does not hold; names it."""
 
 
-class World(Protocol):
+class Model(Protocol):
     """What is explored: a state with the steps that are possible in it."""
 
     def steps(self) -> Iterable[str]:
         """The names of all steps that may be taken now."""
 
-    def after(self, step: str) -> World:
+    def after(self, step: str) -> Model:
         """A new world, one step on. Broken where that breaks an invariant."""
 
     def key(self) -> Hashable:
@@ -25,38 +25,38 @@
 
 
 @dataclass
-class Explored:
+class Exploration:
     """What was found: states, steps taken between them, depth reached, and the shortest way to a broken invariant."""
 
     states: int = 0
     steps: int = 0
     depth: int = 0
-    whole: bool = False  # whether nothing is left beyond
-    broken: str = ""
+    complete: bool = False  # whether nothing is left beyond
+    violation: str = ""
     trace: list[str] = field(default_factory=list)
 
 
 def explore(
-    first: World,
+    first: Model,
     depth: int = 1000,
     most: int = 10_000_000,
-    watch: Callable[[Explored], None] = lambda _: None,
-) -> Explored:
+    watch: Callable[[Exploration], None] = lambda _: None,
+) -> Exploration:
     """Explore until nothing new is left, or to a depth, or so many states; stops at the first broken invariant."""
-    found = Explored(states=1)
+    found = Exploration(states=1)
     seen = {first.key()}
     came: dict[Hashable, tuple[Hashable, str]] = {}
-    layer: list[World] = [first]
+    layer: list[Model] = [first]
     while layer and found.depth < depth and found.states < most:
-        following: list[World] = []
+        following: list[Model] = []
         for world in layer:
             here = world.key()
             for step in world.steps():
                 found.steps += 1
                 try:
                     after = world.after(step)
-                except Broken as error:
-                    found.broken, found.trace = str(error), [*_way(here, came), step]
+                except InvariantViolation as error:
+                    found.violation, found.trace = str(error), [*_way(here, came), step]
                     return found
                 key = after.key()
                 if key not in seen:
@@ -67,7 +67,7 @@
         found.depth += 1
         watch(found)
         layer = following
-    found.whole = not layer
+    found.complete = not layer
     return found
 
 
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -16,7 +16,7 @@
 from dataclasses import dataclass, replace
 
 from winchdyke.config_rollout.cutover import Phase, phase
-from winchdyke.model.checker import Broken
+from winchdyke.model.checker import InvariantViolation
 
 AT, APART, END = 4.0, 2.0, 9
 OLD, NEW = 1, 2
@@ -89,11 +89,13 @@
         up = [going for going in self.going if going is not None]
         versions = {NEW if going in (Phase.NEW, Phase.NEW_LOWER) else OLD for going in up}
         if len(versions) == 2 and any(held[going] != min(old, new) for going in up):
-            raise Broken(
+            raise InvariantViolation(
                 "lower: two versions are served, and one of them with a limit that is not the lower one"
             )
         if self.now >= AT + APART + 1 and all(self.looked) and any(going is not Phase.NEW for going in up):
-            raise Broken("done: the instant is long gone, and the new version does not count everywhere")
+            raise InvariantViolation(
+                "done: the instant is long gone, and the new version does not count everywhere"
+            )
 
     def key(self) -> Hashable:
         """All of it."""
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -18,7 +18,7 @@
 from winchdyke.membership.bounds import Bounds
 from winchdyke.membership.datagrams import Entry, State
 from winchdyke.membership.member_table import MemberTable, said
-from winchdyke.model.checker import Broken
+from winchdyke.model.checker import InvariantViolation
 
 BOUNDS = Bounds(sight=-1.0)  # sight depends on time; merging must hold without it
 Word = tuple[int, int, int, int]  # member, life, incarnation, state
@@ -49,7 +49,7 @@
         book.learn(self._entry(word), 0.0, "x")
         self.heard[viewer] |= {word}
         if name in book.members and book.members[name].entry.order[:2] < before[:2]:
-            raise Broken(f"no way back: {viewer} goes back on {name}")
+            raise InvariantViolation(f"no way back: {viewer} goes back on {name}")
 
     def steps(self) -> Iterable[str]:
         """All that may happen next."""
@@ -116,7 +116,7 @@
             for name, member in book.members.items():
                 life, incarnation, _ = self.own[int(name)]
                 if member.entry.order[:2] > (life, incarnation):
-                    raise Broken(f"own voice: {viewer} believes of {name} what it never said")
+                    raise InvariantViolation(f"own voice: {viewer} believes of {name} what it never said")
         for number in range(len(self.books)):
             name = str(number)
             believed: dict[frozenset[Word], tuple[int, int, int]] = {}
@@ -126,12 +126,14 @@
                 heard = frozenset(word for word in self.heard[viewer] if word[0] == number)
                 order = book.members[name].entry.order
                 if believed.setdefault(heard, order) != order:
-                    raise Broken(f"heard is one: views that heard the same differ on {name}")
+                    raise InvariantViolation(f"heard is one: views that heard the same differ on {name}")
             life, incarnation, runs = self.own[number]
             mine = {word for word in self.words if word[0] == number}
             accused = [word[1:3] for word in mine & self.heard[number] if word[3] != State.ALIVE]
             if runs and any(word >= (life, incarnation) for word in accused):
-                raise Broken(f"refuted: {name} has heard an accusation and does not stand above it")
+                raise InvariantViolation(
+                    f"refuted: {name} has heard an accusation and does not stand above it"
+                )
 
     def key(self) -> Hashable:
         """Equal for worlds from which the same can follow."""
--- a/winchdyke/model/starts.py
+++ b/winchdyke/model/starts.py
@@ -13,12 +13,12 @@
 
 from winchdyke import interface as api
 from winchdyke.discovery.endpoint_view import (
-    Bounds,
     CachedEndpoint,
+    DiscoveryBounds,
+    DiscoveryStatus,
     EndpointEvidence,
     EndpointView,
-    Entry,
-    State,
+    ListedEndpoint,
 )
 from winchdyke.model.world import CLASSES, PLANS, Course, Scene, World
 
@@ -91,11 +91,15 @@
                 old.alive = old.stranger
         self.kept = [
             CachedEndpoint(
-                name, shard, state=State.USABLE, identity=f"store-{shard}", confirmed_unix=draw.random()
+                name,
+                shard,
+                status=DiscoveryStatus.USABLE,
+                identity=f"store-{shard}",
+                confirmed_unix_ms=draw.random(),
             )
             for shard, name in enumerate(names)
         ]
-        bounds = Bounds(warm_after=WARM_MS)
+        bounds = DiscoveryBounds(warmup_ms=WARM_MS)
         self.beliefs = [EndpointView(bounds) for _ in range(scene.gateways)]
         self.checked: set[tuple[int, str]] = set()
         self.trying: set[int] = set()
@@ -132,7 +136,7 @@
     def _on_start(self, now: float, index: int) -> None:
         self.started.add(index)
         if self.start.policy == "belief":
-            self.beliefs[index].restored([replace(known) for known in self.kept], now)
+            self.beliefs[index].restore_cached([replace(known) for known in self.kept], now)
             self._at(now, "tick", index)
         elif self.start.policy == "outright":
             nodes = tuple(
@@ -158,20 +162,20 @@
             return
         if now < self.start.discovery_at_ms:
             self.told[index] += 1
-            self.beliefs[index].failed("list", now)
+            self.beliefs[index].mark_source_failed("list", now)
             self._give(now, index, [api.EndpointList(api.EndpointListKind.FAILED)])
             if self.start.policy == "plain":
                 self._at(now + 500.0, "retry", index)
             return
         self.following.add(index)
         entries = [
-            Entry(name, api.EndpointStatus.READY, shard, "", born, f"store-{shard}")
+            ListedEndpoint(name, api.EndpointStatus.READY, shard, "", born, f"store-{shard}")
             for name, shard, born in self.listed
         ]
-        self.beliefs[index].listed("list", entries, now, version=1)
-        self.beliefs[index].news()
+        self.beliefs[index].apply_list("list", entries, now, version=1)
+        self.beliefs[index].take_changes()
         nodes = tuple(
-            api.Endpoint(entry.name, entry.state, entry.shard, "", entry.started) for entry in entries
+            api.Endpoint(entry.name, entry.status, entry.shard, "", entry.started_at_ms) for entry in entries
         )
         self._give(now, index, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
 
@@ -183,7 +187,7 @@
     def _on_tick(self, now: float, index: int) -> None:
         belief = self.beliefs[index]
         belief.tick(now)
-        name = None if index in self.trying else belief.trial(now)
+        name = None if index in self.trying else belief.next_health_check(now)
         if name is not None:
             self.trying.add(index)
             took = self._dial_ms(name)
@@ -201,10 +205,12 @@
         """Dial a node, and ask who is there."""
         machine = self.machines[name]
         if not machine.alive or machine.fallen:
-            self.beliefs[index].refused(name, now)
+            self.beliefs[index].record_connect_failure(name, now)
             return False
         identity = "stranger" if machine.stranger else f"store-{machine.shard}"
-        fits = self.beliefs[index].heard(name, EndpointEvidence(identity, "b", now - machine.born), now)
+        fits = self.beliefs[index].record_response(
+            name, EndpointEvidence(identity, "b", now - machine.born), now
+        )
         if fits:
             self.checked.add((index, name))
         return fits
@@ -218,11 +224,13 @@
 
     def _news(self, now: float, index: int) -> None:
         belief = self.beliefs[index]
-        if news := belief.news():
+        if news := belief.take_changes():
             if index in self.following:
                 self._give(now, index, [api.EndpointList(api.EndpointListKind.CHANGES, tuple(news))])
             else:
-                self._give(now, index, [api.EndpointList(api.EndpointListKind.CACHED, tuple(belief.all()))])
+                self._give(
+                    now, index, [api.EndpointList(api.EndpointListKind.CACHED, tuple(belief.snapshot()))]
+                )
 
     # Work
 
@@ -299,7 +307,7 @@
         else:
             self._give(now, gateway, [event])
             if event.outcome is api.AttemptOutcome.CONNECT_FAILED and self.start.policy == "belief":
-                self.beliefs[gateway].refused(event.endpoint, now)
+                self.beliefs[gateway].record_connect_failure(event.endpoint, now)
 
     def worth(self, until_ms: float) -> float:
         """Worth of what was served within its aim, by then."""
