--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -30,9 +30,10 @@
 from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.config_rollout.rollout_state import HELD, Step
 from winchdyke.discovery import cache as nodes_disk
-from winchdyke.discovery.endpoint_view import CachedEndpoint, DiscoveryBounds, DiscoveryStatus, ListedEndpoint
+from winchdyke.discovery.bounds import DiscoveryBounds
 from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.list_protocol import ReceivedList
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, ListedEndpoint
 from winchdyke.discovery.sources import OnFailure, OnList
 from winchdyke.gateway.writeback import WriteBackRecord, tag_of
 from winchdyke.latency_attribution import compact, ledger
@@ -135,7 +136,7 @@
     def __init__(self, scope: anyio.CancelScope) -> None:
         self._scope = scope
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """Nothing to do: the lists come by themselves."""
 
     async def run(self, tell: OnList, fail: OnFailure) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Membership: the disk, belief and its checker, sources, and starts without discovery on sockets."""
+"""Membership: the disk, view and its checker, sources, and starts without discovery on sockets."""
 
 from __future__ import annotations
 
@@ -9,23 +9,19 @@
 from pathlib import Path
 
 import anyio
+import msgspec
 import pytest
 from host import measured
 from rig import played, rig, settings
 
 from winchdyke import interface as api
 from winchdyke.discovery import cache
-from winchdyke.discovery.endpoint_view import (
-    CachedEndpoint,
-    DiscoveryBounds,
-    DiscoveryStatus,
-    EndpointEvidence,
-    EndpointView,
-    ListedEndpoint,
-)
-from winchdyke.discovery.sources import POLL_BURST, PollRateLimiter, jittered_backoff_seconds
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_view import EndpointView
+from winchdyke.discovery.polling import POLL_BURST, PollRateLimiter, jittered_backoff_seconds
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
 from winchdyke.model.checker import explore
-from winchdyke.model.discovery import DiscoveryModel as World
+from winchdyke.model.discovery import DiscoveryModel
 from winchdyke.standins.dns import Dns
 
 READY, DRAINING = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
@@ -34,7 +30,7 @@
 
 def kept(count: int = 2, **changes: object) -> cache.CachedEndpointList:
     nodes = [
-        dataclasses.replace(
+        msgspec.structs.replace(
             CachedEndpoint(
                 name, n, identity=f"s{n}", status=DiscoveryStatus.USABLE, confirmed_unix_ms=1000.0 + n
             ),
@@ -45,14 +41,14 @@
     return cache.CachedEndpointList(1e12, "g", nodes)
 
 
-def believing(count: int = 4, **bounds: float) -> EndpointView:
-    belief = EndpointView(DiscoveryBounds(**bounds))  # type: ignore[arg-type]
-    belief.apply_list(
+def view_of(count: int = 4, **bounds: float) -> EndpointView:
+    view = EndpointView(DiscoveryBounds(**bounds))  # type: ignore[arg-type]
+    view.apply_list(
         "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:count])], 0.0, version=5
     )
     for name in NAMES[:count]:
-        belief.record_response(name, EndpointEvidence(f"id-{name}", "b1", 1e6), 1.0)
-    return belief
+        view.record_response(name, EndpointEvidence(f"id-{name}", "b1", 1e6), 1.0)
+    return view
 
 
 # The list on the disk
@@ -125,134 +121,134 @@
 
 
 def test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold():
-    belief = EndpointView(DiscoveryBounds(min_health_check_interval_ms=20.0))
-    belief.restore_cached(kept(3).endpoints, 0.0)
-    assert belief.take_changes() == []
-    assert belief.next_health_check(0.0) == NAMES[2]
-    assert belief.next_health_check(10.0) is None, "one at a time"
-    assert belief.next_health_check(20.0) == NAMES[1]
-    assert belief.record_response(NAMES[2], EndpointEvidence("s2"), 30.0)
-    (node,) = belief.take_changes()
+    view = EndpointView(DiscoveryBounds(min_health_check_interval_ms=20.0))
+    view.restore_cached(kept(3).endpoints, 0.0)
+    assert view.take_changes() == []
+    assert view.next_health_check(0.0) == NAMES[2]
+    assert view.next_health_check(10.0) is None, "one at a time"
+    assert view.next_health_check(20.0) == NAMES[1]
+    assert view.record_response(NAMES[2], EndpointEvidence("s2"), 30.0)
+    (node,) = view.take_changes()
     assert (node.name, node.started_at_ms) == (NAMES[2], 30.0), "no word on its age: cold from now on"
-    assert belief.record_response(NAMES[1], EndpointEvidence("s1", "b", 3_600_000.0), 40.0)
-    assert belief.take_changes()[0].started_at_ms == 0.0, "warm by its own word"
-    belief.record_connect_failure(NAMES[0], 50.0)
-    assert not belief.is_usable(NAMES[0])
+    assert view.record_response(NAMES[1], EndpointEvidence("s1", "b", 3_600_000.0), 40.0)
+    assert view.take_changes()[0].started_at_ms == 0.0, "warm by its own word"
+    view.record_connect_failure(NAMES[0], 50.0)
+    assert not view.is_usable(NAMES[0])
 
 
 def test_another_identity_at_an_address_is_sent_nothing_until_a_list_knows_it():
-    belief = believing()
-    assert not belief.record_response(NAMES[0], EndpointEvidence("stranger", "b9", 1e6), 2.0)
-    belief.take_changes()
-    belief.apply_list(
+    view = view_of()
+    assert not view.record_response(NAMES[0], EndpointEvidence("stranger", "b9", 1e6), 2.0)
+    view.take_changes()
+    view.apply_list(
         "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:4])], 3.0, version=6
     )
-    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.REUSED, "the list is late"
+    assert view.endpoints[NAMES[0]].status is DiscoveryStatus.ADDRESS_REUSED, "the list is late"
     entries = [
         ListedEndpoint(name, READY, n, identity="stranger" if not n else "")
         for n, name in enumerate(NAMES[:4])
     ]
-    belief.apply_list("list", entries, 4.0, version=7)
-    assert belief.is_usable(NAMES[0])
+    view.apply_list("list", entries, 4.0, version=7)
+    assert view.is_usable(NAMES[0])
 
 
 def test_an_empty_list_is_not_believed_while_the_nodes_answer_but_a_drain_is_kept():
-    belief = believing(hold=1000.0)
-    belief.apply_list("list", [ListedEndpoint(NAMES[0], DRAINING, 0)], 5.0, version=6, whole=False)
-    belief.apply_list("list", [], 10.0, version=7)
-    assert [belief.is_usable(name) for name in NAMES[:4]] == [False, True, True, True]
-    belief.record_connect_failure(NAMES[1], 20.0)
-    assert belief.endpoints[NAMES[1]].status is DiscoveryStatus.GONE, "it does not answer: gone at once"
-    belief.tick(1010.0)
-    assert not any(belief.is_usable(name) for name in NAMES), "believed once it has stood long enough"
+    view = view_of(omission_grace_ms=1000.0)
+    view.apply_list("list", [ListedEndpoint(NAMES[0], DRAINING, 0)], 5.0, version=6, complete=False)
+    view.apply_list("list", [], 10.0, version=7)
+    assert [view.is_usable(name) for name in NAMES[:4]] == [False, True, True, True]
+    view.record_connect_failure(NAMES[1], 20.0)
+    assert view.endpoints[NAMES[1]].status is DiscoveryStatus.REMOVED, "it does not answer: gone at once"
+    view.tick(1010.0)
+    assert not any(view.is_usable(name) for name in NAMES), "believed once it has stood long enough"
 
 
 def test_one_node_left_out_is_gone_at_once():
-    belief = believing()
-    belief.apply_list(
+    view = view_of()
+    view.apply_list(
         "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:3])], 10.0, version=6
     )
-    assert [belief.is_usable(name) for name in NAMES[:4]] == [True, True, True, False]
+    assert [view.is_usable(name) for name in NAMES[:4]] == [True, True, True, False]
 
 
 def test_versions_that_go_back_bring_nothing_back_and_take_nothing_away():
-    belief = believing()
-    belief.apply_list(
+    view = view_of()
+    view.apply_list(
         "list",
         [ListedEndpoint(NAMES[0], DRAINING, 0), ListedEndpoint(NAMES[1], api.EndpointStatus.REMOVED, 1)],
         5.0,
         version=6,
-        whole=False,
+        complete=False,
     )
     old = [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:3])]
-    belief.apply_list("list", old, 10.0, version=3)
-    states = [belief.endpoints[name].status for name in NAMES[:4]]
+    view.apply_list("list", old, 10.0, version=3)
+    states = [view.endpoints[name].status for name in NAMES[:4]]
     assert states == [
         DiscoveryStatus.DRAINING,
-        DiscoveryStatus.DOUBTFUL,
+        DiscoveryStatus.UNCONFIRMED,
         DiscoveryStatus.USABLE,
         DiscoveryStatus.USABLE,
     ]
-    assert any("went back" in note for note in belief.warnings)
+    assert any("went back" in note for note in view.warnings)
     # Two lists in turn: neither takes away what the other names.
     for turn in range(4):
-        belief.apply_list(
+        view.apply_list(
             "list",
             old if turn % 2 else [ListedEndpoint(NAMES[3], READY, 3), *old],
             20.0 + turn,
             version=3 + turn % 2,
         )
-    assert belief.is_usable(NAMES[3])
+    assert view.is_usable(NAMES[3])
 
 
 def test_a_drain_by_its_own_word_outlives_lists_that_do_not_know_it_and_ends_with_a_new_start():
-    belief = believing()
-    belief.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
-    belief.apply_list(
+    view = view_of()
+    view.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b1", 1e6, True), 5.0)
+    view.apply_list(
         "list", [ListedEndpoint(name, READY, n) for n, name in enumerate(NAMES[:4])], 6.0, version=6
     )
-    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.DRAINING
-    belief.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
-    assert belief.endpoints[NAMES[0]].status is DiscoveryStatus.COLD
+    assert view.endpoints[NAMES[0]].status is DiscoveryStatus.DRAINING
+    view.record_response(NAMES[0], EndpointEvidence(f"id-{NAMES[0]}", "b2", 10.0), 7.0)
+    assert view.endpoints[NAMES[0]].status is DiscoveryStatus.WARMING_UP
 
 
 def test_all_doubtful_and_none_answers_is_tried_on_and_on_ever_more_rarely():
-    belief = EndpointView(
+    view = EndpointView(
         DiscoveryBounds(min_health_check_interval_ms=1.0, initial_backoff_ms=100.0, max_backoff_ms=1000.0)
     )
-    belief.restore_cached(kept(2).endpoints, 0.0)
+    view.restore_cached(kept(2).endpoints, 0.0)
     tries: list[float] = []
     now = 0.0
     while now < 20_000:
-        name = belief.next_health_check(now)
+        name = view.next_health_check(now)
         if name is not None:
             tries.append(now)
-            belief.record_connect_failure(name, now)
+            view.record_connect_failure(name, now)
         now += 1.0
     assert 30 < len(tries) < 60
     assert len([at for at in tries if at > 10_000]) <= 2 * 11
 
 
 def test_a_node_that_flaps_every_second_is_never_sent_to_while_it_drains():
-    belief = believing()
+    view = view_of()
     for turn in range(20):
         state = DRAINING if turn % 2 else READY
-        belief.apply_list(
-            "list", [ListedEndpoint(NAMES[0], state, 0)], 1000.0 * turn, version=6 + turn, whole=False
+        view.apply_list(
+            "list", [ListedEndpoint(NAMES[0], state, 0)], 1000.0 * turn, version=6 + turn, complete=False
         )
-        assert belief.is_usable(NAMES[0]) == (turn % 2 == 0)
+        assert view.is_usable(NAMES[0]) == (turn % 2 == 0)
 
 
 def test_a_source_that_fails_hands_over_to_the_next_and_takes_over_again():
-    belief = EndpointView(DiscoveryBounds(), ("list", "file"))
-    belief.apply_list("file", [ListedEndpoint(NAMES[0], READY, 0), ListedEndpoint(NAMES[1], READY, 1)], 0.0)
-    assert belief.is_usable(NAMES[1])
-    belief.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 1.0)
-    assert not belief.is_usable(NAMES[1]), "the list service comes first"
-    belief.mark_source_failed("list", 2.0)
-    assert belief.is_usable(NAMES[1])
-    belief.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 3.0)
-    assert not belief.is_usable(NAMES[1])
+    view = EndpointView(DiscoveryBounds(), ("list", "file"))
+    view.apply_list("file", [ListedEndpoint(NAMES[0], READY, 0), ListedEndpoint(NAMES[1], READY, 1)], 0.0)
+    assert view.is_usable(NAMES[1])
+    view.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 1.0)
+    assert not view.is_usable(NAMES[1]), "the list service comes first"
+    view.mark_source_failed("list", 2.0)
+    assert view.is_usable(NAMES[1])
+    view.apply_list("list", [ListedEndpoint(NAMES[0], READY, 0)], 3.0)
+    assert not view.is_usable(NAMES[1])
 
 
 def test_calls_to_a_service_are_bounded_and_spread():
@@ -271,78 +267,80 @@
 
 
 def test_every_interleaving_of_one_gateway_and_one_node_keeps_the_rules():
-    found = explore(World(gateways=1, nodes=1, faults=2))
+    found = explore(DiscoveryModel(gateways=1, nodes=1, faults=2))
     assert found.complete and not found.violation, found.trace
     assert found.states > 5000
 
 
 def test_every_interleaving_of_two_gateways_and_two_nodes_to_a_depth():
-    found = explore(World(gateways=2, nodes=2, faults=2), depth=4)
+    found = explore(DiscoveryModel(gateways=2, nodes=2, faults=2), max_depth=4)
     assert not found.violation, found.trace
     assert found.states > 1000
 
 
-class Stranger(EndpointView):
-    """Takes whoever answers for the one that is meant."""
+class TrustsAnyIdentity(EndpointView):
+    """Takes whoever answers for the store that is meant."""
 
-    def heard(self, name, word, now, unix=0.0):
-        known = self.endpoints.get(name)
-        if known is not None:
-            known.identity = ""
-        return super().heard(name, word, now, unix)
+    def record_response(self, name, evidence, now_ms, unix_ms=0.0):
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            endpoint.identity = ""
+        return super().record_response(name, evidence, now_ms, unix_ms)
 
 
-class Warm(EndpointView):
-    """Does not look at a store's word on its start."""
+class IgnoresUptime(EndpointView):
+    """Does not look at a store's own uptime."""
 
-    def _age(self, known, word, restarted, now):
-        known.warm_known = True
+    def _record_uptime(self, endpoint, evidence, restarted, now_ms):
+        endpoint.start_time_known = True
 
 
-class Forgets(EndpointView):
+class ForgetsDrains(EndpointView):
     """Loses a drain that the list does not know yet."""
 
-    def _entry(self, known, entry, by, now, unix, back):
-        known.drained = False
-        if known.state is DiscoveryStatus.DRAINING:
-            known.state = DiscoveryStatus.USABLE
-        super()._entry(known, entry, by, now, unix, back)
+    def _apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
+        endpoint.drain_announced = False
+        if endpoint.status is DiscoveryStatus.DRAINING:
+            endpoint.status = DiscoveryStatus.USABLE
+        super()._apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
 
 
-class Deaf(EndpointView):
-    """Does not hear a store's own word on its drain."""
+class IgnoresOwnDrain(EndpointView):
+    """Does not take a store's own report that it drains."""
 
-    def heard(self, name, word, now, unix=0.0):
-        return super().heard(name, dataclasses.replace(word, draining=False), now, unix)
+    def record_response(self, name, evidence, now_ms, unix_ms=0.0):
+        evidence = dataclasses.replace(evidence, draining=False)
+        return super().record_response(name, evidence, now_ms, unix_ms)
 
 
-class Young(EndpointView):
-    """Believes a list's silence on a start against what the store said."""
+class TrustsMissingStart(EndpointView):
+    """Believes a list without a start time against the store's own uptime."""
 
-    def _entry(self, known, entry, by, now, unix, back):
-        super()._entry(known, entry, by, now, unix, back)
-        if not entry.started:
-            known.started, known.aged = 0.0, True
-            self._update_warmup(known, now)
+    def _apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
+        super()._apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
+        if not entry.started_at_ms:
+            endpoint.started_at_ms = 0.0
+            endpoint.uptime_reported = True
+            self._update_warmup(endpoint, now_ms)
 
 
 @pytest.mark.parametrize(
     ("mutant", "rule"),
     [
-        (Stranger, "identity"),
-        (Warm, "cold"),
-        (Forgets, "drain"),
-        (Deaf, "drain"),
-        (Young, "cold"),
+        (TrustsAnyIdentity, "identity"),
+        (IgnoresUptime, "cold"),
+        (ForgetsDrains, "drain"),
+        (IgnoresOwnDrain, "drain"),
+        (TrustsMissingStart, "cold"),
     ],
 )
 def test_the_checker_catches_each_mutant_of_the_state_machine(mutant, rule):
-    found = explore(World(gateways=1, nodes=1, faults=2, kind=mutant))
+    found = explore(DiscoveryModel(gateways=1, nodes=1, faults=2, view_type=mutant))
     assert found.violation.split(":")[0] in rule.split("|"), found
 
 
 def test_the_checker_shows_why_a_first_connection_asks_who_is_there():
-    found = explore(World(gateways=1, nodes=1, faults=2, greets=False))
+    found = explore(DiscoveryModel(gateways=1, nodes=1, faults=2, checks_identity=False))
     assert found.violation.startswith(("identity", "cold")), found
 
 
@@ -357,7 +355,7 @@
 def from_disk(it_stores, folder: Path, **changes: object) -> None:
     """The list that a gateway kept an hour ago."""
     nodes = [
-        dataclasses.replace(
+        msgspec.structs.replace(
             CachedEndpoint(
                 store.name, store.spec.shard, "hall-a", DiscoveryStatus.USABLE, identity=store.identity, confirmed_unix_ms=1e12
             ),
@@ -400,7 +398,7 @@
             paths = {it.where(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
             while (await it.ask("GET", paths[5])).status != 404:
                 assert anyio.current_time() - began < 3.0
-            await it.until(lambda: sum(it.gateway.membership.belief.usable(s.name) for s in it.stores) == 6)
+            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 6)
             refused = [
                 (await it.ask("GET", paths[shard], winchdyke_time_left="300ms")).status for shard in (0, 1)
             ]
@@ -409,8 +407,8 @@
             heads = [seen["who"] for seen in it.record.seen[mark:] if seen["what"] == "head"]
             assert stranger.name not in heads and gone.name not in heads
             # Doubtful ones are tried one at a time, in an order by chance: it may be the last.
-            known = it.gateway.membership.belief.known
-            await it.until(lambda: known[stranger.name].state is DiscoveryStatus.REUSED)
+            known = it.gateway.membership.view.endpoints
+            await it.until(lambda: known[stranger.name].status is DiscoveryStatus.ADDRESS_REUSED)
             heads = [seen["who"] for seen in it.record.seen[mark:] if seen["what"] == "head"]
             assert stranger.name not in heads and gone.name not in heads
 
@@ -424,12 +422,12 @@
             from_disk(it.stores, tmp_path)
             await restarted(it, tmp_path)
             store = it.where("/school-1/object")
-            await it.until(lambda: it.gateway.membership.belief.usable(store.name))
+            await it.until(lambda: it.gateway.membership.view.is_usable(store.name))
             assert (await it.ask("GET", "/school-1/object")).status == 404
             store.draining = True
             await it.ask("GET", "/school-1/object", winchdyke_time_left="300ms")
             await it.until(
-                lambda: it.gateway.membership.belief.known[store.name].state is DiscoveryStatus.DRAINING
+                lambda: it.gateway.membership.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
             )
             await anyio.sleep(0.1)
             mark = len(it.record.seen)
@@ -512,7 +510,7 @@
             else:
                 it.list.failing = how
             await restarted(it, tmp_path, listing=True)
-            await it.until(lambda: sum(it.gateway.membership.belief.usable(s.name) for s in it.stores) == 8)
+            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 8)
             assert (await it.ask("GET", "/school-1/object")).status == 404
 
     run()
@@ -527,7 +525,7 @@
         async with rig() as it:
             from_disk(it.stores, tmp_path)
             await restarted(it, tmp_path)
-            await it.until(lambda: sum(it.gateway.membership.belief.usable(s.name) for s in it.stores) == 8)
+            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 8)
 
     run()
 
@@ -547,12 +545,12 @@
                 f"{s.spec.shard}.stores.test": [(1, 1, s.port, "127.0.0.1.")] for s in it.stores
             }
             await restarted(it, tmp_path, file=str(file), srv="stores.test", dns=f"127.0.0.1:{server.port}")
-            belief = it.gateway.membership.belief
-            await it.until(lambda: all(belief.usable(s.name) for s in it.stores))
+            view = it.gateway.membership.view
+            await it.until(lambda: all(view.is_usable(s.name) for s in it.stores))
             file.write_text(f'{{"token": "", "form": "full", "nodes": [{nodes}]}}')  # before it was cut short
-            await it.until(lambda: [belief.usable(s.name) for s in it.stores] == [True] * 4 + [False] * 4)
+            await it.until(lambda: [view.is_usable(s.name) for s in it.stores] == [True] * 4 + [False] * 4)
             file.unlink()
-            await it.until(lambda: all(belief.usable(s.name) for s in it.stores))
+            await it.until(lambda: all(view.is_usable(s.name) for s in it.stores))
             assert (await it.ask("GET", "/school-1/object")).status == 404
 
     run()
@@ -596,7 +594,7 @@
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
                 lambda: (
-                    it.gateway.membership.belief.known[it.stores[0].name].state is DiscoveryStatus.DRAINING
+                    it.gateway.membership.view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING
                 )
             )
             await it.until(
@@ -622,22 +620,22 @@
     @played
     async def run():
         async with rig() as it:
-            belief = it.gateway.membership.belief
+            view = it.gateway.membership.view
             left_out, flapping = it.stores[6], it.stores[7]
             for turn in range(12):
                 await it.list.set(flapping.name, "draining" if turn % 2 else "ready", 7, "hall-a")
                 if turn % 2:
-                    await it.until(lambda: not belief.usable(flapping.name))
-            assert not belief.usable(flapping.name)
+                    await it.until(lambda: not view.is_usable(flapping.name))
+            assert not view.is_usable(flapping.name)
             # Restored from a copy of old: lower versions, one node that it does not know, and no drain.
             del it.list._entries[left_out.name]
             it.list._entries[flapping.name]["state"] = "ready"
             it.list._epoch, it.list._version, it.list._changes = "restored", 3, []
             it.list._news.set()
             it.list._news = anyio.Event()
-            source = belief.sources["list"]
-            await it.until(lambda: source.back_since is not None)
-            assert belief.usable(left_out.name) and not belief.usable(flapping.name)
+            source = view.sources["list"]
+            await it.until(lambda: source.regressed_since_ms is not None)
+            assert view.is_usable(left_out.name) and not view.is_usable(flapping.name)
             path = next(p for p in (f"/school-1/k{n}" for n in range(200)) if it.where(p) is left_out)
             assert (await it.ask("GET", path)).status == 404
 
@@ -656,20 +654,20 @@
             ready = anyio.Event()
             it.group.start_soon(it.gateway.run, ready.set)
             await ready.wait()
-            belief = it.gateway.membership.belief
-            await it.until(lambda: all(belief.usable(store.name) for store in it.stores))
+            view = it.gateway.membership.view
+            await it.until(lambda: all(view.is_usable(store.name) for store in it.stores))
             source = it.gateway.membership.sources[0]
-            calls = source.calls
+            calls = source.poll_count
             await anyio.sleep(0.3)
-            assert source.calls - calls <= 1, "it waits at the service"
+            assert source.poll_count - calls <= 1, "it waits at the service"
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(lambda: belief.known[it.stores[0].name].state is DiscoveryStatus.DRAINING)
+            await it.until(lambda: view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING)
             it.list._version, it.list._changes = 2, []
             it.list._entries[it.stores[0].name]["state"] = "ready"
             it.list._news.set()
             it.list._news = anyio.Event()
-            await it.until(lambda: belief.sources["list"].back_since is not None)
-            assert not belief.usable(it.stores[0].name), "an older list does not take back a drain"
+            await it.until(lambda: view.sources["list"].regressed_since_ms is not None)
+            assert not view.is_usable(it.stores[0].name), "an older list does not take back a drain"
 
     run()
 
@@ -678,7 +676,7 @@
 import sys
 sys.path.insert(0, "tests")
 from pathlib import Path
-from test_membership import kept
+from test_discovery import kept
 from winchdyke.discovery import cache
 count = 1
 print("on", flush=True)
--- a/tests/test_fleet_checked.py
+++ b/tests/test_fleet_checked.py
@@ -17,7 +17,7 @@
 
 
 def test_three_members_to_a_depth():
-    found = explore(Words(3, 2), most=4000)
+    found = explore(Words(3, 2), max_states=4000)
     assert not found.violation, found.trace
 
 
@@ -79,5 +79,5 @@
     ],
 )
 def test_each_mutant_of_the_order_is_told(mutant, told):
-    found = explore(Words(3, 3, mutant), most=60_000)
+    found = explore(Words(3, 3, mutant), max_states=60_000)
     assert found.violation.startswith(told), found
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -22,7 +22,7 @@
 from winchdyke.config_rollout.change_log import ChangeLogError, Version
 from winchdyke.config_rollout.rollout_state import HELD, RolloutState
 from winchdyke.discovery import cache as nodes_disk
-from winchdyke.discovery.endpoint_view import CachedEndpoint, DiscoveryStatus
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus
 from winchdyke.gateway.writeback import WriteBackRecord
 from winchdyke.latency_attribution import ledger
 from winchdyke.latency_attribution.live import held_now
--- a/winchdyke/admin/keys.py
+++ b/winchdyke/admin/keys.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from winchdyke.durable_files import OwnError, Watched, read_own, write_own
+from winchdyke.durable_files import PrivateFileError, WatchedFile, read_private_file, write_private_file
 
 SECRET_BYTES = 32
 
@@ -46,8 +46,8 @@
 def read(path: Path) -> list[Key]:
     """The keys in a file. KeysError where others than its owner may read it, or it holds something else."""
     try:
-        data = read_own(path)
-    except OwnError as error:
+        data = read_private_file(path)
+    except PrivateFileError as error:
         raise KeysError(f"{error}; 'winchdyke keys new' makes such a file") from error
     try:
         keys = msgspec.json.decode(data, type=_File).keys
@@ -63,8 +63,8 @@
 def write(path: Path, keys: list[Key]) -> None:
     """Write a file of keys whole: it is never seen half written, nor readable to others."""
     try:
-        write_own(path, msgspec.json.format(msgspec.json.encode(_File(keys)), indent=2) + b"\n")
-    except OwnError as error:
+        write_private_file(path, msgspec.json.format(msgspec.json.encode(_File(keys)), indent=2) + b"\n")
+    except PrivateFileError as error:
         raise KeysError(str(error)) from error
 
 
@@ -79,7 +79,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._keys = Watched(path, lambda path: {key.id: key for key in read(path)})
+        self._keys = WatchedFile(path, lambda path: {key.id: key for key in read(path)})
 
     def good(self, now_ms: float) -> list[Key]:
         """All keys that count now, in the file's order. KeysError where the file can't be used."""
--- a/winchdyke/auth/keys.py
+++ b/winchdyke/auth/keys.py
@@ -15,7 +15,7 @@
 import msgspec
 from cryptography.fernet import Fernet, InvalidToken, MultiFernet
 
-from winchdyke.durable_files import OwnError, Watched, read_own, write_own
+from winchdyke.durable_files import PrivateFileError, WatchedFile, read_private_file, write_private_file
 
 ACTIONS = ("list", "read", "write", "delete")
 
@@ -73,10 +73,10 @@
 def master_lines(path: Path) -> list[bytes]:
     """The master keys in a file, the newest first."""
     try:
-        lines = [line.strip() for line in read_own(path).splitlines() if line.strip()]
+        lines = [line.strip() for line in read_private_file(path).splitlines() if line.strip()]
         for line in lines:
             Fernet(line)
-    except OwnError as error:
+    except PrivateFileError as error:
         raise KeysError(f"{error}; 'winchdyke access master' makes such a file") from error
     except ValueError as error:
         raise KeysError(f"{path} holds something else than master keys: {error}") from error
@@ -91,16 +91,16 @@
 
 def _write(path: Path, data: bytes) -> None:
     try:
-        write_own(path, data)
-    except OwnError as error:
+        write_private_file(path, data)
+    except PrivateFileError as error:
         raise KeysError(str(error)) from error
 
 
 def read(path: Path) -> list[AccessKey]:
     """The keys in a file, their secrets sealed. KeysError."""
     try:
-        keys = msgspec.json.decode(read_own(path), type=_File).keys
-    except OwnError as error:
+        keys = msgspec.json.decode(read_private_file(path), type=_File).keys
+    except PrivateFileError as error:
         raise KeysError(f"{error}; 'winchdyke access new' makes such a file") from error
     except msgspec.MsgspecError as error:
         raise KeysError(f"{path} is no file of access keys: {error}") from error
@@ -141,8 +141,8 @@
 
     def __init__(self, path: Path, master: Path) -> None:
         self.path, self.master = path, master
-        self._keys = Watched(path, self._open)
-        self._masters = Watched(master, lambda path: master_lines(path))
+        self._keys = WatchedFile(path, self._open)
+        self._masters = WatchedFile(master, lambda path: master_lines(path))
         self._lines: list[bytes] = []
 
     def _open(self, path: Path) -> dict[str, tuple[AccessKey, str]]:
@@ -162,7 +162,7 @@
         try:
             lines = self._masters.get()
             if lines != self._lines:
-                self._lines, self._keys = lines, Watched(self.path, self._open)
+                self._lines, self._keys = lines, WatchedFile(self.path, self._open)
             found = self._keys.get().get(name)
         except OSError as error:
             raise KeysError(f"{self.path} or {self.master} can't be read: {error.strerror}") from error
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -82,7 +82,7 @@
     from urllib.parse import urlsplit
 
     from winchdyke.config import units
-    from winchdyke.durable_files import OwnError, read_own
+    from winchdyke.durable_files import PrivateFileError, read_private_file
     from winchdyke.load.report import Seen
     from winchdyke.load.schedule import Mix
 
@@ -91,8 +91,8 @@
         if parts.scheme != "http" or not parts.hostname:
             raise ValueError(f"{url!r} is not http://HOST:PORT")
         asked = Mix.read(mix), units.duration(span), units.size(size), units.duration(patience)
-        word = read_own(secret).decode().strip() if secret else ""
-    except (ValueError, OwnError) as error:
+        word = read_private_file(secret).decode().strip() if secret else ""
+    except (ValueError, PrivateFileError) as error:
         raise click.ClickException(str(error)) from None
     if bool(access) != bool(word):
         raise click.ClickException("--access and --secret go together")
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -24,7 +24,7 @@
 from typing import Any
 
 from winchdyke.config_rollout.rollout_state import RolloutState, Step, standing
-from winchdyke.durable_files import replace
+from winchdyke.durable_files import replace_file
 
 FILE = "changes.db"
 SCHEMA = """
@@ -345,7 +345,7 @@
         lines = [{"version": row} for row in gone] + [{"entry": row} for row in rows]
         text = "".join(json.dumps(line, ensure_ascii=False) + "\n" for line in lines)
         try:
-            replace(path, text.encode(), path.with_suffix(".new"))
+            replace_file(path, text.encode(), path.with_suffix(".new"))
         except OSError as error:
             raise ChangeLogError(
                 f"{path} can't be written: {error.strerror}; nothing was moved there"
--- a/winchdyke/config_rollout/last_known_good.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -16,7 +16,7 @@
 
 from winchdyke.config_rollout.change_log import FILE, ChangeLog, ChangeLogError
 from winchdyke.config_rollout.rollout_state import Step
-from winchdyke.durable_files import replace, sync_folder
+from winchdyke.durable_files import replace_file, sync_directory
 
 SERVED = "served.json"
 GATEWAY = "gateway"
@@ -37,7 +37,7 @@
 def keep(folder: Path, version: int, text: str) -> None:
     """Write what is served for good. OSError."""
     data = msgspec.json.encode(LastKnownGood(version, text, _digest(version, text)))
-    replace(folder / SERVED, data, folder / (SERVED + ".new"))
+    replace_file(folder / SERVED, data, folder / (SERVED + ".new"))
 
 
 def kept(folder: Path) -> LastKnownGood | None:
@@ -67,7 +67,7 @@
         for end in ("", "-wal", "-shm"):
             if (folder / (FILE + end)).exists():
                 os.rename(folder / (FILE + end), folder / (aside + end))
-        sync_folder(folder)
+        sync_directory(folder)
     except OSError as error:
         raise ChangeLogError(
             f"{folder / FILE} is damaged, and can't be put aside: {error.strerror}"
--- a/winchdyke/discovery/cache.py
+++ b/winchdyke/discovery/cache.py
@@ -1,8 +1,9 @@
-"""The node list on the disk: written whole, synced and renamed; checked as it is read; older ones kept beside it.
+"""The endpoint cache: endpoint views in files, written atomically, verified when read, in several generations.
 
-``nodes.0`` is the present list, ``nodes.1`` and ``nodes.2`` the ones before its members last changed. Each is a head of 8 bytes
-(``WDNODES`` and the format's version), the payload's length (4 bytes, little-endian), its xxh3-64 (8 bytes), and the payload:
-msgpack of :class:`Kept`. A file that is cut, damaged, of a newer format, or open to others' writing is passed over, and said.
+``nodes.0`` is the present view; ``nodes.1`` and ``nodes.2`` are the ones before its endpoints last changed. Each file is a
+header (``WDNODES``, the format's version, the payload's length, its xxh3-64; little-endian, 20 bytes) and the payload:
+msgpack of :class:`CachedEndpointList`. A file that is truncated, corrupt, of a newer format, or writable by others is
+skipped with a warning.
 """
 
 from __future__ import annotations
@@ -12,132 +13,166 @@
 import struct
 from collections.abc import Iterable
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 import xxhash
 
-from winchdyke.discovery.endpoint_view import CachedEndpoint
-from winchdyke.durable_files import sync_folder
+from winchdyke.discovery.errors import EndpointCacheError
+from winchdyke.discovery.records import CachedEndpoint
+from winchdyke.durable_files import sync_directory
 
-MAGIC, VERSION = b"WDNODES", 1
+MAGIC = b"WDNODES"
+VERSION = 1
 HEADER = struct.Struct("<7sBIQ")
 GENERATIONS = 3
 MAX_PAYLOAD_BYTES = 16 << 20
-
-
-class EndpointCacheError(Exception):
-    """A list that can't be used; says what is wrong and what to do."""
+WRITABLE_BY_OTHERS = 0o022
 
 
 class CachedEndpointList(msgspec.Struct):
-    """What is kept: when it was written (Unix ms), by which gateway, and what was believed of each node."""
+    """The stored view: when it was saved, by which gateway, and its endpoints. Explicit names are the stored ones."""
 
-    saved_unix_ms: float
+    saved_unix_ms: float = msgspec.field(name="unix_ms")
     gateway: str
-    endpoints: list[CachedEndpoint]
+    endpoints: list[CachedEndpoint] = msgspec.field(name="nodes")
+
+
+class LoadedCache(NamedTuple):
+    """The newest usable generation, if any, and a warning for each one skipped."""
+
+    cached: CachedEndpointList | None
+    warnings: list[str]
+
 
+def generation_path(directory: Path, generation: int) -> Path:
+    """The file of a generation; 0 is the present one."""
+    return directory / f"nodes.{generation}"
 
-def generation_path(folder: Path, generation: int) -> Path:
-    """Where a generation lies."""
-    return folder / f"nodes.{generation}"
 
+def save(directory: Path, cached: CachedEndpointList, rotate: bool) -> None:
+    """Write the present generation; with ``rotate`` the one before is retained.
 
-def save(folder: Path, kept: CachedEndpointList, rotate: bool) -> None:
-    """Write the list; ``rotate``: its members changed, so the present one is kept as the one before. OSError."""
-    payload = msgspec.msgpack.encode(kept)
-    new = folder / "nodes.new"
-    descriptor = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+    Raises:
+        OSError: It can't be written. The generations before are intact.
+    """
+    payload = msgspec.msgpack.encode(cached)
+    header = HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload))
+    new_file = directory / "nodes.new"
+    _write_synced(new_file, header + payload)
+    if rotate:
+        _rotate_generations(directory)
+    new_file.replace(generation_path(directory, 0))
+    sync_directory(directory)
+
+
+def _write_synced(path: Path, data: bytes) -> None:
+    descriptor = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
     try:
         os.fchmod(descriptor, 0o600)
-        data = HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload)) + payload
-        view = memoryview(data)
-        while view:
-            view = view[os.write(descriptor, view) :]
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(descriptor, remaining)
+            remaining = remaining[written:]
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
-    if rotate:
-        for generation in range(GENERATIONS - 1, 0, -1):
-            before = generation_path(folder, generation - 1)
-            if before.exists():
-                if generation == 1:  # stays in its place until the new one takes it
-                    spare = folder / "nodes.spare"
-                    spare.unlink(missing_ok=True)
-                    os.link(before, spare)
-                    spare.replace(generation_path(folder, 1))
-                else:
-                    before.replace(generation_path(folder, generation))
-    new.replace(generation_path(folder, 0))
-    sync_folder(folder)
-
-
-def read_generation(where: Path) -> CachedEndpointList:
-    """One generation. DiskError where it can't be used; FileNotFoundError where there is none."""
-    _safe(where.parent, "folder")
-    _safe(where, "file")
+
+
+def _rotate_generations(directory: Path) -> None:
+    """Shift all generations up by one; generation 0 also stays in its place until the new file replaces it."""
+    for generation in range(GENERATIONS - 1, 1, -1):
+        previous = generation_path(directory, generation - 1)
+        if previous.exists():
+            previous.replace(generation_path(directory, generation))
+    present = generation_path(directory, 0)
+    if present.exists():
+        spare = directory / "nodes.spare"
+        spare.unlink(missing_ok=True)
+        os.link(present, spare)
+        spare.replace(generation_path(directory, 1))
+
+
+def load(directory: Path) -> LoadedCache:
+    """Read the newest generation that can be used."""
+    warnings: list[str] = []
+    for generation in range(GENERATIONS):
+        path = generation_path(directory, generation)
+        try:
+            cached = read_generation(path)
+        except FileNotFoundError:
+            continue
+        except EndpointCacheError as error:
+            warnings.append(str(error))
+            continue
+        if generation:
+            warnings.append(f"the list before is used instead ({path.name})")
+        return LoadedCache(cached, warnings)
+    return LoadedCache(None, warnings)
+
+
+def read_generation(path: Path) -> CachedEndpointList:
+    """Read and verify one file.
+
+    Raises:
+        EndpointCacheError: It can't be used.
+        FileNotFoundError: There is none.
+    """
+    _check_permissions(path.parent, "folder")
+    _check_permissions(path, "file")
     try:
-        data = where.read_bytes()
+        data = path.read_bytes()
     except FileNotFoundError:
         raise
     except OSError as error:
-        raise EndpointCacheError(f"{where} can't be read: {error.strerror}") from error
+        raise EndpointCacheError(f"{path} can't be read: {error.strerror}") from error
+    payload = _verified_payload(path, data)
+    try:
+        return msgspec.msgpack.decode(payload, type=CachedEndpointList)
+    except msgspec.DecodeError as error:
+        raise EndpointCacheError(f"{path} is of another form: {error}") from error
+
+
+def _verified_payload(path: Path, data: bytes) -> bytes:
     if len(data) < HEADER.size:
-        raise EndpointCacheError(f"{where} is cut short: {len(data)} bytes")
-    magic, version, length, check = HEADER.unpack_from(data)
+        raise EndpointCacheError(f"{path} is cut short: {len(data)} bytes")
+    magic, version, payload_bytes, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise EndpointCacheError(f"{where} is no node list")
+        raise EndpointCacheError(f"{path} is no node list")
     if version > VERSION:
         raise EndpointCacheError(
-            f"{where} is of format {version}, and this release reads up to {VERSION}; a newer one wrote it"
+            f"{path} is of format {version}, and this release reads up to {VERSION}; a newer one wrote it"
         )
     payload = data[HEADER.size :]
-    if len(payload) != length or length > MAX_PAYLOAD_BYTES:
-        raise EndpointCacheError(f"{where} is cut short: {len(payload)} of {length} bytes")
-    if xxhash.xxh3_64_intdigest(payload) != check:
-        raise EndpointCacheError(f"{where} is damaged: its checksum does not fit")
-    try:
-        return msgspec.msgpack.decode(payload, type=CachedEndpointList)
-    except msgspec.DecodeError as error:
-        raise EndpointCacheError(f"{where} is of another form: {error}") from error
+    if len(payload) != payload_bytes or payload_bytes > MAX_PAYLOAD_BYTES:
+        raise EndpointCacheError(f"{path} is cut short: {len(payload)} of {payload_bytes} bytes")
+    if xxhash.xxh3_64_intdigest(payload) != checksum:
+        raise EndpointCacheError(f"{path} is damaged: its checksum does not fit")
+    return payload
 
 
-def _safe(where: Path, what: str) -> None:
-    """Refuse what others may write: they could send this host's requests anywhere."""
+def _check_permissions(path: Path, kind: str) -> None:
+    """Refuse a file or folder that others may write to: they could direct this host's requests anywhere."""
     try:
-        found = where.stat()
+        status = path.stat()
     except FileNotFoundError:
         raise
     except OSError as error:
-        raise EndpointCacheError(f"{where} can't be read: {error.strerror}") from error
-    if found.st_uid not in (os.geteuid(), 0):
+        raise EndpointCacheError(f"{path} can't be read: {error.strerror}") from error
+    if status.st_uid not in (os.geteuid(), 0):
         raise EndpointCacheError(
-            f"{where} belongs to user {found.st_uid}, not to the gateway's; its list is not believed"
+            f"{path} belongs to user {status.st_uid}, not to the gateway's; its list is not believed"
         )
-    sticky = what == "folder" and found.st_mode & stat.S_ISVTX
-    if found.st_mode & 0o022 and not sticky:
-        mode = stat.S_IMODE(found.st_mode)
+    is_sticky_folder = kind == "folder" and status.st_mode & stat.S_ISVTX
+    if status.st_mode & WRITABLE_BY_OTHERS and not is_sticky_folder:
+        mode = stat.S_IMODE(status.st_mode)
         raise EndpointCacheError(
-            f"others may write to the {what} {where} (mode {mode:o}); chmod go-w it, and check what is in it"
+            f"others may write to the {kind} {path} (mode {mode:o}); chmod go-w it, and check what is in it"
         )
 
 
-def load(folder: Path) -> tuple[CachedEndpointList | None, list[str]]:
-    """The newest generation that can be used, and what is to be said of those passed over."""
-    said: list[str] = []
-    for generation in range(GENERATIONS):
-        try:
-            found = read_generation(generation_path(folder, generation))
-        except FileNotFoundError:
-            continue
-        except EndpointCacheError as error:
-            said.append(str(error))
-            continue
-        if generation:
-            said.append(f"the list before is used instead ({generation_path(folder, generation).name})")
-        return found, said
-    return None, said
-
-
-def membership_key(nodes: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
-    """What makes two lists differ enough to keep the one before."""
-    return frozenset((known.name, known.shard, known.status.value, known.identity) for known in nodes)
+def membership_key(endpoints: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
+    """Differs between two views where the earlier one is to be retained as a generation of its own."""
+    return frozenset(
+        (endpoint.name, endpoint.shard, endpoint.status.value, endpoint.identity) for endpoint in endpoints
+    )
--- a/winchdyke/discovery/follower.py
+++ b/winchdyke/discovery/follower.py
@@ -1,37 +1,34 @@
-"""A gateway's view of the nodes while it runs: sources, disk and trials feed the belief; the scheduler hears what it holds."""
+"""Runs endpoint discovery: feeds lists, responses and time into the endpoint view and publishes its changes."""
 
 from __future__ import annotations
 
-import json
 import random
 import time
 from collections.abc import Awaitable, Callable
-from dataclasses import replace
 from pathlib import Path
 
 import anyio
-import anyio.to_thread
 import structlog
 
-from winchdyke import interface as api
-from winchdyke.discovery import cache
-from winchdyke.discovery.endpoint_view import (
-    CachedEndpoint,
-    DiscoveryBounds,
-    DiscoveryStatus,
-    EndpointEvidence,
-    EndpointView,
-)
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_view import EndpointView
+from winchdyke.discovery.history import StatusChange
 from winchdyke.discovery.list_protocol import ReceivedList
+from winchdyke.discovery.persistence import ViewPersistence
+from winchdyke.discovery.records import DiscoveryStatus, EndpointEvidence
 from winchdyke.discovery.sources import EndpointSource
+from winchdyke.interface import Endpoint, EndpointList, EndpointListKind
 
-TICK_S = 0.02
-SAVE_S, CONFIRM_S = 1.0, 60.0  # after a change, and where only the times of confirmation changed
-HISTORY_BYTES = 1 << 20
+TICK_SECONDS = 0.02
 
 
 class EndpointFollower:
-    """What one gateway believes, kept current. ``post`` takes the scheduler's news, ``trial`` dials a node."""
+    """Keeps one gateway's endpoint view current.
+
+    Attributes:
+        view: The endpoint view.
+        sources: The sources of lists, in order of precedence.
+    """
 
     def __init__(
         self,
@@ -39,181 +36,130 @@
         sources: list[EndpointSource],
         gateway: str,
         clock: Callable[[], float],
-        post: Callable[[api.EndpointList], Awaitable[None]],
-        trial: Callable[[str], Awaitable[bool]],
-        folder: Path | None = None,
+        publish: Callable[[EndpointList], Awaitable[None]],
+        check_health: Callable[[str], Awaitable[bool]],
+        cache_directory: Path | None = None,
     ) -> None:
-        self.sources, self.gateway, self._clock, self._post, self._trial = (
-            sources,
-            gateway,
-            clock,
-            post,
-            trial,
-        )
+        """``clock``: monotonic ms; ``publish`` takes lists for the scheduler; ``check_health`` connects to an endpoint."""
         self.view = EndpointView(bounds, [source.name for source in sources])
-        self.cache_directory = folder
-        self._log = structlog.get_logger("nodes")
-        self._states: dict[str, tuple[DiscoveryStatus, str]] = {}
-        self._members: frozenset[tuple[str, int, str, str]] = frozenset()
-        self._saved = -1e18
-        self._trouble = ""
-        self._trying = False
-        self._wake = anyio.Event()
+        self.sources = sources
+        self._clock = clock
+        self._publish = publish
+        self._check_health = check_health
+        self._persistence = ViewPersistence(cache_directory, gateway)
+        self._log = structlog.get_logger("discovery")
+        self._logged_statuses: dict[str, DiscoveryStatus] = {}
+        self._health_check_running = False
+        self._wakeup = anyio.Event()
 
     def request_poll(self) -> None:
-        """The scheduler wants the list."""
+        """Poll the sources now; the scheduler asks for it."""
         for source in self.sources:
             source.request_poll()
 
     def restore(self) -> None:
-        """Take up what is on the disk; what can't be used is said, and nothing is lost by it."""
-        if self.cache_directory is None:
-            return
-        try:
-            self.cache_directory.mkdir(parents=True, exist_ok=True, mode=0o700)
-        except OSError as error:
-            self._log.warning(
-                "node-list", trouble=f"{self.cache_directory}: {error.strerror}; no list is kept"
-            )
-            self.cache_directory = None
-            return
-        kept, said = cache.load(self.cache_directory)
-        for text in said:
-            self._log.warning("node-list", trouble=text)
-        if kept is not None:
-            self.view.restore_cached(kept.endpoints, self._clock())
-            age = max(0.0, time.time() - kept.saved_unix_ms / 1000)
-            self._log.info("node-list", kept=len(kept.endpoints), age_s=round(age))
+        """Load the cache into the view."""
+        cached = self._persistence.load()
+        if cached is not None:
+            self.view.restore_cached(cached.endpoints, self._clock())
 
     async def run(self) -> None:
         """Follow the sources until cancelled."""
         self.restore()
         async with anyio.create_task_group() as group:
             for source in self.sources:
-                group.start_soon(source.run, self._told, self._failed)
+                group.start_soon(source.run, self._on_list, self._on_failure)
             while True:
-                now = self._clock()
-                self.view.tick(now)
-                name = None if self._trying else self.view.next_health_check(now)
+                now_ms = self._clock()
+                self.view.tick(now_ms)
+                name = None if self._health_check_running else self.view.next_health_check(now_ms)
                 if name is not None:
-                    self._trying = True
-                    group.start_soon(self._try, name)
-                await self._tell()
-                await self._save(now)
-                self._wake = anyio.Event()
-                with anyio.move_on_after(TICK_S):
-                    await self._wake.wait()
-
-    async def _try(self, name: str) -> None:
+                    self._health_check_running = True
+                    group.start_soon(self._run_health_check, name)
+                await self._publish_changes()
+                await self._persistence.save_if_due(self.view.endpoints.values(), now_ms)
+                self._wakeup = anyio.Event()
+                with anyio.move_on_after(TICK_SECONDS):
+                    await self._wakeup.wait()
+
+    def record_response(self, name: str, evidence: EndpointEvidence) -> bool:
+        """An endpoint responded. Returns whether requests may be sent on this connection."""
+        endpoint = self.view.endpoints.get(name)
+        status_before = endpoint.status if endpoint is not None else None
+        accepted = self.view.record_response(name, evidence, self._clock(), time.time() * 1000)
+        if endpoint is not None and endpoint.status is not status_before:
+            self._wakeup.set()  # publishes a drain or a reused address without waiting for the next tick
+        return accepted
+
+    def record_connect_failure(self, name: str) -> None:
+        """An endpoint could not be reached."""
+        self.view.record_connect_failure(name, self._clock())
+
+    async def _run_health_check(self, name: str) -> None:
         try:
-            # Spread, so that gateways which start together do not come to a node in one moment.
-            await anyio.sleep(random.random() * TICK_S)
-            await self._trial(name)
+            # Jitter, so that gateways that start together do not connect to an endpoint at the same moment.
+            await anyio.sleep(random.random() * TICK_SECONDS)
+            await self._check_health(name)
         finally:
-            self._trying = False
-        await self._tell()
+            self._health_check_running = False
+        await self._publish_changes()
 
-    async def _told(self, source: str, heard: ReceivedList) -> None:
-        now, unix = self._clock(), time.time() * 1000
-        old = heard.kind is api.EndpointListKind.CACHED
+    async def _on_list(self, source_name: str, received: ReceivedList) -> None:
+        complete = received.kind is not EndpointListKind.CHANGES
         self.view.apply_list(
-            source, heard.entries, now, unix, heard.kind is not api.EndpointListKind.CHANGES, heard.version, old
-        )  # fmt: skip
-        news = self.view.take_changes()
-        if source == self.sources[0].name:
-            whole = heard.kind is not api.EndpointListKind.CHANGES
-            nodes = tuple(self.view.snapshot() if whole else news)
-            self._note()
-            await self._post(api.EndpointList(heard.kind, nodes))
-        elif news:
-            await self._say(news)
-
-    async def _failed(self, source: str, why: str) -> None:
-        self._log.warning("list-failed", source=source, error=why)
-        self.view.mark_source_failed(source, self._clock(), time.time() * 1000)
-        if source == self.sources[0].name:
-            await self._post(api.EndpointList(api.EndpointListKind.FAILED))
-        await self._tell()
-
-    def record_response(self, node: str, word: EndpointEvidence) -> bool:
-        """A node answered; whether it is the one that is meant."""
-        known = self.view.endpoints.get(node)
-        before = known.status if known is not None else None
-        fits = self.view.record_response(node, word, self._clock(), time.time() * 1000)
-        if known is not None and known.status is not before:
-            self._wake.set()  # a drain, a stranger: the scheduler hears of it at once
-        return fits
-
-    def record_connect_failure(self, node: str) -> None:
-        """A node could not be reached."""
-        self.view.record_connect_failure(node, self._clock())
-
-    async def _tell(self) -> None:
-        news = self.view.take_changes()
-        if news:
-            await self._say(news)
-
-    async def _say(self, news: list[api.Endpoint]) -> None:
-        self._note()
+            source_name,
+            received.entries,
+            self._clock(),
+            time.time() * 1000,
+            complete=complete,
+            version=received.version,
+            is_cached_copy=received.kind is EndpointListKind.CACHED,
+        )
+        changes = self.view.take_changes()
+        if source_name == self.sources[0].name:
+            endpoints = self.view.snapshot() if complete else changes
+            self._log_changes()
+            await self._publish(EndpointList(received.kind, tuple(endpoints)))
+        elif changes:
+            await self._publish_list(changes)
+
+    async def _on_failure(self, source_name: str, error: str) -> None:
+        self._log.warning("endpoint_list_fetch_failed", source=source_name, error=error)
+        self.view.mark_source_failed(source_name, self._clock(), time.time() * 1000)
+        if source_name == self.sources[0].name:
+            await self._publish(EndpointList(EndpointListKind.FAILED))
+        await self._publish_changes()
+
+    async def _publish_changes(self) -> None:
+        changes = self.view.take_changes()
+        if changes:
+            await self._publish_list(changes)
+
+    async def _publish_list(self, changes: list[Endpoint]) -> None:
+        self._log_changes()
         if self.view.sources[self.sources[0].name].healthy:
-            await self._post(api.EndpointList(api.EndpointListKind.CHANGES, tuple(news)))
+            await self._publish(EndpointList(EndpointListKind.CHANGES, tuple(changes)))
         else:
-            # As a copy: changes would tell the scheduler that the list is followed, and it would not ask for it again.
-            await self._post(api.EndpointList(api.EndpointListKind.CACHED, tuple(self.view.snapshot())))
-
-    def _note(self) -> None:
-        notes, self.view.warnings = self.view.warnings, []
-        for text in notes:
-            self._log.warning("nodes", note=text)
-        lines = []
-        for known in self.view.endpoints.values():
-            if self._states.get(known.name, (None, ""))[0] is not known.status:
-                self._log.info("node", node=known.name, state=known.status.value, why=known.reason)
-                entry = {
-                    "unix_ms": round(time.time() * 1000),
-                    "node": known.name,
-                    "state": known.status.value,
-                    "why": known.reason,
-                }
-                lines.append(json.dumps(entry))
-            self._states[known.name] = known.status, known.reason
-        if lines and self.cache_directory is not None:
-            self._history(lines)
-
-    def _history(self, lines: list[str]) -> None:
-        assert self.cache_directory is not None
-        where = self.cache_directory / "history.log"
-        try:
-            if where.exists() and where.stat().st_size > HISTORY_BYTES:
-                where.replace(self.cache_directory / "history.log.1")
-            with where.open("a", encoding="utf-8") as file:
-                file.write("".join(line + "\n" for line in lines))
-        except OSError as error:
-            self._complain(error)
-
-    async def _save(self, now: float) -> None:
-        if self.cache_directory is None or now - self._saved < SAVE_S * 1000 or not self.view.endpoints:
-            return
-        members = cache.membership_key(self.view.endpoints.values())
-        changed = members != self._members
-        if not changed and now - self._saved < CONFIRM_S * 1000:
-            return
-        nodes: list[CachedEndpoint] = [replace(known) for known in self.view.endpoints.values()]
-        kept = cache.CachedEndpointList(time.time() * 1000, self.gateway, nodes)
-        self._saved = now
-        try:
-            await anyio.to_thread.run_sync(
-                cache.save, self.cache_directory, kept, changed and bool(self._members)
-            )
-            self._members, self._trouble = members, ""
-        except OSError as error:
-            # Guards against a full or read-only disk: the gateway serves on with what it believes, and says so once.
-            self._complain(error)
-
-    def _complain(self, error: OSError) -> None:
-        said = error.strerror or str(error)
-        if said != self._trouble:
-            self._trouble = said
-            self._log.warning(
-                "node-list", trouble=f"{self.cache_directory}: {said}; the list on the disk is not kept up"
+            # Changes would tell the scheduler that the first source is followed, and it would not ask for a poll.
+            await self._publish(EndpointList(EndpointListKind.CACHED, tuple(self.view.snapshot())))
+
+    def _log_changes(self) -> None:
+        """Log the view's warnings, and each endpoint whose status changed since the last call."""
+        warnings = self.view.warnings
+        self.view.warnings = []
+        for text in warnings:
+            self._log.warning("endpoint_list_suspect", reason=text)
+        changes = []
+        for endpoint in self.view.endpoints.values():
+            if self._logged_statuses.get(endpoint.name) is endpoint.status:
+                continue
+            self._logged_statuses[endpoint.name] = endpoint.status
+            self._log.info(
+                "endpoint_status_changed",
+                endpoint=endpoint.name,
+                status=endpoint.status.value,
+                reason=endpoint.reason,
             )
+            unix_ms = round(time.time() * 1000)
+            changes.append(StatusChange(unix_ms, endpoint.name, endpoint.status, endpoint.reason))
+        self._persistence.append_history(changes)
--- a/winchdyke/discovery/list_protocol.py
+++ b/winchdyke/discovery/list_protocol.py
@@ -1,32 +1,32 @@
-"""The list service's answers: JSON in, node lists out. Pure; the page is ``docs/node-list.md``."""
+"""The list service's answers: JSON in, endpoint lists out. Without I/O; the format is in ``docs/node-list.md``."""
 
 from __future__ import annotations
 
-from typing import Literal, NamedTuple
+from dataclasses import dataclass
+from typing import Literal
 
 import msgspec
 
-from winchdyke import interface as api
-from winchdyke.discovery.endpoint_view import ListedEndpoint
+from winchdyke.discovery.errors import EndpointListError
+from winchdyke.discovery.records import ListedEndpoint
+from winchdyke.interface import EndpointListKind, EndpointStatus
 
-STATES = {
-    "ready": api.EndpointStatus.READY,
-    "draining": api.EndpointStatus.DRAINING,
-    "gone": api.EndpointStatus.REMOVED,
+STATUS_BY_JSON_STATE = {
+    "ready": EndpointStatus.READY,
+    "draining": EndpointStatus.DRAINING,
+    "gone": EndpointStatus.REMOVED,
 }
-FORMS = {
-    "full": api.EndpointListKind.FULL,
-    "changes": api.EndpointListKind.CHANGES,
-    "cached": api.EndpointListKind.CACHED,
+KIND_BY_JSON_FORM = {
+    "full": EndpointListKind.FULL,
+    "changes": EndpointListKind.CHANGES,
+    "cached": EndpointListKind.CACHED,
 }
-
-
-class EndpointListError(Exception):
-    """An answer of the list service that can't be used; says what is wrong."""
+MAX_PORT = 65535
+EARLIEST_START_MS = 1e-3  # 0 would mean a start long ago
 
 
 class EndpointJson(msgspec.Struct):
-    """One node; ``started_unix_ms`` is absent where it has been up for long."""
+    """One endpoint as JSON; ``started_unix_ms`` is absent where it has been up for long."""
 
     name: str
     state: Literal["ready", "draining", "gone"]
@@ -37,58 +37,68 @@
 
 
 class EndpointListJson(msgspec.Struct):
-    """A list, or what changed since ``token``'s predecessor."""
+    """A list as JSON, or what changed since the token before. ``version`` grows with each change; 0 for none."""
 
     token: str
     form: Literal["full", "changes", "cached"]
     nodes: list[EndpointJson]
-    version: int = 0  # grows with every change; 0 where the service keeps none
+    version: int = 0
 
 
-class ReceivedList(NamedTuple):
-    """What a source told: the token for the next call, the form, the entries, and the list's version."""
+@dataclass(frozen=True, slots=True)
+class ReceivedList:
+    """A source's list, or changes of it: the token for the next call, the kind, the entries, the list's version."""
 
     resume_token: str
-    kind: api.EndpointListKind
+    kind: EndpointListKind
     entries: tuple[ListedEndpoint, ...]
     version: int
 
 
 class ListParser:
-    """Turns listings into events on the gateway's clock.
+    """Parses one source's lists, with start times on the gateway's clock.
 
-    A start's wall time is turned into monotonic time once and kept: turned anew each time, the clocks' drift would
-    make every list look like a restart.
+    A start's wall time is converted to monotonic time once and retained: converted anew for each list, the drift between
+    the clocks would look like restarts.
     """
 
     def __init__(self) -> None:
-        self._started: dict[tuple[str, float], float] = {}
+        self._started_at_ms: dict[tuple[str, float], float] = {}
 
     def parse(self, data: bytes, now_ms: float, unix_ms: float) -> ReceivedList:
-        """What a listing tells. ListError where the bytes are no listing."""
+        """The list in an answer.
+
+        Raises:
+            EndpointListError: The bytes are no valid list.
+        """
         try:
-            listing = msgspec.json.decode(data, type=EndpointListJson)
+            message = msgspec.json.decode(data, type=EndpointListJson)
         except msgspec.DecodeError as error:
             raise EndpointListError(f"the list can't be read: {error}") from error
-        names = [entry.name for entry in listing.nodes]
-        if len(set(names)) != len(names):
-            raise EndpointListError("the list names a node twice")
-        for entry in listing.nodes:
-            host, _, port = entry.name.rpartition(":")
-            if not host or not port.isdigit() or not 0 < int(port) < 65536:
-                raise EndpointListError(f"the list names {entry.name!r}, which is not HOST:PORT")
-        nodes = tuple(self._node(entry, now_ms, unix_ms) for entry in listing.nodes)
-        if listing.form != "changes":
-            kept = {(entry.name, entry.started_unix_ms) for entry in listing.nodes}
-            self._started = {key: at for key, at in self._started.items() if key in kept}
-        return ReceivedList(listing.token, FORMS[listing.form], nodes, listing.version)
-
-    def _node(self, entry: EndpointJson, now_ms: float, unix_ms: float) -> ListedEndpoint:
-        started = 0.0
+        _check_names([entry.name for entry in message.nodes])
+        entries = tuple(self._entry(entry, now_ms, unix_ms) for entry in message.nodes)
+        if message.form != "changes":
+            self._retain_starts({(entry.name, entry.started_unix_ms) for entry in message.nodes})
+        return ReceivedList(message.token, KIND_BY_JSON_FORM[message.form], entries, message.version)
+
+    def _retain_starts(self, starts: set[tuple[str, float]]) -> None:
+        self._started_at_ms = {key: at_ms for key, at_ms in self._started_at_ms.items() if key in starts}
+
+    def _entry(self, entry: EndpointJson, now_ms: float, unix_ms: float) -> ListedEndpoint:
+        started_at_ms = 0.0
         if entry.started_unix_ms > 0:
-            # A start in the future is a clock that is off: it counts as now.
-            at = min(now_ms, now_ms - (unix_ms - entry.started_unix_ms))
-            started = self._started.setdefault((entry.name, entry.started_unix_ms), max(at, 1e-3))
-        return ListedEndpoint(
-            entry.name, STATES[entry.state], entry.shard, entry.zone, started, entry.identity
-        )
+            # A start in the future comes from a wrong clock and counts as a start now.
+            converted_ms = min(now_ms, now_ms - (unix_ms - entry.started_unix_ms))
+            start = (entry.name, entry.started_unix_ms)
+            started_at_ms = self._started_at_ms.setdefault(start, max(converted_ms, EARLIEST_START_MS))
+        status = STATUS_BY_JSON_STATE[entry.state]
+        return ListedEndpoint(entry.name, status, entry.shard, entry.zone, started_at_ms, entry.identity)
+
+
+def _check_names(names: list[str]) -> None:
+    if len(set(names)) != len(names):
+        raise EndpointListError("the list names a node twice")
+    for name in names:
+        host, _, port = name.rpartition(":")
+        if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
+            raise EndpointListError(f"the list names {name!r}, which is not HOST:PORT")
--- a/winchdyke/discovery/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -1,7 +1,7 @@
-"""Gateways that a list service names: where a fleet is joined, beside the seeds of the settings and those kept on the disk.
+"""Gateways named by a list service: addresses at which a gateway joins the others, beside the configured and cached seeds.
 
-The service's word is never taken for who is alive: what it names is asked, as any seed is. Where it fails, what it said last goes
-on counting, and it is asked again ever more rarely.
+The list does not decide which gateways are alive: its addresses are contacted as any seed is. While the service fails, the
+last list stays valid and the service is polled with backoff.
 """
 
 from __future__ import annotations
@@ -14,57 +14,67 @@
 import anyio
 import structlog
 
-from winchdyke import interface as api
 from winchdyke.config.model import Discovery
 from winchdyke.discovery.list_protocol import ReceivedList
-from winchdyke.discovery.sources import ListServiceSource, jittered_backoff_seconds
+from winchdyke.discovery.list_service import ListServiceSource
+from winchdyke.discovery.polling import jittered_backoff_seconds
+from winchdyke.interface import EndpointListKind, EndpointStatus
 
-MAX_GATEWAYS = 1024  # gateways of a list that are taken: as many as members
+MAX_GATEWAYS = 1024  # the limit of members
 
 
 class GatewaySeeds:
-    """Follows a list of gateways; ``told`` hears the addresses of those that are ready, each time they change."""
+    """Follows a list of gateways."""
 
     def __init__(
         self,
-        where: tuple[str, int, str],
-        nodes: Discovery,
+        address: tuple[str, int, str],
+        discovery: Discovery,
         gateway: str,
         clock: Callable[[], float],
-        told: Callable[[tuple[str, ...]], None],
+        on_change: Callable[[tuple[str, ...]], None],
     ) -> None:
-        """``where``: host, port and path; asked by the gateway's name, with the times of the list of nodes."""
-        host, port, path = where
-        self._source = ListServiceSource(replace(nodes, host=host, port=port, path=path), gateway, clock)
-        self._told, self._draw = told, random.Random(time.monotonic_ns())
+        """Follow the list at an address, when :meth:`run` is called.
+
+        Args:
+            address: Host, port and path of the list.
+            discovery: Settings whose timeouts and form are used.
+            gateway: The name given in each call.
+            clock: Monotonic ms.
+            on_change: Called with the addresses of all ready gateways each time that they change.
+        """
+        host, port, path = address
+        settings = replace(discovery, host=host, port=port, path=path)
+        self._source = ListServiceSource(settings, gateway, clock)
+        self._on_change = on_change
+        self._rng = random.Random(time.monotonic_ns())
         self._ready: set[str] = set()
         self._failures = 0
-        self._log = structlog.get_logger("fleet")
+        self._log = structlog.get_logger("discovery")
 
     async def run(self) -> None:
         """Follow the list until cancelled."""
         self._source.request_poll()
-        await self._source.run(self._heard, self._failed)
+        await self._source.run(self._on_list, self._on_failure)
 
-    async def _heard(self, _: str, heard: ReceivedList) -> None:
+    async def _on_list(self, _: str, received: ReceivedList) -> None:
         self._failures = 0
-        before = set(self._ready)
-        if heard.kind is not api.EndpointListKind.CHANGES:
-            self._ready = set()
-        for entry in heard.entries:
-            if entry.status is api.EndpointStatus.READY:
-                self._ready.add(entry.name)
+        ready = set(self._ready) if received.kind is EndpointListKind.CHANGES else set()
+        for entry in received.entries:
+            if entry.status is EndpointStatus.READY:
+                ready.add(entry.name)
             else:
-                self._ready.discard(entry.name)
-        if self._ready != before:
-            if len(self._ready) > MAX_GATEWAYS:
-                self._log.warning(
-                    "fleet", trouble=f"the list names {len(self._ready)} gateways: {MAX_GATEWAYS} are taken"
-                )
-            self._told(tuple(sorted(self._ready)[:MAX_GATEWAYS]))
+                ready.discard(entry.name)
+        if ready == self._ready:
+            return
+        self._ready = ready
+        if len(ready) > MAX_GATEWAYS:
+            reason = f"the list names {len(ready)} gateways: {MAX_GATEWAYS} are taken"
+            self._log.warning("gateway_list_truncated", reason=reason)
+        self._on_change(tuple(sorted(ready)[:MAX_GATEWAYS]))
 
-    async def _failed(self, _: str, why: str) -> None:
+    async def _on_failure(self, _: str, error: str) -> None:
         self._failures += 1
-        self._log.warning("fleet", trouble=f"the list of gateways can't be had: {why}; see fleet, list")
-        await anyio.sleep(jittered_backoff_seconds(self._failures, self._draw))
+        self._log.warning("gateway_list_fetch_failed", error=f"{error}; see fleet, list")
+        await anyio.sleep(jittered_backoff_seconds(self._failures, self._rng))
         self._source.request_poll()
--- a/winchdyke/durable_files.py
+++ b/winchdyke/durable_files.py
@@ -1,4 +1,8 @@
-"""What several parts need of files."""
+"""Files that survive a crash and files that their owner alone may read.
+
+Public names: :func:`sync_directory`, :func:`replace_file`, :func:`read_private_file`, :func:`write_private_file`,
+:class:`WatchedFile`, :class:`PrivateFileError`. Imports nothing of the project.
+"""
 
 from __future__ import annotations
 
@@ -10,66 +14,83 @@
 
 T = TypeVar("T")
 
+MAX_PRIVATE_FILE_BYTES = 1 << 20
+ACCESSIBLE_TO_OTHERS = 0o077
+
 
-class OwnError(Exception):
-    """A file that is to be its owner's alone and can't be used; says what is wrong and what to do."""
+class PrivateFileError(Exception):
+    """A private file that can't be used; the text says what is wrong and what to do."""
 
 
-def sync_folder(folder: Path) -> None:
-    """Bring a folder's own entries to the disk: names that were made, renamed or deleted. OSError."""
-    descriptor = os.open(folder, os.O_RDONLY)
+def sync_directory(directory: Path) -> None:
+    """Flush a directory's entries to the disk: files created, renamed or deleted. Raises OSError."""
+    descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
     finally:
         os.close(descriptor)
 
 
-def replace(path: Path, data: bytes, new: Path) -> None:
-    """Put data in a file's place, owner-only, synced: written to ``new`` beside it, then renamed. OSError."""
+def replace_file(path: Path, data: bytes, new: Path) -> None:
+    """Replace a file's content atomically and durably: write ``new`` beside it, mode 0600, then rename. Raises OSError."""
     with open(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
     new.replace(path)
-    sync_folder(path.parent)
+    sync_directory(path.parent)
 
 
-def read_own(path: Path, most: int = 1 << 20) -> bytes:
-    """A file that its owner alone may read and write. OwnError where it is not, or can't be read."""
+def read_private_file(path: Path, max_bytes: int = MAX_PRIVATE_FILE_BYTES) -> bytes:
+    """Read a file that its owner alone may read and write, up to ``max_bytes``.
+
+    Raises:
+        PrivateFileError: Others may access it, or it can't be read.
+    """
     try:
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         with open(descriptor, "rb") as file:
-            found = os.fstat(descriptor)
-            data = file.read(most)
+            status = os.fstat(descriptor)
+            data = file.read(max_bytes)
     except OSError as error:
-        raise OwnError(f"{path} can't be read: {error.strerror}") from error
-    if not stat.S_ISREG(found.st_mode) or found.st_mode & 0o077 or found.st_uid not in (os.geteuid(), 0):
-        raise OwnError(f"{path} must be a file that its owner alone may read and write: chmod 600 {path}")
+        raise PrivateFileError(f"{path} can't be read: {error.strerror}") from error
+    is_regular = stat.S_ISREG(status.st_mode)
+    is_owned = status.st_uid in (os.geteuid(), 0)
+    if not is_regular or status.st_mode & ACCESSIBLE_TO_OTHERS or not is_owned:
+        raise PrivateFileError(
+            f"{path} must be a file that its owner alone may read and write: chmod 600 {path}"
+        )
     return data
 
 
-def write_own(path: Path, data: bytes) -> None:
-    """Write such a file whole: it is never seen half written, nor readable to others. OwnError."""
+def write_private_file(path: Path, data: bytes) -> None:
+    """Replace a private file's content atomically and durably.
+
+    Raises:
+        PrivateFileError: It can't be written.
+    """
     try:
-        replace(path, data, path.with_name(path.name + f".{os.getpid()}.new"))
+        replace_file(path, data, path.with_name(f"{path.name}.{os.getpid()}.new"))
     except OSError as error:
-        raise OwnError(f"{path} can't be written: {error.strerror}") from error
+        raise PrivateFileError(f"{path} can't be written: {error.strerror}") from error
 
 
-class Watched(Generic[T]):
-    """What is read from a file, read anew when the file changes; what can't be read counts for nothing until it can."""
+class WatchedFile(Generic[T]):
+    """A value read from a file, and read again when the file changes; while it can't be read there is no value."""
 
     def __init__(self, path: Path, read: Callable[[Path], T]) -> None:
-        self.path, self._read = path, read
-        self._stamp: tuple[int, ...] = ()
+        self.path = path
+        self._read = read
+        self._version: tuple[int, ...] = ()
         self._value: T | None = None
 
     def get(self) -> T:
-        """The present value. OSError, or what ``read`` raises."""
-        found = self.path.stat()
-        stamp = (found.st_mtime_ns, found.st_ino, found.st_size, found.st_mode, found.st_uid)
-        if stamp != self._stamp or self._value is None:
-            self._value, self._stamp = None, ()
+        """The present value. Raises OSError, or what ``read`` raises."""
+        status = self.path.stat()
+        version = (status.st_mtime_ns, status.st_ino, status.st_size, status.st_mode, status.st_uid)
+        if version != self._version or self._value is None:
+            self._value = None
+            self._version = ()
             self._value = self._read(self.path)
-            self._stamp = stamp
+            self._version = version
         return self._value
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -22,11 +22,14 @@
 from winchdyke.config_rollout.change_log import ChangeLogError
 from winchdyke.config_rollout.controller import Prepared, RolloutController
 from winchdyke.config_rollout.cutover import moved
-from winchdyke.discovery.endpoint_view import DiscoveryBounds as Belief
-from winchdyke.discovery.endpoint_view import EndpointEvidence
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.file_source import FileSource
 from winchdyke.discovery.follower import EndpointFollower
+from winchdyke.discovery.list_service import ListServiceSource
+from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.discovery.seeds import GatewaySeeds
-from winchdyke.discovery.sources import EndpointSource, FileSource, ListServiceSource, SrvSource
+from winchdyke.discovery.sources import EndpointSource
+from winchdyke.discovery.srv_source import SrvSource
 from winchdyke.gateway.attempts import LOST
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.pool import NO_DESCRIPTORS, ConnectError, Connection, ConnectionPool
@@ -182,7 +185,7 @@
             shards = 1 + max((shard for rule in self.config.volumes for shard in rule.shards), default=0)
             host, _, port = where.dns.rpartition(":")
             sources.append(SrvSource(where.srv, (host, int(port)), shards))
-        bounds = Belief(
+        bounds = DiscoveryBounds(
             warmup_ms=self.config.rules.warm_after,
             max_vanished_fraction=where.vanish_share,
             omission_grace_ms=where.hold,
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -17,7 +17,7 @@
 from winchdyke import placement
 from winchdyke.config.matching import Asked, Route
 from winchdyke.config.model import Config, Kind, VolumeRule
-from winchdyke.discovery.endpoint_view import EndpointEvidence
+from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.gateway import logs, outcomes
 from winchdyke.gateway.attempts import (
     Attempt,
--- a/winchdyke/latency_attribution/compact.py
+++ b/winchdyke/latency_attribution/compact.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from winchdyke.durable_files import sync_folder
+from winchdyke.durable_files import sync_directory
 from winchdyke.latency_attribution.ledger import ENDING, HEAD, SUMS_ENDING, Recovered, framed, read
 from winchdyke.latency_attribution.sums import summed_up
 
@@ -84,7 +84,7 @@
         file.flush()
         os.fsync(file.fileno())
     new.rename(made)
-    sync_folder(segment.parent)
+    sync_directory(segment.parent)
     done.before += segment.stat().st_size
     done.after += len(data)
     done.segments += 1
--- a/winchdyke/latency_attribution/ledger.py
+++ b/winchdyke/latency_attribution/ledger.py
@@ -30,7 +30,7 @@
 import msgspec
 import xxhash
 
-from winchdyke.durable_files import sync_folder
+from winchdyke.durable_files import sync_directory
 from winchdyke.latency_attribution.spans import Account, Annotation, account
 from winchdyke.latency_attribution.sums import Sums
 
@@ -300,7 +300,7 @@
         path = self.folder / f"{self._number:012}{ENDING}"
         self._file = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND, 0o640)
         os.write(self._file, HEAD)
-        sync_folder(self.folder)
+        sync_directory(self.folder)
         self._size, self._began = len(HEAD), time.monotonic()
         self._compact()
         self._bound()
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from winchdyke.durable_files import replace
+from winchdyke.durable_files import replace_file
 from winchdyke.membership.datagrams import Address, Name
 
 FILE = "members.json"
@@ -46,4 +46,4 @@
 def save(folder: Path, kept: KnownMembers) -> None:
     """Write it whole, synced and renamed. OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    replace(folder / FILE, msgspec.json.encode(kept), folder / f"{FILE}.{os.getpid()}.new")
+    replace_file(folder / FILE, msgspec.json.encode(kept), folder / f"{FILE}.{os.getpid()}.new")
--- a/winchdyke/model/checker.py
+++ b/winchdyke/model/checker.py
@@ -1,4 +1,4 @@
-"""A model checker: every interleaving of a small world, breadth first, with invariants. States that look alike are one."""
+"""A model checker: explores every interleaving of a small model, breadth first, and checks its invariants."""
 
 from __future__ import annotations
 
@@ -8,72 +8,85 @@
 
 
 class InvariantViolation(Exception):
-    """An invariant does not hold; names it."""
+    """An invariant does not hold; the text names it."""
 
 
 class Model(Protocol):
-    """What is explored: a state with the steps that are possible in it."""
+    """One state of what is explored, with the steps that are possible in it."""
 
     def steps(self) -> Iterable[str]:
-        """The names of all steps that may be taken now."""
+        """The names of all steps that are possible now."""
 
     def after(self, step: str) -> Model:
-        """A new world, one step on. Broken where that breaks an invariant."""
+        """A new state, one step on. Raises InvariantViolation."""
 
     def key(self) -> Hashable:
-        """Equal for worlds from which the same can follow."""
+        """Equal for states from which the same can follow."""
 
 
 @dataclass
 class Exploration:
-    """What was found: states, steps taken between them, depth reached, and the shortest way to a broken invariant."""
+    """The result of an exploration.
+
+    Attributes:
+        states: Distinct states found.
+        steps: Steps taken between them.
+        depth: Depth reached.
+        complete: Whether no state was left to explore.
+        violation: The invariant that does not hold, or "".
+        trace: The shortest sequence of steps to the violation.
+    """
 
     states: int = 0
     steps: int = 0
     depth: int = 0
-    complete: bool = False  # whether nothing is left beyond
+    complete: bool = False
     violation: str = ""
     trace: list[str] = field(default_factory=list)
 
 
 def explore(
-    first: Model,
-    depth: int = 1000,
-    most: int = 10_000_000,
-    watch: Callable[[Exploration], None] = lambda _: None,
+    initial: Model,
+    max_depth: int = 1000,
+    max_states: int = 10_000_000,
+    on_layer: Callable[[Exploration], None] = lambda _: None,
 ) -> Exploration:
-    """Explore until nothing new is left, or to a depth, or so many states; stops at the first broken invariant."""
-    found = Exploration(states=1)
-    seen = {first.key()}
-    came: dict[Hashable, tuple[Hashable, str]] = {}
-    layer: list[Model] = [first]
-    while layer and found.depth < depth and found.states < most:
-        following: list[Model] = []
-        for world in layer:
-            here = world.key()
-            for step in world.steps():
-                found.steps += 1
+    """Explore until no new state is left, or up to a bound; stops at the first violation.
+
+    ``on_layer`` is called after each further depth.
+    """
+    result = Exploration(states=1)
+    visited = {initial.key()}
+    origins: dict[Hashable, tuple[Hashable, str]] = {}
+    layer: list[Model] = [initial]
+    while layer and result.depth < max_depth and result.states < max_states:
+        next_layer: list[Model] = []
+        for state in layer:
+            key = state.key()
+            for step in state.steps():
+                result.steps += 1
                 try:
-                    after = world.after(step)
+                    successor = state.after(step)
                 except InvariantViolation as error:
-                    found.violation, found.trace = str(error), [*_way(here, came), step]
-                    return found
-                key = after.key()
-                if key not in seen:
-                    seen.add(key)
-                    came[key] = here, step
-                    following.append(after)
-        found.states = len(seen)
-        found.depth += 1
-        watch(found)
-        layer = following
-    found.complete = not layer
-    return found
-
-
-def _way(key: Hashable, came: dict[Hashable, tuple[Hashable, str]]) -> list[str]:
+                    result.violation = str(error)
+                    result.trace = [*_steps_to(key, origins), step]
+                    return result
+                successor_key = successor.key()
+                if successor_key not in visited:
+                    visited.add(successor_key)
+                    origins[successor_key] = (key, step)
+                    next_layer.append(successor)
+        result.states = len(visited)
+        result.depth += 1
+        on_layer(result)
+        layer = next_layer
+    result.complete = not layer
+    return result
+
+
+def _steps_to(key: Hashable, origins: dict[Hashable, tuple[Hashable, str]]) -> list[str]:
     steps: list[str] = []
-    while key in came:
-        key, step = came[key]
+    while key in origins:
+        key, step = origins[key]
         steps.append(step)
     return steps[::-1]
--- a/winchdyke/model/discovery.py
+++ b/winchdyke/model/discovery.py
@@ -1,12 +1,13 @@
-"""The world in which membership is checked: gateways, nodes and a list service that is up, down, late, stale or lost.
+"""A model of endpoint discovery for the model checker: gateways, stores, and a list service with faults.
 
-Each node drains, starts anew, gives its address to another store, or dies; each at most ``faults`` times in all. Time is a
-step of its own: as long as a start takes to warm up. A gateway polls, tries a doubtful node, sends, keeps its list on the
-disk, and starts anew with what is there. Invariants, at each request that reaches a node:
+Stores drain, restart, give their address to another store, or fail; the list service is up, down, stale or empty, and
+learns late; ``faults`` bounds these events in total. Time is a step of its own, as long as a warmup. A gateway polls,
+checks an unconfirmed endpoint, sends, saves its cache, and restarts from it. Invariants, at each request that reaches a
+store:
 
-    identity  it is the store that was meant, never another at its address
-    cold      where its start is not yet warm the gateway counts it as cold
-    drain     a gateway that was told of this start's drain (and kept it, where it started anew since) sends it nothing
+    identity  it is the intended store, never another one at its address
+    cold      while it is warming up the gateway counts it as warming up
+    drain     a gateway that learnt of this process's drain (and cached it, where it restarted since) sends it nothing
 """
 
 from __future__ import annotations
@@ -15,18 +16,17 @@
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass, field, replace
 
-from winchdyke.discovery.endpoint_view import (
-    CachedEndpoint,
-    DiscoveryBounds,
-    DiscoveryStatus,
-    EndpointEvidence,
-    EndpointView,
-    ListedEndpoint,
-)
+from msgspec.structs import replace as replace_struct
+
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_view import DRAINING_BY_OWN_REPORT, EndpointView
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
 from winchdyke.interface import EndpointStatus
 from winchdyke.model.checker import InvariantViolation
 
 WARMUP_MS = 1000.0
+START_MS = 100 * WARMUP_MS
+MAX_AGE_STEPS = 4  # older times are not told apart
 BOUNDS = DiscoveryBounds(
     warmup_ms=WARMUP_MS,
     min_health_check_interval_ms=0.0,
@@ -37,11 +37,12 @@
     response_freshness_ms=WARMUP_MS,
     start_time_tolerance_ms=1.0,
 )
+FAULT_STEPS = ("restart", "reuse", "die", "drain", "reboot")
 
 
 @dataclass
 class StoreProcess:
-    """A node as it is."""
+    """A store as it is."""
 
     identity: int = 0
     boot_number: int = 0
@@ -52,7 +53,7 @@
 
 @dataclass
 class ListedState:
-    """A node as the list has it."""
+    """A store as the list has it."""
 
     status: EndpointStatus
     identity: int
@@ -61,222 +62,305 @@
 
 @dataclass
 class ModelledGateway:
-    """A gateway: what it believes, its connections (node to boot), its disk, and the drains it was told of."""
+    """A gateway.
+
+    Attributes:
+        view: Its endpoint view.
+        connections: The identity and boot number at the other end of each open connection, by store.
+        cached: Its cache on the disk.
+        known_drains: The drains it learnt of: store and boot number.
+        cached_drains: Those of them that were known when the cache was saved.
+    """
 
     view: EndpointView
     connections: dict[int, tuple[int, int]] = field(default_factory=dict)
     cached: list[CachedEndpoint] = field(default_factory=list)
-    known_drains: set[tuple[int, int]] = field(default_factory=set)  # node, boot
+    known_drains: set[tuple[int, int]] = field(default_factory=set)
     cached_drains: set[tuple[int, int]] = field(default_factory=set)
 
 
+def _name(store: int) -> str:
+    return f"n{store}:1"
+
+
 class DiscoveryModel:
-    """One state of the world."""
+    """One state of the model."""
 
     def __init__(
         self,
         gateways: int = 2,
         nodes: int = 2,
         faults: int = 2,
-        kind: type[EndpointView] = EndpointView,
-        greets: bool = True,
+        view_type: type[EndpointView] = EndpointView,
+        checks_identity: bool = True,
     ) -> None:
-        self.view_type, self.faults, self.checks_identity, self.now = kind, faults, greets, 100 * WARMUP_MS
+        """``checks_identity``: whether a gateway asks for a store's identity on its first connection."""
+        self.view_type = view_type
+        self.faults = faults
+        self.checks_identity = checks_identity
+        self.now_ms = START_MS
         self.nodes = [StoreProcess() for _ in range(nodes)]
         self.listed = [ListedState(EndpointStatus.READY, 0, 0.0) for _ in range(nodes)]
         self.version = 2
-        self.stale_list: tuple[int, list[ListedState]] = (1, [replace(told) for told in self.listed])
+        self.stale_list: tuple[int, list[ListedState]] = (1, [replace(entry) for entry in self.listed])
         self.service_mode = "list"  # or stale, down, empty
-        self.gateways = [ModelledGateway(kind(BOUNDS)) for _ in range(gateways)]
+        self.gateways = [ModelledGateway(view_type(BOUNDS)) for _ in range(gateways)]
 
     def steps(self) -> Iterable[str]:
-        """All that may happen next."""
+        """The names of all steps that are possible now."""
         if self.faults:
-            for n, node in enumerate(self.nodes):
-                if node.is_running:
-                    yield from (f"restart {n}", f"reuse {n}", f"die {n}")
-                    if not node.draining:
-                        yield f"drain {n}"
-            yield from (f"serve {how}" for how in ("down", "stale", "empty") if self.service_mode == "list")
-            yield from (f"reboot {g}" for g in range(len(self.gateways)))
+            yield from self._fault_steps()
         if self.service_mode != "list":
             yield "serve list"
-        for n in range(len(self.nodes)):
-            if self._true(n) != self.listed[n]:
-                yield f"learn {n}"
-        if any(self.now - node.started_at_ms < WARMUP_MS for node in self.nodes):
+        for store in range(len(self.nodes)):
+            if self._true_state(store) != self.listed[store]:
+                yield f"learn {store}"
+        if any(self._is_warming_up(node) for node in self.nodes):
             yield "time"
-        for g, gateway in enumerate(self.gateways):
-            yield f"poll {g}"
-            yield f"save {g}"
-            if any(
-                known.status in (DiscoveryStatus.DOUBTFUL, DiscoveryStatus.REUSED)
-                for known in gateway.view.endpoints.values()
-            ):
-                yield f"try {g}"
-            yield from (f"send {g} {n}" for n in range(len(self.nodes)) if gateway.view.is_usable(f"n{n}:1"))
+        for number, gateway in enumerate(self.gateways):
+            yield from self._gateway_steps(number, gateway)
+
+    def _fault_steps(self) -> Iterable[str]:
+        for store, node in enumerate(self.nodes):
+            if node.is_running:
+                yield from (f"restart {store}", f"reuse {store}", f"die {store}")
+                if not node.draining:
+                    yield f"drain {store}"
+        if self.service_mode == "list":
+            yield from (f"serve {mode}" for mode in ("down", "stale", "empty"))
+        yield from (f"reboot {number}" for number in range(len(self.gateways)))
+
+    def _gateway_steps(self, number: int, gateway: ModelledGateway) -> Iterable[str]:
+        yield f"poll {number}"
+        yield f"save {number}"
+        unconfirmed = (DiscoveryStatus.UNCONFIRMED, DiscoveryStatus.ADDRESS_REUSED)
+        if any(endpoint.status in unconfirmed for endpoint in gateway.view.endpoints.values()):
+            yield f"try {number}"
+        for store in range(len(self.nodes)):
+            if gateway.view.is_usable(_name(store)):
+                yield f"send {number} {store}"
 
     def after(self, step: str) -> DiscoveryModel:
-        """The world one step on."""
-        made: DiscoveryModel = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
-        what, *words = step.split()
-        if what in ("restart", "reuse", "die", "drain", "reboot") or (what == "serve" and words != ["list"]):
-            made.faults -= 1
-        getattr(made, f"_{what}")(*(word if word.isalpha() else int(word) for word in words))
-        return made
-
-    def _true(self, n: int) -> ListedState:
-        node = self.nodes[n]
+        """The state one step on. Raises InvariantViolation."""
+        successor: DiscoveryModel = pickle.loads(pickle.dumps(self, pickle.HIGHEST_PROTOCOL))
+        kind, *arguments = step.split()
+        if kind in FAULT_STEPS or (kind == "serve" and arguments != ["list"]):
+            successor.faults -= 1
+        method = getattr(successor, f"_{kind}")
+        method(*(argument if argument.isalpha() else int(argument) for argument in arguments))
+        return successor
+
+    def _is_warming_up(self, node: StoreProcess) -> bool:
+        return self.now_ms - node.started_at_ms < WARMUP_MS
+
+    def _true_state(self, store: int) -> ListedState:
+        node = self.nodes[store]
         if node.identity or not node.is_running:
             return ListedState(EndpointStatus.REMOVED, node.identity, 0.0)
-        started = node.started_at_ms if self.now - node.started_at_ms < WARMUP_MS else 0.0
-        return ListedState(EndpointStatus.DRAINING if node.draining else EndpointStatus.READY, 0, started)
+        started_at_ms = node.started_at_ms if self._is_warming_up(node) else 0.0
+        status = EndpointStatus.DRAINING if node.draining else EndpointStatus.READY
+        return ListedState(status, 0, started_at_ms)
+
+    # Steps of stores, of the list service, and of time
 
-    def _restart(self, n: int) -> None:
-        node = self.nodes[n]
-        node.boot_number, node.started_at_ms, node.draining = node.boot_number + 1, self.now, False
-        self._break(n)
+    def _restart(self, store: int) -> None:
+        node = self.nodes[store]
+        node.boot_number += 1
+        node.started_at_ms = self.now_ms
+        node.draining = False
+        self._close_connections(store)
 
-    def _reuse(self, n: int) -> None:
-        self._restart(n)
-        self.nodes[n].identity += 1
+    def _reuse(self, store: int) -> None:
+        self._restart(store)
+        self.nodes[store].identity += 1
 
-    def _die(self, n: int) -> None:
-        self.nodes[n].is_running = False
-        self._break(n)
+    def _die(self, store: int) -> None:
+        self.nodes[store].is_running = False
+        self._close_connections(store)
 
-    def _break(self, n: int) -> None:
+    def _close_connections(self, store: int) -> None:
         for gateway in self.gateways:
-            gateway.connections.pop(n, None)
+            gateway.connections.pop(store, None)
 
-    def _drain(self, n: int) -> None:
-        self.nodes[n].draining = True
+    def _drain(self, store: int) -> None:
+        self.nodes[store].draining = True
 
-    def _serve(self, how: str) -> None:
-        self.service_mode = how
+    def _serve(self, mode: str) -> None:
+        self.service_mode = mode
 
-    def _learn(self, n: int) -> None:
-        self.stale_list = self.version, [replace(told) for told in self.listed]
-        self.listed[n] = self._true(n)
+    def _learn(self, store: int) -> None:
+        self.stale_list = (self.version, [replace(entry) for entry in self.listed])
+        self.listed[store] = self._true_state(store)
         self.version += 1
 
     def _time(self) -> None:
-        self.now += WARMUP_MS
+        self.now_ms += WARMUP_MS
         for gateway in self.gateways:
-            gateway.view.tick(self.now)
+            gateway.view.tick(self.now_ms)
+
+    # Steps of gateways
 
-    def _poll(self, g: int) -> None:
-        gateway = self.gateways[g]
+    def _served_list(self) -> tuple[int, list[ListedState]]:
+        if self.service_mode == "stale":
+            return self.stale_list
+        if self.service_mode == "empty":
+            return self.version + 1, []
+        return self.version, self.listed
+
+    def _poll(self, number: int) -> None:
+        gateway = self.gateways[number]
         if self.service_mode == "down":
-            gateway.view.mark_source_failed("list", self.now)
+            gateway.view.mark_source_failed("list", self.now_ms)
             return
-        version, entries = self.stale_list if self.service_mode == "stale" else (self.version, self.listed)
-        if self.service_mode == "empty":
-            version, entries = self.version + 1, []
-        told = [
-            ListedEndpoint(f"n{n}:1", entry.status, n, "", entry.started_at_ms, str(entry.identity))
-            for n, entry in enumerate(entries)
+        version, entries = self._served_list()
+        received = [
+            ListedEndpoint(_name(store), entry.status, store, "", entry.started_at_ms, str(entry.identity))
+            for store, entry in enumerate(entries)
             if entry.status is not EndpointStatus.REMOVED
         ]
-        gateway.view.apply_list("list", told, self.now, version=version)
-        for n, entry in enumerate(entries):
-            if entry.status is EndpointStatus.DRAINING and entry == self._true(n):
-                gateway.known_drains.add((n, self.nodes[n].boot_number))
-
-    def _word(self, n: int) -> EndpointEvidence:
-        node = self.nodes[n]
-        return EndpointEvidence(
-            str(node.identity), str(node.boot_number), self.now - node.started_at_ms, node.draining
-        )
-
-    def _dial(self, g: int, n: int) -> bool:
-        gateway, node = self.gateways[g], self.nodes[n]
+        gateway.view.apply_list("list", received, self.now_ms, version=version)
+        for store, entry in enumerate(entries):
+            if entry.status is EndpointStatus.DRAINING and entry == self._true_state(store):
+                gateway.known_drains.add((store, self.nodes[store].boot_number))
+
+    def _evidence(self, store: int) -> EndpointEvidence:
+        node = self.nodes[store]
+        uptime_ms = self.now_ms - node.started_at_ms
+        return EndpointEvidence(str(node.identity), str(node.boot_number), uptime_ms, node.draining)
+
+    def _connect(self, number: int, store: int) -> bool:
+        gateway = self.gateways[number]
+        node = self.nodes[store]
         if not node.is_running:
-            gateway.view.record_connect_failure(f"n{n}:1", self.now)
+            gateway.view.record_connect_failure(_name(store), self.now_ms)
             return False
-        fits = not self.checks_identity or self._hear(g, n)
-        if fits:
-            gateway.connections[n] = node.identity, node.boot_number
-        return fits
-
-    def _hear(self, g: int, n: int) -> bool:
-        fits = self.gateways[g].view.record_response(f"n{n}:1", self._word(n), self.now)
-        if self.nodes[n].draining and not self.nodes[n].identity:
-            self.gateways[g].known_drains.add((n, self.nodes[n].boot_number))
-        return fits
-
-    def _try(self, g: int) -> None:
-        name = self.gateways[g].view.next_health_check(self.now)
+        accepted = not self.checks_identity or self._respond(number, store)
+        if accepted:
+            gateway.connections[store] = (node.identity, node.boot_number)
+        return accepted
+
+    def _respond(self, number: int, store: int) -> bool:
+        gateway = self.gateways[number]
+        node = self.nodes[store]
+        accepted = gateway.view.record_response(_name(store), self._evidence(store), self.now_ms)
+        if node.draining and not node.identity:
+            gateway.known_drains.add((store, node.boot_number))
+        return accepted
+
+    def _try(self, number: int) -> None:
+        name = self.gateways[number].view.next_health_check(self.now_ms)
         if name is not None:
-            self._dial(g, int(name[1:-2]))
+            self._connect(number, int(name[1:-2]))
 
-    def _send(self, g: int, n: int) -> None:
-        gateway, node = self.gateways[g], self.nodes[n]
-        if n not in gateway.connections and not self._dial(g, n):
+    def _send(self, number: int, store: int) -> None:
+        gateway = self.gateways[number]
+        if store not in gateway.connections and not self._connect(number, store):
             return
-        if not gateway.view.is_usable(f"n{n}:1"):
+        if not gateway.view.is_usable(_name(store)):
             return
+        self._check_request(gateway, store)
+        self._respond(number, store)
+
+    def _check_request(self, gateway: ModelledGateway, store: int) -> None:
+        """The invariants."""
+        node = self.nodes[store]
         if node.identity:
             raise InvariantViolation("identity: a request reaches another store at the address")
-        known = gateway.view.endpoints[f"n{n}:1"]
-        if self.now - node.started_at_ms < WARMUP_MS and not (
-            known.started_at_ms and self.now - known.started_at_ms < WARMUP_MS
-        ):
+        started_at_ms = gateway.view.endpoints[_name(store)].started_at_ms
+        counts_as_warming_up = started_at_ms and self.now_ms - started_at_ms < WARMUP_MS
+        if self._is_warming_up(node) and not counts_as_warming_up:
             raise InvariantViolation("cold: a request goes to a node just started as to a warm one")
-        if node.draining and (n, node.boot_number) in gateway.known_drains:
+        if node.draining and (store, node.boot_number) in gateway.known_drains:
             raise InvariantViolation("drain: a request goes to a node whose drain was told")
-        self._hear(g, n)
 
-    def _save(self, g: int) -> None:
-        gateway = self.gateways[g]
-        gateway.cached = [replace(known) for known in gateway.view.endpoints.values()]
+    def _save(self, number: int) -> None:
+        gateway = self.gateways[number]
+        gateway.cached = [replace_struct(endpoint) for endpoint in gateway.view.endpoints.values()]
         gateway.cached_drains = set(gateway.known_drains)
 
-    def _reboot(self, g: int) -> None:
-        old = self.gateways[g]
-        new = ModelledGateway(
-            self.view_type(BOUNDS), {}, old.cached, set(old.cached_drains), old.cached_drains
+    def _reboot(self, number: int) -> None:
+        previous = self.gateways[number]
+        restarted = ModelledGateway(
+            self.view_type(BOUNDS), {}, previous.cached, set(previous.cached_drains), previous.cached_drains
         )
-        new.view.restore_cached(new.cached, self.now)
-        self.gateways[g] = new
-
-    def _ago(self, at: float | None) -> int | None:
-        """How many steps of time ago, at the most four; 1 for long ago."""
-        if at is None or not at:
-            return None if at is None else 1
-        return max(-4, int((at - self.now) // WARMUP_MS))
+        restarted.view.restore_cached(restarted.cached, self.now_ms)
+        self.gateways[number] = restarted
 
-    def _told(self, entries: list[ListedState]) -> tuple[Hashable, ...]:
-        return tuple((told.status, told.identity, self._ago(told.started_at_ms)) for told in entries)
+    # The key of a state
 
     def key(self) -> Hashable:
-        """Times as steps ago, at most four; versions in their order; gateways in either order, as they are alike."""
+        """Times as steps ago, at most four; versions relative; gateways in any order, as they are alike."""
         nodes = tuple(
-            (m.identity > 0, m.boot_number, self._ago(m.started_at_ms), m.is_running, m.draining)
-            for m in self.nodes
+            (
+                node.identity > 0,
+                node.boot_number,
+                self._steps_ago(node.started_at_ms),
+                node.is_running,
+                node.draining,
+            )
+            for node in self.nodes
         )
-        gateways = []
-        for gateway in self.gateways:
-            source = gateway.view.sources["list"]
-            gateways.append(
-                (
-                    tuple(
-                        (k.name, k.status, k.identity, k.boot_id, self._ago(k.started_at_ms), k.start_time_known, k.uptime_reported, k.drain_announced, k.listed,
-                         k.reason.endswith("own word"), self._ago(k.omitted_since_ms))
-                        for k in sorted(gateway.view.endpoints.values(), key=lambda k: k.name)
-                    ),
-                    tuple(sorted(source.entries)), self.version - source.version, source.has_reported, source.healthy,
-                    self._ago(source.regressed_since_ms), tuple(sorted(gateway.connections.items())), tuple(sorted(gateway.known_drains)),
-                    tuple((k.name, k.status, k.identity, k.boot_id, k.drain_announced) for k in sorted(gateway.cached, key=lambda k: k.name)),
-                    tuple(sorted(gateway.cached_drains)),
-                )
-            )  # fmt: skip
-        stale = self.version - self.stale_list[0], self._told(self.stale_list[1])
+        stale_version, stale_entries = self.stale_list
+        gateways = [self._gateway_key(gateway) for gateway in self.gateways]
         return (
             self.faults,
             nodes,
-            self._told(self.listed),
-            stale,
+            self._list_key(self.listed),
+            (self.version - stale_version, self._list_key(stale_entries)),
             self.service_mode,
             tuple(sorted(gateways, key=repr)),
         )
+
+    def _steps_ago(self, at_ms: float | None) -> int | None:
+        """How many steps of time ago, as a negative number down to -4; 1 for long ago."""
+        if at_ms is None:
+            return None
+        if not at_ms:
+            return 1
+        return max(-MAX_AGE_STEPS, int((at_ms - self.now_ms) // WARMUP_MS))
+
+    def _list_key(self, entries: list[ListedState]) -> tuple[Hashable, ...]:
+        return tuple(
+            (entry.status, entry.identity, self._steps_ago(entry.started_at_ms)) for entry in entries
+        )
+
+    def _gateway_key(self, gateway: ModelledGateway) -> tuple[Hashable, ...]:
+        source = gateway.view.sources["list"]
+        endpoints = sorted(gateway.view.endpoints.values(), key=lambda endpoint: endpoint.name)
+        cached = sorted(gateway.cached, key=lambda endpoint: endpoint.name)
+        return (
+            tuple(self._endpoint_key(endpoint) for endpoint in endpoints),
+            tuple(sorted(source.entries)),
+            self.version - source.version,
+            source.has_reported,
+            source.healthy,
+            self._steps_ago(source.regressed_since_ms),
+            tuple(sorted(gateway.connections.items())),
+            tuple(sorted(gateway.known_drains)),
+            tuple(
+                (
+                    endpoint.name,
+                    endpoint.status,
+                    endpoint.identity,
+                    endpoint.boot_id,
+                    endpoint.drain_announced,
+                )
+                for endpoint in cached
+            ),
+            tuple(sorted(gateway.cached_drains)),
+        )
+
+    def _endpoint_key(self, endpoint: CachedEndpoint) -> tuple[Hashable, ...]:
+        return (
+            endpoint.name,
+            endpoint.status,
+            endpoint.identity,
+            endpoint.boot_id,
+            self._steps_ago(endpoint.started_at_ms),
+            endpoint.start_time_known,
+            endpoint.uptime_reported,
+            endpoint.drain_announced,
+            endpoint.listed,
+            endpoint.reason == DRAINING_BY_OWN_REPORT,
+            self._steps_ago(endpoint.omitted_since_ms),
+        )
--- a/winchdyke/model/starts.py
+++ b/winchdyke/model/starts.py
@@ -9,17 +9,14 @@
 
 import random
 from collections import Counter, deque
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
+
+from msgspec.structs import replace
 
 from winchdyke import interface as api
-from winchdyke.discovery.endpoint_view import (
-    CachedEndpoint,
-    DiscoveryBounds,
-    DiscoveryStatus,
-    EndpointEvidence,
-    EndpointView,
-    ListedEndpoint,
-)
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_view import EndpointView
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
 from winchdyke.model.world import CLASSES, PLANS, Course, Scene, World
 
 WARM_MS, COLD_FROM, FALL_MULTIPLE, FALL_WINDOW_MS, COLD_UNITS = 10_000.0, 0.2, 3.0, 1500.0, 9.0
--- a/winchdyke/object_api/store_protocol.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass
 
-from winchdyke.discovery.endpoint_view import EndpointEvidence
+from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.http1 import AnswerHead, Headers
 
 REQUEST, ATTEMPT, GATEWAY = b"winchdyke-request", b"winchdyke-attempt", b"winchdyke-gateway"
