--- a/winchdyke/cli/model.py
+++ b/winchdyke/cli/model.py
@@ -60,7 +60,7 @@
     policy: str, gateways: int, stores: int, down: float, gone: float, fresh: float, load: float, seconds: float, seed: int,
     as_json: bool,
 ) -> None:  # fmt: skip
-    """A fleet that starts with a list of its own and discovery down. Simulated; see docs/membership.md."""
+    """A fleet that starts with a list of its own and discovery down. Simulated; see docs/discovery.md."""
     from winchdyke.model.starts import Start, Starting, fleet
 
     if min(gateways, stores) < 1 or not 0 <= gone + fresh <= 1 or min(load, seconds) <= 0:
