--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -18,10 +18,11 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from rig import Rig, rig
-from test_accounts import waits, with_ledger
+from test_latency_attribution import waits, with_ledger
 
-from winchdyke.latency_attribution.report import summed
-from winchdyke.latency_attribution.spans import Account
+from winchdyke.latency_attribution.records import Account
+from winchdyke.latency_attribution.report import report_data
+from winchdyke.latency_attribution.summary import summarize
 from winchdyke.standins.record import clock
 
 CORES = 2
@@ -75,12 +76,13 @@
     count = 0
     for account in found:
         name = account.client_request
-        if account.volume != VICTIM or name not in begun or len(account.nodes) != 1:
+        if account.volume != VICTIM or name not in begun or len(account.attempt_endpoints) != 1:
             continue
         count += 1
         seen += begun[name] - sent[name]
         told += (
-            sum(span for phase, span in account.spans if phase in ("arriving", "held", "dial", "send")) / 1e6
+            sum(span for phase, span in account.phases_ns if phase in ("arriving", "held", "dial", "send"))
+            / 1e6
         )
         for kind, holder, _, share in account.blame:
             blame[holder if kind == "volume" else kind] += share
@@ -97,15 +99,17 @@
         for _ in range(5):
             await it.ask("GET", path)
         found = waits(it, folder)
-        assert summed(found).data()["nodes"][0]["node"] == node.name
+        assert report_data(summarize(found))["nodes"][0]["node"] == node.name
         there = {each["request"]: each["t"] for each in it.record.seen if each["what"] == "head"}
         took = {
             each["request"]: each["t"] - there[each["request"]]
             for each in it.record.seen
             if each["what"] == "answered"
         }
-        best = min((a for a in found if a.nodes == [node.name]), key=lambda a: a.store[0])
-        return took[best.request], best.store[0] / 1e6
+        best = min(
+            (a for a in found if a.attempt_endpoints == [node.name]), key=lambda a: a.attempt_times_ns[0]
+        )
+        return took[best.request], best.attempt_times_ns[0] / 1e6
 
 
 def main() -> None:
--- a/benchmarks/merging.py
+++ b/benchmarks/merging.py
@@ -15,8 +15,8 @@
 from collections import Counter
 from pathlib import Path
 
-from winchdyke.latency_attribution.merge import merged
-from winchdyke.latency_attribution.spans import Account
+from winchdyke.latency_attribution.merge import merge_accounts
+from winchdyke.latency_attribution.records import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 
 OFFS = (0.0, 50.0, 250.0, 1000.0)
@@ -88,7 +88,7 @@
             line = [apart(alone, truth)]
             for off in OFFS:
                 clocks = {gateway: draw.uniform(-off, off) for gateway in range(gateways)}
-                both = matrix(merged(accounts(done, clocks), off))
+                both = matrix(merge_accounts(accounts(done, clocks), off))
                 line.append(apart(both, truth))
                 if not off:
                     node.append((of(alone, "node", "n2"), of(both, "node", "n2"), of(truth, "node", "n2")))
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -19,10 +19,10 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from rig import rig
-from test_accounts import waits, with_ledger
+from test_latency_attribution import waits, with_ledger
 
 from winchdyke import interface as api
-from winchdyke.latency_attribution.spans import Account
+from winchdyke.latency_attribution.records import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 from winchdyke.placement import shard_of
 from winchdyke.standins.record import clock
@@ -87,8 +87,8 @@
 def figures(found: list[Account], class_name: str) -> dict[str, float]:
     """Of one class: requests, share served and refused, latency of the served and what they were held (ms)."""
     mine = [a for a in found if a.class_name == class_name]
-    served = [a.latency / 1e6 for a in mine if a.outcome == "served"]
-    held = [a.held / 1e6 for a in mine]
+    served = [a.latency_ns / 1e6 for a in mine if a.outcome == "served"]
+    held = [a.queued_ns / 1e6 for a in mine]
     count = max(1, len(mine))
     return {
         "requests": len(mine), "served": len(served) / count,
@@ -119,7 +119,7 @@
                     + "".join(f"{key} {value:8.3f}  " for key, value in found.items())
                 )
         series[name] = tuple(
-            sorted(x.latency / 1e6 for x in found if x.outcome == "served" and x.class_name == "fetch")
+            sorted(x.latency_ns / 1e6 for x in found if x.outcome == "served" and x.class_name == "fetch")
             for found in (model, real)
         )  # type: ignore[assignment]
     if chosen.plot:
--- a/benchmarks/two_settings.py
+++ b/benchmarks/two_settings.py
@@ -21,7 +21,8 @@
 import gateway as bench
 
 from winchdyke.admin import keys
-from winchdyke.latency_attribution.ledger import Recovered, read
+from winchdyke.latency_attribution.ledger import read_accounts
+from winchdyke.latency_attribution.segments import RecoveryReport
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -77,8 +78,8 @@
             await anyio.to_thread.run_sync(measured, ports, pids, rounds, seconds)
             if what == "accounts":
                 await anyio.sleep(0.5)
-                found = Recovered()
-                kept = sum(1 for _ in read([where / "ledger"], found))
+                found = RecoveryReport()
+                kept = sum(1 for _ in read_accounts([where / "ledger"], found))
                 size = sum(path.stat().st_size for path in (where / "ledger").iterdir())
                 print(f"{kept} accounts kept, {size / kept:.0f} bytes a request, {len(found.losses)} losses")
             group.cancel_scope.cancel()
--- a/benchmarks/why_held.py
+++ b/benchmarks/why_held.py
@@ -18,7 +18,7 @@
 from collections import Counter
 
 from winchdyke import interface as api
-from winchdyke.latency_attribution.why import Observer
+from winchdyke.latency_attribution.queue_observer import QueueObserver
 from winchdyke.policy import PendingRequest, Scheduler
 
 SAME = {"share": "window", "pause": "window"}  # all of them are the window's bound
@@ -149,7 +149,7 @@
     def __init__(self, seed: int) -> None:
         self.draw, self.now, self.number = random.Random(seed), 0.0, 0
         self.scheduler = Scheduler(settings(), seed, 0.0)
-        self.observer = Observer(self.scheduler)
+        self.observer = QueueObserver(self.scheduler)
         self.out: list[tuple[float, str, int, str, float]] = []
         self.slow = {"a": 1.0, "b": 1.0}
         self.spent: Counter[str] = Counter()
@@ -171,9 +171,9 @@
         for action in actions:
             if isinstance(
                 action, (api.StartAttempt, api.ShedRequest, api.FailRequest)
-            ) and not self.observer.at_once(action.request_id):
-                self.observer.end(action.request_id, self.now)
-        self.observer.look(self.now)
+            ) and not self.observer.take_immediate(action.request_id):
+                self.observer.record_dequeued(action.request_id, self.now)
+        self.observer.observe(self.now)
         self.spent["shadow"] += time.perf_counter() - began  # type: ignore[assignment]
         began = time.perf_counter()
         for held in self.scheduler.requests.values():
@@ -200,7 +200,7 @@
             how = api.AttemptOutcome.CONNECTION_RESET if lost else api.AttemptOutcome.SERVED
             events.append(api.AttemptEnded(name, attempt, node, how, took, not lost))
             if held is not None and lost and not held.finished:
-                self.observer.begin(name, held.request.shard, held.request_class.name, self.now)
+                self.observer.record_queued(name, held.request.shard, held.request_class.name, self.now)
         while draw.random() < 0.6:
             self.number += 1
             kind = draw.choice((CLASSES[0], CLASSES[0], CLASSES[1], CLASSES[1], CLASSES[2]))
@@ -210,7 +210,7 @@
             units, shard = draw.choice((0.5, 1.0, 3.0)), draw.randrange(2)
             volume = f"{plan}-{draw.randrange(3)}"
             request = api.Request(name, kind.name, plan, volume, key, units, shard, 1, kind.deadline_ms)
-            self.observer.begin(name, request.shard, kind.name, self.now)
+            self.observer.record_queued(name, request.shard, kind.name, self.now)
             events.append(request)
         if draw.random() < 0.004:
             node = draw.choice("ab")
@@ -234,7 +234,7 @@
         waiting = self.observer._waiting.get(name)
         if waiting is None:
             return "turn"
-        return waiting.cause if waiting.own else waiting.integral.cause
+        return waiting.cause if waiting.has_own_cause else waiting.integral.cause
 
 
 def main() -> None:
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -36,8 +36,8 @@
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, ListedEndpoint
 from winchdyke.discovery.sources import OnFailure, OnList
 from winchdyke.gateway.writeback import WriteBackRecord, tag_of
-from winchdyke.latency_attribution import compact, ledger
-from winchdyke.latency_attribution.spans import Account, Annotation
+from winchdyke.latency_attribution import compaction, ledger_writer
+from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Kind, Log
@@ -259,18 +259,18 @@
         outcome="served",
         reason="",
         status=200,
-        latency=5_000_000 + number,
-        spans=[("held", 2_000_000 + number), ("store", 3_000_000)],
-        causes={"window": 2_000_000 + number},
+        latency_ns=5_000_000 + number,
+        phases_ns=[("held", 2_000_000 + number), ("store", 3_000_000)],
+        causes_ns={"window": 2_000_000 + number},
         blame=[("volume", "volume-9", "export", 2_000_000 + number)],
-        nodes=["192.0.2.1:9000", "192.0.2.2:9000"],
-        ends=["timed-out", "served"],
+        attempt_endpoints=["192.0.2.1:9000", "192.0.2.2:9000"],
+        attempt_outcomes=["timed-out", "served"],
         client_request=f"client-{number}",
-        first="request-0" if number == 2 else "",
+        first_request="request-0" if number == 2 else "",
         units=2.0,
-        store=[1_000_000, 2_000_000],
-        usual=[1_500_000, 1_000_000],
-        line=[("held", 0, 2_000_000 + number), ("store", 2_000_000 + number, 3_000_000)],
+        attempt_times_ns=[1_000_000, 2_000_000],
+        expected_times_ns=[1_500_000, 1_000_000],
+        timeline=[("held", 0, 2_000_000 + number), ("store", 2_000_000 + number, 3_000_000)],
     )
 
 
@@ -287,11 +287,11 @@
         reason="",
         status=206,
         client_request="client-noted",
-        first="",
+        first_request="",
         units=1.0,
         end_ns=9_000_000,
-        marks=[1_000_000, 0, 1_500_000, 1, 4_500_000, 5, 8_000_000, 6],
-        holds=[
+        phase_marks=[1_000_000, 0, 1_500_000, 1, 4_500_000, 5, 8_000_000, 6],
+        waits=[
             (
                 1_500_000,
                 4_500_000,
@@ -307,17 +307,17 @@
     """One segment summed up by the minute, one segment of an account and a note, and what is held now."""
     # The writer's thread asks for the time too, so a clock that went on would give a different time at each run.
     with patch("time.time", lambda: float(START_S)):
-        writer = ledger.Writer(folder)
+        writer = ledger_writer.LedgerWriter(folder)
         for number in range(5):
             writer.put(account(number))
         writer.close()
-        writer = ledger.Writer(folder)
+        writer = ledger_writer.LedgerWriter(folder)
         writer.put(account(7))
         writer.put(noted())
-        held = ledger.Held(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
-        writer.tell("gateway-1", [held])
+        held = QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
+        writer.publish_snapshot("gateway-1", [held])
         writer.close()
-    compact.compact(folder, total_bytes=1 << 30, keep_s=0.0)
+    compaction.compact_ledger(folder, max_total_bytes=1 << 30, retention_seconds=0.0)
     (folder / "compact.lock").unlink()
 
 
--- a/tests/test_changes.py
+++ b/tests/test_changes.py
@@ -343,11 +343,12 @@
             assert all(str(seen["version"]) == versions[seen["client"]] for seen in heads)
             assert "in the chain" in await cli("verify", folder)
             it.gateway.ledger.close()
-            accounts = list(ledger.read([tmp_path / "waits"]))
+            accounts = list(ledger.read_accounts([tmp_path / "waits"]))
             assert len(accounts) > 50
-            assert all(sum(span for _, span in a.spans) == a.latency for a in accounts)
+            assert all(sum(span for _, span in a.phases_ns) == a.latency_ns for a in accounts)
             assert all(
-                sum(share for *_, share in a.blame) == a.held == sum(a.causes.values()) for a in accounts
+                sum(share for *_, share in a.blame) == a.queued_ns == sum(a.causes_ns.values())
+                for a in accounts
             )
 
     run()
--- a/tests/test_accounts.py
+++ b/tests/test_latency_attribution.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 
 import anyio
+import msgspec
 import pytest
 from click.testing import CliRunner
 from host import measured
@@ -26,18 +27,23 @@
 from winchdyke.config import ini
 from winchdyke.days import script
 from winchdyke.days.run import run_day
-from winchdyke.latency_attribution import ledger
-from winchdyke.latency_attribution.page import page
-from winchdyke.latency_attribution.report import Summary, summed
-from winchdyke.latency_attribution.spans import CODES, Account, added, apportion, cut
-from winchdyke.latency_attribution.why import Observer
+from winchdyke.latency_attribution import ledger, ledger_writer, segments
+from winchdyke.latency_attribution.apportionment import apportion
+from winchdyke.latency_attribution.page import render_page
+from winchdyke.latency_attribution.queue_observer import QueueObserver
+from winchdyke.latency_attribution.records import Account
+from winchdyke.latency_attribution.report import report_data
+from winchdyke.latency_attribution.spans import split_into_spans, total_by_phase
+from winchdyke.latency_attribution.summary import Summary, summarize
+from winchdyke.latency_attribution.vocabulary import PHASE_CODES
 
 
 def account(name: str = "r1", **changes: object) -> Account:
     made = Account(
         request=name, began_unix_ms=1e12, gateway="g", volume="course", class_name="fetch", key="k", outcome="served",
-        reason="ok", status=200, latency=30, spans=[("held", 10), ("store", 20)], causes={"window": 10},
-        blame=[("volume", "other", "export", 10)], nodes=["n"], ends=["served"], store=[20], usual=[10],
+        reason="ok", status=200, latency_ns=30, phases_ns=[("held", 10), ("store", 20)], causes_ns={"window": 10},
+        blame=[("volume", "other", "export", 10)], attempt_endpoints=["n"], attempt_outcomes=["served"],
+        attempt_times_ns=[20], expected_times_ns=[10],
     )  # fmt: skip
     for key, value in changes.items():
         setattr(made, key, value)
@@ -53,12 +59,12 @@
     noted, now = [1000, 0], 1000
     for step, phase in marks:
         now += step
-        noted += (now, CODES[phase])
-    spans = cut(noted, now)
+        noted += (now, PHASE_CODES[phase])
+    spans = split_into_spans(noted, now)
     assert all(a[2] == b[1] and a[0] != b[0] for a, b in itertools.pairwise(spans))
     assert sum(end - begin for _, begin, end in spans) == spans[-1][2] - 1000
     assert all(end >= begin for _, begin, end in spans)
-    assert sum(span for _, span in added(spans)) == spans[-1][2] - 1000
+    assert sum(span for _, span in total_by_phase(spans)) == spans[-1][2] - 1000
 
 
 @given(
@@ -113,7 +119,7 @@
 
     def __init__(self, nodes: bool = True, **changes: object) -> None:
         self.now, self.scheduler = 0.0, scheduler(**changes)
-        self.observer = Observer(self.scheduler)
+        self.observer = QueueObserver(self.scheduler)
         self.sent: list[str] = []
         self.waits: dict[str, tuple[dict, dict]] = {}
         self.began: dict[str, float] = {}
@@ -126,14 +132,14 @@
         for event in events:
             if isinstance(event, api.Request):
                 self.began[event.request_id] = self.now
-                self.observer.begin(event.request_id, event.shard, event.request_class, self.now)
+                self.observer.record_queued(event.request_id, event.shard, event.request_class, self.now)
         actions = self.scheduler.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, (api.StartAttempt, api.ShedRequest, api.FailRequest)):
-                self.waits[action.request_id] = self.observer.end(action.request_id, self.now)
+                self.waits[action.request_id] = self.observer.record_dequeued(action.request_id, self.now)
                 if isinstance(action, api.StartAttempt):
                     self.sent.append(action.request_id)
-        self.observer.look(self.now)
+        self.observer.observe(self.now)
 
     def pass_time(self, span: float, step: float = 5.0) -> None:
         until = self.now + span
@@ -217,7 +223,7 @@
 def test_a_look_costs_no_more_with_ten_thousand_waiting(monkeypatch):
     """Counted, not timed: one group and a bounded number of requests are looked at, however many wait."""
     counts = {"groups": 0, "requests": 0}
-    group, one = Observer._group, Observer._look_at
+    group, one = QueueObserver._group_cause, QueueObserver._observe_request
 
     def counted_group(*words):
         counts["groups"] += 1
@@ -227,24 +233,24 @@
         counts["requests"] += 1
         return one(*words)
 
-    monkeypatch.setattr(Observer, "_group", counted_group)
-    monkeypatch.setattr(Observer, "_look_at", counted_one)
+    monkeypatch.setattr(QueueObserver, "_group_cause", counted_group)
+    monkeypatch.setattr(QueueObserver, "_observe_request", counted_one)
     scene = Scene()
     for number in range(10_000):
-        scene.observer._hold(f"r{number}", 0, "fetch", number / 10_000)
+        scene.observer._start_wait(f"r{number}", 0, "fetch", number / 10_000)
     counts.update(groups=0, requests=0)
     for look in range(20):
-        scene.observer.look(10.0 + look)
+        scene.observer.observe(10.0 + look)
     assert counts["groups"] == 20
     assert counts["requests"] <= 20 * 512
-    waits = [scene.observer.end(f"r{number}", 50.0)[0] for number in range(10_000)]
+    waits = [scene.observer.record_dequeued(f"r{number}", 50.0)[0] for number in range(10_000)]
     assert sum(waits[0].values()) == pytest.approx(50.0)
     assert not scene.observer._groups and not scene.observer._waiting
 
 
 def waits(it, folder: Path) -> list[Account]:
     it.gateway.ledger.close()
-    return list(ledger.read([folder]))
+    return list(ledger.read_accounts([folder]))
 
 
 def with_ledger(folder: Path, extra: str = ""):
@@ -271,10 +277,10 @@
                 await it.ask("GET", "/school-1/object")
                 await it.ask("GET", "/school-1/other-1")
             found = waits(it, tmp_path)
-            there = [a for a in found if a.nodes == [slow.name]]
-            out = min(a.store[0] for a in there) / 1e6  # the one that the host disturbed least
+            there = [a for a in found if a.attempt_endpoints == [slow.name]]
+            out = min(a.attempt_times_ns[0] for a in there) / 1e6  # the one that the host disturbed least
             assert out == pytest.approx(slow_ms, rel=0.05, abs=2.5), "the host's own time is up to 2.5 ms"
-            assert all(sum(span for _, span in a.spans) == a.latency for a in found)
+            assert all(sum(span for _, span in a.phases_ns) == a.latency_ns for a in found)
 
     run()
 
@@ -286,14 +292,14 @@
     more = f'\naccounts {{\n    folder = "{tmp_path}/$"\n}}\n'
     verdict, _, ends = run_day(day, more=more.replace("$", "{name}"))
     assert verdict.kept and ends == [0, 0, 0]
-    accounts = list(ledger.read(ledgers))
+    accounts = list(ledger.read_accounts(ledgers))
     assert len(accounts) > 500
     for each in accounts:
-        assert sum(span for _, span in each.spans) == each.latency
-        assert sum(share for *_, share in each.blame) == each.held
-        assert sum(each.causes.values()) == each.held
-    summary = summed(accounts)
-    assert sum(summary.matrix.values()) == summary.held
+        assert sum(span for _, span in each.phases_ns) == each.latency_ns
+        assert sum(share for *_, share in each.blame) == each.queued_ns
+        assert sum(each.causes_ns.values()) == each.queued_ns
+    summary = summarize(accounts)
+    assert sum(summary.matrix.values()) == summary.queued_ns
     done = CliRunner().invoke(main, ["waits", "report", "--json", *map(str, ledgers)])
     data = json.loads(done.output)
     assert data["requests"] == len(accounts)
@@ -322,20 +328,20 @@
             second = await it.ask("PUT", "/school-1/object", b"x", idempotency_key="k")
             assert (first.status, second.status) == (503, 201)
             found = waits(it, tmp_path)
-            assert [each.first for each in found] == ["", found[0].request]
+            assert [each.first_request for each in found] == ["", found[0].request]
 
     run()
     summary = Summary()
     summary.add(account("r1", outcome="refused", client_request="c1", gateway="g1"))
     summary.add(account("r2", outcome="refused", client_request="c2", gateway="g2"))
-    assert summary.unknown_firsts == 1
+    assert summary.possible_retries == 1
 
 
 def segment(folder: Path, count: int) -> tuple[Path, bytes, list[int]]:
-    path = folder / f"000000000001{ledger.ENDING}"
-    data, ends = ledger.HEAD, []
+    path = folder / f"000000000001{segments.SEGMENT_SUFFIX}"
+    data, ends = segments.SEGMENT_HEADER, []
     for number in range(count):
-        data += ledger.framed(ledger.msgspec.msgpack.encode(account(f"r{number}")))
+        data += segments.frame_record(msgspec.msgpack.encode(account(f"r{number}")))
         ends.append(len(data))
     path.write_bytes(data)
     return path, data, ends
@@ -345,26 +351,26 @@
     path, data, ends = segment(tmp_path, 3)
     for size in range(len(data) + 1):
         path.write_bytes(data[:size])
-        found = ledger.Recovered()
-        names = [each.request for each in ledger.read([tmp_path], found)]
+        found = segments.RecoveryReport()
+        names = [each.request for each in ledger.read_accounts([tmp_path], found)]
         assert names == [f"r{n}" for n, end in enumerate(ends) if end <= size]
-        assert bool(found.lost_bytes) == (size > len(ledger.HEAD) and size not in ends)
+        assert bool(found.lost_bytes) == (size > len(segments.SEGMENT_HEADER) and size not in ends)
 
 
 def test_a_ledger_with_any_one_byte_flipped_loses_that_record_alone_and_says_so(tmp_path):
     path, data, ends = segment(tmp_path, 3)
-    begins = [len(ledger.HEAD), *ends]
+    begins = [len(segments.SEGMENT_HEADER), *ends]
     for at in range(len(data)):
         path.write_bytes(data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :])
-        found = ledger.Recovered()
-        names = [each.request for each in ledger.read([tmp_path], found)]
+        found = segments.RecoveryReport()
+        names = [each.request for each in ledger.read_accounts([tmp_path], found)]
         hit = next((n for n in range(3) if begins[n] <= at < begins[n + 1]), None)
         assert names == [f"r{n}" for n in range(3) if n != hit]
         assert found.losses
 
 
 def test_a_full_disk_loses_accounts_and_nothing_else(tmp_path, monkeypatch):
-    writer = ledger.Writer(tmp_path, ledger.Bounds(sync_s=0.01))
+    writer = ledger_writer.LedgerWriter(tmp_path, ledger_writer.LedgerBounds(sync_interval_seconds=0.01))
     writer.put(account("r1"))
     until = time.monotonic() + 5
     while not writer.synced and time.monotonic() < until:
@@ -374,41 +380,48 @@
     def full(descriptor: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger.os.write", full)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", full)
     writer.put(account("r2"))
     while not writer.failed and time.monotonic() < until:
         time.sleep(0.01)
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger.os.write", real)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", real)
     writer.put(account("r3"))
     writer.close()
-    assert (writer.failed, writer.trouble) == (1, "No space left on device")
-    assert [each.request for each in ledger.read([tmp_path])] == ["r1", "r3"]
+    assert (writer.failed, writer.last_error) == (1, "No space left on device")
+    assert [each.request for each in ledger.read_accounts([tmp_path])] == ["r1", "r3"]
 
 
 def test_what_there_is_no_room_for_is_counted_and_segments_stay_under_their_bound(tmp_path, monkeypatch):
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger.BATCH", 5)
-    writer = ledger.Writer(tmp_path, ledger.Bounds(waiting=0))
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.BATCH_RECORDS", 5)
+    writer = ledger_writer.LedgerWriter(tmp_path, ledger_writer.LedgerBounds(max_queued_accounts=0))
     writer.put(account())
     assert writer.dropped == 1
     writer.close()
-    writer = ledger.Writer(tmp_path, ledger.Bounds(segment_bytes=2000, total_bytes=10_000, sync_s=0.01))
+    writer = ledger_writer.LedgerWriter(
+        tmp_path,
+        ledger_writer.LedgerBounds(
+            max_segment_bytes=2000, max_total_bytes=10_000, sync_interval_seconds=0.01
+        ),
+    )
     for number in range(400):
         writer.put(account(f"r{number}"))
         if number % 10 == 0:
             time.sleep(0.002)
     writer.close()
-    sizes = [path.stat().st_size for path in tmp_path.glob(f"*{ledger.ENDING}")]
+    sizes = [path.stat().st_size for path in tmp_path.glob(f"*{segments.SEGMENT_SUFFIX}")]
     assert sum(sizes) < 40_000 and len(sizes) > 1
-    assert [each.request for each in ledger.read([tmp_path])][-1] == "r399"
+    assert [each.request for each in ledger.read_accounts([tmp_path])][-1] == "r399"
 
 
 KILLED = """
 import sys, time
 sys.path.insert(0, "tests")
 from pathlib import Path
-from test_accounts import account
-from winchdyke.latency_attribution import compact, ledger, sums
-writer = ledger.Writer(Path(sys.argv[1]), ledger.Bounds(sync_s=0.002, segment_bytes=20000))
+from test_latency_attribution import account
+from winchdyke.latency_attribution import ledger_writer
+writer = ledger_writer.LedgerWriter(
+    Path(sys.argv[1]), ledger_writer.LedgerBounds(sync_interval_seconds=0.002, max_segment_bytes=20000)
+)
 number = 0
 while True:
     for _ in range(20):
@@ -438,10 +451,10 @@
         process.kill()
         process.wait(5)
         process.stdout.close()
-        found = ledger.Recovered()
-        names = {each.request for each in ledger.read([tmp_path], found)}
+        found = segments.RecoveryReport()
+        names = {each.request for each in ledger.read_accounts([tmp_path], found)}
         assert all(f"{number}-{n}" in names for n in range(synced)), found.losses
-        assert page(summed(ledger.read([tmp_path])).data(), found.losses)
+        assert render_page(report_data(summarize(ledger.read_accounts([tmp_path]))), found.losses)
 
 
 @given(st.text(max_size=20), st.text(max_size=20))
@@ -449,7 +462,7 @@
 def test_no_name_becomes_markup(volume, what):
     summary = Summary()
     summary.add(account(volume=f"<script>{volume}</script>\n", blame=[("volume", f"<b>{what}", "<i>", 10)]))
-    made = page(summary.data(), [f"<u>{what}"])
+    made = render_page(report_data(summary), [f"<u>{what}"])
     assert "<script>" not in made and "<b>" not in made and "<i>" not in made and "<u>" not in made
 
 
@@ -465,8 +478,8 @@
             )
         )
     assert len(summary.matrix) <= 2 * 2000 + 300
-    assert sum(summary.matrix.values()) == summary.held
-    assert summary.error <= summary.held
+    assert sum(summary.matrix.values()) == summary.queued_ns
+    assert summary.folded_ns <= summary.queued_ns
 
 
 def test_unusable_ledgers_are_said(tmp_path):
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -13,6 +13,7 @@
 from types import SimpleNamespace
 
 import anyio
+import msgspec
 import pytest
 from click.testing import CliRunner
 from host import measured
@@ -20,17 +21,19 @@
 from hypothesis import strategies as st
 from rig import played, rig
 from rig import settings as rig_settings
-from test_accounts import account, segment, with_ledger
+from test_latency_attribution import account, segment, with_ledger
 
 from winchdyke import interface as api
 from winchdyke.cli.main import main
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.latency_attribution import compact, ledger, spans, sums
-from winchdyke.latency_attribution.live import Tail, Top
-from winchdyke.latency_attribution.merge import merged
+from winchdyke.latency_attribution import compaction, ledger, ledger_writer, segments, spans, sums
+from winchdyke.latency_attribution.live import LedgerTail, LiveView
+from winchdyke.latency_attribution.merge import merge_accounts
 from winchdyke.latency_attribution.recorder import Recorder
-from winchdyke.latency_attribution.report import summed
-from winchdyke.latency_attribution.spans import Account
+from winchdyke.latency_attribution.records import Account
+from winchdyke.latency_attribution.report import report_data
+from winchdyke.latency_attribution.summary import summarize
+from winchdyke.latency_attribution.wording import describe_waits
 from winchdyke.model.world import Course, Scene, World, accounts
 from winchdyke.standins.record import clock
 
@@ -43,8 +46,9 @@
         made.append(
             account(
                 f"r{number}", began_unix_ms=60_000.0 * (1000 + number % minutes) + number % 60_000,
-                volume=f"v{number % 15}", class_name=draw.choice(["fetch", "export"]), latency=held + out,
-                spans=[("held", held), ("store", out)], causes={"window": held}, store=[out], usual=[10**8],
+                volume=f"v{number % 15}", class_name=draw.choice(["fetch", "export"]), latency_ns=held + out,
+                phases_ns=[("held", held), ("store", out)], causes_ns={"window": held}, attempt_times_ns=[out],
+                expected_times_ns=[10**8],
                 blame=[("volume", f"v{draw.randrange(15)}", "export", held // 3), ("node", "n", "slow", held - held // 3)],
             )
         )  # fmt: skip
@@ -52,9 +56,9 @@
 
 
 def written_segment(folder: Path, number: int, accounts: list[Account]) -> Path:
-    path = folder / f"{number:012}{ledger.ENDING}"
-    framed = (ledger.framed(ledger.msgspec.msgpack.encode(each)) for each in accounts)
-    path.write_bytes(ledger.HEAD + b"".join(framed))
+    path = folder / f"{number:012}{segments.SEGMENT_SUFFIX}"
+    framed = (segments.frame_record(msgspec.msgpack.encode(each)) for each in accounts)
+    path.write_bytes(segments.SEGMENT_HEADER + b"".join(framed))
     return path
 
 
@@ -69,38 +73,38 @@
     written_segment(tmp_path, 1, accounts[:2000])
     written_segment(tmp_path, 2, accounts[2000:])
     written_segment(tmp_path, 3, [])
-    before = summed(ledger.entries([tmp_path]))
-    done = compact.compact(tmp_path, 1 << 30, 0.0)
+    before = summarize(ledger.read_entries([tmp_path]))
+    done = compaction.compact_ledger(tmp_path, 1 << 30, 0.0)
     assert (done.segments, done.losses) == (2, [])
-    assert done.after < done.before / 4
-    after = summed(ledger.entries([tmp_path]))
-    assert after.summed == 3000 and after.error == 0
-    assert without_pieces(after.data()) == without_pieces(before.data())
-    assert after.data()["worst"][0] == before.data()["worst"][0]
+    assert done.bytes_after < done.bytes_before / 4
+    after = summarize(ledger.read_entries([tmp_path]))
+    assert after.summed_requests == 3000 and after.folded_ns == 0
+    assert without_pieces(report_data(after)) == without_pieces(report_data(before))
+    assert report_data(after)["worst"][0] == report_data(before)["worst"][0]
     # A minute that is known as sums alone is told as left out, not guessed at, where the stretch cuts it.
-    part = summed(ledger.entries([tmp_path]), since=60_000.0 * 1000 + 1)
-    assert (part.requests, part.cut) == (2000, 2)
-    assert summed(ledger.entries([tmp_path]), node="n").cut == 6
+    part = summarize(ledger.read_entries([tmp_path]), since_unix_ms=60_000.0 * 1000 + 1)
+    assert (part.requests, part.omitted_minutes) == (2000, 2)
+    assert summarize(ledger.read_entries([tmp_path]), endpoint="n").omitted_minutes == 6
 
 
 def test_what_falls_out_of_a_minutes_matrix_stays_in_its_sum_and_its_error_is_stated():
     crowd = [
-        account(f"r{n}", blame=[("volume", f"h{n}", "c", n)], spans=[("held", n)], causes={"window": n}, latency=n)
+        account(f"r{n}", blame=[("volume", f"h{n}", "c", n)], phases_ns=[("held", n)], causes_ns={"window": n}, latency_ns=n)
         for n in range(1, 1001)
     ]  # fmt: skip
-    (minute,) = sums.summed_up(crowd)
-    assert len(minute.matrix) == sums.CELLS_MOST + 1
-    assert sum(cell[-1] for cell in minute.matrix) == minute.held == sum(range(1, 1001))
-    assert minute.below == 1000 - sums.CELLS_MOST, "the largest that was left out"
-    assert minute.folded == sum(range(1, 1001 - sums.CELLS_MOST))
+    (minute,) = sums.sum_by_minute(crowd)
+    assert len(minute.matrix) == sums.MAX_MATRIX_CELLS + 1
+    assert sum(cell[-1] for cell in minute.matrix) == minute.queued_ns == sum(range(1, 1001))
+    assert minute.max_omitted_cell_ns == 1000 - sums.MAX_MATRIX_CELLS, "the largest that was left out"
+    assert minute.folded_ns == sum(range(1, 1001 - sums.MAX_MATRIX_CELLS))
 
 
 def test_many_volumes_in_a_minute_are_folded_and_add_up():
     crowd = [account(f"r{n}", volume=f"v{n}") for n in range(900)]
-    (minute,) = sums.summed_up(crowd)
-    assert len(minute.volumes) == sums.VOLUMES_MOST + 1
+    (minute,) = sums.sum_by_minute(crowd)
+    assert len(minute.volumes) == sums.MAX_VOLUMES + 1
     assert sum(one.latency.count for one in minute.volumes) == minute.requests == 900
-    assert sum(one.held for one in minute.volumes) == minute.held
+    assert sum(one.queued_ns for one in minute.volumes) == minute.queued_ns
 
 
 @pytest.mark.parametrize("killed_at", ["write", "rename", "unlink"])
@@ -117,34 +121,36 @@
 
     with monkeypatch.context() as patch:
         if killed_at == "write":
-            patch.setattr("winchdyke.latency_attribution.compact.os.fsync", killed)
+            patch.setattr("winchdyke.latency_attribution.compaction.os.fsync", killed)
         else:
-            patch.setattr(f"winchdyke.latency_attribution.compact.Path.{killed_at}", killed)
+            patch.setattr(f"winchdyke.latency_attribution.compaction.Path.{killed_at}", killed)
         with pytest.raises(Killed):
-            compact.compact(tmp_path, 1 << 30, 0.0)
-    assert summed(ledger.entries([tmp_path])).requests == 300
-    compact.compact(tmp_path, 1 << 30, 0.0)
-    assert summed(ledger.entries([tmp_path])).requests == 300
-    assert ledger.segments(tmp_path)[0].name.endswith(ledger.SUMS_ENDING)
+            compaction.compact_ledger(tmp_path, 1 << 30, 0.0)
+    assert summarize(ledger.read_entries([tmp_path])).requests == 300
+    compaction.compact_ledger(tmp_path, 1 << 30, 0.0)
+    assert summarize(ledger.read_entries([tmp_path])).requests == 300
+    assert segments.ledger_files(tmp_path)[0].name.endswith(segments.SUMS_SUFFIX)
 
 
 def test_a_writer_has_old_segments_summed_up_and_the_whole_stays_under_its_bound(tmp_path, monkeypatch):
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger.BATCH", 20)
-    bounds = ledger.Bounds(segment_bytes=20_000, total_bytes=200_000, sync_s=0.01)
-    writer = ledger.Writer(tmp_path, bounds)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.BATCH_RECORDS", 20)
+    bounds = ledger_writer.LedgerBounds(
+        max_segment_bytes=20_000, max_total_bytes=200_000, sync_interval_seconds=0.01
+    )
+    writer = ledger_writer.LedgerWriter(tmp_path, bounds)
     until = time.monotonic() + 30
     number = 0
-    while not list(tmp_path.glob(f"*{ledger.SUMS_ENDING}")) and time.monotonic() < until:
+    while not list(tmp_path.glob(f"*{segments.SUMS_SUFFIX}")) and time.monotonic() < until:
         for _ in range(40):
             writer.put(account(f"r{number}", began_unix_ms=1e12 + number))
             number += 1
         time.sleep(0.01)
     writer.close()
-    assert list(tmp_path.glob(f"*{ledger.SUMS_ENDING}")), (
+    assert list(tmp_path.glob(f"*{segments.SUMS_SUFFIX}")), (
         "old segments were summed up by a process of its own"
     )
-    files = [*tmp_path.glob(f"*{ledger.ENDING}"), *tmp_path.glob(f"*{ledger.SUMS_ENDING}")]
-    assert sum(path.stat().st_size for path in files) <= bounds.total_bytes + bounds.segment_bytes
+    files = [*tmp_path.glob(f"*{segments.SEGMENT_SUFFIX}"), *tmp_path.glob(f"*{segments.SUMS_SUFFIX}")]
+    assert sum(path.stat().st_size for path in files) <= bounds.max_total_bytes + bounds.max_segment_bytes
 
 
 def test_compaction_on_the_command_line_and_one_at_a_time(tmp_path):
@@ -163,16 +169,18 @@
 def test_a_tail_reads_what_comes_from_the_midst_of_a_record_on_and_waits_for_ends(tmp_path):
     path, data, ends = segment(tmp_path, 5)
     for back in range(1, len(data) + 1):
-        tail = Tail(tmp_path, back)
-        names = [each.request for each in tail.more()]
+        tail = LedgerTail(tmp_path, back)
+        names = [each.request for each in tail.read_new()]
         assert names == [
-            f"r{n}" for n, begin in enumerate([len(ledger.HEAD), *ends[:-1]]) if begin >= len(data) - back
+            f"r{n}"
+            for n, begin in enumerate([len(segments.SEGMENT_HEADER), *ends[:-1]])
+            if begin >= len(data) - back
         ]
-    path.write_bytes(data[: len(ledger.HEAD)])
-    tail, got = Tail(tmp_path), []
-    for size in range(len(ledger.HEAD), len(data) + 1):
+    path.write_bytes(data[: len(segments.SEGMENT_HEADER)])
+    tail, got = LedgerTail(tmp_path), []
+    for size in range(len(segments.SEGMENT_HEADER), len(data) + 1):
         path.write_bytes(data[:size])
-        got += [each.request for each in tail.more()]
+        got += [each.request for each in tail.read_new()]
         assert got == [f"r{n}" for n, end in enumerate(ends) if end <= size]
 
 
@@ -182,23 +190,23 @@
     @played
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=150.0, cores=1) as it:
-            shown = Top([tmp_path], 30.0)
+            shown = LiveView([tmp_path], 30.0)
             paths = [f"/school-{n % 2}/k{n}" for n in range(400)]
             paths = [path for path in paths if it.where(path) is it.stores[0]][:12]
             async with anyio.create_task_group() as group:
                 for path in paths:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: any(g["held"] for g in shown.look()["gateways"]))
-                (gateway,) = shown.look()["gateways"]
+                await it.until(lambda: any(g["held"] for g in shown.snapshot()["gateways"]))
+                (gateway,) = shown.snapshot()["gateways"]
                 assert not gateway["stale"]
                 held = gateway["held"][0]
                 assert (held["shard"], held["cause"], held["class"]) == (0, "window", "submit")
                 assert held["count"] >= 4 and held["holders"]
-            await it.until(lambda: shown.look()["requests"] == 12)
-            courses = {course["volume"]: course for course in shown.look()["courses"]}
+            await it.until(lambda: shown.snapshot()["requests"] == 12)
+            courses = {course["volume"]: course for course in shown.snapshot()["courses"]}
             assert set(courses) == {"school-0", "school-1"}
             assert courses["school-1"]["held_ms"] > 100
-            await it.until(lambda: not shown.look()["gateways"][0]["held"])
+            await it.until(lambda: not shown.snapshot()["gateways"][0]["held"])
 
     run()
     words = ["waits", "top", str(tmp_path), "--once", "--seconds", "600"]
@@ -212,8 +220,8 @@
 def lined(name: str, gateway: str, began: float, held_ms: int, out_ms: int, **changes: object) -> Account:
     held, out = held_ms * 10**6, out_ms * 10**6
     return account(
-        name, gateway=gateway, began_unix_ms=began, latency=held + out, spans=[("held", held), ("store", out)],
-        causes={"window": held}, line=[("held", 0, held), ("store", held, held + out)], store=[out],
+        name, gateway=gateway, began_unix_ms=began, latency_ns=held + out, phases_ns=[("held", held), ("store", out)],
+        causes_ns={"window": held}, timeline=[("held", 0, held), ("store", held, held + out)], attempt_times_ns=[out],
         **{"blame": [("node", "n", "slow", held)], **changes},
     )  # fmt: skip
 
@@ -227,14 +235,14 @@
     crowd = [lined(f"e{n}", "g2", 1000.0, 0, 1000, volume="exports", class_name="export") for n in range(10)]
     waiter = lined("w", "g1", 1200.0, 500, 100, volume="school")
     for off in (0.0, 40.0, 200.0):
-        found = next(a for a in merged([*calm, *crowd, waiter], off) if a.request == "w")
-        assert sum(share for *_, share in found.blame) == found.held
+        found = next(a for a in merge_accounts([*calm, *crowd, waiter], off) if a.request == "w")
+        assert sum(share for *_, share in found.blame) == found.queued_ns
         blame = {holder[:2]: holder[3] for holder in found.blame}
-        assert blame["volume", "exports"] > 0.8 * found.held
+        assert blame["volume", "exports"] > 0.8 * found.queued_ns
     # The same crowd, but the node does a third of what it did: the node is to blame.
     stuck = [lined(f"e{n}", "g2", 1000.0, 0, 3000, volume="exports", class_name="export") for n in range(10)]
-    found = next(a for a in merged([*calm, *stuck, waiter]) if a.request == "w")
-    assert {holder[:2]: holder[3] for holder in found.blame}["node", "n"] > 0.5 * found.held
+    found = next(a for a in merge_accounts([*calm, *stuck, waiter]) if a.request == "w")
+    assert {holder[:2]: holder[3] for holder in found.blame}["node", "n"] > 0.5 * found.queued_ns
 
 
 @given(
@@ -246,9 +254,9 @@
 @settings(max_examples=60)
 def test_merging_keeps_every_wait_whole(rows, off):
     made = [lined(f"r{n}", f"g{n % 3}", float(at), held, out) for n, (at, held, out) in enumerate(rows)]
-    for before, after in zip(made, merged(made, off), strict=True):
-        assert sum(share for *_, share in after.blame) == before.held
-        assert after.spans == before.spans
+    for before, after in zip(made, merge_accounts(made, off), strict=True):
+        assert sum(share for *_, share in after.blame) == before.queued_ns
+        assert after.phases_ns == before.phases_ns
 
 
 def test_a_second_try_at_another_gateway_is_told_as_unknown(tmp_path):
@@ -295,8 +303,8 @@
 
     clocks = {n: 50.0 * (-1) ** n for n in range(12)}
     alone = apart(accounts(done))
-    assert apart(merged(accounts(done))) < alone / 3
-    assert apart(merged(accounts(done, clocks), 50.0)) < alone / 3
+    assert apart(merge_accounts(accounts(done))) < alone / 3
+    assert apart(merge_accounts(accounts(done, clocks), 50.0)) < alone / 3
 
 
 def test_a_node_that_is_slow_for_some_and_not_for_others_is_told_by_course(tmp_path):
@@ -318,7 +326,9 @@
                     await it.ask("GET", path)
             it.gateway.ledger.close()
             seen = next(
-                n for n in summed(ledger.entries([tmp_path])).data()["nodes"] if n["node"] == node.name
+                n
+                for n in report_data(summarize(ledger.read_entries([tmp_path])))["nodes"]
+                if n["node"] == node.name
             )
             assert seen["courses"]["school-1"] > 250.0
             assert seen["courses"].get("school-2", 0.0) < 60.0
@@ -334,17 +344,17 @@
             node.lost_share, node.lost_how = 1.0, "reset"
             assert (await it.ask("GET", "/school-1/object")).status in (502, 503)
             it.gateway.ledger.close()
-            (one,) = ledger.read([tmp_path])
+            (one,) = ledger.read_accounts([tmp_path])
             assert (
-                one.nodes == [node.name] * len(one.ends)
-                and set(one.ends) == {"store-reset"}
-                and len(one.ends) >= 2
+                one.attempt_endpoints == [node.name] * len(one.attempt_outcomes)
+                and set(one.attempt_outcomes) == {"store-reset"}
+                and len(one.attempt_outcomes) >= 2
             )
-            assert sum(span for _, span in one.spans) == one.latency
-            data = summed([one]).data()
-            assert data["nodes"][0]["ends"] == {"store-reset": len(one.ends)}
-            said = summed([one]).sentence("school-1")
-            assert f"{node.name} lost {len(one.ends)} answers" in said
+            assert sum(span for _, span in one.phases_ns) == one.latency_ns
+            data = report_data(summarize([one]))
+            assert data["nodes"][0]["ends"] == {"store-reset": len(one.attempt_outcomes)}
+            said = describe_waits(summarize([one]), "school-1")
+            assert f"{node.name} lost {len(one.attempt_outcomes)} answers" in said
 
     run()
 
@@ -361,21 +371,23 @@
             async with anyio.create_task_group() as group:
                 for path in paths[:10]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: len(it.gateway.engine.observer.held()) > 0)
+                await it.until(lambda: len(it.gateway.engine.observer.queued_groups()) > 0)
                 await it.until(lambda: it.gateway.service.active == 10)
                 it.gateway.engine._fault(RuntimeError("on purpose"))
                 for path in paths[10:20]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: it.gateway.service.active >= 10 and it.gateway.engine.observer.held())
+                await it.until(
+                    lambda: it.gateway.service.active >= 10 and it.gateway.engine.observer.queued_groups()
+                )
                 await it.until(lambda: it.gateway.service._count == 20)
                 it.gateway.stop()
             await it.until(lambda: not it.gateway.ledger._thread.is_alive(), 10.0)
-            found = list(ledger.read([tmp_path]))
+            found = list(ledger.read_accounts([tmp_path]))
             assert len(found) == 20
             assert {one.reason for one in found} & {"engine-fault"}
             for one in found:
-                assert sum(span for _, span in one.spans) == one.latency
-                assert sum(share for *_, share in one.blame) == one.held == sum(one.causes.values())
+                assert sum(span for _, span in one.phases_ns) == one.latency_ns
+                assert sum(share for *_, share in one.blame) == one.queued_ns == sum(one.causes_ns.values())
 
     run()
 
@@ -401,12 +413,12 @@
     try:
         before = tracemalloc.get_traced_memory()[0]
         for ticket in tickets:
-            course = recorder.begin()
-            course.phase("held")
+            course = recorder.start_trace()
+            course.enter_phase("held")
             courses.append(course)
-            recorder.hold(ticket.id, 0, "fetch", engine.clock())
+            recorder.start_wait(ticket.id, 0, "fetch", engine.clock())
         accounts_only = tracemalloc.get_traced_memory()[0] - before
-        engine.observer.look(engine.clock())
+        engine.observer.observe(engine.clock())
         waiting = tracemalloc.get_traced_memory()[0] - before
     finally:
         tracemalloc.stop()
@@ -414,15 +426,24 @@
         f"{accounts_only / 10_000:.0f} and then {waiting / 10_000:.0f} bytes for each that waits"
     )
     for ticket, course in zip(tickets, courses, strict=True):
-        recorder.release(course, ticket.id, course.marks[-2], engine.clock())
-        recorder.end(
+        recorder.end_wait(course, ticket.id, course.phase_marks[-2], engine.clock())
+        recorder.finish(
             course, request=ticket.id, volume="v", class_name="fetch", key="", units=1.0, outcome="served", reason="ok",
             status=200, client_request="", deadline_ms=3000.0,
         )  # fmt: skip
     observer = engine.observer
-    assert not (observer._groups or observer._waiting or observer._fresh or observer._own or observer._count)
+    assert not (
+        observer._groups
+        or observer._waiting
+        or observer._unobserved
+        or observer._individual
+        or observer._group_sizes
+    )
     assert len(kept) == 10_000
-    assert all(sum(s for *_, s in one.blame) == one.held for one in map(spans.account, kept[:200]))
+    assert all(
+        sum(s for *_, s in one.blame) == one.queued_ns
+        for one in map(spans.account_from_annotation, kept[:200])
+    )
 
 
 @pytest.mark.parametrize(("count", "spread_s", "class_name"), [(60, 0.0, ""), (60, 0.02, "export")])
@@ -455,12 +476,14 @@
             it.gateway.ledger.close()
             came = {each["client"]: each["t"] for each in reversed(it.record.seen) if each["what"] == "head"}
             found = [
-                a for a in merged(ledger.read([tmp_path])) if a.volume == "school-1" and len(a.nodes) == 1
+                a
+                for a in merge_accounts(ledger.read_accounts([tmp_path]))
+                if a.volume == "school-1" and len(a.attempt_endpoints) == 1
             ]
             assert len(found) >= 4
             seen = sum(came[a.client_request] - sent["/" + a.client_request] for a in found)
             before = ("arriving", "held", "dial", "send")
-            told = sum(span for a in found for phase, span in a.spans if phase in before) / 1e6
+            told = sum(span for a in found for phase, span in a.phases_ns if phase in before) / 1e6
             assert told == pytest.approx(seen, rel=0.05, abs=3.0 * len(found))
             blame = Counter()
             for account in found:
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -24,10 +24,10 @@
 from winchdyke.discovery import cache as nodes_disk
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus
 from winchdyke.gateway.writeback import WriteBackRecord
-from winchdyke.latency_attribution import ledger
-from winchdyke.latency_attribution.live import held_now
-from winchdyke.latency_attribution.spans import Account
-from winchdyke.latency_attribution.sums import Latencies, NodeSum, Sums, VolumeSum, histogram
+from winchdyke.latency_attribution import ledger, records, segments
+from winchdyke.latency_attribution.ledger import read_queue_snapshot
+from winchdyke.latency_attribution.records import Account, EndpointSum, LatencySum, MinuteSums, VolumeSum
+from winchdyke.latency_attribution.sums import new_histogram
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Found, Log
@@ -318,18 +318,18 @@
         outcome="served",
         reason="",
         status=200,
-        latency=held + 3_000_000,
-        spans=[("held", held), ("store", 3_000_000)],
-        causes={"window": held},
+        latency_ns=held + 3_000_000,
+        phases_ns=[("held", held), ("store", 3_000_000)],
+        causes_ns={"window": held},
         blame=[("volume", "volume-9", "export", held)],
-        nodes=["192.0.2.1:9000", "192.0.2.2:9000"],
-        ends=["timed-out", "served"],
+        attempt_endpoints=["192.0.2.1:9000", "192.0.2.2:9000"],
+        attempt_outcomes=["timed-out", "served"],
         client_request=f"client-{number}",
-        first="request-0" if number == 2 else "",
+        first_request="request-0" if number == 2 else "",
         units=2.0,
-        store=[1_000_000, 2_000_000],
-        usual=[1_500_000, 1_000_000],
-        line=[("held", 0, held), ("store", held, 3_000_000)],
+        attempt_times_ns=[1_000_000, 2_000_000],
+        expected_times_ns=[1_500_000, 1_000_000],
+        timeline=[("held", 0, held), ("store", held, 3_000_000)],
     )
 
 
@@ -343,18 +343,18 @@
     outcome="served",
     reason="",
     status=206,
-    latency=8_000_000,
-    spans=[("arriving", 500_000), ("held", 3_000_000), ("store", 3_500_000), ("answer", 1_000_000)],
-    causes={"window": 2_000_000, "pause": 1_000_000},
+    latency_ns=8_000_000,
+    phases_ns=[("arriving", 500_000), ("held", 3_000_000), ("store", 3_500_000), ("answer", 1_000_000)],
+    causes_ns={"window": 2_000_000, "pause": 1_000_000},
     blame=[("volume", "volume-9", "export", 2_000_000), ("node", "192.0.2.1:9000", "slow", 1_000_000)],
-    nodes=["192.0.2.1:9000"],
-    ends=["served"],
+    attempt_endpoints=["192.0.2.1:9000"],
+    attempt_outcomes=["served"],
     client_request="client-noted",
-    first="",
+    first_request="",
     units=1.0,
-    store=[3_500_000],
-    usual=[2_000_000],
-    line=[
+    attempt_times_ns=[3_500_000],
+    expected_times_ns=[2_000_000],
+    timeline=[
         ("arriving", 0, 500_000),
         ("held", 500_000, 3_500_000),
         ("store", 3_500_000, 7_000_000),
@@ -363,12 +363,12 @@
 )
 
 
-def latencies(values: list[int]) -> Latencies:
+def latencies(values: list[int]) -> LatencySum:
     """Latencies in nanoseconds as a minute keeps them."""
-    made = histogram()
+    made = new_histogram()
     for value in values:
         made.record_value(value // 1000)
-    return Latencies(len(values), sum(values), made.encode())
+    return LatencySum(len(values), sum(values), made.encode())
 
 
 def volume_sum(volume: str, numbers: list[int]) -> VolumeSum:
@@ -384,54 +384,54 @@
     )
 
 
-def minute(number: int, numbers: list[int], volumes: list[VolumeSum], firsts: int) -> Sums:
+def minute(number: int, numbers: list[int], volumes: list[VolumeSum], firsts: int) -> MinuteSums:
     """One summed-up minute with the accounts of these numbers; ``volumes`` in the order of their first request."""
     count = len(numbers)
     requests = {volume.volume: volume.latency.count for volume in volumes}
-    by_held = sorted(volumes, key=lambda volume: -volume.held)
-    return Sums(
+    by_held = sorted(volumes, key=lambda volume: -volume.queued_ns)
+    return MinuteSums(
         minute=number,
         gateway="gateway-1",
         requests=count,
-        held=sum(volume.held for volume in volumes),
+        queued_ns=sum(volume.queued_ns for volume in volumes),
         volumes=volumes,
         classes=[("fetch", latencies([5_000_000 + each for each in numbers]))],
-        nodes=[
-            NodeSum(
+        endpoints=[
+            EndpointSum(
                 "192.0.2.1:9000",
                 latencies([1_000_000] * count),
-                slow=0,
-                usual=1_500_000 * count,
-                excess=0,
-                volumes={},
-                ends={"timed-out": count},
-                lost=requests,
+                slow_attempts=0,
+                expected_ns=1_500_000 * count,
+                excess_ns=0,
+                excess_ns_by_volume={},
+                outcomes={"timed-out": count},
+                lost_by_volume=requests,
             ),
-            NodeSum(
+            EndpointSum(
                 "192.0.2.2:9000",
                 latencies([2_000_000] * count),
-                slow=count,
-                usual=1_000_000 * count,
-                excess=1_000_000 * count,
-                volumes={volume: 1_000_000 * each for volume, each in requests.items()},
-                ends={"served": count},
-                lost={},
+                slow_attempts=count,
+                expected_ns=1_000_000 * count,
+                excess_ns=1_000_000 * count,
+                excess_ns_by_volume={volume: 1_000_000 * each for volume, each in requests.items()},
+                outcomes={"served": count},
+                lost_by_volume={},
             ),
         ],
-        matrix=[(volume.volume, "volume", "volume-9", "export", volume.held) for volume in by_held],
-        folded=0,
-        below=0,
-        firsts=firsts,
-        worst=[account(each) for each in numbers],
+        matrix=[(volume.volume, "volume", "volume-9", "export", volume.queued_ns) for volume in by_held],
+        folded_ns=0,
+        max_omitted_cell_ns=0,
+        retries=firsts,
+        slowest=[account(each) for each in numbers],
     )
 
 
 def test_a_ledger_is_read_with_its_summed_up_minutes(tmp_path):
     """Two minutes of sums, then an account and a note, in order; nothing is lost."""
     folder = copied("ledger", tmp_path)
-    found = ledger.Recovered()
-    entries = list(ledger.entries([folder], found))
-    assert found == ledger.Recovered(records=4, lost_bytes=0, segments=2, losses=[])
+    found = segments.RecoveryReport()
+    entries = list(ledger.read_entries([folder], found))
+    assert found == segments.RecoveryReport(records=4, lost_bytes=0, segments=2, losses=[])
     assert entries == [
         minute(
             28_333_333, [0, 1, 2], [volume_sum("volume-0", [0, 2]), volume_sum("volume-1", [1])], firsts=1
@@ -444,5 +444,7 @@
 
 def test_what_a_ledger_said_was_held_is_read(tmp_path):
     """The gateway, the time, and what it held at that moment."""
-    held = ledger.Held(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
-    assert held_now(copied("ledger", tmp_path)) == ledger.Now(START_MS, "gateway-1", [held], 0, 0)
+    held = records.QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
+    assert read_queue_snapshot(copied("ledger", tmp_path)) == records.QueueSnapshot(
+        START_MS, "gateway-1", [held], 0, 0
+    )
--- a/winchdyke/cli/waits.py
+++ b/winchdyke/cli/waits.py
@@ -1,18 +1,35 @@
-"""``winchdyke waits``: who waited for whom, from the ledgers of gateways."""
+"""``winchdyke waits``: reports from the ledgers of gateways which requests waited, and for what."""
 
 from __future__ import annotations
 
-import dataclasses
 import json
+import os
+import sys
+import time
+from collections.abc import Iterator
+from dataclasses import dataclass
 from datetime import UTC, datetime
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
+if TYPE_CHECKING:
+    from winchdyke.latency_attribution.compaction import CompactionResult
+    from winchdyke.latency_attribution.summary import Summary, VolumeSummary
+
 LEDGERS = click.argument(
     "ledgers", nargs=-1, required=True, type=click.Path(path_type=Path), metavar="LEDGER..."
 )
+LOW_PRIORITY_NICENESS = 10
+MAX_LOSSES = 5
+MAX_VOLUMES = 15
+MAX_CELLS = 15
+MAX_ENDPOINTS = 10
+MAX_LIVE_VOLUMES = 20
+MAX_LIVE_GROUPS = 8
+MAX_VOLUME_CHARS = 23
+NS_PER_MS = 1e6
 
 
 @click.group("waits")
@@ -20,41 +37,58 @@
     """Who waited for whom. A LEDGER is a folder that a gateway writes, or one segment of it; several are merged."""
 
 
-def _when(text: str | None) -> float | None:
+@dataclass(frozen=True)
+class LedgerSummary:
+    """A summary of ledgers, and what of them could not be read."""
+
+    summary: Summary
+    losses: list[str]
+
+
+def _parse_time(text: str | None) -> float | None:
+    """An ISO 8601 time as Unix milliseconds; UTC where no zone is given."""
     if text is None:
         return None
     try:
-        found = datetime.fromisoformat(text)
+        parsed = datetime.fromisoformat(text)
     except ValueError:
         raise click.ClickException(
             f"{text!r} is no time; write it like 2026-12-01T20:00 (UTC) or with +01:00"
         ) from None
-    return (found if found.tzinfo else found.replace(tzinfo=UTC)).timestamp() * 1000
-
-
-def _summary(
-    ledgers: tuple[Path, ...], since: str | None, until: str | None, node: str | None, off_ms: float = 0.0
-) -> tuple[Any, list[str]]:
-    from winchdyke.latency_attribution import ledger
+    if parsed.tzinfo is None:
+        parsed = parsed.replace(tzinfo=UTC)
+    return parsed.timestamp() * 1000
+
+
+def _summarize(
+    ledgers: tuple[Path, ...],
+    since: str | None = None,
+    until: str | None = None,
+    endpoint: str | None = None,
+    clock_skew_ms: float = 0.0,
+) -> LedgerSummary:
+    """Read ledgers twice, so that only sums are in memory: which requests were where, then what each one waited for."""
+    from winchdyke.latency_attribution.errors import LedgerError
+    from winchdyke.latency_attribution.ledger import read_accounts, read_entries
     from winchdyke.latency_attribution.merge import ContentionTimeline
-    from winchdyke.latency_attribution.report import summed
-    from winchdyke.latency_attribution.spans import Account
+    from winchdyke.latency_attribution.records import Account
+    from winchdyke.latency_attribution.segments import RecoveryReport
+    from winchdyke.latency_attribution.summary import summarize
 
-    found = ledger.Recovered()
+    recovery = RecoveryReport()
+    timeline = ContentionTimeline(clock_skew_ms)
     try:
-        # Two passes, so that no more than sums is held: who was at each node, then whom each wait was for.
-        crowd = ContentionTimeline(off_ms)
-        for each in ledger.read(ledgers):
-            crowd.add(each)
+        for account in read_accounts(ledgers):
+            timeline.add(account)
         entries = (
-            crowd.refine(each) if isinstance(each, Account) else each
-            for each in ledger.entries(ledgers, found)
+            timeline.reattribute(entry) if isinstance(entry, Account) else entry
+            for entry in read_entries(ledgers, recovery)
         )
-        summary = summed(entries, _when(since), _when(until), node)
-        summary.unknown_firsts = crowd.maybe_second_tries()
-    except ledger.LedgerError as error:
+        summary = summarize(entries, _parse_time(since), _parse_time(until), endpoint)
+    except LedgerError as error:
         raise click.ClickException(str(error)) from None
-    return summary, found.losses
+    summary.possible_retries = timeline.count_possible_retries()
+    return LedgerSummary(summary, recovery.losses)
 
 
 @command.command("report")
@@ -77,53 +111,71 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="The report as JSON.")
 def report(
-    ledgers: tuple[Path, ...], since: str | None, until: str | None, volumes: tuple[str, ...], node: str | None,
-    html: Path | None, clocks_off: str, as_json: bool,
-) -> None:  # fmt: skip
+    ledgers: tuple[Path, ...],
+    since: str | None,
+    until: str | None,
+    volumes: tuple[str, ...],
+    node: str | None,
+    html: Path | None,
+    clocks_off: str,
+    as_json: bool,
+) -> None:
     """The worst-served courses, who held them, slow nodes, the worst requests."""
     from winchdyke.config import units
+    from winchdyke.latency_attribution.report import report_data
 
     try:
-        off_ms = units.duration(clocks_off)
+        clock_skew_ms = units.duration(clocks_off)
     except ValueError as error:
         raise click.ClickException(f"--clocks-off: {error}") from None
-    summary, losses = _summary(ledgers, since, until, node, off_ms)
-    data = summary.data(volumes or None)
+    found = _summarize(ledgers, since, until, node, clock_skew_ms)
+    data = report_data(found.summary, volumes or None)
     if html is not None:
-        from winchdyke.latency_attribution.page import page
+        from winchdyke.latency_attribution.page import render_page
 
-        html.write_text(page(data, losses), encoding="utf-8")
+        html.write_text(render_page(data, found.losses), encoding="utf-8")
         click.echo(f"{html}: written")
     if as_json:
-        click.echo(json.dumps({**data, "losses": losses}))
+        click.echo(json.dumps({**data, "losses": found.losses}))
         return
-    for loss in losses[:5]:
-        click.echo(f"not read: {loss}", err=True)
+    _echo_losses(found.losses)
     if data["minutes_left_out"]:
-        said = f"{data['minutes_left_out']} minutes are known as sums alone and can't be parted as asked: left out"
-        click.echo(said, err=True)
-    click.echo(f"{data['requests']} requests, held {data['held_ms'] / 1000:.2f} s in all")
-    for course in data["courses"][:15]:
-        click.echo(f"  {_plain(course['sentence'])}")
-    click.echo("who held whom (s):")
-    for cell in data["matrix"][:15]:
-        holder = _plain(f"{cell['kind']} {cell['holder']} {cell['what']}")
-        click.echo(f"  {cell['ms'] / 1000:9.2f}  {_plain(cell['waiter'])} <- {holder}")
-    if data["folded_ms"]:
+        minutes = data["minutes_left_out"]
         click.echo(
-            f"  {data['folded_ms'] / 1000:9.2f}  in cells that were folded; any one may lack {data['cell_error_ms'] / 1000:.2f}"
+            f"{minutes} minutes are known as sums alone and can't be parted as asked: left out", err=True
         )
-    click.echo("nodes by what they added beyond their usual:")
-    for each in data["nodes"][:10]:
-        click.echo(
-            f"  {each['node']}: {each['excess_ms'] / 1000:.2f} s in {each['slow']} of {each['attempts']} attempts; "
-            f"p50 {each['p50_ms']:.1f} ms, p99 {each['p99_ms']:.1f} ms, usual {each['usual_ms']:.1f} ms"
+    for line in _report_lines(data):
+        click.echo(line)
+
+
+def _echo_losses(losses: list[str]) -> None:
+    for loss in losses[:MAX_LOSSES]:
+        click.echo(f"not read: {loss}", err=True)
+
+
+def _report_lines(data: dict[str, Any]) -> Iterator[str]:
+    yield f"{data['requests']} requests, held {data['held_ms'] / 1000:.2f} s in all"
+    for volume in data["courses"][:MAX_VOLUMES]:
+        yield f"  {_printable(volume['sentence'])}"
+    yield "who held whom (s):"
+    for cell in data["matrix"][:MAX_CELLS]:
+        holder = _printable(f"{cell['kind']} {cell['holder']} {cell['what']}")
+        yield f"  {cell['ms'] / 1000:9.2f}  {_printable(cell['waiter'])} <- {holder}"
+    if data["folded_ms"]:
+        error_s = data["cell_error_ms"] / 1000
+        yield f"  {data['folded_ms'] / 1000:9.2f}  in cells that were folded; any one may lack {error_s:.2f}"
+    yield "nodes by what they added beyond their usual:"
+    for endpoint in data["nodes"][:MAX_ENDPOINTS]:
+        yield (
+            f"  {endpoint['node']}: {endpoint['excess_ms'] / 1000:.2f} s in {endpoint['slow']} of "
+            f"{endpoint['attempts']} attempts; p50 {endpoint['p50_ms']:.1f} ms, "
+            f"p99 {endpoint['p99_ms']:.1f} ms, usual {endpoint['usual_ms']:.1f} ms"
         )
 
 
-def _plain(text: str) -> str:
-    """A name with nothing in it that a terminal would act on."""
-    return "".join(sign if sign.isprintable() else "?" for sign in text)
+def _printable(text: str) -> str:
+    """A name without characters that a terminal would interpret."""
+    return "".join(char if char.isprintable() else "?" for char in text)
 
 
 @command.command("explain")
@@ -132,33 +184,37 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def explain(request: str, ledgers: tuple[Path, ...], as_json: bool) -> None:
     """Where the time of REQUEST went: its spans, its wait by cause, and who held it."""
-    from winchdyke.latency_attribution import ledger
-    from winchdyke.latency_attribution.report import explained
+    from winchdyke.latency_attribution.errors import LedgerError
+    from winchdyke.latency_attribution.ledger import read_accounts
+    from winchdyke.latency_attribution.report import account_data
 
+    matching = (each for each in read_accounts(ledgers) if request in (each.request, each.client_request))
     try:
-        account = next(
-            (each for each in ledger.read(ledgers) if request in (each.request, each.client_request)), None
-        )
-    except ledger.LedgerError as error:
+        account = next(matching, None)
+    except LedgerError as error:
         raise click.ClickException(str(error)) from None
     if account is None:
         raise click.ClickException(f"no ledger here holds a request {request!r}")
-    data = explained(account)
+    data = account_data(account)
     if as_json:
         click.echo(json.dumps(data))
         return
-    said = f"{data['outcome']} ({data['reason']}) in {data['latency_ms']:.2f} ms"
-    click.echo(f"{data['request']} {_plain(data['volume'])} {data['class']}: {said}")
+    for line in _account_lines(data):
+        click.echo(line)
+
+
+def _account_lines(data: dict[str, Any]) -> Iterator[str]:
+    ending = f"{data['outcome']} ({data['reason']}) in {data['latency_ms']:.2f} ms"
+    yield f"{data['request']} {_printable(data['volume'])} {data['class']}: {ending}"
     for phase, ms in data["spans_ms"].items():
-        click.echo(f"  {phase:9} {ms:10.2f} ms")
+        yield f"  {phase:9} {ms:10.2f} ms"
     for cause, ms in data["causes_ms"].items():
-        click.echo(f"    held by {cause:9} {ms:10.2f} ms")
-    for each in data["blame"]:
-        click.echo(f"    {each['ms']:10.2f} ms {_plain(each['holder'])}")
-    for each in data["attempts"]:
-        click.echo(
-            f"  at {each['node']}: {each['end']}, {each['out_ms']:.2f} ms out, usually {each['usual_ms']:.2f} ms"
-        )
+        yield f"    held by {cause:9} {ms:10.2f} ms"
+    for entry in data["blame"]:
+        yield f"    {entry['ms']:10.2f} ms {_printable(entry['holder'])}"
+    for attempt in data["attempts"]:
+        times = f"{attempt['out_ms']:.2f} ms out, usually {attempt['usual_ms']:.2f} ms"
+        yield f"  at {attempt['node']}: {attempt['end']}, {times}"
 
 
 @command.command("diff")
@@ -167,20 +223,35 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def diff(before: Path, after: Path, as_json: bool) -> None:
     """How two evenings differ, course by course: milliseconds held a request."""
-    old, new = _summary((before,), None, None, None)[0], _summary((after,), None, None, None)[0]
-    rows = []
-    for name in sorted({*old.courses, *new.courses}):
-        a, b = old.courses.get(name), new.courses.get(name)
-        was = a.held / a.requests / 1e6 if a else None
-        now = b.held / b.requests / 1e6 if b else None
-        rows.append({"volume": name, "before_ms": was, "after_ms": now})
-    rows.sort(key=lambda row: -abs((row["after_ms"] or 0) - (row["before_ms"] or 0)))
+    old = _summarize((before,)).summary.volumes
+    new = _summarize((after,)).summary.volumes
+    rows: list[dict[str, Any]] = [
+        {
+            "volume": name,
+            "before_ms": _queued_ms_per_request(old.get(name)),
+            "after_ms": _queued_ms_per_request(new.get(name)),
+        }
+        for name in sorted({*old, *new})
+    ]
+    rows.sort(key=_change_ms, reverse=True)
     if as_json:
         click.echo(json.dumps(rows))
         return
     for row in rows:
-        was, now = ("-" if row[key] is None else f"{row[key]:.2f}" for key in ("before_ms", "after_ms"))
-        click.echo(f"{_plain(row['volume']):24} {was:>10} -> {now:>10} ms held a request")
+        before_text, after_text = (_format_ms(row[key]) for key in ("before_ms", "after_ms"))
+        click.echo(f"{_printable(row['volume']):24} {before_text:>10} -> {after_text:>10} ms held a request")
+
+
+def _queued_ms_per_request(volume: VolumeSummary | None) -> float | None:
+    return volume.queued_ns / volume.requests / NS_PER_MS if volume is not None else None
+
+
+def _change_ms(row: dict[str, Any]) -> float:
+    return float(abs((row["after_ms"] or 0) - (row["before_ms"] or 0)))
+
+
+def _format_ms(value_ms: float | None) -> str:
+    return "-" if value_ms is None else f"{value_ms:.2f}"
 
 
 @command.command("compact")
@@ -193,26 +264,36 @@
 @click.option("--json", "as_json", is_flag=True, help="As JSON.")
 def compact(folder: Path, most: int, older: float, gently: bool, as_json: bool) -> None:
     """Sum up old accounts of the ledger in FOLDER by the minute. A gateway does so by itself."""
-    import os
-
-    from winchdyke.latency_attribution import compact as compaction
+    from winchdyke.latency_attribution.compaction import compact_ledger
 
     if gently:
-        os.nice(10)
+        os.nice(LOW_PRIORITY_NICENESS)
     try:
-        done = compaction.compact(folder, most, older)
+        result = compact_ledger(folder, most, older)
     except OSError as error:
         raise click.ClickException(
             f"{folder}: {error.strerror}; nothing that was not summed up is lost"
         ) from None
     if as_json:
-        click.echo(json.dumps(dataclasses.asdict(done)))
-    elif done.busy:
+        click.echo(json.dumps(_compaction_data(result)))
+    elif result.busy:
         click.echo("another process is at it")
     else:
-        click.echo(f"{done.segments} segments summed up: {done.before} bytes are now {done.after}")
-        for loss in done.losses[:5]:
-            click.echo(f"not read: {loss}", err=True)
+        sizes = f"{result.bytes_before} bytes are now {result.bytes_after}"
+        click.echo(f"{result.segments} segments summed up: {sizes}")
+        _echo_losses(result.losses)
+
+
+def _compaction_data(result: CompactionResult) -> dict[str, Any]:
+    """A result with the keys of the command's JSON."""
+    return {
+        "segments": result.segments,
+        "before": result.bytes_before,
+        "after": result.bytes_after,
+        "deleted": result.deleted_sums,
+        "busy": result.busy,
+        "losses": result.losses,
+    }
 
 
 @command.command("top")
@@ -229,45 +310,47 @@
 @click.option("--json", "as_json", is_flag=True, help="A line of JSON for each look.")
 def top(folders: tuple[Path, ...], seconds: float, every: float, once: bool, as_json: bool) -> None:
     """Who waits for whom at this moment, from the ledgers of running gateways, until Ctrl-C."""
-    import sys
-    import time
-
-    from winchdyke.latency_attribution.live import Top
+    from winchdyke.latency_attribution.live import LiveView
 
     if seconds <= 0 or every <= 0:
         raise click.ClickException("--seconds and --every are more than 0")
-    shown = Top(folders, seconds)
+    view = LiveView(folders, seconds)
     while True:
-        data = shown.look()
+        data = view.snapshot()
         if as_json:
             click.echo(json.dumps(data))
         else:
             if sys.stdout.isatty() and not once:
                 click.clear()
-            click.echo("\n".join(_top_lines(data)))
+            click.echo("\n".join([*_gateway_lines(data["gateways"]), *_volume_lines(data["courses"])]))
         if once:
             return
         time.sleep(every)
 
 
-def _top_lines(data: dict[str, Any]) -> list[str]:
-    lines = []
-    for each in data["gateways"]:
-        word = "has given no word on what it holds"
-        if each["age_s"] is not None:
-            total = sum(held["count"] for held in each["held"])
-            word = f"holds {total}" + (f", by its word {each['age_s']:.0f} s ago" if each["stale"] else "")
-        dropped = f"; {each['dropped']} accounts dropped" if each["dropped"] else ""
-        lines.append(f"{_plain(each['gateway'] or each['folder'])} {word}{dropped}")
-        lines += [
-            f"  shard {held['shard']}, {held['class']}: {held['count']} held, {held['cause']}; "
-            + _plain(", ".join(held["holders"]))
-            for held in each["held"][:8]
-        ]
-    lines.append(f"{'course':24}{'per s':>8}{'held ms':>9}{'p99 ms':>9}{'refused':>9}{'failed':>8}  held by")
-    lines += [
-        f"{_plain(course['volume'])[:23]:24}{course['per_s']:8.1f}{course['held_ms']:9.1f}{course['p99_ms']:9.1f}"
-        f"{course['refused']:9}{course['failed']:8}  {_plain(', '.join(course['holders']))}"
-        for course in data["courses"][:20]
-    ]
-    return lines
+def _gateway_lines(gateways: list[dict[str, Any]]) -> Iterator[str]:
+    for gateway in gateways:
+        name = _printable(gateway["gateway"] or gateway["folder"])
+        dropped = f"; {gateway['dropped']} accounts dropped" if gateway["dropped"] else ""
+        yield f"{name} {_queue_text(gateway)}{dropped}"
+        for group in gateway["held"][:MAX_LIVE_GROUPS]:
+            holders = _printable(", ".join(group["holders"]))
+            counts = f"{group['count']} held, {group['cause']}"
+            yield f"  shard {group['shard']}, {group['class']}: {counts}; {holders}"
+
+
+def _queue_text(gateway: dict[str, Any]) -> str:
+    if gateway["age_s"] is None:
+        return "has given no word on what it holds"
+    count = sum(group["count"] for group in gateway["held"])
+    age = f", by its word {gateway['age_s']:.0f} s ago" if gateway["stale"] else ""
+    return f"holds {count}{age}"
+
+
+def _volume_lines(volumes: list[dict[str, Any]]) -> Iterator[str]:
+    yield f"{'course':24}{'per s':>8}{'held ms':>9}{'p99 ms':>9}{'refused':>9}{'failed':>8}  held by"
+    for volume in volumes[:MAX_LIVE_VOLUMES]:
+        name = _printable(volume["volume"])[:MAX_VOLUME_CHARS]
+        figures = f"{volume['per_s']:8.1f}{volume['held_ms']:9.1f}{volume['p99_ms']:9.1f}"
+        holders = _printable(", ".join(volume["holders"]))
+        yield f"{name:24}{figures}{volume['refused']:9}{volume['failed']:8}  {holders}"
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -38,7 +38,7 @@
 from winchdyke.gateway.tls import Certificates, TlsError, load_stores
 from winchdyke.gateway.writeback import WriteBack, WriteBackError
 from winchdyke.http1 import End, Need, RequestHead
-from winchdyke.latency_attribution.ledger import Bounds, Writer
+from winchdyke.latency_attribution.ledger_writer import LedgerBounds, LedgerWriter
 from winchdyke.latency_attribution.recorder import Recorder
 from winchdyke.membership.agent import MembershipAgent, MembershipError
 from winchdyke.object_api import answers, store_protocol
@@ -104,19 +104,19 @@
         self._stop = anyio.Event()
         self._log = structlog.get_logger("gateway")
 
-    def _ledger(self) -> Writer | None:
+    def _ledger(self) -> LedgerWriter | None:
         accounts = self.config.accounts
         if not accounts.folder:
             return None
-        bounds = Bounds(
+        bounds = LedgerBounds(
             accounts.segment_bytes,
             accounts.segment_time / 1000,
             accounts.total_bytes,
-            sync_s=accounts.sync / 1000,
-            keep_s=accounts.keep_accounts / 1000,
+            sync_interval_seconds=accounts.sync / 1000,
+            detail_retention_seconds=accounts.keep_accounts / 1000,
         )
         try:
-            return Writer(Path(accounts.folder), bounds)
+            return LedgerWriter(Path(accounts.folder), bounds)
         except OSError as error:
             raise StartError(
                 f"can't write to {accounts.folder}: {error.strerror}; see accounts, folder"
@@ -451,7 +451,7 @@
             self.service.tolls.settle()
             if self.service.recorder is not None and now >= told + TELL_MS:
                 told = now
-                self.service.recorder.tell()
+                self.service.recorder.publish_snapshot()
 
     async def _drain(self) -> None:
         self.service.stopping = True
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -21,7 +21,7 @@
 
 # Accounts and changes bring the configuration language along, a third of a start's time: read in where they are used.
 if TYPE_CHECKING:
-    from winchdyke.latency_attribution.why import Observer
+    from winchdyke.latency_attribution.queue_observer import QueueObserver
 
 RequestAction = api.StartAttempt | api.ShedRequest | api.FailRequest | api.CancelAttempt
 GONE_KEPT = 64  # nodes that have left whose entries are kept
@@ -99,7 +99,7 @@
     ) -> None:
         self.settings, self.clock = settings, clock
         self.observing = False
-        self.observer: Observer | None = None
+        self.observer: QueueObserver | None = None
         self._make, self._seed, self._starts = make, seed, 0
         self.tickets: dict[str, RequestHandle] = {}
         self.departed: dict[str, RequestHandle] = {}  # whose clients have left and whose attempts go on
@@ -158,9 +158,9 @@
     def _see(self) -> None:
         scheduler, self.observer = self._scheduler, None
         if self.observing and isinstance(scheduler, Scheduler):
-            from winchdyke.latency_attribution.why import Observer
+            from winchdyke.latency_attribution.queue_observer import QueueObserver
 
-            self.observer = Observer(scheduler)
+            self.observer = QueueObserver(scheduler)
 
     def take(self, request: api.Request, ticket: RequestHandle | None = None) -> RequestHandle:
         """Hand a request to the scheduler, which owes it exactly one final answer from now on."""
@@ -236,7 +236,7 @@
             for action in self._scheduler.handle(now, events):
                 self._carry_out(now, action)
             if self.observer is not None:
-                self.observer.look(now)
+                self.observer.observe(now)
         except Exception as error:
             self._fault(error)
 
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -175,7 +175,7 @@
         connection.begin(told, close=self.stopping)
         connection.unread_length = head.length
         record = AccessLogRecord(
-            self.recorder.begin() if self.recorder is not None else None, snapshot.version
+            self.recorder.start_trace() if self.recorder is not None else None, snapshot.version
         )
         operation: routes.Operation | None = None
         kind: Kind | None = None
@@ -197,7 +197,7 @@
             self.active -= 1
             connection.on_gone = None
         if record.course is not None:
-            record.course.phase("client")
+            record.course.enter_phase("client")
         try:
             await self._say(connection, request, final)
         finally:
@@ -218,7 +218,7 @@
     ) -> None:
         if self.recorder is None or record.course is None or operation is None or kind is None:
             return
-        self.recorder.end(
+        self.recorder.finish(
             record.course,
             request=request,
             volume=operation.volume,
@@ -383,7 +383,7 @@
         record.ask = ask
         if operation.name in ("list", "list-uploads"):
             if record.course is not None:
-                record.course.phase("store")  # its parts are requests of their own, side by side
+                record.course.enter_phase("store")  # its parts are requests of their own, side by side
             return await self._listed(connection, operation, ask, volume, record)
         if operation.name != "post":
             shard = placement.shard_of(operation.volume, operation.key, volume.shards)
@@ -495,7 +495,7 @@
             return True
         since, before, here = self.clock(), connection.on_gone, anyio.CancelScope()
         if record.course is not None:
-            record.course.phase("held")
+            record.course.enter_phase("held")
         connection.on_gone = here.cancel
         try:
             with here:
@@ -606,7 +606,9 @@
             connection.look()
             ended = await self._attempt(ticket, action, outgoing, operation, sink, running, record)
             if record.course is not None and record.ask is not None and self.recorder is not None:
-                usual = self.recorder.usual(action.endpoint, record.ask.request_class, record.ask.units)
+                usual = self.recorder.expected_latency_ms(
+                    action.endpoint, record.ask.request_class, record.ask.units
+                )
                 record.course.attempts.append(
                     (action.endpoint, outcomes.CODES[ended.outcome], ended.latency_ms, usual)
                 )
@@ -624,14 +626,14 @@
         recorder, course, ask = self.recorder, record.course, record.ask
         if recorder is None or course is None or ask is None:
             return await ticket.next()
-        course.phase("held")
-        since_ns = course.marks[-2]
-        recorder.hold(ticket.id, ask.shard, ask.request_class, since)
+        course.enter_phase("held")
+        since_ns = course.phase_marks[-2]
+        recorder.start_wait(ticket.id, ask.shard, ask.request_class, since)
         try:
             return await ticket.next()
         finally:
-            course.phase("dial")
-            recorder.release(course, ticket.id, since_ns, self.clock())
+            course.enter_phase("dial")
+            recorder.end_wait(course, ticket.id, since_ns, self.clock())
 
     def _watch_client(
         self, connection: ClientConnection, ticket: RequestHandle, running: list[Attempt]
@@ -674,7 +676,7 @@
                 sink,
                 lambda: self.engine.post(api.StreamStarted(ticket.id, number)),
                 lambda head: _fits(operation, head),
-                record.course.phase if record.course is not None else _no_phase,
+                record.course.enter_phase if record.course is not None else _no_phase,
             )
             if not number and record.excess:
                 self._weigh(ticket, record)
--- a/winchdyke/latency_attribution/live.py
+++ b/winchdyke/latency_attribution/live.py
@@ -1,128 +1,154 @@
-"""What a running gateway's ledger says at this moment: who is held now, and what ended in the last seconds.
+"""The live view of running gateways' ledgers: what is queued now, and what ended in the last seconds.
 
-A gateway writes ``now`` beside its segments, whole each time (written beside, then renamed); all else is read from the ends
-of the segments. Nothing is asked of the gateway.
+A gateway replaces the file ``now`` beside its segments; all else is read from the ends of the segments. No request is sent
+to the gateway.
 """
 
 from __future__ import annotations
 
 import time
-from collections import Counter, deque
+from collections import deque
 from collections.abc import Iterable
 from pathlib import Path
 from typing import Any
 
-import msgspec
-
-from winchdyke.latency_attribution.ledger import (
-    ENDING,
-    HEAD,
-    NOW,
-    Held,
-    Now,
-    Recovered,
-    decoded,
-    whole_records,
+from winchdyke.latency_attribution.ledger import decode_record, read_queue_snapshot
+from winchdyke.latency_attribution.records import Account, QueuedGroup
+from winchdyke.latency_attribution.report import percentile_ms
+from winchdyke.latency_attribution.segments import (
+    SEGMENT_HEADER,
+    SEGMENT_SUFFIX,
+    RecoveryReport,
+    complete_records,
 )
-from winchdyke.latency_attribution.report import Summary, said
-from winchdyke.latency_attribution.spans import Account
-
-STALE_S = 5.0  # past which a gateway's word on what it holds is told as old
-
-
-class Tail:
-    """The accounts that come to one ledger's folder, from now or a little before."""
-
-    def __init__(self, folder: Path, back_bytes: int = 1 << 20) -> None:
-        self.folder, self.lost = folder, Recovered()
-        self._at: dict[str, int] = {}
-        newest = max(folder.glob(f"*{ENDING}"), default=None)
-        for path in folder.glob(f"*{ENDING}"):
-            self._at[path.name] = path.stat().st_size
-        if newest is not None:
-            self._at[newest.name] = max(0, self._at[newest.name] - back_bytes)
-
-    def more(self) -> list[Account]:
-        """What came since the last call; a record that is not whole yet waits for the next."""
-        found: list[Account] = []
-        for path in sorted(self.folder.glob(f"*{ENDING}")):
-            at = self._at.get(path.name, 0)
+from winchdyke.latency_attribution.summary import Summary
+from winchdyke.latency_attribution.vocabulary import OUTCOME_FAILED, OUTCOME_REJECTED
+from winchdyke.latency_attribution.wording import describe_holder
+
+STALE_AFTER_SECONDS = 5.0
+TAIL_BYTES = 1 << 20  # of the newest segment, read at the start
+MAX_HOLDERS_PER_VOLUME = 2
+MAX_HOLDERS_PER_GROUP = 3
+NS_PER_MS = 1e6
+
+
+class LedgerTail:
+    """Reads the accounts that are appended to one ledger.
+
+    Attributes:
+        recovery: What could not be read.
+    """
+
+    def __init__(self, directory: Path, tail_bytes: int = TAIL_BYTES) -> None:
+        """Begin at the end of the ledger, less so many bytes."""
+        self.directory = directory
+        self.recovery = RecoveryReport()
+        self._positions = {path.name: path.stat().st_size for path in directory.glob(f"*{SEGMENT_SUFFIX}")}
+        if self._positions:
+            newest = max(self._positions)
+            self._positions[newest] = max(0, self._positions[newest] - tail_bytes)
+
+    def read_new(self) -> list[Account]:
+        """The accounts appended since the last call; a record that is still incomplete waits for the next one."""
+        accounts: list[Account] = []
+        for path in sorted(self.directory.glob(f"*{SEGMENT_SUFFIX}")):
+            position = self._positions.get(path.name, 0)
             try:
                 with path.open("rb") as file:
-                    file.seek(at)
+                    file.seek(position)
                     data = file.read()
             except FileNotFoundError:
-                continue  # summed up just now
-            payloads, whole = whole_records(data, 0 if at else len(HEAD))
-            self._at[path.name] = at + whole
+                continue  # compacted meanwhile
+            payloads, end = complete_records(data, 0 if position else len(SEGMENT_HEADER))
+            self._positions[path.name] = position + end
             for payload in payloads:
-                made = decoded(payload, path.name, self.lost)
-                if isinstance(made, Account):
-                    found.append(made)
-        return found
+                entry = decode_record(payload, path.name, self.recovery)
+                if isinstance(entry, Account):
+                    accounts.append(entry)
+        return accounts
 
 
-def held_now(folder: Path) -> Now | None:
-    """What the gateway holds, by its own last word; None where it has given none."""
-    try:
-        return msgspec.msgpack.decode((folder / NOW).read_bytes(), type=Now)
-    except (OSError, msgspec.DecodeError):
-        return None
+class LiveView:
+    """The last seconds of several ledgers."""
 
+    def __init__(self, directories: Iterable[Path], seconds: float) -> None:
+        self.directories = list(directories)
+        self.seconds = seconds
+        self._tails = [LedgerTail(directory) for directory in self.directories]
+        self._recent: deque[tuple[float, Account]] = deque()  # end (Unix ms), account
 
-class Top:
-    """The last seconds of several ledgers, as a table."""
-
-    def __init__(self, folders: Iterable[Path], seconds: float) -> None:
-        self.folders, self.seconds = list(folders), seconds
-        self._tails = [Tail(folder) for folder in self.folders]
-        self._recent: deque[tuple[float, Account]] = deque()
-
-    def look(self, now_ms: float | None = None) -> dict[str, Any]:
-        """What is to be shown; times in milliseconds."""
-        now = time.time() * 1000 if now_ms is None else now_ms
-        for tail in self._tails:
-            for account in tail.more():
-                self._recent.append((account.began_unix_ms + account.latency / 1e6, account))
-        recent = [(end, account) for end, account in self._recent if end > now - self.seconds * 1000]
-        self._recent = deque(recent)
+    def snapshot(self, now_ms: float | None = None) -> dict[str, Any]:
+        """The present figures with the keys of the command's JSON; times in milliseconds."""
+        now_unix_ms = time.time() * 1000 if now_ms is None else now_ms
+        self._read_recent(now_unix_ms)
         summary = Summary()
-        for _, account in recent:
+        for _, account in self._recent:
             summary.add(account)
-        courses = []
-        for name, course in sorted(summary.courses.items(), key=lambda entry: (-entry[1].held, entry[0])):
-            holders = summary.holders(name)[:2]
-            courses.append(
-                {
-                    "volume": name, "per_s": course.requests / self.seconds,
-                    "refused": course.outcomes["refused"], "failed": course.outcomes["failed"],
-                    "held_ms": course.held / 1e6 / course.requests,
-                    "p99_ms": course.latency.get_value_at_percentile(99) / 1000,
-                    "holders": [f"{100 * share / course.held:.0f}% {said(holder, name)}" for holder, share in holders if course.held],
-                }
-            )  # fmt: skip
-        gateways = []
-        for folder in self.folders:
-            word = held_now(folder)
-            age = None if word is None else max(0.0, now - word.unix_ms) / 1000
-            gateways.append(
-                {
-                    "folder": str(folder), "gateway": word.gateway if word else None, "age_s": age,
-                    "stale": age is None or age > STALE_S, "dropped": word.dropped if word else 0,
-                    "held": [_held(held) for held in sorted(word.held, key=lambda h: -h.count)] if word else [],
-                }
-            )  # fmt: skip
+        by_queued = sorted(summary.volumes, key=lambda name: (-summary.volumes[name].queued_ns, name))
         return {
             "seconds": self.seconds,
             "requests": summary.requests,
-            "courses": courses,
-            "gateways": gateways,
+            "courses": [self._volume_row(summary, name) for name in by_queued],
+            "gateways": [_gateway_row(directory, now_unix_ms) for directory in self.directories],
         }
 
+    def _read_recent(self, now_unix_ms: float) -> None:
+        for tail in self._tails:
+            for account in tail.read_new():
+                end_unix_ms = account.began_unix_ms + account.latency_ns / NS_PER_MS
+                self._recent.append((end_unix_ms, account))
+        begin_unix_ms = now_unix_ms - self.seconds * 1000
+        self._recent = deque(entry for entry in self._recent if entry[0] > begin_unix_ms)
+
+    def _volume_row(self, summary: Summary, name: str) -> dict[str, Any]:
+        volume = summary.volumes[name]
+        return {
+            "volume": name,
+            "per_s": volume.requests / self.seconds,
+            "refused": volume.outcomes[OUTCOME_REJECTED],
+            "failed": volume.outcomes[OUTCOME_FAILED],
+            "held_ms": volume.queued_ns / NS_PER_MS / volume.requests,
+            "p99_ms": percentile_ms(volume.latencies_us, 99),
+            "holders": [
+                f"{100 * share_ns / volume.queued_ns:.0f}% {describe_holder(holder, name)}"
+                for holder, share_ns in summary.holders(name)[:MAX_HOLDERS_PER_VOLUME]
+                if volume.queued_ns
+            ],
+        }
+
+
+def _gateway_row(directory: Path, now_unix_ms: float) -> dict[str, Any]:
+    snapshot = read_queue_snapshot(directory)
+    if snapshot is None:
+        return {
+            "folder": str(directory),
+            "gateway": None,
+            "age_s": None,
+            "stale": True,
+            "dropped": 0,
+            "held": [],
+        }
+    age_s = max(0.0, now_unix_ms - snapshot.unix_ms) / 1000
+    by_count = sorted(snapshot.groups, key=lambda group: -group.count)
+    return {
+        "folder": str(directory),
+        "gateway": snapshot.gateway,
+        "age_s": age_s,
+        "stale": age_s > STALE_AFTER_SECONDS,
+        "dropped": snapshot.dropped,
+        "held": [_group_row(group) for group in by_count],
+    }
+
 
-def _held(held: Held) -> dict[str, Any]:
-    shares = Counter({(kind, name, what): share for kind, name, what, share in held.holders})
+def _group_row(group: QueuedGroup) -> dict[str, Any]:
+    by_share = sorted(group.holders, key=lambda entry: entry[3], reverse=True)
     return {
-        "shard": held.shard, "class": held.class_name, "count": held.count, "cause": held.cause,
-        "holders": [f"{100 * share:.0f}% {said(holder, '')}" for holder, share in shares.most_common(3)],
-    }  # fmt: skip
+        "shard": group.shard,
+        "class": group.class_name,
+        "count": group.count,
+        "cause": group.cause,
+        "holders": [
+            f"{100 * share:.0f}% {describe_holder((kind, name, detail), '')}"
+            for kind, name, detail, share in by_share[:MAX_HOLDERS_PER_GROUP]
+        ],
+    }
--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -1,146 +1,215 @@
-"""Ledgers of several gateways as one: who it was, at other gateways, that made a node slow. Pure.
-
-A gateway sees its own requests alone. What it puts down to a slow node may be the crowd of others there. Merged ledgers show
-it: a first pass adds up, for each node and bin of time, who was out there through any gateway and how much work came back;
-a second one shares what was put down to the node. The part of its pace that it lacked, against its own best in these
-ledgers, stays the node's (attribution); the rest goes to those who were out there, by their time out (a guess, as at one
-gateway). Clocks that are off by up to ``off_ms`` move a request by as much, so bins are at least twice as wide.
+"""Merges ledgers of several gateways: which requests, through any gateway, made an endpoint slow. Without I/O.
+
+A gateway sees its own requests alone: what it puts down to a slow endpoint may be contention by other gateways' requests.
+Merged ledgers show it. A first pass adds up, for each endpoint and time bin, which requests were there through any gateway
+and how much work was done. A second pass divides what was put down to the endpoint: the fraction of its throughput that it
+lacked, relative to its own best in these ledgers, stays the endpoint's; the rest goes to the requests there, by their time at
+it (an estimate, as at one gateway). Clocks that differ by ``clock_skew_ms`` move a request by as much, so bins are at least
+twice as wide.
 """
 
 from __future__ import annotations
 
 from collections import Counter, OrderedDict, defaultdict
 from collections.abc import Iterable, Iterator
+from dataclasses import dataclass
 
 import msgspec
 
-from winchdyke.latency_attribution.spans import Account, Holder, apportion
-
-BIN_MS = 500.0  # as long as a step of the windows; shorter ones tell chance from pace less well
-PACE_QUANTILE = 0.9  # of a node's bins: what it can do, but for a lucky few
-KEYS_MOST = 200_000  # volumes and keys that are followed to find second tries
-SECOND_TRY_MS = 15_000.0  # after a first that was not served, within which another may be its second
-
-
-def out(account: Account) -> Iterator[tuple[str, float, float]]:
-    """Node, begin and end (Unix milliseconds, by its gateway's clock) of each attempt of an account that has its line."""
-    begin: int | None = None
-    stretches: list[tuple[int, int]] = []
-    for phase, at, end in account.line:
-        if phase in ("dial", "send", "body", "store", "answer"):
-            begin = at if begin is None else begin
-            last = end
-        elif begin is not None:
-            stretches.append((begin, last))
-            begin = None
-    if begin is not None:
-        stretches.append((begin, last))
-    for node, (first, end) in zip(account.nodes, stretches, strict=False):
-        yield node, account.began_unix_ms + first / 1e6, account.began_unix_ms + end / 1e6
+from winchdyke.latency_attribution.apportionment import apportion
+from winchdyke.latency_attribution.records import Account
+from winchdyke.latency_attribution.vocabulary import (
+    DETAIL_SLOW,
+    KIND_ENDPOINT,
+    KIND_VOLUME,
+    OUTCOME_SERVED,
+    PHASE_QUEUED,
+    PHASES_AT_STORE,
+    Holder,
+)
+
+MIN_BIN_MS = 500.0  # shorter bins tell random variation from throughput less well
+THROUGHPUT_QUANTILE = 0.9  # of an endpoint's bins; the maximum would be random
+MAX_TRACKED_KEYS = 200_000
+MAX_RETRY_DELAY_MS = 15_000.0  # after an unserved request, within which another may be its retry
+MIN_ATTEMPT_MS = 1e-3
+NS_PER_MS = 1e6
+
+
+@dataclass(frozen=True, slots=True)
+class AttemptInterval:
+    """When an attempt was at its endpoint, in Unix milliseconds by its gateway's clock."""
+
+    endpoint: str
+    begin_ms: float
+    end_ms: float
+
+
+@dataclass(frozen=True, slots=True)
+class _SeenRequest:
+    began_unix_ms: float
+    gateway: str
+    served: bool
+
+
+def attempt_intervals(account: Account) -> Iterator[AttemptInterval]:
+    """The interval of each attempt of an account that has a timeline."""
+    intervals_ns: list[tuple[int, int]] = []
+    begin_ns: int | None = None
+    last_end_ns = 0
+    for phase, phase_begin_ns, phase_end_ns in account.timeline:
+        if phase in PHASES_AT_STORE:
+            if begin_ns is None:
+                begin_ns = phase_begin_ns
+            last_end_ns = phase_end_ns
+        elif begin_ns is not None:
+            intervals_ns.append((begin_ns, last_end_ns))
+            begin_ns = None
+    if begin_ns is not None:
+        intervals_ns.append((begin_ns, last_end_ns))
+    for endpoint, (first_ns, end_ns) in zip(account.attempt_endpoints, intervals_ns, strict=False):
+        begin_ms = account.began_unix_ms + first_ns / NS_PER_MS
+        yield AttemptInterval(endpoint, begin_ms, account.began_unix_ms + end_ns / NS_PER_MS)
+
+
+def merge_accounts(accounts: Iterable[Account], clock_skew_ms: float = 0.0) -> list[Account]:
+    """Accounts of several gateways with waits attributed across them.
+
+    Holds all accounts in memory; a reader of large ledgers uses :class:`ContentionTimeline` in two passes instead.
+    """
+    retained = list(accounts)
+    timeline = ContentionTimeline(clock_skew_ms)
+    for account in retained:
+        timeline.add(account)
+    return [timeline.reattribute(account) for account in retained]
 
 
 class ContentionTimeline:
-    """Who was out at each node, by bins of time, through all gateways."""
-
-    def __init__(self, off_ms: float = 0.0) -> None:
-        self.width = max(BIN_MS, 2 * off_ms)
-        self._out: defaultdict[tuple[str, int], Counter[tuple[str, str]]] = defaultdict(Counter)
-        self._work: defaultdict[str, Counter[int]] = defaultdict(Counter)
-        self._pace: dict[str, float] = {}
-        self._seen: OrderedDict[tuple[str, str], list[tuple[float, str, bool]]] = OrderedDict()
-        self.forgotten = 0
+    """Which requests were at each endpoint, by time bin, through all gateways.
+
+    Attributes:
+        bin_ms: The width of a bin.
+        evicted_keys: Keys that are no longer followed to find retries.
+    """
+
+    def __init__(self, clock_skew_ms: float = 0.0) -> None:
+        """``clock_skew_ms``: by how much the gateways' clocks may differ."""
+        self.bin_ms = max(MIN_BIN_MS, 2 * clock_skew_ms)
+        self.evicted_keys = 0
+        # Milliseconds of presence by endpoint and bin, then by volume and class.
+        self._presence_ms: defaultdict[tuple[str, int], defaultdict[tuple[str, str], float]] = defaultdict(
+            lambda: defaultdict(float)
+        )
+        self._units_done: defaultdict[str, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
+        self._max_units: dict[str, float] = {}
+        self._seen: OrderedDict[tuple[str, str], list[_SeenRequest]] = OrderedDict()
 
     def add(self, account: Account) -> None:
         """First pass: count one account."""
-        for (node, begin, end), how in zip(out(account), account.ends, strict=False):
-            span = max(end - begin, 1e-3)
-            for number, part in self._bins(begin, end):
-                self._out[node, number][account.volume, account.class_name] += part  # type: ignore[assignment]
-                if how == "served":
-                    self._work[node][number] += account.units * part / span  # type: ignore[assignment]
+        owner = (account.volume, account.class_name)
+        for interval, outcome in zip(attempt_intervals(account), account.attempt_outcomes, strict=False):
+            duration_ms = max(interval.end_ms - interval.begin_ms, MIN_ATTEMPT_MS)
+            for bin_number, overlap_ms in self._bins(interval.begin_ms, interval.end_ms):
+                self._presence_ms[interval.endpoint, bin_number][owner] += overlap_ms
+                if outcome == OUTCOME_SERVED:
+                    units = account.units * overlap_ms / duration_ms
+                    self._units_done[interval.endpoint][bin_number] += units
         if account.key:
             self._remember(account)
-        self._pace.clear()
-
-    def _bins(self, begin: float, end: float) -> Iterator[tuple[int, float]]:
-        """Bins that a stretch of time touches, with the milliseconds in each."""
-        number = int(begin // self.width)
-        while number * self.width < end:
-            part = min(end, (number + 1) * self.width) - max(begin, number * self.width)
-            if part > 0:
-                yield number, part
-            number += 1
-
-    def pace(self, node: str) -> float:
-        """What a node can do: units of work in a bin, a high quantile over the bins in which it did any."""
-        if node not in self._pace:
-            values = sorted(self._work[node].values())
-            self._pace[node] = values[int(PACE_QUANTILE * (len(values) - 1))] if values else 0.0
-        return self._pace[node]
-
-    def holders(self, node: str, number: int) -> dict[Holder, float]:
-        """Who made a node slow in a bin: itself by the pace it lacked, and those out there. Adds up to 1."""
-        there = self._out.get((node, number))
-        pace = self.pace(node)
-        lacked = max(0.0, 1 - self._work[node][number] / pace) if pace else 1.0
-        if not there:
-            return {("node", node, "slow"): 1.0}
-        whole = sum(there.values())
-        found: dict[Holder, float] = {
-            ("volume", volume, name): (1 - lacked) * part / whole for (volume, name), part in there.items()
+        self._max_units.clear()
+
+    def max_units_per_bin(self, endpoint: str) -> float:
+        """The units of work that an endpoint can do in a bin: a high quantile over the bins in which it did any."""
+        if endpoint not in self._max_units:
+            values = sorted(self._units_done[endpoint].values())
+            index = int(THROUGHPUT_QUANTILE * (len(values) - 1))
+            self._max_units[endpoint] = values[index] if values else 0.0
+        return self._max_units[endpoint]
+
+    def slowness_shares(self, endpoint: str, bin_number: int) -> dict[Holder, float]:
+        """What made an endpoint slow in a bin: itself by the throughput it lacked, and the requests there; sums to 1."""
+        itself: Holder = (KIND_ENDPOINT, endpoint, DETAIL_SLOW)
+        presence_ms = self._presence_ms.get((endpoint, bin_number))
+        if not presence_ms:
+            return {itself: 1.0}
+        max_units = self.max_units_per_bin(endpoint)
+        lacked = 1.0
+        if max_units:
+            lacked = max(0.0, 1 - self._units_done[endpoint].get(bin_number, 0.0) / max_units)
+        total_ms = sum(presence_ms.values())
+        shares: dict[Holder, float] = {
+            (KIND_VOLUME, volume, class_name): (1 - lacked) * time_ms / total_ms
+            for (volume, class_name), time_ms in presence_ms.items()
         }
-        found["node", node, "slow"] = lacked
-        return found
-
-    def refine(self, account: Account) -> Account:
-        """Second pass: the account with what was put down to slow nodes shared anew; sums stay exact."""
-        slow = [entry for entry in account.blame if entry[0] == "node" and entry[2] == "slow"]
-        held = [(begin, end) for phase, begin, end in account.line if phase == "held" and end > begin]
-        if not slow or not held:
+        shares[itself] = lacked
+        return shares
+
+    def reattribute(self, account: Account) -> Account:
+        """Second pass: the account with waits for slow endpoints divided anew; sums stay exact."""
+        slow = [entry for entry in account.blame if _is_slow_endpoint(entry[0], entry[2])]
+        queued = [
+            (begin_ns, end_ns)
+            for phase, begin_ns, end_ns in account.timeline
+            if phase == PHASE_QUEUED and end_ns > begin_ns
+        ]
+        if not slow or not queued:
             return account
         blame: Counter[Holder] = Counter()
-        for kind, name, what, share in account.blame:
-            if (kind, what) != ("node", "slow"):
-                blame[kind, name, what] += share
-        for _, node, _, share in slow:
-            parts: Counter[Holder] = Counter()
-            for begin, end in held:
-                first, last = account.began_unix_ms + begin / 1e6, account.began_unix_ms + end / 1e6
-                for number, part in self._bins(first, last):
-                    for holder, value in self.holders(node, number).items():
-                        parts[holder] += part * value  # type: ignore[assignment]
-            blame.update(apportion(share, parts))
-        return msgspec.structs.replace(account, blame=[(*holder, share) for holder, share in blame.items()])
-
-    def _remember(self, account: Account) -> None:
-        where = account.volume, account.key
-        self._seen.setdefault(where, []).append(
-            (account.began_unix_ms, account.gateway, account.outcome == "served")
-        )
-        if len(self._seen) > KEYS_MOST:
-            self._seen.popitem(last=False)
-            self.forgotten += 1
-
-    def maybe_second_tries(self) -> int:
-        """Requests that may repeat one that was not served at another gateway: told as unknown, never guessed."""
+        for kind, name, detail, share_ns in account.blame:
+            if not _is_slow_endpoint(kind, detail):
+                blame[kind, name, detail] += share_ns
+        for _, endpoint, _, share_ns in slow:
+            weights = self._slowness_weights(endpoint, account.began_unix_ms, queued)
+            blame.update(apportion(share_ns, weights))
+        entries = [(*holder, share_ns) for holder, share_ns in blame.items()]
+        return msgspec.structs.replace(account, blame=entries)
+
+    def count_possible_retries(self) -> int:
+        """Requests that may retry one that was not served at another gateway; there is no way to be certain."""
         count = 0
-        for tries in self._seen.values():
-            if len({gateway for _, gateway, _ in tries}) < 2:
+        for requests in self._seen.values():
+            if len({request.gateway for request in requests}) < 2:
                 continue
-            for began, gateway, _ in tries:
-                count += any(
-                    not served
-                    and other != gateway
-                    and -self.width <= began - at <= SECOND_TRY_MS + self.width
-                    for at, other, served in tries
-                )
+            for request in requests:
+                count += any(self._may_retry(request, earlier) for earlier in requests)
         return count
 
+    def _may_retry(self, request: _SeenRequest, earlier: _SeenRequest) -> bool:
+        if earlier.served or earlier.gateway == request.gateway:
+            return False
+        delay_ms = request.began_unix_ms - earlier.began_unix_ms
+        return -self.bin_ms <= delay_ms <= MAX_RETRY_DELAY_MS + self.bin_ms
+
+    def _slowness_weights(
+        self, endpoint: str, began_unix_ms: float, queued: list[tuple[int, int]]
+    ) -> dict[Holder, float]:
+        """What made an endpoint slow during intervals (ns after a begin), in milliseconds."""
+        weights: defaultdict[Holder, float] = defaultdict(float)
+        for begin_ns, end_ns in queued:
+            begin_ms = began_unix_ms + begin_ns / NS_PER_MS
+            end_ms = began_unix_ms + end_ns / NS_PER_MS
+            for bin_number, overlap_ms in self._bins(begin_ms, end_ms):
+                for holder, share in self.slowness_shares(endpoint, bin_number).items():
+                    weights[holder] += overlap_ms * share
+        return weights
+
+    def _bins(self, begin_ms: float, end_ms: float) -> Iterator[tuple[int, float]]:
+        """The bins that an interval overlaps, with the milliseconds in each."""
+        bin_number = int(begin_ms // self.bin_ms)
+        while bin_number * self.bin_ms < end_ms:
+            bin_end_ms = (bin_number + 1) * self.bin_ms
+            overlap_ms = min(end_ms, bin_end_ms) - max(begin_ms, bin_number * self.bin_ms)
+            if overlap_ms > 0:
+                yield bin_number, overlap_ms
+            bin_number += 1
+
+    def _remember(self, account: Account) -> None:
+        seen = _SeenRequest(account.began_unix_ms, account.gateway, account.outcome == OUTCOME_SERVED)
+        self._seen.setdefault((account.volume, account.key), []).append(seen)
+        if len(self._seen) > MAX_TRACKED_KEYS:
+            self._seen.popitem(last=False)
+            self.evicted_keys += 1
+
 
-def merged(accounts: Iterable[Account], off_ms: float = 0.0) -> list[Account]:
-    """Accounts of several gateways with blame across them. Holds them all; a reader of files takes two passes instead."""
-    kept = list(accounts)
-    crowd = ContentionTimeline(off_ms)
-    for account in kept:
-        crowd.add(account)
-    return [crowd.refine(account) for account in kept]
+def _is_slow_endpoint(kind: str, detail: str) -> bool:
+    return kind == KIND_ENDPOINT and detail == DETAIL_SLOW
--- a/winchdyke/latency_attribution/page.py
+++ b/winchdyke/latency_attribution/page.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained HTML page. Names are escaped: nothing in them becomes markup."""
+"""The report as one self-contained HTML page. All names are escaped."""
 
 from __future__ import annotations
 
@@ -7,29 +7,42 @@
 
 from jinja2 import Environment, PackageLoader, StrictUndefined
 
+CHART_WIDTH = 900
+CHART_HEIGHT = 150
+CHART_MARGIN = 5
+MS_PER_MINUTE = 60_000
 
-def page(report: dict[str, Any], losses: list[str]) -> str:
-    """The page of a report's data."""
-    environment = Environment(
-        loader=PackageLoader("winchdyke.latency_attribution", "."), autoescape=True, undefined=StrictUndefined
-    )
-    sums = {int(minute): sum(by.values()) for minute, by in report["minutes"].items()}
-    first, last = (min(sums), max(sums)) if sums else (0, 0)
-    most = max(sums.values(), default=1.0) or 1.0
-    width = 900 / max(1, last - first + 1)
-    bars = [
-        {
-            "x": round((minute - first) * width, 1), "width": round(max(1.0, width - 1), 1),
-            "y": round(150 * (1 - ms / most) + 5, 1), "height": round(150 * ms / most, 1),
-            "title": f"{_time(minute * 60_000)}: {ms / 1000:.1f} s",
-        }
-        for minute, ms in sums.items()
-    ]  # fmt: skip
+
+def render_page(report: dict[str, Any], losses: list[str]) -> str:
+    """The page of a report's data; ``losses`` says what could not be read."""
+    loader = PackageLoader("winchdyke.latency_attribution", ".")
+    environment = Environment(loader=loader, autoescape=True, undefined=StrictUndefined)
     span = "no requests"
     if report["requests"]:
-        span = f"from {_time(report['from_unix_ms'])} to {_time(report['to_unix_ms'])} UTC"
-    return environment.get_template("page.html.j2").render(report=report, bars=bars, span=span, losses=losses)
+        span = f"from {_format_time(report['from_unix_ms'])} to {_format_time(report['to_unix_ms'])} UTC"
+    template = environment.get_template("page.html.j2")
+    return template.render(report=report, bars=_bars(report["minutes"]), span=span, losses=losses)
+
+
+def _bars(minutes: dict[int, dict[str, float]]) -> list[dict[str, Any]]:
+    """A bar for each minute: its time in the queue."""
+    queued_ms = {int(minute): sum(by_volume.values()) for minute, by_volume in minutes.items()}
+    if not queued_ms:
+        return []
+    first = min(queued_ms)
+    width = CHART_WIDTH / (max(queued_ms) - first + 1)
+    max_ms = max(queued_ms.values()) or 1.0
+    return [
+        {
+            "x": round((minute - first) * width, 1),
+            "width": round(max(1.0, width - 1), 1),
+            "y": round(CHART_HEIGHT * (1 - ms / max_ms) + CHART_MARGIN, 1),
+            "height": round(CHART_HEIGHT * ms / max_ms, 1),
+            "title": f"{_format_time(minute * MS_PER_MINUTE)}: {ms / 1000:.1f} s",
+        }
+        for minute, ms in queued_ms.items()
+    ]
 
 
-def _time(unix_ms: float) -> str:
+def _format_time(unix_ms: float) -> str:
     return datetime.fromtimestamp(unix_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S")
--- a/winchdyke/latency_attribution/recorder.py
+++ b/winchdyke/latency_attribution/recorder.py
@@ -1,4 +1,4 @@
-"""From a request's course through the gateway to its account in the ledger."""
+"""Records a request's way through the gateway, and hands its account to the ledger."""
 
 from __future__ import annotations
 
@@ -6,93 +6,99 @@
 from collections import OrderedDict
 from collections.abc import Callable
 from time import monotonic_ns
+from typing import TYPE_CHECKING
 
-from winchdyke.latency_attribution.ledger import Held, Writer
-from winchdyke.latency_attribution.spans import CODES, Annotation, Hold
-from winchdyke.latency_attribution.why import Observer
+from winchdyke.latency_attribution.records import Annotation, ObservedWait, QueuedGroup
+from winchdyke.latency_attribution.vocabulary import OUTCOME_SERVED, PHASE_CODES
 
-FIRSTS_MOST = 50_000  # first tries that are remembered, to know second ones by
+if TYPE_CHECKING:
+    from winchdyke.latency_attribution.ledger_writer import LedgerWriter
+    from winchdyke.latency_attribution.queue_observer import QueueObserver
+
+MAX_TRACKED_FIRST_REQUESTS = 50_000
+NS_PER_MS = 1e6
 
 
 class RequestTrace:
-    """One request while it runs: what is noted of it, and no more."""
+    """What is noted of one request while it runs.
+
+    Attributes:
+        phase_marks: Time (ns) and code of each phase in turn; it begins in the first phase.
+        waits: Waits in the queue that lasted past one turn of the scheduler.
+        attempts: Endpoint, outcome, time at the endpoint (ms), and its usual time (ms).
+    """
 
-    __slots__ = ("attempts", "holds", "marks")
+    __slots__ = ("attempts", "phase_marks", "waits")
 
     def __init__(self, now_ns: int) -> None:
-        self.marks: list[int] = [now_ns, 0]
-        self.holds: list[Hold] = []
-        self.attempts: list[
-            tuple[str, str, float, float]
-        ] = []  # node, how it ended, milliseconds out, the usual
+        self.phase_marks: list[int] = [now_ns, 0]
+        self.waits: list[ObservedWait] = []
+        self.attempts: list[tuple[str, str, float, float]] = []
 
-    def phase(self, name: str) -> None:
-        """It enters a phase now."""
-        self.marks += (monotonic_ns(), CODES[name])
+    def enter_phase(self, name: str) -> None:
+        """The request enters a phase now."""
+        self.phase_marks += (monotonic_ns(), PHASE_CODES[name])
 
 
 class Recorder:
-    """Makes accounts of the requests of one gateway and hands them to its ledger."""
-
-    def __init__(self, gateway: str, writer: Writer, observer: Callable[[], Observer | None]) -> None:
-        self.gateway, self.writer, self._observer = gateway, writer, observer
-        self._firsts: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
+    """Records the requests of one gateway."""
 
-    def begin(self) -> RequestTrace:
-        """A request has come."""
+    def __init__(
+        self, gateway: str, writer: LedgerWriter, observer: Callable[[], QueueObserver | None]
+    ) -> None:
+        """``observer`` gives the observer of the present scheduler."""
+        self.gateway = gateway
+        self.writer = writer
+        self._observer = observer
+        # By volume and key: a request that was not served, and its time (ms).
+        self._first_requests: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
+
+    def start_trace(self) -> RequestTrace:
+        """A request has arrived."""
         return RequestTrace(monotonic_ns())
 
-    def hold(self, request: str, shard: int, class_name: str, now: float) -> None:
-        """It is held from now on."""
+    def start_wait(self, request: str, shard: int, class_name: str, now_ms: float) -> None:
+        """A request is handed to the scheduler."""
         observer = self._observer()
         if observer is not None:
-            observer.begin(request, shard, class_name, now)
+            observer.record_queued(request, shard, class_name, now_ms)
 
-    def release(self, course: RequestTrace, request: str, since_ns: int, now: float) -> None:
-        """It is held no more."""
+    def end_wait(self, trace: RequestTrace, request: str, since_ns: int, now_ms: float) -> None:
+        """The scheduler has decided on a request that waited since a time."""
         observer = self._observer()
-        if observer is not None and not observer.at_once(request):
-            holders, causes = observer.end(request, now)
+        if observer is not None and not observer.take_immediate(request):
+            holders, causes = observer.record_dequeued(request, now_ms)
             if holders:
-                course.holds.append((since_ns, monotonic_ns(), holders, causes))
+                trace.waits.append((since_ns, monotonic_ns(), holders, causes))
 
-    def tell(self) -> None:
-        """Let the ledger's folder say what is held now."""
+    def publish_snapshot(self) -> None:
+        """Write what is queued now to the ledger's directory."""
         observer = self._observer()
-        if observer is not None:
-            groups = observer.held()
-            self.writer.tell(
-                self.gateway,
-                [
-                    Held(shard, name, count, cause, [(*holder, part) for holder, part in shares.items()])
-                    for shard, name, count, cause, shares in groups
-                ],
+        if observer is None:
+            return
+        groups = [
+            QueuedGroup(
+                shard=group.shard,
+                class_name=group.class_name,
+                count=group.count,
+                cause=group.cause,
+                holders=[(*holder, share) for holder, share in group.shares.items()],
             )
+            for group in observer.queued_groups()
+        ]
+        self.writer.publish_snapshot(self.gateway, groups)
 
-    def usual(self, node: str, class_name: str, units: float) -> float:
-        """A node's usual latency for so much work, in milliseconds; 0 where it is not known."""
+    def expected_latency_ms(self, endpoint_name: str, class_name: str, units: float) -> float:
+        """The usual latency of an endpoint for some work; 0 where it is not known."""
         observer = self._observer()
-        view = observer.scheduler.endpoints.get(node) if observer is not None else None
-        return observer.usual(view, class_name, units) if observer is not None and view is not None else 0.0
+        if observer is None:
+            return 0.0
+        endpoint = observer.scheduler.endpoints.get(endpoint_name)
+        return observer.expected_latency_ms(endpoint, class_name, units) if endpoint is not None else 0.0
 
-    def _first(
-        self, volume: str, key: str, request: str, served: bool, deadline_ms: float, now: float
-    ) -> str:
-        """The request whose first try this one repeats, as the module matches them: by volume and key, in its time."""
-        known = self._firsts.get((volume, key))
-        first = known if known is not None and now <= known[1] + deadline_ms else (request, now)
-        if served:
-            self._firsts.pop((volume, key), None)
-        else:
-            self._firsts[volume, key] = first
-            self._firsts.move_to_end((volume, key))
-            if len(self._firsts) > FIRSTS_MOST:
-                self._firsts.popitem(last=False)
-        return first[0] if first[0] != request else ""
-
-    def end(
+    def finish(
         self,
-        course: RequestTrace,
+        trace: RequestTrace,
         *,
         request: str,
         volume: str,
@@ -105,14 +111,46 @@
         client_request: str,
         deadline_ms: float,
     ) -> None:
-        """It is over: what was noted goes to the ledger."""
-        served = outcome == "served"
-        first = ""
-        if self._firsts or not served:
-            first = self._first(volume, key or request, request, served, deadline_ms, monotonic_ns() / 1e6)
+        """The request has ended: hand it to the ledger."""
+        served = outcome == OUTCOME_SERVED
+        first_request = ""
+        if self._first_requests or not served:
+            now_ms = monotonic_ns() / NS_PER_MS
+            first_request = self._match_first(volume, key or request, request, served, deadline_ms, now_ms)
         self.writer.put(
             Annotation(
-                request, time.time_ns(), self.gateway, volume, class_name, key, outcome, reason, status, client_request,
-                first, units, monotonic_ns(), course.marks, course.holds, course.attempts,
+                request,
+                time.time_ns(),
+                self.gateway,
+                volume,
+                class_name,
+                key,
+                outcome,
+                reason,
+                status,
+                client_request,
+                first_request,
+                units,
+                monotonic_ns(),
+                trace.phase_marks,
+                trace.waits,
+                trace.attempts,
             )
-        )  # fmt: skip
+        )
+
+    def _match_first(
+        self, volume: str, key: str, request: str, served: bool, deadline_ms: float, now_ms: float
+    ) -> str:
+        """The request that this one retries, or ""; matched by volume and key within the deadline, as scheduled."""
+        known = self._first_requests.get((volume, key))
+        first = (request, now_ms)
+        if known is not None and now_ms <= known[1] + deadline_ms:
+            first = known
+        if served:
+            self._first_requests.pop((volume, key), None)
+        else:
+            self._first_requests[volume, key] = first
+            self._first_requests.move_to_end((volume, key))
+            if len(self._first_requests) > MAX_TRACKED_FIRST_REQUESTS:
+                self._first_requests.popitem(last=False)
+        return first[0] if first[0] != request else ""
--- a/winchdyke/latency_attribution/sums.py
+++ b/winchdyke/latency_attribution/sums.py
@@ -1,9 +1,9 @@
-"""Accounts summed up by the minute, for evenings long past: who waited, how long, for whom. Pure.
+"""Adds accounts up by the minute: the form in which a ledger keeps them for long. Without I/O.
 
-Counts, times and histograms of what is kept are exact, and add up over minutes, segments and gateways. Bounded are the cells
-of the wait matrix (``CELLS_MOST``) and the volumes with figures of their own (``VOLUMES_MOST``) for a minute. What is left out
-of the matrix is added up by waiter as "others"; no cell that is left out is larger than ``below``, which is the stated error
-of a cell for each piece of a minute that is added up.
+Counts, times and histograms are exact and add up over minutes, segments and gateways. Bounded for each minute are the
+cells of the wait matrix (``MAX_MATRIX_CELLS``) and the volumes with figures of their own (``MAX_VOLUMES``). Smaller cells
+are added up by waiting volume as "others"; none of them is larger than ``max_omitted_cell_ns``, which is the stated error of
+a cell for each part of a minute.
 """
 
 from __future__ import annotations
@@ -13,171 +13,188 @@
 from collections.abc import Iterable
 from typing import Any
 
-import msgspec
 from hdrh.histogram import HdrHistogram
 
-from winchdyke.latency_attribution.spans import Account, Holder
+from winchdyke.latency_attribution.records import (
+    Account,
+    AttemptTimes,
+    EndpointSum,
+    LatencySum,
+    MinuteSums,
+    VolumeSum,
+)
+from winchdyke.latency_attribution.vocabulary import (
+    NO_RESPONSE_OUTCOMES,
+    OTHER_HOLDERS,
+    OTHER_VOLUMES,
+    Holder,
+)
 
-CELLS_MOST = 400
-VOLUMES_MOST = 500
-WORST = 3  # accounts of a minute that are kept whole: its slowest
-OTHERS = "(others)"  # volumes without figures of their own
-FOLDED: Holder = ("others", "folded", "")
-NO_ANSWER = frozenset({"store-reset", "timed-out"})  # ends of attempts that may have run, with no answer
-SLOW_EVIDENCE = 1.5  # times the usual from which on a node's attempts are evidence
+MAX_MATRIX_CELLS = 400
+MAX_VOLUMES = 500
+MAX_VOLUMES_PER_ENDPOINT = 8
+SLOWEST_REQUESTS = 3  # accounts that are kept of each minute
+SLOW_ATTEMPT_FACTOR = 1.5  # of the usual time, from which on an attempt counts as slow
+MS_PER_MINUTE = 60_000
+NS_PER_US = 1000
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 2
 
 
-def histogram() -> Any:
-    """Microseconds up to an hour, to two digits."""
-    return HdrHistogram(1, 3_600_000_000, 2)
+def new_histogram() -> Any:
+    """An HDR histogram of microseconds up to an hour, to two digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-class Latencies(msgspec.Struct, array_like=True):
-    """Requests or attempts: how many, their time in all (nanoseconds), and an HDR histogram (V2, base64, microseconds)."""
+def to_histogram_us(time_ns: int) -> int:
+    """Nanoseconds as a value that a histogram can hold."""
+    return max(1, time_ns // NS_PER_US)
 
-    count: int
-    total: int
-    histogram: bytes
 
+def is_slow(attempt: AttemptTimes) -> bool:
+    """Whether an attempt took clearly longer than usual."""
+    return bool(attempt.expected_ns) and attempt.time_ns > SLOW_ATTEMPT_FACTOR * attempt.expected_ns
 
-class VolumeSum(msgspec.Struct, array_like=True):
-    """A volume's minute. Times in nanoseconds."""
 
-    volume: str
-    latency: Latencies
-    held: int
-    outcomes: dict[str, int]
-    phases: dict[str, int]
-    causes: dict[str, int]
-
-
-class NodeSum(msgspec.Struct, array_like=True):
-    """A node's minute: its attempts, those past their usual, and what they took beyond it, by volume."""
-
-    node: str
-    latency: Latencies
-    slow: int
-    usual: int
-    excess: int
-    volumes: dict[str, int]
-    ends: dict[str, int]  # attempts by how they ended
-    lost: dict[str, int]  # attempts with no answer, by volume; the eight with the most
-
-
-class Sums(msgspec.Struct, array_like=True, tag=3):
-    """One minute of one gateway, or a piece of it where two segments meet."""
-
-    minute: int  # since the Unix epoch
-    gateway: str
-    requests: int
-    held: int
-    volumes: list[VolumeSum]
-    classes: list[tuple[str, Latencies]]
-    nodes: list[NodeSum]
-    matrix: list[
-        tuple[str, str, str, str, int]
-    ]  # waiter, then kind, name and what of the holder, nanoseconds
-    folded: int  # nanoseconds of cells that were added up as others
-    below: int  # no cell that was left out is larger
-    firsts: int
-    worst: list[Account]
+def sum_by_minute(accounts: Iterable[Account]) -> list[MinuteSums]:
+    """Accounts as sums by minute and gateway, in order of time."""
+    minutes: defaultdict[tuple[int, str], MinuteAccumulator] = defaultdict(MinuteAccumulator)
+    for account in accounts:
+        minutes[int(account.began_unix_ms // MS_PER_MINUTE), account.gateway].add(account)
+    return [accumulator.sums(minute, gateway) for (minute, gateway), accumulator in sorted(minutes.items())]
 
 
-def _latencies(values: list[int]) -> Latencies:
-    made = histogram()
-    for value in values:
-        made.record_value(max(1, value // 1000))
-    return Latencies(len(values), sum(values), made.encode())
+class VolumeAccumulator:
+    """One volume in one minute while it is added up."""
 
+    def __init__(self) -> None:
+        self.latencies_ns: list[int] = []
+        self.queued_ns = 0
+        self.outcomes: Counter[str] = Counter()
+        self.phases_ns: Counter[str] = Counter()
+        self.causes_ns: Counter[str] = Counter()
 
-class Minute:
+    def add(self, account: Account) -> None:
+        """Add one account."""
+        self.latencies_ns.append(account.latency_ns)
+        self.queued_ns += account.queued_ns
+        self.outcomes[account.outcome] += 1
+        self.phases_ns.update(dict(account.phases_ns))
+        self.causes_ns.update(account.causes_ns)
+
+    def merge(self, other: VolumeAccumulator) -> None:
+        """Add all of another one."""
+        self.latencies_ns += other.latencies_ns
+        self.queued_ns += other.queued_ns
+        self.outcomes.update(other.outcomes)
+        self.phases_ns.update(other.phases_ns)
+        self.causes_ns.update(other.causes_ns)
+
+    def sums(self, volume: str) -> VolumeSum:
+        """The record."""
+        return VolumeSum(
+            volume=volume,
+            latency=_latency_sum(self.latencies_ns),
+            queued_ns=self.queued_ns,
+            outcomes=dict(self.outcomes),
+            phases_ns=dict(self.phases_ns),
+            causes_ns=dict(self.causes_ns),
+        )
+
+
+class MinuteAccumulator:
     """One minute of one gateway while it is added up."""
 
     def __init__(self) -> None:
-        self.requests = self.held = self.firsts = 0
-        self.matrix: Counter[tuple[str, Holder]] = Counter()
-        self.latencies: defaultdict[str, list[int]] = defaultdict(list)
-        self.classes: defaultdict[str, list[int]] = defaultdict(list)
-        self.helds: Counter[str] = Counter()
-        self.counts: defaultdict[tuple[str, str], Counter[str]] = defaultdict(Counter)
-        self.nodes: defaultdict[str, list[tuple[int, int, str, str]]] = defaultdict(list)
-        self.worst: list[tuple[int, str, Account]] = []
+        self._requests = 0
+        self._queued_ns = 0
+        self._retries = 0
+        self._volumes: defaultdict[str, VolumeAccumulator] = defaultdict(VolumeAccumulator)
+        self._classes: defaultdict[str, list[int]] = defaultdict(list)
+        self._attempts: defaultdict[str, list[tuple[str, AttemptTimes]]] = defaultdict(list)
+        self._matrix: Counter[tuple[str, Holder]] = Counter()
+        self._slowest: list[tuple[int, str, Account]] = []
 
     def add(self, account: Account) -> None:
-        """Count one account."""
-        volume, held = account.volume, account.held
-        self.requests += 1
-        self.held += held
-        self.firsts += bool(account.first)
-        self.latencies[volume].append(account.latency)
-        self.classes[account.class_name].append(account.latency)
-        self.helds[volume] += held
-        self.counts[volume, "outcomes"][account.outcome] += 1
-        self.counts[volume, "phases"].update(dict(account.spans))
-        self.counts[volume, "causes"].update(account.causes)
-        for kind, name, what, share in account.blame:
-            self.matrix[volume, (kind, name, what)] += share
-        for node, how, out, usual in zip(
-            account.nodes, account.ends, account.store, account.usual, strict=True
-        ):
-            self.nodes[node].append((out, usual, volume, how))
-        entry = (account.latency, account.request, account)
-        (heapq.heappush if len(self.worst) < WORST else heapq.heappushpop)(self.worst, entry)
-
-    def sums(self, minute: int, gateway: str) -> Sums:
-        """What is kept of it."""
-        own = {volume for volume, _ in self.helds.most_common(VOLUMES_MOST)}
-        if len(own) < len(self.helds):
-            self._fold_volumes(own)
-        cells = self.matrix.most_common()
-        kept, left = cells[:CELLS_MOST], cells[CELLS_MOST:]
-        others: Counter[str] = Counter()
-        for (volume, _), share in left:
-            others[volume] += share
-        matrix = [(volume, *holder, share) for (volume, holder), share in kept]
-        return Sums(
-            minute, gateway, self.requests, self.held,
-            [self._volume(volume) for volume in self.latencies],
-            [(name, _latencies(values)) for name, values in self.classes.items()],
-            [_node(name, seen) for name, seen in self.nodes.items()],
-            matrix + [(volume, *FOLDED, share) for volume, share in others.items()],
-            sum(others.values()), left[0][1] if left else 0, self.firsts,
-            [account for _, _, account in self.worst],
-        )  # fmt: skip
-
-    def _fold_volumes(self, own: set[str]) -> None:
-        for volume in [volume for volume in self.latencies if volume not in own]:
-            self.latencies[OTHERS] += self.latencies.pop(volume)
-            self.helds[OTHERS] += self.helds.pop(volume)
-            for what in ("outcomes", "phases", "causes"):
-                self.counts[OTHERS, what].update(self.counts.pop((volume, what), Counter()))
-        for waiter, holder in [cell for cell in self.matrix if cell[0] not in own]:
-            self.matrix[OTHERS, holder] += self.matrix.pop((waiter, holder))
-
-    def _volume(self, volume: str) -> VolumeSum:
-        outcomes, phases, causes = (dict(self.counts[volume, w]) for w in ("outcomes", "phases", "causes"))
-        held = self.helds[volume]
-        return VolumeSum(volume, _latencies(self.latencies[volume]), held, outcomes, phases, causes)
-
-
-def _node(name: str, seen: list[tuple[int, int, str, str]]) -> NodeSum:
-    volumes: Counter[str] = Counter()
-    slow = 0
-    for out, usual, volume, _ in seen:
-        if usual and out > SLOW_EVIDENCE * usual:
-            slow += 1
-            volumes[volume] += out - usual
-    usual = sum(usual for _, usual, _, _ in seen)
-    latency = _latencies([out for out, *_ in seen])
-    ends = Counter(how for *_, how in seen)
-    lost = Counter(volume for *_, volume, how in seen if how in NO_ANSWER)
-    slowest, losers = dict(volumes.most_common(8)), dict(lost.most_common(8))
-    return NodeSum(name, latency, slow, usual, sum(volumes.values()), slowest, dict(ends), losers)
-
-
-def summed_up(accounts: Iterable[Account]) -> list[Sums]:
-    """Accounts as sums by minute and gateway, in order of time."""
-    minutes: defaultdict[tuple[int, str], Minute] = defaultdict(Minute)
-    for account in accounts:
-        minutes[int(account.began_unix_ms // 60_000), account.gateway].add(account)
-    return [made.sums(minute, gateway) for (minute, gateway), made in sorted(minutes.items())]
+        """Add one account."""
+        volume = account.volume
+        self._requests += 1
+        self._queued_ns += account.queued_ns
+        self._retries += bool(account.first_request)
+        self._volumes[volume].add(account)
+        self._classes[account.class_name].append(account.latency_ns)
+        for kind, name, detail, share_ns in account.blame:
+            self._matrix[volume, (kind, name, detail)] += share_ns
+        for attempt in account.attempts():
+            self._attempts[attempt.endpoint].append((volume, attempt))
+        entry = (account.latency_ns, account.request, account)
+        if len(self._slowest) < SLOWEST_REQUESTS:
+            heapq.heappush(self._slowest, entry)
+        else:
+            heapq.heappushpop(self._slowest, entry)
+
+    def sums(self, minute: int, gateway: str) -> MinuteSums:
+        """The record."""
+        self._fold_volumes()
+        cells = self._matrix.most_common()
+        omitted = cells[MAX_MATRIX_CELLS:]
+        others_ns: Counter[str] = Counter()
+        for (volume, _), share_ns in omitted:
+            others_ns[volume] += share_ns
+        matrix = [(volume, *holder, share_ns) for (volume, holder), share_ns in cells[:MAX_MATRIX_CELLS]]
+        matrix += [(volume, *OTHER_HOLDERS, share_ns) for volume, share_ns in others_ns.items()]
+        return MinuteSums(
+            minute=minute,
+            gateway=gateway,
+            requests=self._requests,
+            queued_ns=self._queued_ns,
+            volumes=[accumulator.sums(volume) for volume, accumulator in self._volumes.items()],
+            classes=[(name, _latency_sum(values_ns)) for name, values_ns in self._classes.items()],
+            endpoints=[_endpoint_sum(name, attempts) for name, attempts in self._attempts.items()],
+            matrix=matrix,
+            folded_ns=sum(others_ns.values()),
+            max_omitted_cell_ns=omitted[0][1] if omitted else 0,
+            retries=self._retries,
+            slowest=[account for _, _, account in self._slowest],
+        )
+
+    def _fold_volumes(self) -> None:
+        """Add volumes beyond the limit up as others; those that waited the longest stay."""
+        if len(self._volumes) <= MAX_VOLUMES:
+            return
+        queued_ns = Counter({volume: each.queued_ns for volume, each in self._volumes.items()})
+        retained = {volume for volume, _ in queued_ns.most_common(MAX_VOLUMES)}
+        for volume in [volume for volume in self._volumes if volume not in retained]:
+            folded = self._volumes.pop(volume)
+            self._volumes[OTHER_VOLUMES].merge(folded)
+        for volume, holder in [cell for cell in self._matrix if cell[0] not in retained]:
+            self._matrix[OTHER_VOLUMES, holder] += self._matrix.pop((volume, holder))
+
+
+def _latency_sum(values_ns: list[int]) -> LatencySum:
+    histogram = new_histogram()
+    for value_ns in values_ns:
+        histogram.record_value(to_histogram_us(value_ns))
+    return LatencySum(len(values_ns), sum(values_ns), histogram.encode())
+
+
+def _endpoint_sum(name: str, attempts: list[tuple[str, AttemptTimes]]) -> EndpointSum:
+    excess_ns: Counter[str] = Counter()
+    lost: Counter[str] = Counter()
+    slow_attempts = 0
+    for volume, attempt in attempts:
+        if is_slow(attempt):
+            slow_attempts += 1
+            excess_ns[volume] += attempt.time_ns - attempt.expected_ns
+        if attempt.outcome in NO_RESPONSE_OUTCOMES:
+            lost[volume] += 1
+    return EndpointSum(
+        endpoint=name,
+        latency=_latency_sum([attempt.time_ns for _, attempt in attempts]),
+        slow_attempts=slow_attempts,
+        expected_ns=sum(attempt.expected_ns for _, attempt in attempts),
+        excess_ns=sum(excess_ns.values()),
+        excess_ns_by_volume=dict(excess_ns.most_common(MAX_VOLUMES_PER_ENDPOINT)),
+        outcomes=dict(Counter(attempt.outcome for _, attempt in attempts)),
+        lost_by_volume=dict(lost.most_common(MAX_VOLUMES_PER_ENDPOINT)),
+    )
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -16,9 +16,11 @@
 from dataclasses import dataclass, field
 
 from winchdyke import interface as api
-from winchdyke.latency_attribution.merge import merged
-from winchdyke.latency_attribution.spans import Account, Holder, apportion, apportion_causes
-from winchdyke.latency_attribution.why import USUAL_SLACK, Observer
+from winchdyke.latency_attribution.apportionment import apportion, apportion_causes
+from winchdyke.latency_attribution.merge import merge_accounts
+from winchdyke.latency_attribution.queue_observer import SLOW_ATTEMPT_FACTOR, QueueObserver
+from winchdyke.latency_attribution.records import Account
+from winchdyke.latency_attribution.vocabulary import Holder
 from winchdyke.policy import EndpointState, Scheduler
 
 CLASSES = (
@@ -117,7 +119,7 @@
         return self._unit_ms * (self._slow if now >= self._from else 1.0)
 
 
-class Seeing(Observer):
+class Seeing(QueueObserver):
     """The same shadow as a gateway's, but it sees who is in service at the stores, and which are slow by themselves.
 
     What a gateway puts down to a node's slowness is here shared among those that the store works on; where the store is
@@ -128,7 +130,7 @@
         super().__init__(world.schedulers[index])
         self.world, self.index = world, index
 
-    def _out(self, node: EndpointState, now: float) -> dict[Holder, float]:
+    def _in_flight_shares(self, node: EndpointState, now: float) -> dict[Holder, float]:
         world = self.world
         store = world.stores[node.shard]
         own = 1 - world.scene.unit_ms / store.unit_ms(now)
@@ -140,7 +142,9 @@
 
         for (request, _), (sent, class_name) in node.in_flight.items():
             held = self.scheduler.requests.get(request)
-            if now - sent <= USUAL_SLACK * self.usual(node, class_name, held.request.units if held else 1.0):
+            if now - sent <= SLOW_ATTEMPT_FACTOR * self.expected_latency_ms(
+                node, class_name, held.request.units if held else 1.0
+            ):
                 put(("volume", world.done[request].course, class_name), part)
                 continue
             served = [world.done[other] for _, other in store.busy]
@@ -173,7 +177,7 @@
         self.deadlines = {kind.name: kind.deadline_ms for kind in given.classes}
         settings = [dataclasses.replace(given, gateway_index=index) for index in range(scene.gateways)]
         self.schedulers = [Scheduler(each, scene.seed * 1000 + each.gateway_index, 0.0) for each in settings]
-        self.observers = [Observer(scheduler) for scheduler in self.schedulers]
+        self.observers = [QueueObserver(scheduler) for scheduler in self.schedulers]
         self.seers = [Seeing(self, index) for index in range(scene.gateways)] if seeing else []
         slow = dict(scene.slow)
         self.stores = [
@@ -230,13 +234,13 @@
         self.done[request.request_id] = done
         self._open[request.request_id] = request, 0
         for observer in self._observers(gateway):
-            observer.begin(request.request_id, request.shard, request.request_class, now)
+            observer.record_queued(request.request_id, request.shard, request.request_class, now)
         self._give(now, gateway, [request])
 
     def _on_timer(self, now: float, gateway: int, tag: int) -> None:
         self._give(now, gateway, [api.TimerFired(tag)])
 
-    def _observers(self, index: int) -> list[Observer]:
+    def _observers(self, index: int) -> list[QueueObserver]:
         return [self.observers[index], self.seers[index]] if self.seers else [self.observers[index]]
 
     def _give(self, now: float, index: int, events: list[api.Event]) -> None:
@@ -250,7 +254,7 @@
                 done = self.done[action.request_id]
                 view = self.schedulers[index].endpoints[action.endpoint]
                 done.sent, done.node = now, action.endpoint
-                done.usual = self.observers[index].usual(view, done.class_name, done.units)
+                done.usual = self.observers[index].expected_latency_ms(view, done.class_name, done.units)
                 self._send(now, index, request, attempt, action.endpoint)
             elif isinstance(action, (api.ShedRequest, api.FailRequest)):
                 self._held(now, index, action.request_id)
@@ -260,7 +264,7 @@
             elif isinstance(action, api.WatchEndpoints):
                 self._watch(now, index)
         for observer in self._observers(index):
-            observer.look(now)
+            observer.observe(now)
 
     def _send(self, now: float, index: int, request: api.Request, attempt: int, node: str) -> None:
         work = request.shard, index, request.request_id, attempt, request.units, now
@@ -270,10 +274,10 @@
         """The scheduler asks for the list: here it has it."""
 
     def _held(self, now: float, index: int, request: str) -> None:
-        holders, causes = self.observers[index].end(request, now)
+        holders, causes = self.observers[index].record_dequeued(request, now)
         done = self.done[request]
         if self.seers:
-            for holder, value in self.seers[index].end(request, now)[0].items():
+            for holder, value in self.seers[index].record_dequeued(request, now)[0].items():
                 done.seen[holder] = done.seen.get(holder, 0.0) + value
         for holder, value in holders.items():
             done.blame[holder] = done.blame.get(holder, 0.0) + value
@@ -325,14 +329,14 @@
             Account(
                 request=done.id, began_unix_ms=done.at + (off_ms or {}).get(done.gateway, 0.0),
                 gateway=f"gateway-{done.gateway}", volume=done.course, class_name=done.class_name, key="",
-                outcome=done.outcome, reason="", status=0, latency=latency,
-                spans=[span for span in (("held", held), ("store", out)) if span[1]],
-                causes=apportion_causes(held, done.causes),
+                outcome=done.outcome, reason="", status=0, latency_ns=latency,
+                phases_ns=[span for span in (("held", held), ("store", out)) if span[1]],
+                causes_ns=apportion_causes(held, done.causes),
                 blame=[(*holder, share) for holder, share in blame.items()],
-                nodes=[done.node] if done.node else [], ends=["served"] if done.node else [],
-                units=done.units, store=[out] if done.node else [],
-                usual=[round(done.usual * 1e6)] if done.node else [],
-                line=[("held", 0, held), ("store", held, latency)],
+                attempt_endpoints=[done.node] if done.node else [], attempt_outcomes=["served"] if done.node else [],
+                units=done.units, attempt_times_ns=[out] if done.node else [],
+                expected_times_ns=[round(done.usual * 1e6)] if done.node else [],
+                timeline=[("held", 0, held), ("store", held, latency)],
             )
         )  # fmt: skip
     return made
@@ -355,10 +359,10 @@
 def counterfactual(scene: Scene, waiter: str, blamed: str) -> Check:
     """How much of a course's wait is put on another, and by how much it falls where that one never came."""
     whole, less = play(scene), play(scene, frozenset({blamed}))
-    told = [account for account in merged(accounts(whole)) if account.volume == waiter]
+    told = [account for account in merge_accounts(accounts(whole)) if account.volume == waiter]
     put = sum(
         share for account in told for *holder, share in account.blame if holder[:2] == ["volume", blamed]
     )
-    held = sum(account.held for account in told)
+    held = sum(account.queued_ns for account in told)
     rest = sum(done.held for done in less if done.course == waiter)
     return Check(put / 1e6, held / 1e6 - rest, held / 1e6)
