--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,6 +17,7 @@
 from winchdyke import interface as api
 from winchdyke.discovery import cache
 from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_transitions import EndpointTransitions
 from winchdyke.discovery.endpoint_view import EndpointView
 from winchdyke.discovery.polling import POLL_BURST, PollRateLimiter, jittered_backoff_seconds
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
@@ -291,18 +292,20 @@
 class IgnoresUptime(EndpointView):
     """Does not look at a store's own uptime."""
 
-    def _record_uptime(self, endpoint, evidence, restarted, now_ms):
-        endpoint.start_time_known = True
+    class transitions_type(EndpointTransitions):
+        def _record_uptime(self, endpoint, evidence, restarted, now_ms):
+            endpoint.start_time_known = True
 
 
 class ForgetsDrains(EndpointView):
     """Loses a drain that the list does not know yet."""
 
-    def _apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
-        endpoint.drain_announced = False
-        if endpoint.status is DiscoveryStatus.DRAINING:
-            endpoint.status = DiscoveryStatus.USABLE
-        super()._apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
+    class transitions_type(EndpointTransitions):
+        def apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
+            endpoint.drain_announced = False
+            if endpoint.status is DiscoveryStatus.DRAINING:
+                endpoint.status = DiscoveryStatus.USABLE
+            super().apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
 
 
 class IgnoresOwnDrain(EndpointView):
@@ -316,12 +319,13 @@
 class TrustsMissingStart(EndpointView):
     """Believes a list without a start time against the store's own uptime."""
 
-    def _apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
-        super()._apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
-        if not entry.started_at_ms:
-            endpoint.started_at_ms = 0.0
-            endpoint.uptime_reported = True
-            self._update_warmup(endpoint, now_ms)
+    class transitions_type(EndpointTransitions):
+        def apply_entry(self, endpoint, entry, source_name, now_ms, unix_ms, is_older):
+            super().apply_entry(endpoint, entry, source_name, now_ms, unix_ms, is_older)
+            if not entry.started_at_ms:
+                endpoint.started_at_ms = 0.0
+                endpoint.uptime_reported = True
+                self._update_warmup(endpoint, now_ms)
 
 
 @pytest.mark.parametrize(
--- a/winchdyke/discovery/srv_source.py
+++ b/winchdyke/discovery/srv_source.py
@@ -88,4 +88,4 @@
 
 
 def _is_address(text: str) -> bool:
-    return all(part.isdigit() for part in text.split("."))
+    return all(octet.isdigit() for octet in text.split("."))
--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _SeenRequest:
+class _ObservedRequest:
     began_unix_ms: float
     gateway: str
     served: bool
@@ -100,9 +100,11 @@
         self._presence_ms: defaultdict[tuple[str, int], defaultdict[tuple[str, str], float]] = defaultdict(
             lambda: defaultdict(float)
         )
-        self._units_done: defaultdict[str, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
+        self._completed_units: defaultdict[str, defaultdict[int, float]] = defaultdict(
+            lambda: defaultdict(float)
+        )
         self._max_units: dict[str, float] = {}
-        self._seen: OrderedDict[tuple[str, str], list[_SeenRequest]] = OrderedDict()
+        self._observed: OrderedDict[tuple[str, str], list[_ObservedRequest]] = OrderedDict()
 
     def add(self, account: Account) -> None:
         """First pass: count one account."""
@@ -113,7 +115,7 @@
                 self._presence_ms[interval.endpoint, bin_number][owner] += overlap_ms
                 if outcome == OUTCOME_SERVED:
                     units = account.units * overlap_ms / duration_ms
-                    self._units_done[interval.endpoint][bin_number] += units
+                    self._completed_units[interval.endpoint][bin_number] += units
         if account.key:
             self._remember(account)
         self._max_units.clear()
@@ -121,7 +123,7 @@
     def max_units_per_bin(self, endpoint: str) -> float:
         """The units of work that an endpoint can do in a bin: a high quantile over the bins in which it did any."""
         if endpoint not in self._max_units:
-            values = sorted(self._units_done[endpoint].values())
+            values = sorted(self._completed_units[endpoint].values())
             index = int(THROUGHPUT_QUANTILE * (len(values) - 1))
             self._max_units[endpoint] = values[index] if values else 0.0
         return self._max_units[endpoint]
@@ -135,7 +137,7 @@
         max_units = self.max_units_per_bin(endpoint)
         lacked = 1.0
         if max_units:
-            lacked = max(0.0, 1 - self._units_done[endpoint].get(bin_number, 0.0) / max_units)
+            lacked = max(0.0, 1 - self._completed_units[endpoint].get(bin_number, 0.0) / max_units)
         total_ms = sum(presence_ms.values())
         shares: dict[Holder, float] = {
             (KIND_VOLUME, volume, class_name): (1 - lacked) * time_ms / total_ms
@@ -167,14 +169,14 @@
     def count_possible_retries(self) -> int:
         """Requests that may retry one that was not served at another gateway; there is no way to be certain."""
         count = 0
-        for requests in self._seen.values():
+        for requests in self._observed.values():
             if len({request.gateway for request in requests}) < 2:
                 continue
             for request in requests:
                 count += any(self._may_retry(request, earlier) for earlier in requests)
         return count
 
-    def _may_retry(self, request: _SeenRequest, earlier: _SeenRequest) -> bool:
+    def _may_retry(self, request: _ObservedRequest, earlier: _ObservedRequest) -> bool:
         if earlier.served or earlier.gateway == request.gateway:
             return False
         delay_ms = request.began_unix_ms - earlier.began_unix_ms
@@ -204,10 +206,10 @@
             bin_number += 1
 
     def _remember(self, account: Account) -> None:
-        seen = _SeenRequest(account.began_unix_ms, account.gateway, account.outcome == OUTCOME_SERVED)
-        self._seen.setdefault((account.volume, account.key), []).append(seen)
-        if len(self._seen) > MAX_TRACKED_KEYS:
-            self._seen.popitem(last=False)
+        observed = _ObservedRequest(account.began_unix_ms, account.gateway, account.outcome == OUTCOME_SERVED)
+        self._observed.setdefault((account.volume, account.key), []).append(observed)
+        if len(self._observed) > MAX_TRACKED_KEYS:
+            self._observed.popitem(last=False)
             self.evicted_keys += 1
 
 
--- a/winchdyke/model/discovery.py
+++ b/winchdyke/model/discovery.py
@@ -19,7 +19,8 @@
 from msgspec.structs import replace as replace_struct
 
 from winchdyke.discovery.bounds import DiscoveryBounds
-from winchdyke.discovery.endpoint_view import DRAINING_BY_OWN_REPORT, EndpointView
+from winchdyke.discovery.endpoint_transitions import DRAINING_BY_OWN_REPORT
+from winchdyke.discovery.endpoint_view import EndpointView
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
 from winchdyke.interface import EndpointStatus
 from winchdyke.model.checker import InvariantViolation
