--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -48,7 +48,7 @@
 
 P, S, A, E = "policy.py", "gateway/service.py", "gateway/attempts.py", "gateway/scheduler_loop.py"
 L, T, N = "quotas/token_bucket.py", "quotas/byte_metering.py", "discovery/endpoint_view.py"
-E = "discovery/endpoint_transitions.py"
+TRANSITIONS = "discovery/endpoint_transitions.py"
 MUTANTS = [
     # The module
     Mutant("limit never asked", P, "held.limit_charged\n            or not held.quota.plan.limit_units_per_s\n            or held.quota.limit_units >= held.request.units", "True"),
@@ -99,10 +99,10 @@
     Mutant("answers told twice", E, "                ticket.closed = True\n                del self.tickets[action.request_id]", "                pass", rules=(1, 2), test="test_actions_reach_whoever_holds_the_request"),
     # Membership
     Mutant("strangers not told apart", N, "if endpoint.identity and evidence.identity and evidence.identity != endpoint.identity:", "if False:", "blind-day"),
-    Mutant("a store's own drain not heard", E, "self.mark_draining(endpoint, DRAINING_BY_OWN_REPORT, now_ms)", "pass", "blind-day"),
-    Mutant("a list's drain not heard", E, "if entry.status is EndpointStatus.DRAINING:\n            self.mark_draining(endpoint,", "if False:\n            self.mark_draining(endpoint,"),
-    Mutant("a store's age not heard", E, "if restarted or not endpoint.uptime_reported:", "if False:", "blind-day"),
-    Mutant("what is not known counts as warm", E, "endpoint.started_at_ms = now_ms  # an unknown start time", "endpoint.started_at_ms = 0.0  # an unknown start time", "blind-day", test="test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold"),
+    Mutant("a store's own drain not heard", TRANSITIONS, "self.mark_draining(endpoint, DRAINING_BY_OWN_REPORT, now_ms)", "pass", "blind-day"),
+    Mutant("a list's drain not heard", TRANSITIONS, "if entry.status is EndpointStatus.DRAINING:\n            self.mark_draining(endpoint,", "if False:\n            self.mark_draining(endpoint,"),
+    Mutant("a store's age not heard", TRANSITIONS, "if restarted or not endpoint.uptime_reported:", "if False:", "blind-day"),
+    Mutant("what is not known counts as warm", TRANSITIONS, "endpoint.started_at_ms = now_ms  # an unknown start time", "endpoint.started_at_ms = 0.0  # an unknown start time", "blind-day", test="test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold"),
     # Changes
     Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "volume.plan, volume.settings = plan, settings", "pass", "change-day"),
     Mutant("harm not undone", "config_rollout/controller.py", "if found.bad:", "if False:", "change-day"),
