--- a/winchdyke/latency_attribution/queue_observer.py
+++ b/winchdyke/latency_attribution/queue_observer.py
@@ -41,7 +41,11 @@
     TURN_HOLDER,
     Holder,
 )
-from winchdyke.policy import MAX_LIMIT, EndpointState, PendingRequest, Scheduler, Shard
+from winchdyke.scheduling import Scheduler
+from winchdyke.scheduling.concurrency_limit import MAX_LIMIT
+from winchdyke.scheduling.endpoint_state import EndpointState
+from winchdyke.scheduling.pending_request import PendingRequest
+from winchdyke.scheduling.shard import Shard
 
 Key = TypeVar("Key")
 Shares = dict[Holder, float]  # sum to 1
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -21,7 +21,8 @@
 from winchdyke.latency_attribution.queue_observer import SLOW_ATTEMPT_FACTOR, QueueObserver
 from winchdyke.latency_attribution.records import Account
 from winchdyke.latency_attribution.vocabulary import Holder
-from winchdyke.policy import EndpointState, Scheduler
+from winchdyke.scheduling import Scheduler
+from winchdyke.scheduling.endpoint_state import EndpointState
 
 CLASSES = (
     api.RequestClass(
