--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -56,7 +56,7 @@
     nodes = dataclasses.replace(config.nodes, must_ask=True)
     gateway = Gateway(dataclasses.replace(config, nodes=nodes))
     gateway.service = PassThrough(gateway, [f"127.0.0.1:{port}" for port in ports])
-    gateway.membership.request_poll = gateway.engine.on_watch_endpoints = lambda: None  # type: ignore[method-assign]
+    gateway.discovery.request_poll = gateway.engine.on_watch_endpoints = lambda: None  # type: ignore[method-assign]
     await gateway.run(lambda: print(gateway.address[1], flush=True))
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -402,7 +402,7 @@
             paths = {it.where(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
             while (await it.ask("GET", paths[5])).status != 404:
                 assert anyio.current_time() - began < 3.0
-            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 6)
+            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 6)
             refused = [
                 (await it.ask("GET", paths[shard], winchdyke_time_left="300ms")).status for shard in (0, 1)
             ]
@@ -411,7 +411,7 @@
             heads = [seen["who"] for seen in it.record.seen[mark:] if seen["what"] == "head"]
             assert stranger.name not in heads and gone.name not in heads
             # Doubtful ones are tried one at a time, in an order by chance: it may be the last.
-            known = it.gateway.membership.view.endpoints
+            known = it.gateway.discovery.view.endpoints
             await it.until(lambda: known[stranger.name].status is DiscoveryStatus.ADDRESS_REUSED)
             heads = [seen["who"] for seen in it.record.seen[mark:] if seen["what"] == "head"]
             assert stranger.name not in heads and gone.name not in heads
@@ -426,12 +426,12 @@
             from_disk(it.stores, tmp_path)
             await restarted(it, tmp_path)
             store = it.where("/school-1/object")
-            await it.until(lambda: it.gateway.membership.view.is_usable(store.name))
+            await it.until(lambda: it.gateway.discovery.view.is_usable(store.name))
             assert (await it.ask("GET", "/school-1/object")).status == 404
             store.draining = True
             await it.ask("GET", "/school-1/object", winchdyke_time_left="300ms")
             await it.until(
-                lambda: it.gateway.membership.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
+                lambda: it.gateway.discovery.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
             )
             await anyio.sleep(0.1)
             mark = len(it.record.seen)
@@ -514,7 +514,7 @@
             else:
                 it.list.failing = how
             await restarted(it, tmp_path, listing=True)
-            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 8)
+            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8)
             assert (await it.ask("GET", "/school-1/object")).status == 404
 
     run()
@@ -529,7 +529,7 @@
         async with rig() as it:
             from_disk(it.stores, tmp_path)
             await restarted(it, tmp_path)
-            await it.until(lambda: sum(it.gateway.membership.view.is_usable(s.name) for s in it.stores) == 8)
+            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8)
 
     run()
 
@@ -549,7 +549,7 @@
                 f"{s.spec.shard}.stores.test": [(1, 1, s.port, "127.0.0.1.")] for s in it.stores
             }
             await restarted(it, tmp_path, file=str(file), srv="stores.test", dns=f"127.0.0.1:{server.port}")
-            view = it.gateway.membership.view
+            view = it.gateway.discovery.view
             await it.until(lambda: all(view.is_usable(s.name) for s in it.stores))
             file.write_text(f'{{"token": "", "form": "full", "nodes": [{nodes}]}}')  # before it was cut short
             await it.until(lambda: [view.is_usable(s.name) for s in it.stores] == [True] * 4 + [False] * 4)
@@ -598,7 +598,7 @@
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
                 lambda: (
-                    it.gateway.membership.view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING
+                    it.gateway.discovery.view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING
                 )
             )
             await it.until(
@@ -624,7 +624,7 @@
     @played
     async def run():
         async with rig() as it:
-            view = it.gateway.membership.view
+            view = it.gateway.discovery.view
             left_out, flapping = it.stores[6], it.stores[7]
             for turn in range(12):
                 await it.list.set(flapping.name, "draining" if turn % 2 else "ready", 7, "hall-a")
@@ -658,9 +658,9 @@
             ready = anyio.Event()
             it.group.start_soon(it.gateway.run, ready.set)
             await ready.wait()
-            view = it.gateway.membership.view
+            view = it.gateway.discovery.view
             await it.until(lambda: all(view.is_usable(store.name) for store in it.stores))
-            source = it.gateway.membership.sources[0]
+            source = it.gateway.discovery.sources[0]
             calls = source.poll_count
             await anyio.sleep(0.3)
             assert source.poll_count - calls <= 1, "it waits at the service"
