--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -30,13 +30,14 @@
 from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
 from winchdyke.discovery import cache as nodes_disk
-from winchdyke.discovery.endpoint_view import Bounds, CachedEndpoint, Entry, State
+from winchdyke.discovery.bounds import DiscoveryBounds
 from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.list_protocol import ReceivedList
-from winchdyke.discovery.sources import Fail, Tell
+from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, ListedEndpoint
+from winchdyke.discovery.sources import OnFailure, OnList
 from winchdyke.gateway.writeback import WriteBackRecord, tag_of
-from winchdyke.latency_attribution import compact, ledger
-from winchdyke.latency_attribution.spans import Account, Annotation
+from winchdyke.latency_attribution import compaction, ledger_writer
+from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Kind, Log
@@ -97,31 +98,33 @@
 def write_nodes(folder: Path) -> None:
     """Two generations of the node list, the newer one with a node of each state."""
     folder.mkdir(mode=0o700)
-    first = CachedEndpoint("192.0.2.1:9000", 0, "east", State.USABLE, "on the list", 5.0, "store-1", "boot-1")
+    first = CachedEndpoint(
+        "192.0.2.1:9000", 0, "east", DiscoveryStatus.USABLE, "on the list", 5.0, "store-1", "boot-1"
+    )
     nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first]), rotate=False)
     nodes = [first]
-    for number, state in enumerate(State, 2):
+    for number, state in enumerate(DiscoveryStatus, 2):
         nodes.append(
             CachedEndpoint(
                 f"192.0.2.{number}:9000",
                 shard=number,
                 zone="west",
-                state=state,
-                why=f"test of {state.value}",
-                since=10.0 * number,
+                status=state,
+                reason=f"test of {state.value}",
+                status_since_ms=10.0 * number,
                 identity=f"store-{number}",
-                boot=f"boot-{number}",
-                started=2.5,
-                warm_known=True,
-                aged=True,
-                drained=state is State.DRAINING,
-                listed=state is State.USABLE,
-                by="list",
-                confirmed_unix=START_MS + number,
-                answered=100.5,
-                held_since=50.0 if state is State.USABLE else None,
-                tries=number,
-                next_try=200.0,
+                boot_id=f"boot-{number}",
+                started_at_ms=2.5,
+                start_time_known=True,
+                uptime_reported=True,
+                drain_announced=state is DiscoveryStatus.DRAINING,
+                listed=state is DiscoveryStatus.USABLE,
+                confirmed_by="list",
+                confirmed_unix_ms=START_MS + number,
+                last_response_at_ms=100.5,
+                omitted_since_ms=50.0 if state is DiscoveryStatus.USABLE else None,
+                failed_attempts=number,
+                next_attempt_at_ms=200.0,
             )
         )
     nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", nodes), rotate=True)
@@ -135,16 +138,16 @@
     def __init__(self, scope: anyio.CancelScope) -> None:
         self._scope = scope
 
-    def ask(self) -> None:
+    def request_poll(self) -> None:
         """Nothing to do: the lists come by themselves."""
 
-    async def run(self, tell: Tell, fail: Fail) -> None:
+    async def run(self, tell: OnList, fail: OnFailure) -> None:
         """Tell two nodes, then that the second one drains."""
         ready, draining = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
-        first = Entry("192.0.2.1:9000", ready, 0, identity="store-1")
-        second = Entry("192.0.2.2:9000", ready, 1, identity="store-2")
+        first = ListedEndpoint("192.0.2.1:9000", ready, 0, identity="store-1")
+        second = ListedEndpoint("192.0.2.2:9000", ready, 1, identity="store-2")
         await tell(self.name, ReceivedList("1", api.EndpointListKind.FULL, (first, second), 1))
-        drains = Entry("192.0.2.2:9000", draining, 1, identity="store-2")
+        drains = ListedEndpoint("192.0.2.2:9000", draining, 1, identity="store-2")
         await tell(self.name, ReceivedList("2", api.EndpointListKind.CHANGES, (drains,), 2))
         self._scope.cancel()
 
@@ -161,7 +164,9 @@
 
     with anyio.CancelScope() as scope, fixed_clock():
         source = ListedOnce(scope)
-        membership = EndpointFollower(Bounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder)
+        membership = EndpointFollower(
+            DiscoveryBounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder
+        )
         await membership.run()
 
 
@@ -256,18 +261,18 @@
         outcome="served",
         reason="",
         status=200,
-        latency=5_000_000 + number,
-        spans=[("held", 2_000_000 + number), ("store", 3_000_000)],
-        causes={"window": 2_000_000 + number},
+        latency_ns=5_000_000 + number,
+        phases_ns=[("held", 2_000_000 + number), ("store", 3_000_000)],
+        causes_ns={"window": 2_000_000 + number},
         blame=[("volume", "volume-9", "export", 2_000_000 + number)],
-        nodes=["192.0.2.1:9000", "192.0.2.2:9000"],
-        ends=["timed-out", "served"],
+        attempt_endpoints=["192.0.2.1:9000", "192.0.2.2:9000"],
+        attempt_outcomes=["timed-out", "served"],
         client_request=f"client-{number}",
-        first="request-0" if number == 2 else "",
+        first_request="request-0" if number == 2 else "",
         units=2.0,
-        store=[1_000_000, 2_000_000],
-        usual=[1_500_000, 1_000_000],
-        line=[("held", 0, 2_000_000 + number), ("store", 2_000_000 + number, 3_000_000)],
+        attempt_times_ns=[1_000_000, 2_000_000],
+        expected_times_ns=[1_500_000, 1_000_000],
+        timeline=[("held", 0, 2_000_000 + number), ("store", 2_000_000 + number, 3_000_000)],
     )
 
 
@@ -284,11 +289,11 @@
         reason="",
         status=206,
         client_request="client-noted",
-        first="",
+        first_request="",
         units=1.0,
         end_ns=9_000_000,
-        marks=[1_000_000, 0, 1_500_000, 1, 4_500_000, 5, 8_000_000, 6],
-        holds=[
+        phase_marks=[1_000_000, 0, 1_500_000, 1, 4_500_000, 5, 8_000_000, 6],
+        waits=[
             (
                 1_500_000,
                 4_500_000,
@@ -304,17 +309,17 @@
     """One segment summed up by the minute, one segment of an account and a note, and what is held now."""
     # The writer's thread asks for the time too, so a clock that went on would give a different time at each run.
     with patch("time.time", lambda: float(START_S)):
-        writer = ledger.Writer(folder)
+        writer = ledger_writer.LedgerWriter(folder)
         for number in range(5):
             writer.put(account(number))
         writer.close()
-        writer = ledger.Writer(folder)
+        writer = ledger_writer.LedgerWriter(folder)
         writer.put(account(7))
         writer.put(noted())
-        held = ledger.Held(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
-        writer.tell("gateway-1", [held])
+        held = QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
+        writer.publish_snapshot("gateway-1", [held])
         writer.close()
-    compact.compact(folder, total_bytes=1 << 30, keep_s=0.0)
+    compaction.compact_ledger(folder, max_total_bytes=1 << 30, retention_seconds=0.0)
     (folder / "compact.lock").unlink()
 
 
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -353,11 +353,12 @@
             assert all(str(seen["version"]) == versions[seen["client"]] for seen in heads)
             assert "in the chain" in await cli("verify", folder)
             it.gateway.ledger.close()
-            accounts = list(ledger.read([tmp_path / "waits"]))
+            accounts = list(ledger.read_accounts([tmp_path / "waits"]))
             assert len(accounts) > 50
-            assert all(sum(span for _, span in a.spans) == a.latency for a in accounts)
+            assert all(sum(span for _, span in a.phases_ns) == a.latency_ns for a in accounts)
             assert all(
-                sum(share for *_, share in a.blame) == a.held == sum(a.causes.values()) for a in accounts
+                sum(share for *_, share in a.blame) == a.queued_ns == sum(a.causes_ns.values())
+                for a in accounts
             )
 
     run()
@@ -568,13 +569,13 @@
 
 def test_every_interleaving_of_edits_kills_and_time_keeps_what_was_reported_and_serves_one_version_whole():
     found = explore(Changing())
-    assert found.whole and not found.broken, (found.broken, found.trace)
+    assert found.complete and not found.violation, (found.violation, found.trace)
     assert found.states > 1000
 
 
 @pytest.mark.parametrize("careless", ["recover", "begin"])
 def test_the_checker_catches_a_start_that_does_not_recover_and_an_apply_that_is_not_written_first(careless):
-    assert explore(Changing(careless=careless)).broken
+    assert explore(Changing(careless=careless)).violation
 
 
 @measured
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -23,7 +23,7 @@
 from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
 from winchdyke.config_rollout.hot_reload import requiring_restart
-from winchdyke.discovery.seeds import Seeds
+from winchdyke.discovery.seeds import GatewaySeeds
 from winchdyke.membership import datagrams, member_cache
 from winchdyke.membership.agent import MembershipAgent
 from winchdyke.membership.errors import MembershipError
@@ -183,9 +183,9 @@
     anyio.run(play)
 
 
-def follows(node: MembershipAgent, service: ListService) -> Seeds:
+def follows(node: MembershipAgent, service: ListService) -> GatewaySeeds:
     where = ("127.0.0.1", service.port, "/gateways")
-    return Seeds(where, node.config.nodes, node.config.gateway.name, clock, node.set_listed_seeds)
+    return GatewaySeeds(where, node.config.nodes, node.config.gateway.name, clock, node.set_listed_seeds)
 
 
 def shown(node: MembershipAgent) -> str:
--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -12,13 +12,13 @@
 
 def test_two_members_are_explored_completely_without_a_violation():
     found = explore(Words(2, 3))
-    assert found.whole and not found.broken, found.trace
+    assert found.complete and not found.violation, found.trace
     assert found.states > 1000
 
 
 def test_three_members_are_explored_to_a_depth_without_a_violation():
     found = explore(Words(3, 2), most=4000)
-    assert not found.broken, found.trace
+    assert not found.violation, found.trace
 
 
 class LastRecordWins(MemberTable):
@@ -86,4 +86,4 @@
 )
 def test_each_mutant_of_the_merge_is_detected(mutant, told):
     found = explore(Words(3, 3, mutant), most=60_000)
-    assert found.broken.startswith(told), found
+    assert found.violation.startswith(told), found
--- a/winchdyke/admin/keys.py
+++ b/winchdyke/admin/keys.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from winchdyke.durable_files import OwnError, Watched, read_own, write_own
+from winchdyke.durable_files import PrivateFileError, WatchedFile, read_private_file, write_private_file
 
 MIN_SECRET_BYTES = 32
 KEY_ID_SUFFIX_BYTES = 4
@@ -55,8 +55,8 @@
 def read_keys(path: Path) -> list[Key]:
     """Read a file of keys. Raises KeyFileError where others than its owner may read it, or it holds something else."""
     try:
-        data = read_own(path)
-    except OwnError as error:
+        data = read_private_file(path)
+    except PrivateFileError as error:
         raise KeyFileError(f"{error}; 'winchdyke keys new' makes such a file") from error
     try:
         keys = msgspec.json.decode(data, type=_KeyFile).keys
@@ -72,8 +72,8 @@
 def write_keys(path: Path, keys: list[Key]) -> None:
     """Replace a file of keys atomically; only its owner may read it. Raises KeyFileError."""
     try:
-        write_own(path, msgspec.json.format(msgspec.json.encode(_KeyFile(keys)), indent=2) + b"\n")
-    except OwnError as error:
+        write_private_file(path, msgspec.json.format(msgspec.json.encode(_KeyFile(keys)), indent=2) + b"\n")
+    except PrivateFileError as error:
         raise KeyFileError(str(error)) from error
 
 
@@ -88,7 +88,7 @@
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self._keys = Watched(path, lambda path: {key.id: key for key in read_keys(path)})
+        self._keys = WatchedFile(path, lambda path: {key.id: key for key in read_keys(path)})
 
     def valid_keys(self, now_ms: float) -> list[Key]:
         """Return all keys that are valid at a Unix time, in the file's order. Raises KeyFileError."""
--- a/winchdyke/config_rollout/change_log_archive.py
+++ b/winchdyke/config_rollout/change_log_archive.py
@@ -20,7 +20,7 @@
     entry_hash,
     version_content,
 )
-from winchdyke.durable_files import replace
+from winchdyke.durable_files import replace_file
 
 FindVersion = Callable[[int], Version]  # raises ChangeLogError where there is none of that number
 
@@ -36,7 +36,7 @@
     lines = [{"version": row} for row in version_rows] + [{"entry": row} for row in entry_rows]
     text = "".join(json.dumps(line, ensure_ascii=False) + "\n" for line in lines)
     try:
-        replace(path, text.encode(), path.with_suffix(".new"))
+        replace_file(path, text.encode(), path.with_suffix(".new"))
     except OSError as error:
         raise ChangeLogError(f"{path} can't be written: {error.strerror}; nothing was moved there") from error
 
--- a/winchdyke/config_rollout/last_known_good.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -17,7 +17,7 @@
 
 from winchdyke.config_rollout.change_log import DATABASE_FILE, ChangeLog, ChangeLogError
 from winchdyke.config_rollout.rollout_state import Step
-from winchdyke.durable_files import replace, sync_folder
+from winchdyke.durable_files import replace_file, sync_directory
 
 SERVED_FILE = "served.json"
 GATEWAY_ACTOR = "gateway"  # who took a step, where the gateway itself did
@@ -39,7 +39,7 @@
 def save(folder: Path, version: int, text: str) -> None:
     """Replace the last known good version. Raises OSError."""
     data = msgspec.json.encode(LastKnownGood(version, text, _checksum(version, text)))
-    replace(folder / SERVED_FILE, data, folder / (SERVED_FILE + ".new"))
+    replace_file(folder / SERVED_FILE, data, folder / (SERVED_FILE + ".new"))
 
 
 def load(folder: Path) -> LastKnownGood | None:
@@ -85,7 +85,7 @@
         for suffix in SQLITE_FILE_SUFFIXES:
             if (folder / (DATABASE_FILE + suffix)).exists():
                 os.rename(folder / (DATABASE_FILE + suffix), folder / (aside + suffix))
-        sync_folder(folder)
+        sync_directory(folder)
     except OSError as error:
         raise ChangeLogError(
             f"{folder / DATABASE_FILE} is damaged, and can't be put aside: {error.strerror}"
--- a/winchdyke/discovery/endpoint_view.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -1,405 +1,267 @@
-"""What to believe of the nodes: from lists, their age, and what the nodes' own answers show. Pure.
+"""One gateway's view of all endpoints: which source counts, which lists are trusted, and what is published. Without I/O.
 
-The state of one node (the machine that ``model.checker`` explores; the page is ``docs/membership.md``):
+What an entry or a response means for one endpoint is decided in :mod:`winchdyke.discovery.endpoint_transitions`;
+``winchdyke.model.discovery`` explores both exhaustively.
 
-    doubtful  from a list of old, or left out by a list that lost much: it is tried before it is used
-    usable    a source in good health names it, or it has answered under the identity that is expected of it
-    cold      usable, but it started lately, or is not known to be warm
-    draining  a list or the node itself said so; kept until a later start, or another list says otherwise
-    gone      a list left it out, or it does not answer and no list in good health names it
-    reused    another store answers at its address: nothing that was meant for the old one goes there
-
-Times are milliseconds of the gateway's monotonic clock; wall time is only kept, to show and to order by, never compared
-with a bound, so that a wall clock that is wrong by a day changes nothing. How long a store has been up is its own word.
+Times are milliseconds on the gateway's monotonic clock. Wall time (``unix_ms``) is only stored, to display and to order by,
+and never compared with a bound, so that a wrong wall clock changes no decision.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass, field, replace
-from enum import StrEnum
-
+from dataclasses import dataclass, field
+
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.endpoint_transitions import EndpointTransitions, restored_from_cache
+from winchdyke.discovery.records import (
+    CachedEndpoint,
+    DiscoveryStatus,
+    EndpointEvidence,
+    ListedEndpoint,
+)
 from winchdyke.interface import Endpoint, EndpointStatus
 
-
-class State(StrEnum):
-    """What is believed of a node."""
-
-    DOUBTFUL = "doubtful"
-    USABLE = "usable"
-    COLD = "cold"
-    DRAINING = "draining"
-    GONE = "gone"
-    REUSED = "reused"
-
-
-@dataclass(frozen=True, slots=True)
-class Entry:
-    """One node on a source's list. ``started``: on the gateway's clock, 0 for long ago."""
-
-    name: str
-    state: EndpointStatus
-    shard: int
-    zone: str = ""
-    started: float = 0.0
-    identity: str = ""
-
-
-@dataclass(frozen=True, slots=True)
-class EndpointEvidence:
-    """What a store says of itself: identity, the start it has lived since, for how long (ms), whether it drains."""
-
-    identity: str = ""
-    boot: str = ""
-    up_ms: float | None = None
-    draining: bool = False
-
-
-@dataclass(slots=True)
-class CachedEndpoint:
-    """All that is believed of a node, and why, since when."""
-
-    name: str
-    shard: int
-    zone: str = ""
-    state: State = State.DOUBTFUL
-    why: str = ""
-    since: float = 0.0
-    identity: str = ""
-    boot: str = ""
-    started: float = 0.0  # on the gateway's clock; 0 for long ago
-    warm_known: bool = False  # whether anything told how long it has been up
-    aged: bool = False  # whether it said so itself, of this start, to this gateway
-    drained: bool = False
-    listed: bool = False  # the source that counts names it
-    by: str = ""  # who confirmed it last, and when by the wall clock (Unix ms)
-    confirmed_unix: float = 0.0
-    answered: float = -1e18  # when it last answered
-    held_since: float | None = None  # left out by a list that lost much, and used on while it answers
-    tries: int = 0
-    next_try: float = 0.0
-
-
-@dataclass(frozen=True, slots=True)
-class Bounds:
-    """Bounds of belief; times in milliseconds."""
-
-    warm_after: float = 10_000.0
-    trial_gap: float = 20.0  # between two trials of doubtful nodes
-    retry: float = 500.0  # after a trial that failed, doubling
-    retry_most: float = 15_000.0
-    vanish_share: float = 0.5  # of the nodes that a list may leave out at once before it is doubted
-    hold: float = 300_000.0  # for which such a list is doubted while the nodes answer
-    slack: float = 1_000.0  # by which two words on the same start may differ
-    heard: float = 10_000.0  # for which an answer counts as answering
+MIN_MASS_OMISSION = 2  # endpoints; a single omitted one is no sign of a list that lost its data
 
 
 @dataclass(slots=True)
-class Source:
-    """What one source told last."""
+class SourceState:
+    """The last list of one source. ``regressed_since_ms``: since when its versions are older than one received."""
 
     name: str
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, ListedEndpoint] = field(default_factory=dict)
     version: int = 0
-    told: bool = False
+    has_reported: bool = False
     healthy: bool = False
-    back_since: float | None = None  # since when its versions have been older than one seen
+    regressed_since_ms: float | None = None
 
 
 class EndpointView:
-    """What one gateway believes; ``sources`` in order of precedence."""
+    """One gateway's view of all endpoints.
+
+    Attributes:
+        sources: The sources by name, in order of precedence.
+        endpoints: What is known of each endpoint, by name.
+        warnings: Texts for the log; the caller takes them and clears the list.
+    """
+
+    transitions_type: type[EndpointTransitions] = EndpointTransitions
 
-    def __init__(self, bounds: Bounds, sources: Iterable[str] = ("list",)) -> None:
+    def __init__(self, bounds: DiscoveryBounds, sources: Iterable[str] = ("list",)) -> None:
+        """``sources``: their names in order of precedence."""
         self.bounds = bounds
-        self.sources = {name: Source(name) for name in sources}
-        self.known: dict[str, CachedEndpoint] = {}
-        self.notes: list[str] = []  # what people should hear of, until it is taken
-        self._told: dict[str, Endpoint] = {}
-        self._next_trial = 0.0
-
-    # What comes in
-
-    def restored(self, kept: Iterable[CachedEndpoint], now: float) -> None:
-        """From the disk: nothing of it is used before it is confirmed; a drain and an identity are kept."""
-        for each in kept:
-            if each.name not in self.known:
-                state = State.DRAINING if each.drained else State.DOUBTFUL
-                if each.state in (State.GONE, State.REUSED):
-                    state = each.state
-                self.known[each.name] = replace(
-                    each, state=state, why="from the list on the disk", since=now, started=0.0, warm_known=False, aged=False,
-                    listed=False, answered=-1e18, held_since=None, tries=0, next_try=now,
-                )  # fmt: skip
-
-    def listed(
+        self.sources = {name: SourceState(name) for name in sources}
+        self.endpoints: dict[str, CachedEndpoint] = {}
+        self.warnings: list[str] = []
+        self._transitions = self.transitions_type(bounds)
+        self._published: dict[str, Endpoint] = {}
+        self._next_health_check_at_ms = 0.0
+
+    # Inputs
+
+    def restore_cached(self, cached: Iterable[CachedEndpoint], now_ms: float) -> None:
+        """Add endpoints from the cache: not used before they are confirmed; drains and identities are retained."""
+        for endpoint in cached:
+            if endpoint.name not in self.endpoints:
+                self.endpoints[endpoint.name] = restored_from_cache(endpoint, now_ms)
+
+    def apply_list(
         self,
-        name: str,
-        entries: Iterable[Entry],
-        now: float,
-        unix: float = 0.0,
-        whole: bool = True,
+        source_name: str,
+        entries: Iterable[ListedEndpoint],
+        now_ms: float,
+        unix_ms: float = 0.0,
+        complete: bool = True,
         version: int = 0,
-        old: bool = False,
+        is_cached_copy: bool = False,
     ) -> None:
-        """A source told its list, or what changed in it; ``old``: it says itself that this is a copy of old."""
-        source = self.sources[name]
-        entries = list(entries)
-        back = 0 < version < source.version
-        if back and source.back_since is None:
-            source.back_since = now
-            self._note(
-                f"{name}: its list went back from version {source.version} to {version}; what came since is kept"
-            )
-        if back and source.back_since is not None and now - source.back_since >= self.bounds.hold:
-            self._note(f"{name}: version {version} has stood for long; it counts from now on")
-            back, source.version = False, version
-        if not back:
-            source.back_since = None
+        """Take a source's list, or changes of it where not ``complete``.
+
+        ``version`` is 0 where the source has none; ``is_cached_copy``: the source itself says that its list is old.
+        """
+        source = self.sources[source_name]
+        received = list(entries)
+        is_older = self._is_older_version(source, version, now_ms)
+        if not is_older:
+            source.regressed_since_ms = None
             source.version = version or source.version
-        if whole:
+        if complete:
             source.entries = {}
-        source.entries.update({entry.name: entry for entry in entries})
-        source.told = source.healthy = True
-        if self._authority() is source:
-            self._believe(source, entries if not whole else None, now, unix, back or old)
-        for entry in entries:  # a drain counts whoever tells it
-            if entry.state is EndpointStatus.DRAINING and entry.name in self.known:
-                self._drain(self.known[entry.name], f"drains, by {name}", now)
-
-    def failed(self, name: str, now: float, unix: float = 0.0) -> None:
-        """A source did not answer; the next in order counts, where there is one that does."""
-        source = self.sources[name]
-        was = self._authority()
-        source.healthy = False
-        after = self._authority()
-        if after is not None and after is not was and after.healthy:
-            self._believe(after, None, now, unix, False)
-
-    def heard(self, name: str, word: EndpointEvidence, now: float, unix: float = 0.0) -> bool:
-        """A node answered. Whether it is the one that is meant: else nothing may be sent there."""
-        known = self.known.get(name)
-        if known is None:
+        source.entries.update({entry.name: entry for entry in received})
+        source.has_reported = True
+        source.healthy = True
+        if self._authoritative_source() is source:
+            changed = None if complete else received
+            self._apply_source(source, changed, now_ms, unix_ms, is_older or is_cached_copy)
+        # Drains count from every source, not only from the authoritative one.
+        for entry in received:
+            if entry.status is EndpointStatus.DRAINING and entry.name in self.endpoints:
+                endpoint = self.endpoints[entry.name]
+                self._transitions.mark_draining(endpoint, f"drains, by {source_name}", now_ms)
+
+    def mark_source_failed(self, source_name: str, now_ms: float, unix_ms: float = 0.0) -> None:
+        """A source could not be reached: the next healthy one in order becomes authoritative."""
+        previous = self._authoritative_source()
+        self.sources[source_name].healthy = False
+        current = self._authoritative_source()
+        if current is not None and current is not previous and current.healthy:
+            self._apply_source(current, None, now_ms, unix_ms, False)
+
+    def record_response(
+        self, name: str, evidence: EndpointEvidence, now_ms: float, unix_ms: float = 0.0
+    ) -> bool:
+        """An endpoint responded. Returns whether requests may be sent on this connection."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is None:
             return True
-        if known.identity and word.identity and word.identity != known.identity:
-            if known.state is not State.REUSED:
-                self._note(f"{name}: {word.identity} answers where {known.identity} was; it is sent nothing")
-            self._set(known, State.REUSED, f"{word.identity} answers at its address", now)
-            known.answered = -1e18
+        if endpoint.identity and evidence.identity and evidence.identity != endpoint.identity:
+            if endpoint.status is not DiscoveryStatus.ADDRESS_REUSED:
+                self.warnings.append(
+                    f"{name}: {evidence.identity} answers where {endpoint.identity} was; it is sent nothing"
+                )
+            self._transitions.mark_address_reused(endpoint, evidence.identity, now_ms)
             return False
-        known.identity = known.identity or word.identity
-        restarted = bool(known.boot and word.boot and word.boot != known.boot)
-        if restarted or not known.aged:
-            self._age(known, word, restarted, now)
-        known.boot = word.boot or known.boot
-        known.answered, known.tries, known.by, known.confirmed_unix = now, 0, "its answer", unix
-        if restarted and not word.draining:
-            known.drained = False  # the one that drained is no more
-        if word.draining:
-            self._drain(known, "drains, by its own word", now)
-        elif known.state in (State.DOUBTFUL, State.REUSED) or (
-            known.state is State.DRAINING and not known.drained
-        ):
-            self._confirm(known, "answered under its identity" if known.identity else "answered", now)
-        elif known.state in (State.USABLE, State.COLD):
-            self._warmth(known, now)
-        return not known.drained and known.state is not State.GONE
-
-    def refused(self, name: str, now: float) -> None:
-        """A node could not be reached. A list in good health is believed against it; nothing else is."""
-        known = self.known.get(name)
-        if known is None:
-            return
-        known.answered = -1e18
-        known.tries += 1
-        known.next_try = now + min(self.bounds.retry_most, self.bounds.retry * 2 ** min(10, known.tries - 1))
-        if known.state in (State.USABLE, State.COLD) and (known.held_since is not None or not known.listed):
-            why = (
-                "does not answer, and the list left it out"
-                if known.held_since is not None
-                else "does not answer"
-            )
-            self._set(known, State.GONE if known.held_since is not None else State.DOUBTFUL, why, now)
-
-    def tick(self, now: float) -> None:
-        """What time alone changes: nodes warm up, and a list that stands long enough is believed."""
-        for known in self.known.values():
-            if known.state is State.COLD:
-                self._warmth(known, now)
-            if known.held_since is not None and now - known.held_since >= self.bounds.hold:
-                known.held_since = None
-                self._set(known, State.GONE, "left out by the list for long", now)
-
-    def trial(self, now: float) -> str | None:
-        """The next doubtful node to try: one at a time, the one that was confirmed last first."""
-        if now < self._next_trial:
+        self._transitions.apply_response(endpoint, evidence, now_ms, unix_ms)
+        return not endpoint.drain_announced and endpoint.status is not DiscoveryStatus.REMOVED
+
+    def record_connect_failure(self, name: str, now_ms: float) -> None:
+        """An endpoint could not be reached."""
+        endpoint = self.endpoints.get(name)
+        if endpoint is not None:
+            self._transitions.apply_connect_failure(endpoint, now_ms)
+
+    def tick(self, now_ms: float) -> None:
+        """Apply what time alone changes."""
+        for endpoint in self.endpoints.values():
+            if endpoint.status is DiscoveryStatus.WARMING_UP or endpoint.omitted_since_ms is not None:
+                self._transitions.tick(endpoint, now_ms)
+
+    # Outputs
+
+    def next_health_check(self, now_ms: float) -> str | None:
+        """The name of the endpoint to check next; None where no check is due. Most recently confirmed first."""
+        if now_ms < self._next_health_check_at_ms:
             return None
-        due = [
-            known for known in self.known.values()
-            if known.next_try <= now
-            and (
-                known.state in (State.DOUBTFUL, State.REUSED)
-                or (known.held_since is not None and now - known.answered > self.bounds.heard)
-            )
-        ]  # fmt: skip
+        is_due = self._transitions.is_health_check_due
+        due = [endpoint for endpoint in self.endpoints.values() if is_due(endpoint, now_ms)]
         if not due:
             return None
-        self._next_trial = now + self.bounds.trial_gap
-        first = min(due, key=lambda known: (known.tries, -known.confirmed_unix, known.name))
-        first.next_try = now + self.bounds.retry
+        self._next_health_check_at_ms = now_ms + self.bounds.min_health_check_interval_ms
+        first = min(due, key=lambda each: (each.failed_attempts, -each.confirmed_unix_ms, each.name))
+        first.next_attempt_at_ms = now_ms + self.bounds.initial_backoff_ms
         return first.name
 
-    # What goes out
-
-    def news(self) -> list[Endpoint]:
-        """What the scheduler is to be told: all whose state for it changed since the last call."""
-        found = []
-        for known in self.known.values():
-            node = self._node(known)
-            told = self._told.get(known.name)
-            if (node is not None or told is not None) and node != told:
-                gone = Endpoint(known.name, EndpointStatus.REMOVED, known.shard, known.zone)
-                found.append(node or gone)
-                if node is None:
-                    self._told.pop(known.name, None)
-                else:
-                    self._told[known.name] = node
-        return found
-
-    def all(self) -> list[Endpoint]:
-        """The whole view for the scheduler, as of the last ``news``."""
-        return list(self._told.values())
-
-    def usable(self, name: str) -> bool:
-        """Whether requests may go to a node."""
-        known = self.known.get(name)
-        return known is not None and known.state in (State.USABLE, State.COLD)
-
-    def _node(self, known: CachedEndpoint) -> Endpoint | None:
-        if known.state in (State.USABLE, State.COLD):
-            started = known.started if known.state is State.COLD else 0.0
-            return Endpoint(known.name, EndpointStatus.READY, known.shard, known.zone, started)
-        if known.state is State.DRAINING:
-            return Endpoint(known.name, EndpointStatus.DRAINING, known.shard, known.zone)
-        return None
-
-    # How it is weighed
-
-    def _authority(self) -> Source | None:
-        told = [source for source in self.sources.values() if source.told]
-        return next((source for source in told if source.healthy), told[0] if told else None)
-
-    def _believe(
-        self, source: Source, changed: list[Entry] | None, now: float, unix: float, back: bool
+    def take_changes(self) -> list[Endpoint]:
+        """All endpoints whose published form changed since the last call."""
+        changes = []
+        for endpoint in self.endpoints.values():
+            current = _published_form(endpoint)
+            if current == self._published.get(endpoint.name):
+                continue
+            if current is None:
+                del self._published[endpoint.name]
+                changes.append(Endpoint(endpoint.name, EndpointStatus.REMOVED, endpoint.shard, endpoint.zone))
+            else:
+                self._published[endpoint.name] = current
+                changes.append(current)
+        return changes
+
+    def snapshot(self) -> list[Endpoint]:
+        """All published endpoints, as of the last :meth:`take_changes`."""
+        return list(self._published.values())
+
+    def is_usable(self, name: str) -> bool:
+        """Whether requests may go to an endpoint."""
+        endpoint = self.endpoints.get(name)
+        return endpoint is not None and endpoint.is_in_service
+
+    # Lists
+
+    def _authoritative_source(self) -> SourceState | None:
+        """The first healthy source; where none is healthy, the first that ever reported."""
+        reporting = [source for source in self.sources.values() if source.has_reported]
+        for source in reporting:
+            if source.healthy:
+                return source
+        return reporting[0] if reporting else None
+
+    def _is_older_version(self, source: SourceState, version: int, now_ms: float) -> bool:
+        """Whether a list's version is lower than one received; after a grace period the lower one is accepted."""
+        if not 0 < version < source.version:
+            return False
+        if source.regressed_since_ms is None:
+            source.regressed_since_ms = now_ms
+            self.warnings.append(
+                f"{source.name}: its list went back from version {source.version} to {version}; "
+                "what came since is kept"
+            )
+        if now_ms - source.regressed_since_ms < self.bounds.omission_grace_ms:
+            return True
+        self.warnings.append(f"{source.name}: version {version} has stood for long; it counts from now on")
+        source.version = version
+        return False
+
+    def _apply_source(
+        self,
+        source: SourceState,
+        changed: list[ListedEndpoint] | None,
+        now_ms: float,
+        unix_ms: float,
+        is_older: bool,
     ) -> None:
+        """Apply changed entries, or the complete list where ``changed`` is None."""
         entries = list(source.entries.values()) if changed is None else changed
         for entry in entries:
-            known = self.known.get(entry.name)
-            if known is None or entry.shard != known.shard:
-                known = self.known[entry.name] = CachedEndpoint(
-                    entry.name, entry.shard, entry.zone, since=now
-                )
-                if entry.state is EndpointStatus.REMOVED:
-                    known.state = State.GONE
-            self._entry(known, entry, source.name, now, unix, back)
+            endpoint = self.endpoints.get(entry.name)
+            if endpoint is None or entry.shard != endpoint.shard:
+                endpoint = CachedEndpoint(entry.name, entry.shard, entry.zone, status_since_ms=now_ms)
+                self.endpoints[entry.name] = endpoint
+                if entry.status is EndpointStatus.REMOVED:
+                    endpoint.status = DiscoveryStatus.REMOVED
+            self._transitions.apply_entry(endpoint, entry, source.name, now_ms, unix_ms, is_older)
         if changed is None:
-            self._left_out(source, now, back)
-
-    def _entry(
-        self, known: CachedEndpoint, entry: Entry, by: str, now: float, unix: float, back: bool
-    ) -> None:
-        if entry.state is EndpointStatus.REMOVED:
-            known.listed, known.held_since = False, None
-            known.drained = False
-            self._set(known, State.GONE, f"gone, by {by}", now)
-            return
-        other = bool(entry.identity and known.identity and entry.identity != known.identity)
-        later = entry.started != 0 and entry.started > known.started + self.bounds.slack
-        if back:
-            # An older list: it brings nothing back that a later one, or the node itself, took away.
-            known.listed, known.identity = True, known.identity or entry.identity
-            if known.state in (State.GONE, State.REUSED):
-                self._set(known, State.DOUBTFUL, f"named by an older list of {by}", now)
-            return
-        if other or (later and known.warm_known and known.boot):
-            # Another store, or another start of this one: what was known of the one before is over.
-            known.boot, known.drained, known.warm_known, known.aged = "", False, False, False
-        known.listed, known.held_since = True, None
-        known.identity = entry.identity or known.identity
-        known.zone, known.by, known.confirmed_unix = entry.zone or known.zone, by, unix
-        if entry.started and (later or not known.warm_known):
-            known.started, known.warm_known = entry.started, True
-        elif not entry.started:
-            known.warm_known = (
-                True  # a list in good health says that it has been up for long, or nothing lately
-            )
-        if entry.state is EndpointStatus.DRAINING:
-            self._drain(known, f"drains, by {by}", now)
-        elif known.state is State.DRAINING and known.drained and known.why.endswith("own word") and not later:
-            pass  # the node knows it sooner than the list
-        elif known.state is State.REUSED and not other:
-            pass  # the list does not know yet who is there; a trial will tell
-        else:
-            known.drained = False
-            self._confirm(known, f"named by {by}", now)
-
-    def _left_out(self, source: Source, now: float, back: bool) -> None:
-        here = [known for known in self.known.values() if known.state in (State.USABLE, State.COLD)]
-        lost = [known for known in here if known.name not in source.entries and known.held_since is None]
-        mass = len(lost) >= 2 and len(lost) > self.bounds.vanish_share * len(here)
-        if mass:
-            self._note(
-                f"{source.name}: its list leaves out {len(lost)} of {len(here)} nodes; those that answer are used on"
-            )
-        for known in self.known.values():
-            if known.name in source.entries or known.held_since is not None:
-                continue
-            known.listed = False
-            if known in lost and (mass or back):
-                known.held_since, known.next_try = now, now
-                known.why = f"left out by {source.name} with many others; used while it answers"
-            elif known.state is not State.REUSED and known.state is not State.GONE:
-                if known.state is State.DOUBTFUL and (back or not source.entries):
-                    continue  # an empty or an old list says nothing of one that is being tried
-                self._set(known, State.GONE, f"left out by {source.name}", now)
-
-    def _confirm(self, known: CachedEndpoint, why: str, now: float) -> None:
-        if not known.warm_known:
-            known.started, known.warm_known = now, True  # what is not known to be warm counts as cold
-        cold = known.started and now - known.started < self.bounds.warm_after
-        self._set(known, State.COLD if cold else State.USABLE, why, now)
-
-    def _age(self, known: CachedEndpoint, word: EndpointEvidence, restarted: bool, now: float) -> None:
-        """How long it has been up: its own word, and a list's only where that makes it younger."""
-        known.aged = word.up_ms is not None
-        if word.up_ms is None:
-            if restarted:
-                known.started, known.warm_known = now, True
-            return
-        started = now - word.up_ms
-        if restarted or not known.warm_known or started > known.started + self.bounds.slack:
-            known.started, known.warm_known = started, True
-
-    def _warmth(self, known: CachedEndpoint, now: float) -> None:
-        cold = bool(known.started) and now - known.started < self.bounds.warm_after
-        if cold != (known.state is State.COLD):
-            self._set(
-                known,
-                State.COLD if cold else State.USABLE,
-                "started lately" if cold else "has warmed up",
-                now,
-            )
-
-    def _drain(self, known: CachedEndpoint, why: str, now: float) -> None:
-        known.drained = True
-        if known.state not in (State.GONE, State.REUSED):
-            self._set(known, State.DRAINING, why, now)
-
-    def _set(self, known: CachedEndpoint, state: State, why: str, now: float) -> None:
-        if state is not known.state:
-            known.since = now
-        known.state, known.why = state, why
-        if state in (State.DOUBTFUL, State.REUSED):
-            known.next_try = max(known.next_try, now)
-
-    def _note(self, text: str) -> None:
-        self.notes.append(text)
+            self._apply_omissions(source, now_ms, is_older)
+
+    def _apply_omissions(self, source: SourceState, now_ms: float, is_older: bool) -> None:
+        """Remove endpoints that a complete list omits; where it omits many at once they stay while they respond."""
+        omitted = [
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.name not in source.entries and endpoint.omitted_since_ms is None
+        ]
+        is_trusted = not self._is_mass_omission(source, omitted) and not is_older
+        is_evidence = not is_older and bool(source.entries)
+        for endpoint in omitted:
+            if endpoint.is_in_service and not is_trusted:
+                self._transitions.apply_suspect_omission(endpoint, source.name, now_ms)
+            else:
+                self._transitions.apply_omission(endpoint, source.name, now_ms, is_evidence)
+
+    def _is_mass_omission(self, source: SourceState, omitted: list[CachedEndpoint]) -> bool:
+        """Whether a list omits so many endpoints in service that it may have lost its data."""
+        in_service = sum(endpoint.is_in_service for endpoint in self.endpoints.values())
+        omitted_in_service = sum(endpoint.is_in_service for endpoint in omitted)
+        if omitted_in_service < MIN_MASS_OMISSION:
+            return False
+        if omitted_in_service <= self.bounds.max_vanished_fraction * in_service:
+            return False
+        self.warnings.append(
+            f"{source.name}: its list leaves out {omitted_in_service} of {in_service} nodes; "
+            "those that answer are used on"
+        )
+        return True
+
+
+def _published_form(endpoint: CachedEndpoint) -> Endpoint | None:
+    """An endpoint as the scheduler gets it; None where it is not to be used."""
+    name = endpoint.name
+    shard = endpoint.shard
+    zone = endpoint.zone
+    if endpoint.status is DiscoveryStatus.USABLE:
+        return Endpoint(name, EndpointStatus.READY, shard, zone, 0.0)
+    if endpoint.status is DiscoveryStatus.WARMING_UP:
+        return Endpoint(name, EndpointStatus.READY, shard, zone, endpoint.started_at_ms)
+    if endpoint.status is DiscoveryStatus.DRAINING:
+        return Endpoint(name, EndpointStatus.DRAINING, shard, zone)
+    return None
--- a/winchdyke/gateway/composition.py
+++ b/winchdyke/gateway/composition.py
@@ -7,17 +7,19 @@
 
 from winchdyke import interface as api
 from winchdyke.config import Config
-from winchdyke.discovery.endpoint_view import Bounds as DiscoveryBounds
+from winchdyke.discovery.bounds import DiscoveryBounds
+from winchdyke.discovery.file_source import FileSource
 from winchdyke.discovery.follower import EndpointFollower
-from winchdyke.discovery.sources import FileSource, HttpSource, Source, SrvSource
+from winchdyke.discovery.list_service import ListServiceSource
+from winchdyke.discovery.sources import EndpointSource
+from winchdyke.discovery.srv_source import SrvSource
 from winchdyke.gateway.errors import StartError
 from winchdyke.gateway.pool import ConnectionPool
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import Service
 from winchdyke.gateway.tls import CertificateReloader, TlsError, load_store_context
 from winchdyke.gateway.writeback import WriteBack, WriteBackError
-from winchdyke.latency_attribution.ledger import Bounds as LedgerBounds
-from winchdyke.latency_attribution.ledger import Writer
+from winchdyke.latency_attribution.ledger_writer import LedgerBounds, LedgerWriter
 from winchdyke.latency_attribution.recorder import Recorder
 
 
@@ -43,7 +45,7 @@
     return certificates
 
 
-def open_ledger(config: Config) -> Writer | None:
+def open_ledger(config: Config) -> LedgerWriter | None:
     """Open the ledger of latencies; None where none is kept.
 
     Raises:
@@ -53,21 +55,23 @@
     if not accounts.folder:
         return None
     bounds = LedgerBounds(
-        accounts.segment_bytes,
-        accounts.segment_time / 1000,
-        accounts.total_bytes,
-        sync_s=accounts.sync / 1000,
-        keep_s=accounts.keep_accounts / 1000,
+        max_segment_bytes=accounts.segment_bytes,
+        max_segment_seconds=accounts.segment_time / 1000,
+        max_total_bytes=accounts.total_bytes,
+        sync_interval_seconds=accounts.sync / 1000,
+        detail_retention_seconds=accounts.keep_accounts / 1000,
     )
     try:
-        return Writer(Path(accounts.folder), bounds)
+        return LedgerWriter(Path(accounts.folder), bounds)
     except OSError as error:
         raise StartError(
             f"can't write to {accounts.folder}: {error.strerror}; see accounts, folder"
         ) from error
 
 
-def make_recorder(config: Config, ledger: Writer | None, scheduler_loop: SchedulerLoop) -> Recorder | None:
+def make_recorder(
+    config: Config, ledger: LedgerWriter | None, scheduler_loop: SchedulerLoop
+) -> Recorder | None:
     """Make what attributes latency, and let the scheduler loop observe queueing; None where no ledger is kept."""
     if ledger is None:
         return None
@@ -100,7 +104,7 @@
     """Make what follows the endpoint list, from the sources that are configured."""
     discovery = config.nodes
     name = config.gateway.name
-    sources: list[Source] = [HttpSource(discovery, name, clock)]
+    sources: list[EndpointSource] = [ListServiceSource(discovery, name, clock)]
     if discovery.file:
         sources.append(FileSource(Path(discovery.file), clock))
     if discovery.srv:
@@ -108,7 +112,9 @@
         host, _, port = discovery.dns.rpartition(":")
         sources.append(SrvSource(discovery.srv, (host, int(port)), shard_count))
     bounds = DiscoveryBounds(
-        warm_after=config.rules.warm_after, vanish_share=discovery.vanish_share, hold=discovery.hold
+        warmup_ms=config.rules.warm_after,
+        max_vanished_fraction=discovery.vanish_share,
+        omission_grace_ms=discovery.hold,
     )
-    folder = Path(discovery.keep) if discovery.keep else None
-    return EndpointFollower(bounds, sources, name, clock, on_endpoint_list, health_check, folder)
+    cache_directory = Path(discovery.keep) if discovery.keep else None
+    return EndpointFollower(bounds, sources, name, clock, on_endpoint_list, health_check, cache_directory)
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -21,8 +21,8 @@
 from winchdyke.config_rollout.controller import RolloutController
 from winchdyke.config_rollout.cutover import changed_plans
 from winchdyke.config_rollout.swap import PreparedSwap
-from winchdyke.discovery.endpoint_view import EndpointEvidence
-from winchdyke.discovery.seeds import Seeds
+from winchdyke.discovery.records import EndpointEvidence
+from winchdyke.discovery.seeds import GatewaySeeds
 from winchdyke.gateway import composition
 from winchdyke.gateway.config_snapshot import ConfigSnapshot
 from winchdyke.gateway.errors import StartError
@@ -89,10 +89,10 @@
         self.membership = composition.make_endpoint_follower(
             config, clock, self._apply_endpoint_list, self._health_check
         )
-        self.engine.on_watch_endpoints = self.membership.ask
+        self.engine.on_watch_endpoints = self.membership.request_poll
         self.pool.verify_identity = self._verify_identity
-        self.service.exchanges.on_endpoint_evidence = self.membership.heard
-        self.service.exchanges.on_connect_failed = self.membership.refused
+        self.service.exchanges.on_endpoint_evidence = self.membership.record_response
+        self.service.exchanges.on_connect_failed = self.membership.record_connect_failure
         self.fleet = MembershipAgent(config, clock) if config.fleet.listen is not None else None
         self.rollout = self._make_rollout()
         self.writeback = composition.open_write_back(config, clock, self.service)
@@ -135,9 +135,9 @@
 
     def _shards_without_endpoint(self) -> set[int]:
         """Return the shards without a usable endpoint, whose failures are not due to a change of the configuration."""
-        view = self.membership.belief
-        usable = {known.shard for known in view.known.values() if view.usable(known.name)}
-        return {known.shard for known in view.known.values()} - usable
+        view = self.membership.view
+        usable = {known.shard for known in view.endpoints.values() if view.is_usable(known.name)}
+        return {known.shard for known in view.endpoints.values()} - usable
 
     def _swap(self, prepared: PreparedSwap) -> None:
         """Apply another version of the configuration, for all requests from now on."""
@@ -169,14 +169,14 @@
             if isinstance(chunk, Need):
                 codec.feed(await connection.stream.receive())
         evidence = store_protocol.told(head).word or EndpointEvidence()
-        if not self.membership.heard(connection.endpoint, evidence):
+        if not self.membership.record_response(connection.endpoint, evidence):
             raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
 
     async def _health_check(self, endpoint: str) -> bool:
         try:
             connection = await self.pool.acquire(endpoint)
         except ConnectError:
-            self.membership.refused(endpoint)
+            self.membership.record_connect_failure(endpoint)
             return False
         await self.pool.release(connection)
         return True
@@ -283,7 +283,9 @@
         seed_list = self.config.fleet.list
         if seed_list is not None:
             name = self.config.gateway.name
-            seeds = Seeds(seed_list, self.config.nodes, name, self.engine.clock, self.fleet.set_listed_seeds)
+            seeds = GatewaySeeds(
+                seed_list, self.config.nodes, name, self.engine.clock, self.fleet.set_listed_seeds
+            )
             group.start_soon(seeds.run)
 
     def _start_accepting(
@@ -315,7 +317,7 @@
             self.service.byte_meter.settle()
             if recorder is not None and now >= reported_at_ms + QUEUE_REPORT_INTERVAL_MS:
                 reported_at_ms = now
-                recorder.tell()
+                recorder.publish_snapshot()
 
     async def _shut_down(self) -> None:
         if self.fleet is not None:
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from winchdyke import interface as api
-from winchdyke.discovery.endpoint_view import EndpointEvidence
+from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.gateway import final_response, outcomes
 from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import Attempt, AttemptResult, OutgoingRequest
@@ -118,14 +118,14 @@
         request = exchange.record.request
         if recorder is None or trace is None or request is None:
             return await handle.next_action()
-        trace.phase("held")
-        queued_at_ns = trace.marks[-2]
-        recorder.hold(handle.request_id, request.shard, request.request_class, queued_at_ms)
+        trace.enter_phase("held")
+        queued_at_ns = trace.phase_marks[-2]
+        recorder.start_wait(handle.request_id, request.shard, request.request_class, queued_at_ms)
         try:
             return await handle.next_action()
         finally:
-            trace.phase("dial")
-            recorder.release(trace, handle.request_id, queued_at_ns, self._clock())
+            trace.enter_phase("dial")
+            recorder.end_wait(trace, handle.request_id, queued_at_ns, self._clock())
 
     def _watch_caller(self, exchange: Exchange) -> None:
         """Tell the scheduler when the caller disconnects."""
@@ -195,7 +195,7 @@
             exchange.sink,
             lambda: self._scheduler_loop.post(api.StreamStarted(handle.request_id, number)),
             lambda head: _is_expected(exchange.operation, head),
-            trace.phase if trace is not None else _ignore_phase,
+            trace.enter_phase if trace is not None else _ignore_phase,
         )
         if number == 0:
             self._metering.charge_excess_before(exchange.record)
@@ -218,7 +218,7 @@
         code = outcomes.OUTCOME_CODES[result.outcome]
         if record.trace is not None and record.request is not None and self._recorder is not None:
             request = record.request
-            usual_ms = self._recorder.usual(endpoint, request.request_class, request.units)
+            usual_ms = self._recorder.expected_latency_ms(endpoint, request.request_class, request.units)
             record.trace.attempts.append((endpoint, code, result.latency_ms, usual_ms))
         exchange.last_outcome = result.outcome
         record.attempt_count += 1
--- a/winchdyke/gateway/metering.py
+++ b/winchdyke/gateway/metering.py
@@ -122,7 +122,7 @@
         on_disconnect = caller.on_disconnect
         scope = anyio.CancelScope()
         if record.trace is not None:
-            record.trace.phase("held")
+            record.trace.enter_phase("held")
         caller.on_disconnect = scope.cancel
         try:
             with scope:
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -23,7 +23,7 @@
 
 # Imported where it is used: it brings along the configuration language, a third of the start-up time.
 if TYPE_CHECKING:
-    from winchdyke.latency_attribution.why import Observer
+    from winchdyke.latency_attribution.queue_observer import QueueObserver
 
 RequestAction = api.StartAttempt | api.ShedRequest | api.FailRequest | api.CancelAttempt
 FinalAction = api.ShedRequest | api.FailRequest
@@ -147,7 +147,7 @@
         self.settings = settings
         self.clock = clock
         self.observing = False
-        self.observer: Observer | None = None
+        self.observer: QueueObserver | None = None
         self.open_requests: dict[str, RequestHandle] = {}
         self.disconnected_requests: dict[str, RequestHandle] = {}
         self.counts: Counter[str] = Counter()
@@ -297,7 +297,7 @@
             for action in self._scheduler.handle(now, events):
                 self._execute(now, action)
             if self.observer is not None:
-                self.observer.look(now)
+                self.observer.observe(now)
         except Exception as error:
             self._replace_scheduler(error)
 
@@ -424,6 +424,6 @@
         scheduler = self._scheduler
         self.observer = None
         if self.observing and isinstance(scheduler, Scheduler):
-            from winchdyke.latency_attribution.why import Observer
+            from winchdyke.latency_attribution.queue_observer import QueueObserver
 
-            self.observer = Observer(scheduler)
+            self.observer = QueueObserver(scheduler)
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -114,7 +114,7 @@
         request_id = f"{self._id_prefix}{self._requests_handled:012x}"
         snapshot = self.snapshot
         self._begin_response(connection, head, request_id, snapshot)
-        trace = self.recorder.begin() if self.recorder is not None else None
+        trace = self.recorder.start_trace() if self.recorder is not None else None
         record = AccessLogRecord(trace, snapshot.version)
         self.active_requests += 1
         try:
@@ -132,7 +132,7 @@
             self.active_requests -= 1
             connection.on_disconnect = None
         if record.trace is not None:
-            record.trace.phase("client")
+            record.trace.enter_phase("client")
         try:
             await final_response.send(connection, request_id, final)
         finally:
@@ -203,7 +203,7 @@
         kind = record.kind
         if self.recorder is None or record.trace is None or operation is None or kind is None:
             return
-        self.recorder.end(
+        self.recorder.finish(
             record.trace,
             request=request_id,
             volume=operation.volume,
@@ -355,7 +355,7 @@
 
     async def _list(self, context: RequestContext, request: api.Request) -> FinalResponse:
         if context.record.trace is not None:
-            context.record.trace.phase("store")  # its parts are requests of their own, side by side
+            context.record.trace.enter_phase("store")  # its parts are requests of their own, side by side
 
         def headers_of(shard_request: api.Request, shard: int, attempt: int) -> Headers:
             return self._headers(context, shard_request, shard, attempt, None)
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from winchdyke.durable_files import replace
+from winchdyke.durable_files import replace_file
 from winchdyke.membership.datagrams import Address, Name
 
 FILE_NAME = "members.json"
@@ -49,4 +49,4 @@
 def save(folder: Path, known: KnownMembers) -> None:
     """Write the file atomically and durably. Raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
-    replace(folder / FILE_NAME, msgspec.json.encode(known), folder / f"{FILE_NAME}.{os.getpid()}.new")
+    replace_file(folder / FILE_NAME, msgspec.json.encode(known), folder / f"{FILE_NAME}.{os.getpid()}.new")
