--- a/tests/test_membership_logs.py
+++ b/tests/test_membership_logs.py
@@ -4,8 +4,11 @@
 
 import base64
 import re
+from collections.abc import Iterator
 from pathlib import Path
 
+import pytest
+import structlog
 from structlog.testing import capture_logs
 
 from winchdyke.admin import keys
@@ -17,6 +20,15 @@
 PACKAGE = ROOT / "winchdyke" / "membership"
 
 
+@pytest.fixture
+def default_logging() -> Iterator[None]:
+    """Logging as structlog sets it up: other tests of the process switch all lines off."""
+    configuration = structlog.get_config()
+    structlog.reset_defaults()
+    yield
+    structlog.configure(**configuration)
+
+
 def test_each_code_that_the_protocol_reports_has_a_log_event_of_its_own():
     sources = "\n".join(path.read_text() for path in PACKAGE.glob("*.py"))
     written = set(re.findall(r'\.report\(\s*"([a-z-]+)"', sources))
@@ -47,7 +59,7 @@
     assert len(names) > 20 and not {name for name in names if f"`{name}`" not in page}
 
 
-def test_a_broken_file_of_keys_is_logged_by_name_and_the_earlier_keys_stay_in_use(tmp_path):
+def test_a_broken_file_of_keys_is_logged_by_name_and_the_earlier_keys_stay_in_use(tmp_path, default_logging):
     path = tmp_path / "keys"
     keys.write_keys(path, [keys.Key("k1", base64.b64encode(b"1" * 32).decode(), "fleet")])
     shared = SharedKeys(str(path))
--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -17,7 +17,7 @@
 
 
 def test_three_members_are_explored_to_a_depth_without_a_violation():
-    found = explore(Words(3, 2), most=4000)
+    found = explore(Words(3, 2), max_states=4000)
     assert not found.violation, found.trace
 
 
@@ -85,5 +85,5 @@
     ],
 )
 def test_each_mutant_of_the_merge_is_detected(mutant, told):
-    found = explore(Words(3, 3, mutant), most=60_000)
+    found = explore(Words(3, 3, mutant), max_states=60_000)
     assert found.violation.startswith(told), found
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -63,7 +63,7 @@
         pool: The connections to stores.
         ledger: The ledger of latencies; None: none is kept.
         service: The object API.
-        membership: Follows the endpoint list.
+        discovery: Follows the endpoint list.
         fleet: Takes part in the membership of gateways; None: it does not.
         live: Applies changes of the configuration; None: it does not change in service.
         writeback: The write-back log; None: there is none.
@@ -86,13 +86,13 @@
         self.ledger = composition.open_ledger(config)
         recorder = composition.make_recorder(config, self.ledger, self.engine)
         self.service = Service(config, self.engine, self.pool, clock, recorder)
-        self.membership = composition.make_endpoint_follower(
+        self.discovery = composition.make_endpoint_follower(
             config, clock, self._apply_endpoint_list, self._health_check
         )
-        self.engine.on_watch_endpoints = self.membership.request_poll
+        self.engine.on_watch_endpoints = self.discovery.request_poll
         self.pool.verify_identity = self._verify_identity
-        self.service.exchanges.on_endpoint_evidence = self.membership.record_response
-        self.service.exchanges.on_connect_failed = self.membership.record_connect_failure
+        self.service.exchanges.on_endpoint_evidence = self.discovery.record_response
+        self.service.exchanges.on_connect_failed = self.discovery.record_connect_failure
         self.fleet = MembershipAgent(config, clock) if config.fleet.listen is not None else None
         self.rollout = self._make_rollout()
         self.writeback = composition.open_write_back(config, clock, self.service)
@@ -135,7 +135,7 @@
 
     def _shards_without_endpoint(self) -> set[int]:
         """Return the shards without a usable endpoint, whose failures are not due to a change of the configuration."""
-        view = self.membership.view
+        view = self.discovery.view
         usable = {known.shard for known in view.endpoints.values() if view.is_usable(known.name)}
         return {known.shard for known in view.endpoints.values()} - usable
 
@@ -169,14 +169,14 @@
             if isinstance(chunk, Need):
                 codec.feed(await connection.stream.receive())
         evidence = store_protocol.told(head).word or EndpointEvidence()
-        if not self.membership.record_response(connection.endpoint, evidence):
+        if not self.discovery.record_response(connection.endpoint, evidence):
             raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
 
     async def _health_check(self, endpoint: str) -> bool:
         try:
             connection = await self.pool.acquire(endpoint)
         except ConnectError:
-            self.membership.record_connect_failure(endpoint)
+            self.discovery.record_connect_failure(endpoint)
             return False
         await self.pool.release(connection)
         return True
@@ -271,7 +271,7 @@
     def _start_tasks(self, group: TaskGroup) -> None:
         group.start_soon(self.engine.run)
         self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
-        group.start_soon(self.membership.run)
+        group.start_soon(self.discovery.run)
         group.start_soon(self._sweep)
         if self.rollout is not None:
             group.start_soon(self.rollout.run)
