--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -27,7 +27,7 @@
 
     def __init__(self, gateway: Gateway, nodes: list[str]) -> None:
         self.nodes, self.pool, self.limits = nodes, gateway.pool, gateway.config.limits
-        self.clock = gateway.engine.clock
+        self.clock = gateway.scheduler_loop.clock
         self.bodies = BodyStore(1 << 30, 1 << 18)
         self.stopping, self.active_requests, self.recorder = False, 0, None
         self.byte_meter = gateway.service.byte_meter  # which the gateway settles as it sweeps
@@ -56,7 +56,7 @@
     nodes = dataclasses.replace(config.nodes, must_ask=True)
     gateway = Gateway(dataclasses.replace(config, nodes=nodes))
     gateway.service = PassThrough(gateway, [f"127.0.0.1:{port}" for port in ports])
-    gateway.discovery.request_poll = gateway.engine.on_watch_endpoints = lambda: None  # type: ignore[method-assign]
+    gateway.discovery.request_poll = gateway.scheduler_loop.on_watch_endpoints = lambda: None  # type: ignore[method-assign]
     await gateway.run(lambda: print(gateway.address[1], flush=True))
 
 
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -85,7 +85,7 @@
         group.start_soon(gateway.run, ready.set)
         await ready.wait()
         for number in range(4000):
-            gateway.engine.submit(
+            gateway.scheduler_loop.submit(
                 api.Request(f"r{number}", "fetch", "basic", f"course-x{number}", "k", 1.0, 0, 1, 900.0)
             )
         await anyio.sleep(2)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -87,7 +87,7 @@
 
     def watch(self) -> None:
         """Keep what the engine is told."""
-        engine = self.gateway.engine
+        engine = self.gateway.scheduler_loop
         told, posted = engine.attempt_ended, engine.post
 
         def ended(ticket: Any, event: api.AttemptEnded) -> None:
@@ -204,7 +204,7 @@
         group.start_soon(made.gateway.run, ready.set)
         await ready.wait()
         if listing:
-            await made.until(lambda: len(made.gateway.engine.endpoints) == stores)
+            await made.until(lambda: len(made.gateway.scheduler_loop.endpoints) == stores)
         try:
             yield made
         finally:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -284,11 +284,11 @@
             it.where(READ).tricks.append("silence")
 
             async def cancel():
-                await it.until(lambda: bool(it.gateway.engine.open_requests))
-                ticket = next(iter(it.gateway.engine.open_requests.values()))
+                await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
+                ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
                 await it.until(lambda: ticket.on_cancel is not None)
                 await anyio.sleep(0.05)
-                it.gateway.engine._execute(0.0, api.CancelAttempt(ticket.request_id, 0))
+                it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(ticket.request_id, 0))
 
             it.group.start_soon(cancel)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -323,8 +323,8 @@
             async def later():
                 await begun.wait()
                 if order == "it is called off":
-                    ticket = next(iter(it.gateway.engine.open_requests.values()))
-                    it.gateway.engine._execute(0.0, api.AbandonAttempt(ticket.request_id, 0))
+                    ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
+                    it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(ticket.request_id, 0))
                     await it.until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -42,7 +42,7 @@
 
 
 async def drained(it: Rig) -> None:
-    back = it.gateway.writeback
+    back = it.gateway.write_back
     await it.until(lambda: not back._pending_objects and not back.drain.out, 10)
 
 
@@ -67,7 +67,7 @@
 
         async with rig(config(tmp_path)) as it:
             assert (await ask(it, "s3", "PUT", "/school-1/a", b"hello")).status == 200
-            assert it.gateway.writeback.counts["acknowledged"] == 1
+            assert it.gateway.write_back.counts["acknowledged"] == 1
             assert (await ask(it, "s3", "GET", "/school-1/a")).body == b"hello"
 
     run()
@@ -102,7 +102,7 @@
             assert (await it.ask("PUT", "/school-1/a", b"new")).status == 200
             await drained(it)
             assert stored(it, "school-1", "a") == b"new" and effects(it, "a") == 2
-            assert not it.gateway.writeback.quarantined
+            assert not it.gateway.write_back.quarantined
 
     run()
 
@@ -115,7 +115,7 @@
         async with rig(config(tmp_path), memory_ms=100.0) as it:
             store = it.where("/school-1/a")
             store.tricks.extend(["", "silence"])
-            back = it.gateway.writeback
+            back = it.gateway.write_back
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
             await it.until(lambda: stored(it, "school-1", "a") == b"mine")
             store.shelf.objects["school-1", "a"] = (b"other", '"other"')
@@ -155,10 +155,10 @@
             await it.until(lambda: stored(it, "school-1", "out") == b"fresh")
             new.kill()
             assert (await it.ask("PUT", "/school-1/new", b"fresh")).status == 200
-            log = it.gateway.writeback.log
+            log = it.gateway.write_back.log
             assert len(log.open) == 2
             # A kill: nothing more is sent or written, and the folder is free.
-            it.gateway.writeback.drain.next = lambda *_: []
+            it.gateway.write_back.drain.next = lambda *_: []
             log.disk.close()
             await new.start(it.group)
             made = Gateway(
@@ -193,7 +193,7 @@
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
-            disk = it.gateway.writeback.log.disk
+            disk = it.gateway.write_back.log.disk
             sync, fail = disk.sync, [True]
 
             def once(name: str) -> None:
@@ -236,7 +236,7 @@
                     assert (await it.ask("PUT", f"/school-1/{number}", b"x")).status == 200
                 began = anyio.current_time()
                 it.gateway.stop()
-                await it.until(lambda: not it.gateway.writeback.committer._thread.is_alive(), 10)
+                await it.until(lambda: not it.gateway.write_back.committer._thread.is_alive(), 10)
                 assert anyio.current_time() - began < 6.0
         from winchdyke.writeback.disk import Folder
         from winchdyke.writeback.log import Log
@@ -261,7 +261,7 @@
     first = Gateway(config(tmp_path))
     with pytest.raises(StartError, match="in use by another process"):
         Gateway(config(tmp_path))
-    first.writeback.committer.close()
+    first.write_back.committer.close()
 
 
 def test_waiting_for_a_sync_that_is_over_does_not_block_the_loop():
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -333,7 +333,7 @@
                 )
                 assert "applied" in await cli("apply", folder, "2")
                 assert it.gateway.rollout.last_swap_ms < 100
-                assert {p.name: p for p in it.gateway.engine._scheduler.settings.plans}[
+                assert {p.name: p for p in it.gateway.scheduler_loop._scheduler.settings.plans}[
                     "school"
                 ].expected_units_per_s == 90.0
                 await cli("set", folder, "volume", "school-*", "plan=contest")
@@ -408,7 +408,7 @@
                 return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
 
             folder = str(tmp_path / "changes")
-            protocol = it.gateway.fleet.protocol
+            protocol = it.gateway.membership_agent.protocol
             assert protocol.seeds == ("127.0.0.1:9",)
             await cli("set", folder, "peer", "east", "address=127.0.0.1:7", "--new")
             await cli("apply", folder, "2")
@@ -454,7 +454,8 @@
             assert "yours" in clash and "theirs" in clash
             assert "merged" in await cli("apply", folder, "4")
             plans = {
-                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+                plan.name: plan.fair_share_weight
+                for plan in it.gateway.scheduler_loop._scheduler.settings.plans
             }
             assert (plans["school"], plans["basic"]) == (3.0, 5.0)
 
@@ -530,7 +531,7 @@
                     count += 1
                     answer = await it.ask("GET", f"/{volume}/k{number}-{count}", winchdyke_time_left="300ms")
                     if volume == "contest-1":
-                        served.append((it.gateway.engine.clock(), answer.status == 404))
+                        served.append((it.gateway.scheduler_loop.clock(), answer.status == 404))
                     await anyio.sleep(0.01)
 
             async with anyio.create_task_group() as group:
@@ -548,12 +549,12 @@
                 await anyio.to_thread.run_sync(
                     lambda: said("set", folder, "volume", "contest-*", "shards=6-7")
                 )
-                applied = it.gateway.engine.clock()
+                applied = it.gateway.scheduler_loop.clock()
                 await anyio.to_thread.run_sync(lambda: said("apply", folder, "3"))
                 with anyio.fail_after(10):
                     while it.gateway.service.snapshot.version != 2:
                         await anyio.sleep(0.05)
-                undone = it.gateway.engine.clock()
+                undone = it.gateway.scheduler_loop.clock()
                 assert undone - applied < 10_000
                 await anyio.sleep(0.6)
                 stop = True
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -190,7 +190,8 @@
             found = await do(it, Stage(3))
             await serves(it, found["version"])
             plans = {
-                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+                plan.name: plan.fair_share_weight
+                for plan in it.gateway.scheduler_loop._scheduler.settings.plans
             }
             base = {plan.name: plan.fair_share_weight for plan in settings().plans}
             assert plans == base | {"basic": 8.0}
@@ -281,7 +282,8 @@
             await anyio.sleep(0.8)
             assert it.gateway.service.snapshot.version == 1
             weights = {
-                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+                plan.name: plan.fair_share_weight
+                for plan in it.gateway.scheduler_loop._scheduler.settings.plans
             }
             assert weights == {plan.name: plan.fair_share_weight for plan in settings().plans}
             assert (await it.ask("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
@@ -377,7 +379,8 @@
         async with rig(with_changes(tmp_path)) as it:
             assert it.gateway.service.snapshot.version == 2
             assert {
-                plan.name: plan.fair_share_weight for plan in it.gateway.engine._scheduler.settings.plans
+                plan.name: plan.fair_share_weight
+                for plan in it.gateway.scheduler_loop._scheduler.settings.plans
             }["school"] == 9.0
             assert "entry 3" in it.gateway.rollout.change_log.entries()[0].note
 
@@ -595,7 +598,7 @@
             async with anyio.create_task_group() as group:
                 for number in range(60):
                     group.start_soon(load, number)
-                await it.until(lambda: len(it.gateway.engine.open_requests) >= 40, 15.0)
+                await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) >= 40, 15.0)
                 base = it.gateway.rollout.change_log.version(1).text
                 made = await do(it, Set("volume", "contest-*", remove=True))
                 text = it.gateway.rollout.change_log.version(made["version"]).text
@@ -609,10 +612,10 @@
             told = {answer.headers["x-request-id"]: answer.headers["winchdyke-version"] for answer in answers}
             assert len(told) == len(answers) and set(told.values()) == {"1", "3"}
             assert {answer.status for answer in answers} <= {404, 503, 504}
-            assert it.gateway.engine.counts["faults"] == 0
+            assert it.gateway.scheduler_loop.counts["faults"] == 0
             heads = [seen for seen in it.record.seen if seen["what"] == "head"]
             assert all(str(seen["version"]) == told[seen["request"]] for seen in heads)
-            volumes = it.gateway.engine._scheduler.quotas
+            volumes = it.gateway.scheduler_loop._scheduler.quotas
             assert {volumes[f"contest-{number}"].plan.name for number in range(3)} == {"basic"}
 
     run()
@@ -645,7 +648,7 @@
                 since = it.record.seen[-1]["t"]
                 await anyio.sleep(1.5)
                 stop = True
-            assert it.gateway.engine._scheduler.quotas["school-1"].plan.name == "small"
+            assert it.gateway.scheduler_loop._scheduler.quotas["school-1"].plan.name == "small"
             heads = [seen for seen in it.record.seen if seen["what"] == "head"]
             late = [seen for seen in heads if seen["t"] > since + 50]
             span = (it.record.seen[-1]["t"] - since) / 1000
@@ -747,7 +750,7 @@
                 it.group.start_soon(made.run, ready.set)
                 await ready.wait()
                 gateways.append(made)
-            await it.until(lambda: all(len(each.engine.endpoints) == 8 for each in gateways))
+            await it.until(lambda: all(len(each.scheduler_loop.endpoints) == 8 for each in gateways))
             offsets = (-1000.0, 0.0, 1000.0)
             for each, offset in zip(gateways, offsets, strict=True):
                 each.rollout.wall_clock_ms = lambda offset=offset: time.time() * 1000 + offset
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -80,7 +80,7 @@
             await it.until(lambda: bool(it.ended))
             assert it.outcomes == ["CANCELLED"]
             await it.until(lambda: not it.gateway.service.active_requests)
-            assert not it.gateway.engine.open_requests
+            assert not it.gateway.scheduler_loop.open_requests
             assert ("school-1", "cut") not in it.where("/school-1/cut").shelf.objects
             assert it.gateway.service.bodies.used_bytes == 0
 
@@ -146,12 +146,12 @@
                 headers = [("host", "t"), ("x-request-id", f"c{number}"), ("content-length", "1")]
                 request = h11.Request(method="PUT", target=READ, headers=headers)
                 await peer.send(request, h11.Data(data=b"x"), h11.EndOfMessage())
-            await it.until(lambda: len(it.gateway.engine.open_requests) == len(busy))
+            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == len(busy))
             if when == "after":
                 await it.until(lambda: bool(it.ended))
             for peer in busy:
                 await peer.reset()
-            await it.until(lambda: not it.gateway.engine.open_requests)
+            await it.until(lambda: not it.gateway.scheduler_loop.open_requests)
             await anyio.sleep(0.05)  # what was on its way to a store as the client left is there by now
             heads = [seen["client"] for seen in it.record.seen if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
@@ -201,7 +201,7 @@
             it.list.failing = ""
             if how == "down":
                 await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.engine.endpoints) == 8)
+            await it.until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -222,7 +222,10 @@
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.until(
-                lambda: it.gateway.engine.endpoints[it.stores[0].name].status is api.EndpointStatus.DRAINING
+                lambda: (
+                    it.gateway.scheduler_loop.endpoints[it.stores[0].name].status
+                    is api.EndpointStatus.DRAINING
+                )
             )
 
     run()
@@ -232,7 +235,7 @@
     @played
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
-            assert it.gateway.engine.counts["endpoint_watches_requested"] == 1
+            assert it.gateway.scheduler_loop.counts["endpoint_watches_requested"] == 1
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -308,12 +311,12 @@
                 got.append(await it.ask("GET", READ))
 
             it.group.start_soon(ask)
-            await it.until(lambda: bool(it.gateway.engine.open_requests))
+            await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
             it.group.start_soon(ask)
             await it.until(lambda: len(got) == 2)
             assert {(answer.status, answer.reason) for answer in got} == {(502, "engine-fault")}
-            assert it.gateway.engine.counts["scheduler_failures"] == 1
-            assert len(it.gateway.engine.endpoints) == 8, "the new one is given the list"
+            assert it.gateway.scheduler_loop.counts["scheduler_failures"] == 1
+            assert len(it.gateway.scheduler_loop.endpoints) == 8, "the new one is given the list"
 
     run()
 
@@ -334,7 +337,7 @@
         async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Mute)) as it:
             answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
-            assert not it.gateway.engine.open_requests
+            assert not it.gateway.scheduler_loop.open_requests
 
     run()
 
@@ -503,14 +506,14 @@
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
             await it.until(
-                lambda: it.gateway.engine.endpoints[old.name].status is api.EndpointStatus.DRAINING
+                lambda: it.gateway.scheduler_loop.endpoints[old.name].status is api.EndpointStatus.DRAINING
             )
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
             fresh = type(old)(old.spec, old.shelf, it.rack, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
-            await it.until(lambda: fresh.name in it.gateway.engine.endpoints)
+            await it.until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
             assert (await it.ask("GET", READ)).body == b"x"
             assert {event.endpoint for event in it.ended[before:]} == {fresh.name}
 
@@ -528,7 +531,7 @@
             deaf = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = deaf.extra(anyio.abc.SocketAttribute.local_port)
             node = api.Endpoint(f"127.0.0.1:{port}", api.EndpointStatus.READY, it.where(READ).spec.shard)
-            it.gateway.engine.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
+            it.gateway.scheduler_loop.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
             sock = socket.create_connection(it.gateway.address)
             head = b"PUT /school-1/object HTTP/1.1\r\nhost: t\r\ncontent-length: 900000000\r\n\r\n"
             sock.sendall(
@@ -563,7 +566,7 @@
                 answer = await it.ask("PUT", READ, b"x")
             assert (answer.status, answer.reason) == (500, "internal")
             assert b"ArithmeticError" not in answer.body
-            assert not it.gateway.engine.open_requests
+            assert not it.gateway.scheduler_loop.open_requests
             assert it.outcomes == ["CANCELLED"]
             assert (await it.ask("PUT", READ, b"x")).status == 201
 
@@ -577,11 +580,14 @@
             it.list.keep_old_copy()
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.engine.endpoints) == 8)
+            await it.until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
             kinds = [event.kind for event in it.events if isinstance(event, api.EndpointList)]
             assert api.EndpointListKind.CACHED in kinds
             await it.until(
-                lambda: it.gateway.engine.endpoints[it.stores[0].name].status is api.EndpointStatus.DRAINING
+                lambda: (
+                    it.gateway.scheduler_loop.endpoints[it.stores[0].name].status
+                    is api.EndpointStatus.DRAINING
+                )
             )
 
     run()
@@ -610,10 +616,10 @@
             second = await it.connect()
             head = "PUT /school-1/object HTTP/1.1\r\nhost: t\r\nwinchdyke-class: turns\r\nx-request-id: second\r\n"
             await second.stream.send(head.encode() + b"content-length: 900000\r\n\r\n" + b"x" * 450_000)
-            await it.until(lambda: len(it.gateway.engine.open_requests) == 2)
+            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == 2)
             await anyio.sleep(0.05)
             await second.reset()
-            await it.until(lambda: len(it.gateway.engine.open_requests) == 1, 1.0)
+            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == 1, 1.0)
             assert (await reply(first)).status == 201
             await anyio.sleep(0.1)
             assert heads() == ["first"]
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -371,15 +371,15 @@
             async with anyio.create_task_group() as group:
                 for path in paths[:10]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: len(it.gateway.engine.observer.queued_groups()) > 0)
+                await it.until(lambda: len(it.gateway.scheduler_loop.observer.queued_groups()) > 0)
                 await it.until(lambda: it.gateway.service.active_requests == 10)
-                it.gateway.engine._replace_scheduler(RuntimeError("on purpose"))
+                it.gateway.scheduler_loop._replace_scheduler(RuntimeError("on purpose"))
                 for path in paths[10:20]:
                     group.start_soon(it.ask, "PUT", path, b"x")
                 await it.until(
                     lambda: (
                         it.gateway.service.active_requests >= 10
-                        and it.gateway.engine.observer.queued_groups()
+                        and it.gateway.scheduler_loop.observer.queued_groups()
                     )
                 )
                 await it.until(lambda: it.gateway.service._requests_handled == 20)
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -150,9 +150,9 @@
             serving = replace(rigs.settings(), fleet=config(tmp_path, "-", list=where).fleet)
             one = MembershipAgent(config(tmp_path, "one"), clock)
             async with running(one), rigs.rig(serving) as it:
-                assert it.gateway.fleet is not None
+                assert it.gateway.membership_agent is not None
                 await service.set(shown(one), "ready", 0, "")
-                await until(lambda: states(it.gateway.fleet) == {"one": "alive"})
+                await until(lambda: states(it.gateway.membership_agent) == {"one": "alive"})
             group.cancel_scope.cancel()
 
     anyio.run(play)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -248,7 +248,7 @@
             data = b"x" * (300 * UNIT)
             assert (await ask(it, dialect, "PUT", "/school-1/o", data)).status < 300
             it.gateway.service.byte_meter._meters.clear()  # the put is not what is looked at
-            quota = it.gateway.engine.quota("school-1")
+            quota = it.gateway.scheduler_loop.quota("school-1")
             quota.limit_units = 60.0
             more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
             first = await ask(it, dialect, "GET", "/school-1/o", **more)
@@ -414,7 +414,7 @@
     @played
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
-            engine, byte_meter = it.gateway.engine, it.gateway.service.byte_meter
+            engine, byte_meter = it.gateway.scheduler_loop, it.gateway.service.byte_meter
             size = 1024 * UNIT
             peer = await connect(it, "object")
             request = h11.Request(
@@ -489,7 +489,7 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
             assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
-            account = it.gateway.engine.quota("contest-1")
+            account = it.gateway.scheduler_loop.quota("contest-1")
             assert account.plan.reserved_units_per_s and not account.plan.limit_units_per_s
             if asked != "put":
                 account.reserved_units = 10.0
@@ -508,10 +508,10 @@
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
             assert (await it.ask("PUT", "/school-1/o", body)).status < 300
-            service, account = it.gateway.service, it.gateway.engine.quota("school-1")
+            service, account = it.gateway.service, it.gateway.scheduler_loop.quota("school-1")
             for _ in range(2):  # the second time its size is known beforehand
-                account.refill(it.gateway.engine.clock())
-                account.limit_units, before = 50.0, it.gateway.engine.clock()
+                account.refill(it.gateway.scheduler_loop.clock())
+                account.limit_units, before = 50.0, it.gateway.scheduler_loop.clock()
                 assert len((await it.ask("GET", "/school-1/o")).body) == len(body)
                 filled = RATE * (account.refilled_at_ms - before) / 1000
                 assert 50.0 - 8.0 - 0.5 <= account.limit_units <= 50.0 - 8.0 + filled + 0.5
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -59,14 +59,14 @@
 
     Attributes:
         config: The configuration at the start.
-        engine: The scheduler loop.
+        scheduler_loop: Runs the scheduler.
         pool: The connections to stores.
         ledger: The ledger of latencies; None: none is kept.
         service: The object API.
         discovery: Follows the endpoint list.
-        fleet: Takes part in the membership of gateways; None: it does not.
-        live: Applies changes of the configuration; None: it does not change in service.
-        writeback: The write-back log; None: there is none.
+        membership_agent: Takes part in the membership of gateways; None: it does not.
+        rollout: Applies changes of the configuration; None: it does not change in service.
+        write_back: The write-back log; None: there is none.
         s3: The S3 API, once the gateway runs; None: there is none.
         clients: The listeners of clients.
         admins: The listeners of operators.
@@ -80,29 +80,29 @@
 
     def __init__(self, config: Config, scheduler_loop: SchedulerLoop | None = None) -> None:
         self.config = config
-        self.engine = scheduler_loop or SchedulerLoop(config.settings(), config.gateway.seed)
-        clock = self.engine.clock
+        self.scheduler_loop = scheduler_loop or SchedulerLoop(config.settings(), config.gateway.seed)
+        clock = self.scheduler_loop.clock
         self.pool = composition.make_pool(config, clock)
         self.ledger = composition.open_ledger(config)
-        recorder = composition.make_recorder(config, self.ledger, self.engine)
-        self.service = Service(config, self.engine, self.pool, clock, recorder)
+        recorder = composition.make_recorder(config, self.ledger, self.scheduler_loop)
+        self.service = Service(config, self.scheduler_loop, self.pool, clock, recorder)
         self.discovery = composition.make_endpoint_follower(
             config, clock, self._apply_endpoint_list, self._health_check
         )
-        self.engine.on_watch_endpoints = self.discovery.request_poll
+        self.scheduler_loop.on_watch_endpoints = self.discovery.request_poll
         self.pool.verify_identity = self._verify_identity
         self.service.exchanges.on_endpoint_evidence = self.discovery.record_response
         self.service.exchanges.on_connect_failed = self.discovery.record_connect_failure
-        self.fleet = MembershipAgent(config, clock) if config.fleet.listen is not None else None
+        self.membership_agent = MembershipAgent(config, clock) if config.fleet.listen is not None else None
         self.rollout = self._make_rollout()
-        self.writeback = composition.open_write_back(config, clock, self.service)
+        self.write_back = composition.open_write_back(config, clock, self.service)
         self.address = ("", 0)
         self.addresses: list[tuple[str, int]] = []
         self.admin_addresses: list[object] = []
         self.s3: S3 | None = None
         self._certificates = composition.load_certificates(config, self.pool)
         self.clients = ClientListeners(
-            config.limits, clock, self._certificates, lambda: self.engine.settings.max_retry_after_ms
+            config.limits, clock, self._certificates, lambda: self.scheduler_loop.settings.max_retry_after_ms
         )
         self.admins = AdminListeners(config.limits, clock)
         self._stop = anyio.Event()
@@ -118,13 +118,13 @@
                 Path(self.config.changes.folder),
                 self.config,
                 self._swap,
-                self.engine.volumes_with_quota,
-                self.engine.clock,
+                self.scheduler_loop.volumes_with_quota,
+                self.scheduler_loop.clock,
                 self._shards_without_endpoint,
-                self.engine.refill_quotas,
+                self.scheduler_loop.refill_quotas,
             )
             watch = rollout.canary
-            clock = self.engine.clock
+            clock = self.scheduler_loop.clock
             self.service.on_request_end = lambda volume, shard, outcome, total_ms: watch.record_request(
                 clock(), volume, shard, outcome, total_ms
             )
@@ -142,15 +142,17 @@
     def _swap(self, prepared: PreparedSwap) -> None:
         """Apply another version of the configuration, for all requests from now on."""
         # Events of requests that arrived under the old version must be decided by it: the new one may lack their plans.
-        self.engine.process_events()
+        self.scheduler_loop.process_events()
         plans = prepared.plans
-        if new_volumes := self.engine.volumes_with_quota(prepared.volume_count):  # since it was prepared
+        if new_volumes := self.scheduler_loop.volumes_with_quota(
+            prepared.volume_count
+        ):  # since it was prepared
             plans = {**plans, **changed_plans(new_volumes, prepared.old, prepared.new)}
         if self.service.snapshot.version != prepared.version:
             self.service.snapshot = ConfigSnapshot(prepared.new.config, prepared.version)
-        self.engine.apply_settings(prepared.settings, plans)
-        if self.fleet is not None:
-            self.fleet.update_config(prepared.new.config)
+        self.scheduler_loop.apply_settings(prepared.settings, plans)
+        if self.membership_agent is not None:
+            self.membership_agent.update_config(prepared.new.config)
 
     # Endpoints
 
@@ -182,7 +184,7 @@
         return True
 
     async def _apply_endpoint_list(self, event: api.EndpointList) -> None:
-        self.engine.post(event)
+        self.scheduler_loop.post(event)
         if event.kind is not api.EndpointListKind.FULL:
             return
         names = {endpoint.name for endpoint in event.endpoints}
@@ -252,39 +254,43 @@
         """Return the folder of the admin socket; None where there is nothing to administer, or no place for it."""
         if self.rollout is not None:
             return self.rollout.folder
-        if self.fleet is None:
+        if self.membership_agent is None:
             return None
         if self.config.fleet.keep:
             return Path(self.config.fleet.keep)
         return Path(".") if self.config.admin.socket else None
 
     async def _open_fleet(self, opened: list[SocketListener]) -> None:
-        if self.fleet is None:
+        if self.membership_agent is None:
             return
         try:
-            await self.fleet.open()
+            await self.membership_agent.open()
         except MembershipError as error:
             for socket in opened:
                 await socket.aclose()
             raise StartError(str(error)) from error
 
     def _start_tasks(self, group: TaskGroup) -> None:
-        group.start_soon(self.engine.run)
-        self.engine.post(api.EndpointList(api.EndpointListKind.CACHED))
+        group.start_soon(self.scheduler_loop.run)
+        self.scheduler_loop.post(api.EndpointList(api.EndpointListKind.CACHED))
         group.start_soon(self.discovery.run)
         group.start_soon(self._sweep)
         if self.rollout is not None:
             group.start_soon(self.rollout.run)
-        if self.writeback is not None:
-            group.start_soon(self.writeback.run, self.engine.queue_lengths)
-        if self.fleet is None:
+        if self.write_back is not None:
+            group.start_soon(self.write_back.run, self.scheduler_loop.queue_lengths)
+        if self.membership_agent is None:
             return
-        group.start_soon(self.fleet.run)
+        group.start_soon(self.membership_agent.run)
         seed_list = self.config.fleet.list
         if seed_list is not None:
             name = self.config.gateway.name
             seeds = GatewaySeeds(
-                seed_list, self.config.nodes, name, self.engine.clock, self.fleet.set_listed_seeds
+                seed_list,
+                self.config.nodes,
+                name,
+                self.scheduler_loop.clock,
+                self.membership_agent.set_listed_seeds,
             )
             group.start_soon(seeds.run)
 
@@ -298,7 +304,7 @@
         if not admin_sockets:
             return
         change_log = self.rollout.change_log if self.rollout is not None else None
-        admin = AdminServer(self.config.admin, change_log, self.fleet)
+        admin = AdminServer(self.config.admin, change_log, self.membership_agent)
         for socket in admin_sockets:
             group.start_soon(self.admins.accept, socket, admin.handle, admin.max_connections, group)
 
@@ -308,25 +314,25 @@
         recorder = self.service.recorder
         while True:
             await anyio.sleep(SWEEP_INTERVAL_SECONDS)
-            now = self.engine.clock()
+            now = self.scheduler_loop.clock()
             for connection in [*self.clients.connections, *self.admins.connections]:
                 connection.check_for_reset()
                 if connection.timeout_at_ms <= now:
                     await connection.expire()
-            self.engine.finish_overdue(now)
+            self.scheduler_loop.finish_overdue(now)
             self.service.byte_meter.settle()
             if recorder is not None and now >= reported_at_ms + QUEUE_REPORT_INTERVAL_MS:
                 reported_at_ms = now
                 recorder.publish_snapshot()
 
     async def _shut_down(self) -> None:
-        if self.fleet is not None:
-            self.fleet.leave()  # early, so that the other gateways have heard of it by the end
+        if self.membership_agent is not None:
+            self.membership_agent.leave()  # early, so that the other gateways have heard of it by the end
         self.clients.stop_accepting()
         self.admins.stop_accepting()
         await self._drain_connections()
-        if self.writeback is not None:
-            await self.writeback.stop()
+        if self.write_back is not None:
+            await self.write_back.stop()
 
     async def _drain_connections(self) -> None:
         self.service.stopping = True
@@ -344,8 +350,8 @@
 
     async def _close(self) -> None:
         await self.pool.close()
-        if self.fleet is not None:
-            await self.fleet.close()
+        if self.membership_agent is not None:
+            await self.membership_agent.close()
         if self.ledger is not None:
             await anyio.to_thread.run_sync(self.ledger.close)
             self._log.info(
@@ -354,7 +360,7 @@
                 dropped=self.ledger.dropped,
                 failed=self.ledger.failed,
             )
-        self._log.info("stopped", pool=str(self.pool), **self.engine.counts)
+        self._log.info("stopped", pool=str(self.pool), **self.scheduler_loop.counts)
 
 
 async def serve(
@@ -394,8 +400,8 @@
     """Write the addresses to files, the first one last: who finds it finds the others."""
     if gateway.s3 is not None:
         _write_address(path.with_name(path.name + ".s3"), gateway.addresses[-1])
-    if gateway.fleet is not None:
-        _write_address(path.with_name(path.name + ".fleet"), gateway.fleet.address)
+    if gateway.membership_agent is not None:
+        _write_address(path.with_name(path.name + ".fleet"), gateway.membership_agent.address)
     _write_address(path, gateway.address)
 
 
