--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -101,7 +101,7 @@
     Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_connection_error())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
            "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
     Mutant("an error claims that nothing ran", A, "return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)", "return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)"),
-    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(name == NOT_RUN and value == b\"1\" for name, value in head.headers)", "return False", test="test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried"),
+    Mutant("a shed taken for an answer", "object_api/store_protocol.py", "return head.status >= 500 and any(\n        name == NOT_RUN_HEADER and value == b\"1\" for name, value in head.headers\n    )", "return False", test="test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried"),
     Mutant("attempts have no time", A, "anyio.current_time() + max(0.0, timeout_ms) / 1000", "anyio.current_time() + 60", rules=(1,)),
     # Engine
     Mutant("timers not fired", E, "events.append(api.TimerFired(heapq.heappop(timers)[2]))", "heapq.heappop(timers)", rules=(1,)),
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -63,7 +63,7 @@
 
     outcome: AttemptOutcome
     latency_ms: float = 0.0
-    report: store_protocol.Told = field(default_factory=store_protocol.Told)
+    report: store_protocol.EndpointReport = field(default_factory=store_protocol.EndpointReport)
     response: UpstreamResponse | None = None
     streamed: bool = False
     status: int = 0
@@ -267,7 +267,7 @@
         self._enter_phase("answer")
         if not self._is_expected(head):
             raise ProtocolError(502, "store-range", "the store's range is not the one asked for")
-        report = store_protocol.told(head)
+        report = store_protocol.read_report(head)
         body = bytearray()
         while len(body) <= MAX_BUFFERED_RESPONSE_BYTES and (
             head.length is None or head.length <= MAX_BUFFERED_RESPONSE_BYTES
@@ -286,8 +286,10 @@
         return await self._stream_response(connection, head, report, bytes(body))
 
     @staticmethod
-    def _complete_response(head: AnswerHead, report: store_protocol.Told, body: bytes) -> AttemptResult:
-        if store_protocol.never_ran(head):
+    def _complete_response(
+        head: AnswerHead, report: store_protocol.EndpointReport, body: bytes
+    ) -> AttemptResult:
+        if store_protocol.proves_no_effect(head):
             return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)
         if head.status >= 500:
             return AttemptResult(AttemptOutcome.ERROR, report=report, status=head.status)
@@ -300,7 +302,11 @@
         )
 
     async def _stream_response(
-        self, connection: Connection, head: AnswerHead, report: store_protocol.Told, first_chunk: bytes
+        self,
+        connection: Connection,
+        head: AnswerHead,
+        report: store_protocol.EndpointReport,
+        first_chunk: bytes,
     ) -> AttemptResult:
         self._scope.deadline = float("inf")  # from here on the client's pace decides
         self._on_stream_start()
--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -26,7 +26,7 @@
     ServerSide,
 )
 from winchdyke.object_api import answers
-from winchdyke.object_api.store_protocol import onward
+from winchdyke.object_api.store_protocol import client_headers
 
 MAX_READ_AHEAD_BYTES = 128 * 1024
 MAX_DISCARDED_BODY_BYTES = 64 * 1024  # of an unwanted body, so that its connection can be kept
@@ -287,11 +287,11 @@
 
     async def respond_from_upstream(self, head: AnswerHead, body: bytes) -> None:
         """Send a store's complete response."""
-        await self.respond(head.status, onward(head.headers), body)
+        await self.respond(head.status, client_headers(head.headers), body)
 
     async def begin_stream(self, head: AnswerHead) -> None:
         """Begin a streamed response; its head is sent with the first chunk of the body."""
-        self._unsent_head = self._response_head(head.status, onward(head.headers))
+        self._unsent_head = self._response_head(head.status, client_headers(head.headers))
 
     async def data(self, data: Bytes) -> None:
         """Send a chunk of a streamed response.
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -163,14 +163,16 @@
             ConnectError: It is not the store that the endpoint list means, or it is draining.
         """
         codec = connection.codec
-        headers = [(b"host", b"store"), (store_protocol.GATEWAY, self.config.gateway.name.encode())]
-        await connection.stream.send(codec.request("GET", store_protocol.WHO, headers) + codec.end())
+        headers = [(b"host", b"store"), (store_protocol.GATEWAY_HEADER, self.config.gateway.name.encode())]
+        await connection.stream.send(
+            codec.request("GET", store_protocol.IDENTITY_PATH, headers) + codec.end()
+        )
         while isinstance(head := codec.head(), Need):
             codec.feed(await connection.stream.receive())
         while not isinstance(chunk := codec.body(), End):
             if isinstance(chunk, Need):
                 codec.feed(await connection.stream.receive())
-        evidence = store_protocol.told(head).word or EndpointEvidence()
+        evidence = store_protocol.read_report(head).evidence or EndpointEvidence()
         if not self.discovery.record_response(connection.endpoint, evidence):
             raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
 
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -227,8 +227,8 @@
         record.attempts_ms += result.latency_ms
 
     def _report_evidence(self, endpoint: str, result: AttemptResult) -> None:
-        if result.report.word is not None:
-            self.on_endpoint_evidence(endpoint, result.report.word)
+        if result.report.evidence is not None:
+            self.on_endpoint_evidence(endpoint, result.report.evidence)
         elif result.outcome is api.AttemptOutcome.CONNECT_FAILED:
             self.on_connect_failed(endpoint)
 
@@ -243,9 +243,9 @@
             result.outcome,
             result.latency_ms,
             finished or handle.finished,
-            report.used_percent,
-            report.from_others,
-            report.load,
+            report.volume_usage_percent,
+            report.units_via_other_gateways,
+            report.load_report,
         )
         self._scheduler_loop.attempt_ended(handle, event)
 
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -188,7 +188,7 @@
     ) -> None:
         headers: Headers = [(answers.REQUEST_ID, request_id.encode())]
         if snapshot.version:
-            headers.append((store_protocol.VERSION, str(snapshot.version).encode()))
+            headers.append((store_protocol.CONFIG_VERSION_HEADER, str(snapshot.version).encode()))
         connection.begin_request(headers, close=self.stopping)
         connection.declared_body_bytes = head.length
 
--- a/winchdyke/gateway/store_request.py
+++ b/winchdyke/gateway/store_request.py
@@ -34,21 +34,21 @@
     """
     headers: Headers = [
         (b"host", b"store"),
-        (store_protocol.REQUEST, request.request_id.encode()),
-        (store_protocol.ATTEMPT, str(attempt).encode()),
-        (store_protocol.GATEWAY, gateway_name.encode()),
-        (store_protocol.CLASS, request.request_class.encode()),
-        (store_protocol.UNITS, f"{request.units:g}".encode()),
-        (store_protocol.SHARD, str(shard).encode()),
+        (store_protocol.REQUEST_HEADER, request.request_id.encode()),
+        (store_protocol.ATTEMPT_HEADER, str(attempt).encode()),
+        (store_protocol.GATEWAY_HEADER, gateway_name.encode()),
+        (store_protocol.CLASS_HEADER, request.request_class.encode()),
+        (store_protocol.UNITS_HEADER, f"{request.units:g}".encode()),
+        (store_protocol.SHARD_HEADER, str(shard).encode()),
         *operation.passed,
     ]
     if config_version:
-        headers.append((store_protocol.VERSION, str(config_version).encode()))
+        headers.append((store_protocol.CONFIG_VERSION_HEADER, str(config_version).encode()))
     if request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:
         idempotency_key = operation.idempotency_key or request.request_id
-        headers.append((store_protocol.KEY, idempotency_key.encode()))
+        headers.append((store_protocol.IDEMPOTENCY_KEY_HEADER, idempotency_key.encode()))
     if request_class.in_order and request.key:
-        headers.append((store_protocol.ORDER, quote(request.key, safe="/-._~").encode()))
+        headers.append((store_protocol.ORDER_KEY_HEADER, quote(request.key, safe="/-._~").encode()))
     if operation.client_request:
         headers.append((answers.REQUEST_ID, operation.client_request.encode()))
     if operation.range is not None:
--- a/winchdyke/object_api/store_protocol.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -1,4 +1,4 @@
-"""What gateway and store say to each other beside plain HTTP. Pure; the page is ``docs/store-protocol.md``."""
+"""The headers that gateways and stores exchange beside plain HTTP. Pure; the page is ``docs/store-protocol.md``."""
 
 from __future__ import annotations
 
@@ -8,31 +8,109 @@
 from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.http1 import AnswerHead, Headers
 
-REQUEST, ATTEMPT, GATEWAY = b"winchdyke-request", b"winchdyke-attempt", b"winchdyke-gateway"
-CLASS, UNITS, SHARD = b"winchdyke-class", b"winchdyke-units", b"winchdyke-shard"
-VERSION = b"winchdyke-version"  # of the settings that a request was taken under
-KEY, ORDER = b"idempotency-key", b"winchdyke-order-key"
-NOT_RUN, USED, OTHERS, LOAD = (
-    b"winchdyke-not-run", b"winchdyke-used-percent", b"winchdyke-from-others", b"winchdyke-load",
-)  # fmt: skip
-STORE, BOOT, UP, DRAINING = (
-    b"winchdyke-store", b"winchdyke-boot", b"winchdyke-up-ms", b"winchdyke-draining",
-)  # fmt: skip
-WHO = b"/-/store"  # what a store answers with its word on itself, and does no work for
-HOP = {
-    b"connection", b"keep-alive", b"proxy-authenticate", b"proxy-authorization", b"proxy-connection", b"te", b"trailer",
-    b"transfer-encoding", b"upgrade",
-}  # fmt: skip
+# Of a request to a store.
+REQUEST_HEADER = b"winchdyke-request"
+ATTEMPT_HEADER = b"winchdyke-attempt"
+GATEWAY_HEADER = b"winchdyke-gateway"
+CLASS_HEADER = b"winchdyke-class"
+UNITS_HEADER = b"winchdyke-units"
+SHARD_HEADER = b"winchdyke-shard"
+CONFIG_VERSION_HEADER = b"winchdyke-version"  # of the settings that a request was accepted under
+IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+ORDER_KEY_HEADER = b"winchdyke-order-key"
+
+# Of a store's response: what became of the request, use, load, and the store's own state.
+NOT_RUN_HEADER = b"winchdyke-not-run"
+USED_PERCENT_HEADER = b"winchdyke-used-percent"
+FROM_OTHERS_HEADER = b"winchdyke-from-others"
+LOAD_HEADER = b"winchdyke-load"
+STORE_HEADER = b"winchdyke-store"
+BOOT_HEADER = b"winchdyke-boot"
+UPTIME_HEADER = b"winchdyke-up-ms"
+DRAINING_HEADER = b"winchdyke-draining"
+EVIDENCE_HEADERS = (STORE_HEADER, BOOT_HEADER, UPTIME_HEADER, DRAINING_HEADER)
+
+IDENTITY_PATH = b"/-/store"  # a store reports its own state here, and does no work for it
+MAX_EVIDENCE_CHARACTERS = 200
+HOP_BY_HOP_HEADERS = {
+    b"connection",
+    b"keep-alive",
+    b"proxy-authenticate",
+    b"proxy-authorization",
+    b"proxy-connection",
+    b"te",
+    b"trailer",
+    b"transfer-encoding",
+    b"upgrade",
+}
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What an answer tells of load and use."""
+class EndpointReport:
+    """What a store's response reports.
+
+    Attributes:
+        volume_usage_percent: The volume's use over all gateways, in percent of its expected rate; None: not reported.
+        units_via_other_gateways: Units that the shard served to the volume through other gateways.
+        load_report: Values of the load report, in the order of the settings.
+        evidence: What the store reports of itself; None: nothing.
+    """
 
-    used_percent: float | None = None
-    from_others: float = 0.0
-    load: tuple[float, ...] = ()
-    word: EndpointEvidence | None = None  # what it says of itself, where it does
+    volume_usage_percent: float | None = None
+    units_via_other_gateways: float = 0.0
+    load_report: tuple[float, ...] = ()
+    evidence: EndpointEvidence | None = None
+
+
+def read_report(head: AnswerHead) -> EndpointReport:
+    """The report in a response's head. Values that can't be read count as not reported."""
+    volume_usage_percent: float | None = None
+    units_via_other_gateways: float | None = None
+    load_report: tuple[float, ...] = ()
+    evidence: dict[bytes, str] = {}
+    for name, value in head.headers:
+        if name == USED_PERCENT_HEADER:
+            volume_usage_percent = _number(value.decode("latin-1"))
+        elif name == FROM_OTHERS_HEADER:
+            units_via_other_gateways = _number(value.decode("latin-1"))
+        elif name == LOAD_HEADER:
+            load_report = _numbers(value.decode("latin-1"))
+        elif name in EVIDENCE_HEADERS:
+            evidence[name] = value.decode("latin-1")[:MAX_EVIDENCE_CHARACTERS]
+    return EndpointReport(
+        volume_usage_percent,
+        units_via_other_gateways or 0.0,
+        load_report,
+        _evidence(evidence) if evidence else None,
+    )
+
+
+def proves_no_effect(head: AnswerHead) -> bool:
+    """Whether the store reports that it did not execute the request."""
+    return head.status >= 500 and any(
+        name == NOT_RUN_HEADER and value == b"1" for name, value in head.headers
+    )
+
+
+def client_headers(headers: Headers) -> Headers:
+    """The headers of a store's response that are for the client."""
+    dropped = HOP_BY_HOP_HEADERS
+    for name, value in headers:
+        if name == b"connection":
+            dropped = dropped | {option.strip().lower() for option in value.split(b",")}
+    return [
+        (name, value) for name, value in headers if name not in dropped and not name.startswith(b"winchdyke-")
+    ]
+
+
+def _evidence(values: dict[bytes, str]) -> EndpointEvidence:
+    uptime_ms = _number(values[UPTIME_HEADER]) if UPTIME_HEADER in values else None
+    return EndpointEvidence(
+        values.get(STORE_HEADER, ""),
+        values.get(BOOT_HEADER, ""),
+        uptime_ms,
+        values.get(DRAINING_HEADER) == "1",
+    )
 
 
 def _number(text: str) -> float | None:
@@ -43,39 +121,8 @@
     return value if math.isfinite(value) and value >= 0 else None
 
 
-def told(head: AnswerHead) -> Told:
-    """The report in an answer's head; what can't be read counts as not told."""
-    used = others = None
-    load: tuple[float, ...] = ()
-    said: dict[bytes, str] = {}
-    for name, value in head.headers:
-        if name == USED:
-            used = _number(value.decode("latin-1"))
-        elif name == OTHERS:
-            others = _number(value.decode("latin-1"))
-        elif name == LOAD:
-            parts = [_number(part) for part in value.decode("latin-1").split(",")]
-            load = tuple(part for part in parts if part is not None) if None not in parts else ()
-        elif name in (STORE, BOOT, UP, DRAINING):
-            said[name] = value.decode("latin-1")[:200]
-    word = None
-    if said:
-        up = _number(said[UP]) if UP in said else None
-        word = EndpointEvidence(said.get(STORE, ""), said.get(BOOT, ""), up, said.get(DRAINING) == "1")
-    return Told(used, others or 0.0, load, word)
-
-
-def never_ran(head: AnswerHead) -> bool:
-    """Whether the store says that it did not run the request."""
-    return head.status >= 500 and any(name == NOT_RUN and value == b"1" for name, value in head.headers)
-
-
-def onward(headers: Headers) -> Headers:
-    """The headers of a store's answer that are for the client."""
-    dropped = HOP
-    for name, values in headers:
-        if name == b"connection":
-            dropped = dropped | {value.strip().lower() for value in values.split(b",")}
-    return [
-        (name, value) for name, value in headers if name not in dropped and not name.startswith(b"winchdyke-")
-    ]
+def _numbers(text: str) -> tuple[float, ...]:
+    """The numbers of a list; none where one of them can't be read."""
+    numbers = [_number(part) for part in text.split(",")]
+    readable = tuple(number for number in numbers if number is not None)
+    return readable if len(readable) == len(numbers) else ()
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -149,7 +149,7 @@
         call = Call(self, connection, head, f"{self._born}{self._count:012x}")
         told: Headers = [(b"x-amz-request-id", call.request.encode())]
         if call.snapshot.version:
-            told.append((store_protocol.VERSION, str(call.snapshot.version).encode()))
+            told.append((store_protocol.CONFIG_VERSION_HEADER, str(call.snapshot.version).encode()))
         connection.begin_request(told, close=service.stopping)
         connection.declared_body_bytes = head.length
         service.active_requests += 1
@@ -548,11 +548,15 @@
                 self.connection.close_after_response = True
             return
         if final.response is not None and final.response.head.status == 304:
-            return await self.connection.respond(304, store_protocol.onward(final.response.head.headers), b"")
+            return await self.connection.respond(
+                304, store_protocol.client_headers(final.response.head.headers), b""
+            )
         self._answered(final)
         assert final.response is not None
         told = relay.told(final.response.head)
-        await self.connection.respond(told.status, store_protocol.onward(told.headers), final.response.body)
+        await self.connection.respond(
+            told.status, store_protocol.client_headers(told.headers), final.response.body
+        )
 
     _HeadObject = _GetObject
 
