--- a/winchdyke/scheduling/__init__.py
+++ b/winchdyke/scheduling/__init__.py
@@ -1,7 +1,7 @@
-"""Every decision of the gateway: which request is sent to which endpoint when, which is queued, and which is rejected.
+"""The scheduler: decides which requests are sent where and when, which are queued, and which are rejected.
 
-Public names: :class:`Scheduler`, whose events and actions are the types of :mod:`winchdyke.interface`. The package
-imports nothing else of the project. It does no I/O, reads no clock and keeps no global state.
+The public class is :class:`Scheduler`; its events and actions are defined in :mod:`winchdyke.interface`. The
+package imports nothing else of the project, does no I/O, reads no clock and keeps no global state.
 """
 
 from winchdyke.scheduling.scheduler import Scheduler
--- a/winchdyke/scheduling/admission.py
+++ b/winchdyke/scheduling/admission.py
@@ -1,4 +1,4 @@
-"""Accepting a request, queueing it at its shard, and giving it its final answer where waiting can gain nothing."""
+"""Admission: accepts requests, queues them at their shards, and rejects those that cannot be served."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from winchdyke.scheduling.shard import Shard
 from winchdyke.scheduling.state import SchedulerState
 
-ANSWER_MARGIN_TICKS = 2  # clock ticks before its deadline at which a request is answered
+ANSWER_MARGIN_TICKS = 2  # a request is answered this many clock ticks before its deadline
 
 
 def accept_request(state: SchedulerState, request: api.Request) -> None:
-    """Take in a request that has arrived: set its deadline, and queue or answer it."""
+    """Accepts a new request: computes its deadlines, sets its deadline timer, and queues or rejects it."""
     now = state.now
     request_class = state.classes[request.request_class]
     quota = _quota_of(state, request)
@@ -35,7 +35,7 @@
 
 
 def enqueue(state: SchedulerState, pending: PendingRequest) -> None:
-    """Queue a request at its shard; a new object at the shard that is expected to serve it soonest."""
+    """Queues a request at its shard, or at one chosen for a new object; rejects it if it cannot be served."""
     request = pending.request
     if pending.needs_placement:
         endpoint = _endpoint_for_new_object(state)
@@ -53,7 +53,7 @@
 
 
 def reject(state: SchedulerState, pending: PendingRequest) -> None:
-    """Give the final answer that the request was not served: shed where that is proven or safe, else failed."""
+    """Rejects a request: as shed if it was not executed or is safe to retry, else as failed."""
     request = pending.request
     if pending.may_be_shed:
         state.actions.append(api.ShedRequest(request.request_id, state.settings.max_retry_after_ms))
@@ -64,7 +64,7 @@
 
 
 def finish(state: SchedulerState, pending: PendingRequest) -> None:
-    """The request needs no further attempt; it is forgotten once none is in flight."""
+    """Marks a request as finished, and deletes it unless an attempt is still in flight."""
     request_id = pending.request.request_id
     pending.finished = True
     state.shards[pending.shard].queue.pop(request_id, None)
@@ -73,14 +73,14 @@
 
 
 def cannot_be_served(state: SchedulerState, pending: PendingRequest, shard: Shard) -> bool:
-    """Whether waiting can gain nothing for a queued request, so that it is answered at once."""
+    """Returns whether a queued request should be rejected now, because waiting longer would gain nothing."""
     now = state.now
     if _is_exhausted(state, pending):
         return True
     if pending.needs_placement:
         return not any(endpoint.ready for endpoint in state.endpoints.values())
     if shard.without_ready_endpoint_since_ms is not None:
-        # An endpoint that is away is expected to stay away for as long again.
+        # The shard is expected to stay without a ready endpoint for as long again as it has been so far.
         return now - shard.without_ready_endpoint_since_ms >= pending.objective_at_ms - now
     if pending.may_be_shed and _is_stale(pending, shard, now):
         return True
@@ -90,7 +90,7 @@
 
 
 def _is_exhausted(state: SchedulerState, pending: PendingRequest) -> bool:
-    """Whether its attempts are used up, or its deadline is too near for its work or its volume's limit."""
+    """Returns whether a request has no attempts left, or not the time for its work or its volume's limit."""
     if len(pending.attempts) >= state.settings.max_attempts:
         return True
     if state.now + state.expected_work_ms(pending) >= pending.deadline_ms:
@@ -102,7 +102,7 @@
 
 
 def _is_stale(pending: PendingRequest, shard: Shard, now: float) -> bool:
-    """Whether it has waited for a whole objective, or is past it while CoDel drops requests of its class."""
+    """Returns whether a request was queued for a whole objective, or is late while CoDel drops its class."""
     request_class = pending.request_class
     codel = shard.codels.get(request_class.name)
     if codel is not None and codel.is_dropping and now >= pending.objective_at_ms:
@@ -111,7 +111,10 @@
 
 
 def _quota_of(state: SchedulerState, request: api.Request) -> VolumeQuota:
-    """The quota of the request's volume. A new one accrues from this gateway's start: nothing was sent since then."""
+    """Returns the quota of the request's volume, creating it if needed.
+
+    A new quota accrues from the start of this gateway, which has sent nothing for the volume since then.
+    """
     quota = state.quotas.get(request.volume)
     if quota is None:
         plan = state.plans.get(request.plan) or api.Plan(request.plan, 1.0, 1.0, 0.0, 0.0)
@@ -123,9 +126,10 @@
 def _first_received_at_ms(
     state: SchedulerState, request: api.Request, request_class: api.RequestClass
 ) -> float:
-    """When the client first sent the request, if it was shed before.
+    """Returns when the client first sent a request: for the retry of a shed one, the time of the first try.
 
-    A request that would last longer than the first one could is another client's, for the same key.
+    A request whose deadline is later than that of the shed one could be is not its retry, but another
+    client's request for the same key.
     """
     now = state.now
     first_received_at_ms = state.shed_requests.pop((request.volume, request.key), now)
@@ -135,7 +139,10 @@
 
 
 def _endpoint_for_new_object(state: SchedulerState) -> EndpointState | None:
-    """The better of two endpoints drawn at random: if all gateways chose the best one they would overload it."""
+    """Chooses the endpoint for a new object: the better of two drawn at random; None if no endpoint is ready.
+
+    If every gateway chose the best one, they would overload it together.
+    """
     ready = [endpoint for endpoint in state.endpoints.values() if endpoint.ready]
     candidates = [endpoint for endpoint in ready if endpoint.suspected_since_ms is None] or ready
     drawn = state.random.sample(candidates, min(2, len(candidates)))
--- a/winchdyke/scheduling/codel.py
+++ b/winchdyke/scheduling/codel.py
@@ -7,7 +7,7 @@
 
 
 class CoDel:
-    """Decides when the head of a queue is dropped: ever faster while the queue stays above its target delay."""
+    """Decides when to drop the head of a queue: at shrinking intervals while its delay exceeds the target."""
 
     def __init__(self, latency_objective_ms: float) -> None:
         self.target_ms = TARGET_OBJECTIVES * latency_objective_ms
@@ -17,11 +17,11 @@
 
     @property
     def is_dropping(self) -> bool:
-        """Whether a request has been dropped since the delay was last below the target."""
+        """Whether a drop was due since the delay was last below the target."""
         return self.drop_count > 0
 
     def should_drop(self, now: float, sojourn_ms: float) -> bool:
-        """Whether the head of the queue, which has waited ``sojourn_ms``, is to be dropped now."""
+        """Returns whether to drop the head of the queue now, after it has waited for ``sojourn_ms``."""
         if sojourn_ms < self.target_ms:
             self.next_drop_at_ms = -1.0
             self.drop_count = 0
--- a/winchdyke/scheduling/dispatch.py
+++ b/winchdyke/scheduling/dispatch.py
@@ -1,4 +1,4 @@
-"""Choosing which queued requests of a shard are sent next, and starting their attempts."""
+"""Dispatch: chooses which queued requests of a shard to send next, and starts their attempts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def dispatch_shard(state: SchedulerState, shard: Shard) -> None:
-    """Start attempts of a shard's queued requests, by priority, while its endpoint has capacity."""
+    """Starts attempts of a shard's queued requests in order of priority, while its endpoint has capacity."""
     endpoint = shard.active_endpoint()
     _move_new_objects_away(state, shard, endpoint)
     if endpoint is None or not _may_have_capacity(state, shard, endpoint):
@@ -40,10 +40,11 @@
 
 
 def priority_per_ms(state: SchedulerState, pending: PendingRequest, endpoint: EndpointState) -> float:
-    """The priority of a request for each millisecond of the endpoint's time.
+    """Returns the priority of a request per millisecond of the endpoint's time.
 
-    It is the weight of its class and plan, times the chance to meet its objective, times a factor that falls from the
-    reservation to the fair share and beyond. Fills the volume's quota up to now.
+    It is the priority weight of the class and plan, times the chance to meet the objective, times a factor
+    that falls with the volume's use: from its reservation, through its fair share, to the excess. Refills the
+    volume's quota.
     """
     request_class = pending.request_class
     unit_cost_ms = state.unit_cost_ms[request_class.name]
@@ -60,7 +61,11 @@
 
 
 def has_capacity(state: SchedulerState, endpoint: EndpointState, pending: PendingRequest) -> bool:
-    """Whether the endpoint's limit leaves room; a full one still takes a class below its guaranteed share."""
+    """Returns whether the endpoint may be sent one more request.
+
+    At its limit, it still admits a class that is below its guaranteed share. A suspected endpoint admits a
+    request when its next health check is due.
+    """
     if endpoint.suspected_since_ms is not None:
         return state.now >= endpoint.next_health_check_at_ms
     limit = endpoint.concurrency_limit.limit
@@ -75,7 +80,7 @@
 
 
 def is_eligible(state: SchedulerState, pending: PendingRequest, endpoint: EndpointState) -> bool:
-    """Whether order, repeat safety, limit and retry budget let the request go to the endpoint now."""
+    """Returns whether key order, repeat safety, volume limit and retry budget allow an attempt now."""
     if _waits_for_order(state, pending) or not pending.may_be_sent_to(endpoint, state.now):
         return False
     if _waits_for_limit(pending):
@@ -84,7 +89,7 @@
 
 
 def start_attempt(state: SchedulerState, pending: PendingRequest, endpoint: EndpointState) -> None:
-    """Start an attempt: charge quota, retry budget and slow start."""
+    """Starts an attempt, and charges it to the volume's quota, the retry budget and the slow-start credit."""
     now = state.now
     request = pending.request
     del state.shards[pending.shard].queue[request.request_id]
@@ -111,7 +116,7 @@
 
 
 def _move_new_objects_away(state: SchedulerState, shard: Shard, endpoint: EndpointState | None) -> None:
-    """Place new objects anew where the shard's endpoint is missing or suspected."""
+    """Chooses a shard again for queued new objects if the endpoint of their shard is missing or suspected."""
     if endpoint is not None and endpoint.suspected_since_ms is None:
         return
     for pending in [pending for pending in shard.queue.values() if pending.request.shard < 0]:
@@ -120,7 +125,7 @@
 
 
 def _may_have_capacity(state: SchedulerState, shard: Shard, endpoint: EndpointState) -> bool:
-    """Whether the endpoint is idle, or has capacity for any class that is queued."""
+    """Returns whether the endpoint is idle, or has capacity for at least one of the queued classes."""
     if endpoint.suspected_since_ms is None and not endpoint.in_flight:
         return True
     heads = {pending.request_class.name: pending for pending in shard.queue.values()}.values()
@@ -128,9 +133,9 @@
 
 
 def _has_paused(state: SchedulerState, endpoint: EndpointState, pending: PendingRequest) -> bool:
-    """Whether the pause that keeps a limit below 1 is over.
+    """Returns whether the pause that enforces a limit below 1 is over.
 
-    A request within its volume's reservation does not wait for it, if it can still meet its objective.
+    A request within its volume's reservation skips the pause if it can still meet its objective.
     """
     if endpoint.in_flight:
         return False
@@ -142,7 +147,7 @@
 
 
 def _entitlement_factor(state: SchedulerState, pending: PendingRequest) -> float:
-    """1 within the volume's reservation; beyond, the less the more of its expected rate it has had."""
+    """Returns the priority factor of a volume's use: 1 within its reservation, falling with overuse."""
     settings = state.settings
     quota = pending.quota
     if quota.reserved_units > 0:
@@ -155,7 +160,7 @@
 
 
 def _waits_for_limit(pending: PendingRequest) -> bool:
-    """Whether the limit of the request's volume does not hold its units yet."""
+    """Returns whether the request must wait until the limit of its volume has accrued its units."""
     quota = pending.quota
     if pending.limit_charged or not quota.plan.limit_units_per_s:
         return False
@@ -163,7 +168,7 @@
 
 
 def _waits_for_order(state: SchedulerState, pending: PendingRequest) -> bool:
-    """Whether an ordered request waits for an earlier one of its key, or for the key to settle."""
+    """Returns whether an ordered request must wait for an earlier one of its key, or for the key's pause."""
     key = pending.request.key
     if not pending.request_class.in_order or not key or pending.attempts:
         return False
--- a/winchdyke/scheduling/endpoint_health.py
+++ b/winchdyke/scheduling/endpoint_health.py
@@ -1,4 +1,4 @@
-"""The health of endpoints: the endpoint list, what attempts tell, suspicion and recovery."""
+"""Endpoint health: applies endpoint list updates and attempt results, and handles suspicion and recovery."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def apply_endpoint_list(state: SchedulerState, update: api.EndpointList) -> None:
-    """Take in the endpoint list or changes of it."""
+    """Applies a full endpoint list, changes of it, or the failure to fetch it."""
     if update.kind is api.EndpointListKind.FAILED:
         _back_off_watch(state)
         return
@@ -40,7 +40,7 @@
 def learn_from_attempt(
     state: SchedulerState, endpoint: EndpointState, pending: PendingRequest, event: api.AttemptEnded
 ) -> None:
-    """Update an endpoint's health and limit, and the volume's use, by how an attempt ended."""
+    """Updates an endpoint's health and limit, and the volume's reported usage, from the end of an attempt."""
     outcome = event.outcome
     sent_at_ms = pending.attempts[event.attempt].sent_at_ms
     if outcome in (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.SHED):
@@ -48,14 +48,16 @@
     if outcome is AttemptOutcome.SERVED:
         is_warm = state.now - endpoint.started_at_ms >= state.settings.slow_start_duration_ms
         state.shards[endpoint.shard].record_served(state.now, pending.request.units, is_warm)
-    # A time-out at an endpoint that answered later attempts counts, with its age, as a latency.
+    # If the endpoint has responded since the attempt was sent, the duration of a time-out counts as a
+    # latency.
     timed_out_alone = outcome is AttemptOutcome.TIMED_OUT and sent_at_ms <= endpoint.last_response_at_ms
     if outcome is AttemptOutcome.SERVED or timed_out_alone:
         _record_latency(state, endpoint, pending, event)
     elif outcome is AttemptOutcome.SHED:
         endpoint.concurrency_limit.reduce_after_shed()
     elif outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECT_FAILED):
-        # After a connection reset it is not suspected: the response may have been lost on the way.
+        # A connection reset raises no suspicion: the endpoint may have responded, and only the response been
+        # lost.
         endpoint.restart_suspected = endpoint.restart_suspected or outcome is AttemptOutcome.CONNECT_FAILED
         suspect(state, endpoint)
     if event.volume_usage_percent is not None:
@@ -63,7 +65,10 @@
 
 
 def suspect(state: SchedulerState, endpoint: EndpointState) -> None:
-    """Suspect an endpoint, or go on doing so: it is sent single requests as health checks, ever more rarely."""
+    """Marks an endpoint as suspected, or doubles the interval of its health checks if it already is.
+
+    A suspected endpoint is sent only single requests, as health checks.
+    """
     sharing_gateways = endpoint.concurrency_limit.sharing_gateways
     if endpoint.suspected_since_ms is None:
         endpoint.health_check_interval_ms = HEALTH_CHECK_INTERVAL_MS * sharing_gateways
@@ -77,7 +82,10 @@
 
 
 def suspect_silent_endpoint(state: SchedulerState, endpoint: EndpointState) -> None:
-    """Suspect an endpoint that answers nothing: without responses its limit would not adapt, so it is put to its minimum."""
+    """Marks an endpoint that does not respond as suspected, and sets its limit to the minimum.
+
+    The limit adapts only on responses, and would otherwise keep its old value.
+    """
     limit = endpoint.concurrency_limit
     endpoint.limit_before_suspicion = limit.limit
     limit.limit = limit.min_limit
@@ -87,7 +95,7 @@
 def _record_response(
     state: SchedulerState, endpoint: EndpointState, pending: PendingRequest, event: api.AttemptEnded
 ) -> None:
-    """The endpoint has answered an attempt."""
+    """Records that the endpoint has responded to an attempt, which ends a suspicion."""
     sent_at_ms = pending.attempts[event.attempt].sent_at_ms
     endpoint.last_response_at_ms = state.now
     if endpoint.suspected_since_ms is not None:
@@ -103,7 +111,7 @@
 def _record_latency(
     state: SchedulerState, endpoint: EndpointState, pending: PendingRequest, event: api.AttemptEnded
 ) -> None:
-    """Update the concurrency limit, and the work of a unit, by the latency of an attempt."""
+    """Updates the concurrency limit, the warm-up goodput and the unit cost from the latency of an attempt."""
     settings = state.settings
     limit = endpoint.concurrency_limit
     limit.record(event.latency_ms, state.expected_work_ms(pending))
@@ -117,10 +125,11 @@
 
 
 def _recover(state: SchedulerState, endpoint: EndpointState, is_prompt: bool) -> None:
-    """A suspected endpoint has answered.
+    """Ends the suspicion of an endpoint that has responded.
 
-    It counts as restarted, and so as cold, if it was away for longer than a partition would explain. A prompt answer
-    shows that no queue stands there, and gives back the limit from before the suspicion.
+    If it was unreachable for longer than a partition would explain, it counts as restarted and begins a slow
+    start. A prompt response shows that it has no queue; unless a connection failed, it restores the limit
+    from before the suspicion.
     """
     suspected_for_ms = state.now - (endpoint.suspected_since_ms or state.now)
     tolerated_ms = state.silence_timeout_ms if endpoint.restart_suspected else state.longest_deadline_ms
@@ -136,7 +145,7 @@
 
 
 def _back_off_watch(state: SchedulerState) -> None:
-    """The endpoint list could not be fetched: try again after a backoff with jitter."""
+    """Schedules the next fetch of the endpoint list, which has failed, after a backoff with jitter."""
     state.watching = False
     state.watch_backoff_ms = min(2 * state.watch_backoff_ms, MAX_WATCH_BACKOFF_MS)
     jitter = 0.5 + state.random.random()
@@ -144,7 +153,7 @@
 
 
 def _apply_entry(state: SchedulerState, entry: api.Endpoint) -> bool:
-    """Take in one entry of the list; whether it shows that the endpoint has started anew."""
+    """Applies one entry of the endpoint list. Returns whether it shows that the endpoint has restarted."""
     endpoint = state.endpoints.get(entry.name) or EndpointState(entry, state.now)
     state.shards[endpoint.shard].endpoints.pop(endpoint.name, None)
     endpoint.ready = entry.status is api.EndpointStatus.READY
@@ -160,7 +169,7 @@
 
 
 def _abandon_unwritten_attempts(state: SchedulerState, restarted: set[str]) -> None:
-    """Abandon attempts whose connections are still being made to endpoints that have drained or started anew since."""
+    """Abandons attempts not yet written to endpoints that have restarted or are no longer ready."""
     for endpoint in state.endpoints.values():
         if endpoint.in_flight and (endpoint.name in restarted or not endpoint.ready):
             state.actions += [api.AbandonAttempt(*attempt) for attempt in endpoint.in_flight]
--- a/winchdyke/scheduling/endpoint_state.py
+++ b/winchdyke/scheduling/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What this gateway knows of one endpoint: its concurrency limit, its health and its slow start."""
+"""The state of one endpoint at this gateway: its concurrency limit, health and slow start."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from winchdyke.scheduling.quota import LN_2
 
 LONG_AGO_MS = -1e18
-SLOW_START_UTILIZATION = 1.0  # part that is used of the load that the settings' overload factor allows
-SLOW_START_BURST_FRACTION = 0.5  # of a window's units that may be sent at once; the rest accrues evenly
+SLOW_START_UTILIZATION = 1.0  # fraction used of the load that the settings' overload factor allows
+SLOW_START_BURST_FRACTION = 0.5  # fraction of a window's units available as a burst; the rest accrues evenly
 
 
 class InFlightAttempt(NamedTuple):
@@ -21,29 +21,30 @@
 
 
 class EndpointState:
-    """An endpoint as this gateway sees it.
+    """The state of one endpoint.
 
     Attributes:
         name: Its name in the endpoint list.
         shard: The shard it holds.
         zone: Its zone.
-        ready: Whether the list says that it takes requests.
-        removed: Whether no list names it any more.
-        concurrency_limit: How many requests may be in flight there.
-        started_at_ms: When it started; long ago where that is not known.
-        in_flight: Attempts in flight, by request and index of the attempt.
-        last_response_at_ms: When it last answered.
-        last_answered_sent_at_ms: When the latest attempt that it answered was sent.
-        suspected_since_ms: Since when it is suspected to be down; None while it is not.
-        limit_before_suspicion: The limit when silence raised the suspicion.
-        restart_suspected: Whether a connection failed since.
-        next_health_check_at_ms: When a suspected endpoint is sent its next single request.
-        health_check_interval_ms: The interval of such requests, which grows.
-        slow_start_credit_units: Units that may be sent while it warms up.
-        slow_start_credit_at_ms: The time up to which they have accrued.
-        warmup_goodput_units: Units that it served in good time while warming up, decaying.
-        warmup_goodput_at_ms: The time up to which they have decayed.
-        overdraft_fraction: The part of a request beyond the credit that has to accrue before it is sent.
+        ready: Whether the endpoint list reports it as ready for requests.
+        removed: Whether it is no longer in the endpoint list.
+        concurrency_limit: The limit of requests in flight at the endpoint.
+        started_at_ms: When it started; ``LONG_AGO_MS`` if unknown.
+        in_flight: Attempts in flight, by request id and attempt index.
+        last_response_at_ms: When it last responded.
+        last_answered_sent_at_ms: Latest send time of the attempts that it has answered, other than by
+            shedding them.
+        suspected_since_ms: When the present suspicion that it is down began; None if it is not suspected.
+        limit_before_suspicion: The limit at the time when the endpoint became suspected because of silence.
+        restart_suspected: Whether a connection attempt has failed since the last recovery.
+        next_health_check_at_ms: When a suspected endpoint may be sent its next single request.
+        health_check_interval_ms: The present interval of such requests.
+        slow_start_credit_units: Balance of units that may be sent during the slow start.
+        slow_start_credit_at_ms: The time up to which the balance has accrued.
+        warmup_goodput_units: Units served promptly during the slow start, with exponential decay.
+        warmup_goodput_at_ms: The time up to which these units have been decayed.
+        overdraft_fraction: Fraction of a request larger than the burst that has to accrue before it is sent.
     """
 
     def __init__(self, entry: api.Endpoint, now: float) -> None:
@@ -69,7 +70,10 @@
         self.overdraft_fraction = 1.0
 
     def begin_slow_start(self, started_at_ms: float, now: float, overdraft_fraction: float) -> None:
-        """The endpoint has started anew. What other gateways have just sent is not known, so there is no credit yet."""
+        """Begins the slow start of an endpoint that has restarted.
+
+        The credit starts at 0, because the load that other gateways have just sent is not known.
+        """
         self.started_at_ms = started_at_ms
         self.slow_start_credit_units = 0.0
         self.slow_start_credit_at_ms = now
@@ -78,7 +82,7 @@
         self.warmup_goodput_units = 0.0
 
     def warmup_fraction(self, settings: api.Settings, now: float) -> float:
-        """The least part of its capacity that the endpoint has by now."""
+        """Returns the fraction of its full capacity that the endpoint is guaranteed to have by now."""
         initial = settings.slow_start_initial_capacity
         gained = (
             (1 - initial) * max(0.0, now - self.started_at_ms) / max(1.0, settings.slow_start_duration_ms)
@@ -86,7 +90,7 @@
         return min(1.0, initial + gained)
 
     def record_warmup_goodput(self, settings: api.Settings, now: float, units: float) -> None:
-        """Count units served in good time, decaying over the window in which overload is measured."""
+        """Adds units served promptly to the warm-up goodput, whose half-life is the overload window."""
         half_life_ms = max(1.0, settings.slow_start_overload_window_ms)
         decay: float = 0.5 ** ((now - self.warmup_goodput_at_ms) / half_life_ms)
         self.warmup_goodput_units = self.warmup_goodput_units * decay + units
@@ -100,18 +104,19 @@
         shard_units_per_s: float,
         sharing_gateways: float,
     ) -> bool:
-        """Whether the endpoint may be sent so many units, by what it bears while it warms up.
+        """Returns whether the slow start admits a request now.
 
-        An even part of the stated units would leave an endpoint idle where few of many gateways use it. So the credit
-        accrues by the largest of that part, of what its shard served this gateway, and of what the endpoint itself
-        served in good time. Over all gateways, each of these sums to no more than the endpoint can do.
+        The credit accrues at the largest of three rates: an even share of the units stated in the settings,
+        the rate at which the shard served this gateway while it was warm, and the rate at which the endpoint
+        has served this gateway promptly. Over all gateways, each of these adds up to no more than the
+        endpoint can serve. The even share alone would leave the endpoint idle if few of many gateways use it.
 
         Args:
             settings: The scheduler's settings.
-            now: The time (ms).
+            now: The current time (ms).
             units: Work of the request.
-            shard_units_per_s: Rate at which this gateway was served by the shard while it was warm.
-            sharing_gateways: Estimate of the gateways that use the shard.
+            shard_units_per_s: Rate at which warm endpoints of the shard served this gateway.
+            sharing_gateways: Estimated number of gateways that use the shard.
         """
         warmup_fraction = self.warmup_fraction(settings, now)
         window_ms = settings.slow_start_overload_window_ms
@@ -132,8 +137,8 @@
         accrual = max(by_settings * (1 - SLOW_START_BURST_FRACTION), by_observation)
         accrued = accrual * (now - self.slow_start_credit_at_ms) / window_ms
         burst_units = window_units * SLOW_START_BURST_FRACTION
-        # A larger request overdraws the credit, at a moment drawn at random within the time that its units need:
-        # all gateways that learn of a start would otherwise send one at the same moment.
+        # A request larger than the burst overdraws the credit once a random fraction of its units has
+        # accrued: otherwise all gateways that learn of a start would send such a request at the same moment.
         needed = min(units, max(burst_units, self.overdraft_fraction * units))
         self.slow_start_credit_units = min(max(burst_units, needed), self.slow_start_credit_units + accrued)
         self.slow_start_credit_at_ms = now
--- a/winchdyke/scheduling/maintenance.py
+++ b/winchdyke/scheduling/maintenance.py
@@ -1,4 +1,4 @@
-"""The periodic sweep: what only the passing of time changes."""
+"""The periodic sweep: handles changes that are due to the passing of time alone."""
 
 from __future__ import annotations
 
@@ -15,19 +15,22 @@
 from winchdyke.scheduling.shard import Shard
 from winchdyke.scheduling.state import MAX_WATCH_BACKOFF_MS, SchedulerState
 
-LOST_RESPONSE_LATENCIES = 8.0  # expected latencies after which a response counts as lost
+LOST_RESPONSE_LATENCIES = 8.0  # number of expected latencies after which a response counts as lost
 
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A request that waits for its volume's limit, and its place in the order in which it would be sent."""
+    """A request that waits for its volume's limit, and its rank in the order of dispatch."""
 
     rank: tuple[float, float, str]
     pending: PendingRequest
 
 
 def sweep(state: SchedulerState) -> None:
-    """Check everything that time alone changes: silence, lost responses, stale requests, limits that are exceeded."""
+    """Detects silent endpoints, lost responses, stale requests and requests beyond their volume's limit.
+
+    Also requests the endpoint list if its changes are not received, and deletes expired entries.
+    """
     _forget_expired_keys(state)
     _request_watch(state)
     _check_attempts_in_flight(state)
@@ -53,14 +56,14 @@
 
 
 def _request_watch(state: SchedulerState) -> None:
-    """Request the endpoint list, if its changes are not received and the backoff is over."""
+    """Requests the endpoint list if its changes are not received and the backoff is over."""
     if not state.watching and state.now >= state.next_watch_at_ms:
         state.actions.append(api.WatchEndpoints())
         state.next_watch_at_ms = state.now + MAX_WATCH_BACKOFF_MS
 
 
 def _check_attempts_in_flight(state: SchedulerState) -> None:
-    """Suspect endpoints that are silent, and cancel attempts whose responses are lost."""
+    """Marks silent endpoints as suspected, and cancels attempts whose responses are lost."""
     for pending in [pending for pending in state.requests.values() if pending.attempts_in_flight]:
         endpoint, sent_at_ms = pending.attempts[-1]
         silent_since_ms = max(endpoint.last_response_at_ms, sent_at_ms)
@@ -74,9 +77,10 @@
 
 
 def _response_is_lost(state: SchedulerState, pending: PendingRequest) -> bool:
-    """Whether the endpoint has answered a later attempt, and this one is long overdue.
+    """Returns whether the endpoint has answered a later attempt, and the newest attempt is long overdue.
 
-    Its place in the concurrency limit would otherwise stay empty until the client's deadline.
+    Without this check, the lost attempt would count against the concurrency limit until the client's
+    deadline.
     """
     endpoint, sent_at_ms = pending.attempts[-1]
     if sent_at_ms >= endpoint.last_answered_sent_at_ms:
@@ -85,7 +89,10 @@
 
 
 def _may_cancel(state: SchedulerState, pending: PendingRequest) -> bool:
-    """Whether the newest attempt may be cancelled. A request that may run only once needs its answer."""
+    """Returns whether the newest attempt may be cancelled.
+
+    An unfinished request of an at-most-once class cannot be repeated, so it has to wait for its response.
+    """
     needs_answer = pending.request_class.repeat_safety is RepeatSafety.AT_MOST_ONCE and not pending.finished
     already_cancelled = pending.attempts_cancelled >= len(pending.attempts)
     return state.settings.can_cancel_attempts and not needs_answer and not already_cancelled
@@ -106,7 +113,7 @@
 def _collect_limited_requests(
     state: SchedulerState, shard: Shard, limited: defaultdict[int, list[_Candidate]]
 ) -> None:
-    """Add a shard's queued requests that wait for a limit to those of their volume, in the order of dispatch."""
+    """Adds a shard's requests that wait for their volume's limit to ``limited``, with their dispatch rank."""
     endpoint = shard.active_endpoint()
     if endpoint is None:
         return
@@ -122,7 +129,7 @@
 
 
 def _drop_by_codel(state: SchedulerState, shard: Shard) -> None:
-    """Reject the head of each class's queue where CoDel says so."""
+    """Rejects the head of each class's queue if CoDel drops it and it may be shed."""
     heads = {pending.request_class.name: pending for pending in reversed(shard.queue.values())}
     for class_name, head in heads.items():
         codel = shard.codels.get(class_name)
@@ -134,9 +141,10 @@
 
 
 def _reject_beyond_limit(state: SchedulerState, candidates: list[_Candidate]) -> None:
-    """Reject what a volume's limit cannot admit within the objective, after what is sent before it.
+    """Rejects those requests of a volume that its limit cannot admit within their objectives.
 
-    A volume that asks for much more than its limit would otherwise hold its clients' connections for an objective each.
+    The limit is allotted in order of dispatch. Without this check, a volume with much more load than its
+    limit would hold each client connection for a whole objective.
     """
     candidates.sort(key=lambda candidate: candidate.rank)
     queued = [candidate.pending for candidate in candidates if not candidate.pending.finished]
@@ -146,8 +154,8 @@
     balance = quota.limit_units
     for pending in queued:
         time_left_ms = max(0.0, pending.objective_at_ms - state.now)
-        accrues = quota.plan.limit_units_per_s / quota.sharing_gateways * time_left_ms / 1000
-        if balance + accrues < pending.request.units:
+        accrued_units = quota.plan.limit_units_per_s / quota.sharing_gateways * time_left_ms / 1000
+        if balance + accrued_units < pending.request.units:
             reject(state, pending)
         else:
             balance -= pending.request.units
--- a/winchdyke/scheduling/pending_request.py
+++ b/winchdyke/scheduling/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that this gateway has accepted, and the rule on when it may be attempted again."""
+"""A request accepted by this gateway, and the rules for repeating its attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SentAttempt(NamedTuple):
-    """An attempt that was started: where, and when."""
+    """An attempt that was started: its endpoint and start time."""
 
     endpoint: EndpointState
     sent_at_ms: float
@@ -25,16 +25,17 @@
         request_class: Its class.
         quota: The quota of its volume.
         queued_at_ms: When it arrived.
-        shard: The shard at which it is queued; -1 for a new object without a shard.
-        first_received_at_ms: When the client first sent it, if it is the retry of a request that was shed.
-        objective_at_ms: When its latency objective ends.
-        deadline_ms: When the final answer is due.
+        shard: The shard at which it is queued; -1 for a new object that has no shard yet.
+        first_received_at_ms: When it arrived, or for the retry of a shed request, when the first try arrived.
+        objective_at_ms: The time by which it meets its latency objective.
+        deadline_ms: The time by which it must be answered.
         attempts: The attempts that were started, in order.
-        attempts_in_flight: How many of them have not ended.
-        attempts_cancelled: Number of attempts when the last one was cancelled.
-        limit_charged: Whether its units have been taken from the limit, for an attempt that may have reached its endpoint.
-        first_possible_execution: The first attempt that may have been executed.
-        finished: Whether it has its final answer, or needs none.
+        attempts_in_flight: Number of attempts that have not ended.
+        attempts_cancelled: The length of ``attempts`` when an attempt was last cancelled; 0 if none was.
+        limit_charged: Whether the volume's limit is charged for it, so that its next attempt is not charged.
+            False before the first attempt, and after one that did not reach its endpoint.
+        first_possible_execution: The first attempt that may have been executed; None if there is none.
+        finished: Whether it has been answered, or needs no answer.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
 
     @property
     def needs_placement(self) -> bool:
-        """Whether it is a new object that any shard may still take."""
+        """Whether it is a new object that may still be placed at any shard."""
         return self.request.shard < 0 and self.first_possible_execution is None
 
     @property
     def may_be_shed(self) -> bool:
-        """Whether it may be answered as not executed and safe to retry."""
+        """Whether it may be answered as shed: it was not executed, or is safe to retry."""
         request_class = self.request_class
         deduplicated_everywhere = (
             request_class.repeat_safety is RepeatSafety.IDEMPOTENCY_KEY
@@ -75,7 +76,10 @@
         )
 
     def may_be_sent_to(self, endpoint: EndpointState, now: float) -> bool:
-        """Whether an attempt at the endpoint can have no second effect. Never with another attempt in flight."""
+        """Returns whether an attempt at the endpoint cannot execute the request a second time with effect.
+
+        False while another attempt is in flight.
+        """
         if self.attempts_in_flight:
             return False
         executed = self.first_possible_execution
@@ -87,19 +91,22 @@
         return remembered and self._deduplicated_at(endpoint, executed.endpoint)
 
     def may_have_been_executed_by(self, attempt: SentAttempt) -> None:
-        """Note an attempt that ended without proof that it had no effect; the first one counts."""
+        """Records an attempt that may have been executed; only the first one is kept."""
         if self.first_possible_execution is None:
             self.first_possible_execution = attempt
 
     def write_timeout_ms(self, now: float) -> float:
-        """The time within which a repeat has to be written, while its first execution is remembered; 0: no limit."""
+        """Returns the time within which an attempt must be written; 0 if there is no such limit.
+
+        A repeat must reach the endpoint before the deduplication window of the first possible execution ends.
+        """
         executed = self.first_possible_execution
         if executed is None or self.request_class.repeat_safety is not RepeatSafety.IDEMPOTENCY_KEY:
             return 0.0
         return executed.sent_at_ms + self.request_class.deduplication_window_ms - now
 
     def _deduplicated_at(self, endpoint: EndpointState, executed_at: EndpointState) -> bool:
-        """Whether an endpoint shares the deduplication memory of the one that may have executed the request."""
+        """Returns whether an endpoint shares the deduplication state of the one that may have executed it."""
         match self.request_class.deduplication_scope:
             case DeduplicationScope.ALL:
                 return True
--- a/winchdyke/scheduling/quota.py
+++ b/winchdyke/scheduling/quota.py
@@ -5,7 +5,7 @@
 from winchdyke import interface as api
 
 LN_2 = 0.693
-RATE_HALF_LIFE_MS = 1500.0  # of the volume's rate: near the second over which plans are measured
+RATE_HALF_LIFE_MS = 1500.0  # of the volume's rate; close to the second over which plans are measured
 USAGE_REPORT_LIFETIME_MS = 2 * RATE_HALF_LIFE_MS
 NEVER_MS = -1e18
 
@@ -13,20 +13,20 @@
 class VolumeQuota:
     """A volume's token buckets and rates at this gateway.
 
-    Each gateway keeps its own part of the limit, with no agreement among gateways. Its part of the reservation follows
-    the reported use: this gateway's rate over the rate at all gateways.
+    Each gateway enforces an even share of the limit, without coordination. Its share of the reservation
+    follows the reported usage: the rate sent by this gateway, divided by the rate over all gateways.
 
     Attributes:
         plan: The plan of the volume.
-        refilled_at_ms: The time up to which the buckets have been filled.
-        sharing_gateways: Gateways that serve the volume.
+        refilled_at_ms: The time up to which the buckets have been refilled.
+        sharing_gateways: Number of gateways that serve the volume.
         own_units_per_s: Rate sent by this gateway.
-        own_units_per_s_at_report: That rate, averaged over the moments of usage reports.
+        own_units_per_s_at_report: Moving average of ``own_units_per_s``, sampled at each usage report.
         total_units_per_s: Rate over all gateways, as last reported.
-        reported_at_ms: When it was reported.
-        gateway_fraction: This gateway's part of the reservation.
-        shards: Shards for which this gateway was asked for the volume.
-        reserved_units: Balance of the reservation's bucket; negative while a request is owed.
+        reported_at_ms: When the last usage report arrived; ``NEVER_MS`` if none has.
+        gateway_fraction: This gateway's share of the reservation, from 0 to 1.
+        shards: Shards that requests for the volume at this gateway have used.
+        reserved_units: Balance of the reservation's bucket; negative after a request has overdrawn it.
         limit_units: Balance of the limit's bucket.
     """
 
@@ -41,12 +41,12 @@
         self.reported_at_ms = NEVER_MS
         self.gateway_fraction = 1.0
         self.shards: set[int] = set()
-        # Both buckets start empty: a restarted gateway cannot know what it or others have just spent.
+        # Both buckets start empty, as a restarted gateway cannot know what it or others have just spent.
         self.reserved_units = 0.0
         self.limit_units = 0.0
 
     def refill(self, now: float) -> None:
-        """Fill both buckets, and let the rate decay, up to now."""
+        """Refills both buckets and decays the rate up to now."""
         seconds = (now - self.refilled_at_ms) / 1000
         plan = self.plan
         self.gateway_fraction = self._fraction_of_reservation(now)
@@ -62,18 +62,18 @@
         )
 
     def record_sent(self, units: float) -> None:
-        """The first attempt of a request is started: charge the reservation, which may owe one request."""
+        """Charges the first attempt of a request to the reservation, which one request may overdraw."""
         self.reserved_units = max(self.reserved_units - units, -units)
         self.own_units_per_s += units * LN_2 * 1000 / RATE_HALF_LIFE_MS
 
     def record_usage_report(self, usage_percent: float, now: float) -> None:
-        """Take in the volume's use over all gateways, in percent of the plan's expected rate."""
+        """Records the volume's usage over all gateways, in percent of the plan's expected rate."""
         self.total_units_per_s = self.plan.expected_units_per_s * usage_percent / 100
         self.reported_at_ms = now
         self.own_units_per_s_at_report += 0.5 * (self.own_units_per_s - self.own_units_per_s_at_report)
 
     def limit_admits_at_ms(self, units: float) -> float:
-        """When the limit's bucket will hold so many units. The plan has to have a limit."""
+        """Returns when the limit's bucket will hold this many units. The plan must have a limit."""
         missing_units = units - self.limit_units
         return (
             self.refilled_at_ms + missing_units * self.sharing_gateways / self.plan.limit_units_per_s * 1000
--- a/winchdyke/scheduling/retry_budget.py
+++ b/winchdyke/scheduling/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: how many attempts beyond each request's first a gateway may start within a window."""
+"""The retry budget: limits the retries that a gateway may start within a time window."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RetryBudget:
-    """Counts requests and retries within the window of the settings."""
+    """Counts requests and retries within the window given in the settings."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.settings = settings
@@ -16,15 +16,15 @@
         self.retry_times: deque[float] = deque()
 
     def record_request(self, now: float) -> None:
-        """A request has arrived."""
+        """Counts a request that has arrived."""
         self.request_times.append(now)
 
     def record_retry(self, now: float) -> None:
-        """A retry is started."""
+        """Counts a retry that is started."""
         self.retry_times.append(now)
 
     def allows(self, now: float) -> bool:
-        """Whether a retry may be started now."""
+        """Returns whether a retry may be started now."""
         settings = self.settings
         window_start = now - settings.retry_budget_window_ms
         _discard_until(self.request_times, window_start)
@@ -34,6 +34,6 @@
 
 
 def _discard_until(times: deque[float], end: float) -> None:
-    """Remove the times up to ``end`` from a queue in order."""
+    """Removes the times up to and including ``end`` from a sorted queue."""
     while times and times[0] <= end:
         times.popleft()
--- a/winchdyke/scheduling/scheduler.py
+++ b/winchdyke/scheduling/scheduler.py
@@ -1,4 +1,4 @@
-"""The scheduler: passes each event of a batch to the module that handles it, and returns the actions."""
+"""The scheduler class: passes each event to the module that handles it, and returns the actions."""
 
 from __future__ import annotations
 
@@ -11,16 +11,19 @@
 from winchdyke.scheduling.pending_request import PendingRequest
 from winchdyke.scheduling.state import SchedulerState
 
-SWEEP_INTERVAL_MS = 25.0  # well under any latency objective
+SWEEP_INTERVAL_MS = 25.0  # much shorter than any latency objective
 SWEEP_TIMER_ID = 0
 MAY_STILL_RUN = (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CANCELLED)
 
 
 class Scheduler(SchedulerState):
-    """One gateway's decisions. Pure: no I/O and no clock, and the seed is the only randomness."""
+    """Makes the decisions of one gateway.
+
+    It does no I/O and reads no clock; the seed is its only source of randomness.
+    """
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Take in a batch of events at a time (ms); the actions to carry out, in order."""
+        """Handles a batch of events at the time ``now`` (ms). Returns the actions to carry out, in order."""
         self.now = now
         self.actions = []
         sweep_due = not self.endpoints
@@ -68,11 +71,12 @@
             enqueue(self, pending)
 
     def _note_possible_execution(self, pending: PendingRequest, event: api.AttemptEnded) -> None:
-        """Note what the end of an attempt means for repeats, for the limit, and for the order of its key."""
+        """Records what the end of an attempt implies for repeats, the volume's limit and the key order."""
         outcome = event.outcome
         if not outcome.proves_no_effect:
             pending.may_have_been_executed_by(pending.attempts[event.attempt])
-        # Units are given back only by an attempt that did not reach its endpoint.
+        # After an attempt that did not reach its endpoint, the next one is charged again: units charged long
+        # before they are sent would come on top of those accrued since, and together exceed the limit.
         never_arrived = outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
         pending.limit_charged = pending.first_possible_execution is not None or not never_arrived
         if pending.request_class.in_order and outcome in MAY_STILL_RUN:
--- a/winchdyke/scheduling/shard.py
+++ b/winchdyke/scheduling/shard.py
@@ -1,4 +1,4 @@
-"""A shard: its endpoints, the requests that are queued for it, and what it has served this gateway."""
+"""A shard: its endpoints, its queue of requests, and the throughput that this gateway gets from it."""
 
 from __future__ import annotations
 
@@ -8,21 +8,22 @@
 from winchdyke.scheduling.quota import VolumeQuota
 
 THROUGHPUT_HALF_LIFE_MS = 15_000.0
-MIN_THROUGHPUT_SPAN_MS = THROUGHPUT_HALF_LIFE_MS / 3  # a shorter observation counts as part of this time
+MIN_THROUGHPUT_SPAN_MS = THROUGHPUT_HALF_LIFE_MS / 3  # a shorter observation is averaged over this time
 
 
 class Shard:
-    """A shard as this gateway sees it.
+    """The state of one shard at this gateway.
 
     Attributes:
         endpoints: Its endpoints by name.
-        queue: Requests that wait for one, by id, in the order in which they were queued.
-        codels: CoDel by request class.
-        quotas: Quotas of the volumes that were requested here.
-        without_ready_endpoint_since_ms: Since when it has no ready endpoint; None while it has one.
-        served_units: Units served here by warm endpoints, decaying.
-        served_span_ms: The time in which they were served, decaying.
-        last_served_at_ms: When the last of them was served; 0: never.
+        queue: Queued requests by id, in the order in which they were queued.
+        codels: CoDel state by request class.
+        quotas: Quotas of the volumes with requests for this shard, by volume.
+        without_ready_endpoint_since_ms: When it lost its last ready endpoint; None while it has one,
+            ``LONG_AGO_MS`` if it never had one.
+        served_units: Units served by warm endpoints, with exponential decay.
+        served_span_ms: The time in which these were served, with the same decay.
+        last_served_at_ms: When an endpoint last served a request; 0 if never.
     """
 
     def __init__(self) -> None:
@@ -36,7 +37,7 @@
         self.last_served_at_ms = 0.0
 
     def record_served(self, now: float, units: float, warm: bool) -> None:
-        """Count units that an endpoint has served; only those of warm ones enter the throughput."""
+        """Records units served by an endpoint; only those of warm endpoints count for the throughput."""
         if warm and self.last_served_at_ms:
             elapsed_ms = now - self.last_served_at_ms
             decay = 0.5 ** (elapsed_ms / THROUGHPUT_HALF_LIFE_MS)
@@ -46,9 +47,10 @@
 
     @property
     def throughput_units_per_s(self) -> float:
-        """The rate at which this gateway is served here, at least its part of the volumes' expected rates.
+        """The rate at which the shard serves this gateway, at least its share of the volumes' expected rates.
 
-        A gateway that has just started has served nothing yet, and would otherwise leave endpoints idle.
+        Without that minimum, a gateway that has just started, and has no measured rate yet, would leave
+        endpoints idle.
         """
         expected = sum(
             quota.plan.expected_units_per_s / quota.sharing_gateways / len(quota.shards)
@@ -57,7 +59,10 @@
         return max(expected, 1000 * self.served_units / max(self.served_span_ms, MIN_THROUGHPUT_SPAN_MS))
 
     def active_endpoint(self) -> EndpointState | None:
-        """The endpoint that serves the shard now: of several ready ones one that is not suspected, and started last."""
+        """Returns the endpoint that serves the shard now; None if no endpoint is ready.
+
+        Among several ready endpoints, one that is not suspected is preferred, then the one that started last.
+        """
         ready = [endpoint for endpoint in self.endpoints.values() if endpoint.ready]
         return max(
             ready,
@@ -66,7 +71,7 @@
         )
 
     def update_readiness(self, now: float) -> None:
-        """Note whether a ready endpoint is left, after a change of the endpoint list."""
+        """Updates since when there is no ready endpoint, after a change of the endpoint list."""
         if any(endpoint.ready for endpoint in self.endpoints.values()):
             self.without_ready_endpoint_since_ms = None
         elif self.without_ready_endpoint_since_ms is None:
--- a/winchdyke/scheduling/state.py
+++ b/winchdyke/scheduling/state.py
@@ -1,4 +1,4 @@
-"""The state of one gateway's scheduler, which the modules of this package read and change."""
+"""The state of one gateway's scheduler, shared by the modules of this package."""
 
 from __future__ import annotations
 
@@ -12,45 +12,44 @@
 from winchdyke.scheduling.retry_budget import RetryBudget
 from winchdyke.scheduling.shard import MIN_THROUGHPUT_SPAN_MS, Shard
 
-# Of the tightest latency objective, for an average request: the most latency that may count as normal.
+# Maximum latency of an average request that counts as normal, as a fraction of the tightest latency
+# objective.
 NORMAL_LATENCY_FRACTION = 0.1
-SAFE_LATENCY_FACTOR = 2.0  # time left, in expected latencies, from which on an objective counts as met
-SILENCE_OBJECTIVES = (
-    2.0  # silence of an endpoint, in the shortest latency objectives, that makes it suspected
-)
-SHARD_SHARING_FACTOR = 1.5  # shards differ in use, and this gateway has not seen all of them
+SAFE_LATENCY_FACTOR = 2.0  # time left, in expected latencies, with which an objective counts as met
+SILENCE_OBJECTIVES = 2.0  # silence after which an endpoint is suspected, in shortest latency objectives
+SHARD_SHARING_FACTOR = 1.5  # allows for shards that are used more than average or not yet observed
 UNIT_COST_GAIN = 0.01
-UNIT_COST_QUANTILE = 0.1  # a low quantile of the latency of a unit is near the work itself
+UNIT_COST_QUANTILE = 0.1  # a low quantile of the latency per unit is close to the cost without queueing
 WATCH_BACKOFF_MS = 500.0
 MAX_WATCH_BACKOFF_MS = 8000.0
 
 
 class SchedulerState:
-    """What a scheduler knows.
+    """The state of a scheduler.
 
     Attributes:
         settings: The settings.
-        now: The time of the current batch (ms).
-        random: The only source of randomness, from the seed.
+        now: The time of the current batch of events (ms).
+        random: The only source of randomness, initialised with the seed.
         classes: Request classes by name.
         plans: Plans by name.
-        class_shares: The part of a full concurrency limit that each class is guaranteed.
-        silence_timeout_ms: Silence after which an endpoint with work in flight is suspected.
+        class_shares: The fraction of a concurrency limit that each class is guaranteed.
+        silence_timeout_ms: Silence after which an endpoint with an attempt in flight is suspected.
         longest_deadline_ms: The longest deadline of any class.
-        unit_cost_ms: Work of a unit by class, learnt from latency.
+        unit_cost_ms: Time per unit without congestion, by class, learned from latencies.
         endpoints: Endpoints by name.
         quotas: Quotas by volume.
-        requests: Requests that are not finished, or have an attempt in flight, by id in the order of arrival.
-        deadline_timers: The request of each deadline timer.
-        shed_requests: When requests that were shed were first received, by volume and key.
+        requests: Requests that are not finished or have an attempt in flight, by id, in order of arrival.
+        deadline_timers: The request id of each deadline timer.
+        shed_requests: When rejected requests were first received, by volume and key.
         shards: Shards by number.
-        shards_with_queue: Numbers of the shards at which requests may be queued.
-        settling_keys: Until when keys pause after an attempt that may still be executed.
+        shards_with_queue: Numbers of the shards that may have queued requests.
+        settling_keys: When the pause of each key ends that follows an attempt that may still be executed.
         retry_budget: The retry budget.
         last_timer_id: The id of the newest deadline timer.
         watching: Whether changes of the endpoint list are received.
-        next_watch_at_ms: When the list is next requested, if they are not.
-        watch_backoff_ms: The backoff between such requests.
+        next_watch_at_ms: When the endpoint list is next requested if changes are not received.
+        watch_backoff_ms: The current backoff between such requests.
         started_at_ms: When this scheduler started.
         sweep_timer_set: Whether the timer of the next sweep is set.
         actions: The actions of the current batch.
@@ -90,15 +89,15 @@
         self.actions: list[api.Action] = []
 
     def expected_work_ms(self, pending: PendingRequest) -> float:
-        """The time that a request takes at an endpoint that is not congested."""
+        """Returns the time that a request takes at an endpoint without congestion."""
         return self.unit_cost_ms[pending.request_class.name] * pending.request.units
 
     def expected_latency_ms(self, pending: PendingRequest, endpoint: EndpointState) -> float:
-        """The latency that a request may expect of an endpoint, by what it served of late."""
+        """Returns the expected latency of a request at an endpoint, from its recent latencies."""
         return self.expected_work_ms(pending) * max(1.0, endpoint.concurrency_limit.short_ratio)
 
     def max_normal_ratio(self) -> float:
-        """The most latency, in expected work, that may count as normal: a part of the tightest objective."""
+        """Returns the maximum ratio of latency to expected work that counts as normal for all classes."""
         return min(
             NORMAL_LATENCY_FRACTION
             * each.latency_objective_ms
@@ -108,17 +107,17 @@
         )
 
     def learn_unit_cost(self, pending: PendingRequest, latency_ms: float) -> None:
-        """Move the class's work of a unit toward a low quantile of the latency of a unit."""
+        """Moves the unit cost of the class toward a low quantile of the latency per unit."""
         name = pending.request_class.name
         is_lower = latency_ms / pending.request.units < self.unit_cost_ms[name]
         self.unit_cost_ms[name] *= 1 + UNIT_COST_GAIN * (UNIT_COST_QUANTILE - is_lower)
 
     @property
     def gateways_sharing_a_shard(self) -> float:
-        """An estimate of the gateways that use one shard, from the part of all shards that this gateway uses.
+        """The estimated number of gateways that use a shard, from the fraction of shards used by this one.
 
-        Hundreds of gateways would otherwise each reserve an even part of a warming endpoint for all the others, few of
-        which use it.
+        With the number of all gateways instead, each of hundreds of gateways would leave an even share of a
+        warming endpoint to all the others, few of which use it.
         """
         used = [bool(shard.quotas) for shard in self.shards.values() if shard.endpoints]
         unobserved = max(0.0, 1 - (self.now - self.started_at_ms) / MIN_THROUGHPUT_SPAN_MS)
