--- a/winchdyke/__init__.py
+++ b/winchdyke/__init__.py
@@ -1,4 +1,4 @@
-"""winchdyke: the decisions of a host-side scheduler for a shared disk pool."""
+"""winchdyke: a storage gateway that schedules the reads and writes of a host across storage nodes."""
 
 from winchdyke.scheduling import Scheduler
 
--- a/winchdyke/__main__.py
+++ b/winchdyke/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m winchdyke``."""
+"""Runs the command line interface: ``python -m winchdyke``."""
 
 from winchdyke.cli.main import main
 
--- a/winchdyke/benchlink.py
+++ b/winchdyke/benchlink.py
@@ -1,8 +1,8 @@
-"""The adapter between the simulator's wire and the scheduler: ``python -m winchdyke.benchlink``.
+"""The adapter between the simulator's wire protocol and the scheduler: ``python -m winchdyke.benchlink``.
 
-Hosts any number of gateway instances, each with a scheduler of its own; they share nothing, and nothing is decided here.
-The names of the wire are mapped to those of :mod:`winchdyke.interface` here and nowhere else. Malformed input ends the
-program with one plain line on standard error.
+It hosts any number of gateway instances, each with its own scheduler and no shared state, and makes no
+decisions. Only this module maps the names of the wire protocol to those of :mod:`winchdyke.interface`. On
+malformed input the program prints one line to standard error and exits.
 """
 
 from __future__ import annotations
@@ -38,27 +38,27 @@
     "unused": api.AttemptOutcome.NOT_SENT,
 }
 ABSENT = "-"
-RETRY_FLAG = 2  # bit of a request's flags
+RETRY_FLAG = 2  # bit in the flags of a DEMAND message
 
 
 class WireError(Exception):
-    """Input that the wire's description does not allow."""
+    """Raised for input that violates the wire protocol."""
 
 
 def read_number(text: str) -> float:
-    """A number of the wire, where an absent one is 0."""
+    """Parses a number; an absent one is 0."""
     return 0.0 if text == ABSENT else float(text)
 
 
 def read_load_report(text: str) -> tuple[float, ...]:
-    """The values of a load report, in the order that the settings name."""
+    """Parses the values of a load report, in the order given in the settings."""
     if text == ABSENT:
         return ()
     return tuple(read_number(part) for part in text.split(","))
 
 
 def read_endpoint(row: list[str]) -> api.Endpoint:
-    """An entry of the endpoint list."""
+    """Parses an entry of the endpoint list."""
     if row[0] != "M":
         raise WireError(f"expected a list entry, got {row[0]!r}")
     return api.Endpoint(
@@ -71,7 +71,7 @@
 
 
 def read_request(row: list[str]) -> api.Request:
-    """A client's request."""
+    """Parses a request of a client."""
     return api.Request(
         request_id=row[2],
         request_class=row[3],
@@ -87,12 +87,12 @@
 
 
 def read_stream_started(row: list[str]) -> api.StreamStarted:
-    """The start of a streamed response."""
+    """Parses the start of a streamed response."""
     return api.StreamStarted(request_id=row[2], attempt=int(row[3]))
 
 
 def read_attempt_ended(row: list[str]) -> api.AttemptEnded:
-    """The end of an attempt. The wire gives the volume's use as percent plus one, so that 0 is absent."""
+    """Parses the end of an attempt. The volume's usage is sent as percent plus one, with 0 for absent."""
     usage = read_number(row[8])
     return api.AttemptEnded(
         request_id=row[2],
@@ -108,23 +108,23 @@
 
 
 def read_client_disconnected(row: list[str]) -> api.ClientDisconnected:
-    """The disconnection of a client."""
+    """Parses the disconnection of a client."""
     return api.ClientDisconnected(request_id=row[2])
 
 
 def read_timer_fired(row: list[str]) -> api.TimerFired:
-    """The expiry of a timer."""
+    """Parses the expiry of a timer."""
     return api.TimerFired(timer_id=int(row[2]))
 
 
 def read_health_check_ended(row: list[str]) -> api.HealthCheckEnded:
-    """The result of a health check."""
+    """Parses the result of a health check."""
     outcome = enum_value(OUTCOMES, row[3])
     return api.HealthCheckEnded(row[2], outcome, read_number(row[4]), read_load_report(row[5]))
 
 
 def read_peer_message(row: list[str]) -> api.PeerMessage:
-    """A message of another gateway; one that is not base64 is passed on as empty."""
+    """Parses a message from another gateway; a payload that is not valid base64 becomes empty."""
     import base64
     import binascii
 
@@ -147,7 +147,7 @@
 
 
 def write_action(instance: str, action: api.Action) -> str:
-    """An action as a line of the wire."""
+    """Formats an action as a line of the wire protocol."""
     match action:
         case api.StartAttempt(request_id, endpoint, timeout_ms):
             fields = ["ISSUE", instance, request_id, endpoint, f"{timeout_ms:.3f}"]
@@ -167,7 +167,7 @@
 
 
 class Adapter:
-    """The instances of one process, and the batch of events that is being read."""
+    """The schedulers of all instances of this process, and the batch of events that is being read."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -175,7 +175,7 @@
         self.events: dict[str, list[api.Event]] = {}
 
     def read_message(self, row: list[str], lines: Iterator[str]) -> None:
-        """Take in one message; an endpoint list reads its entries from ``lines``."""
+        """Processes one message; the entries of an endpoint list are read from ``lines``."""
         kind = row[0]
         instance = row[1]
         if kind == "POWER_ON":
@@ -195,11 +195,11 @@
             raise WireError("unknown message")
 
     def reply(self) -> list[str]:
-        """Let each instance that had events decide; the lines of the reply."""
+        """Runs the scheduler of each instance in the batch. Returns the lines of the reply."""
         lines: list[str] = []
         for instance, events in self.events.items():
             for action in self.schedulers[instance].handle(self.now, events):
-                # On this wire an attempt is written as it is decided: there is nothing to abandon.
+                # In the simulator an attempt is written as soon as it starts, so there is nothing to abandon.
                 if not isinstance(action, api.AbandonAttempt):
                     lines.append(write_action(instance, action))
         self.events = {}
@@ -221,7 +221,7 @@
 
 
 class _NumberedLines:
-    """The lines of a stream, and the number of the last one that was read."""
+    """Iterates over the lines of a stream, and keeps the number of the last line read."""
 
     def __init__(self, source: TextIO) -> None:
         self.number = 0
@@ -234,7 +234,7 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends. WireError, with the line's number, where the input is malformed."""
+    """Answers batches until the input ends. Raises WireError, with the line number, on malformed input."""
     adapter = Adapter()
     numbered = _NumberedLines(source)
     lines = iter(numbered)
@@ -257,7 +257,7 @@
 
 
 def main() -> int:
-    """Serve standard input and output; 1 where the input was malformed."""
+    """Serves standard input and output. Returns the exit status: 1 if the input was malformed."""
     try:
         serve(sys.stdin, sys.stdout)
     except WireError as error:
--- a/winchdyke/interface.py
+++ b/winchdyke/interface.py
@@ -1,9 +1,10 @@
-"""The types that a gateway and its scheduler exchange: settings, events and actions.
+"""The types exchanged between a gateway and its scheduler: settings, events and actions.
 
-A gateway makes one :class:`winchdyke.Scheduler` from :class:`Settings`, passes it each batch of events together with
-the time, and carries out the actions it returns, in their order. Nothing here decides anything.
+A gateway creates one :class:`winchdyke.Scheduler` from :class:`Settings`, passes it each batch of events
+together with the time, and carries out the returned actions in order. This module contains no decisions.
 
-Times are milliseconds on the gateway's monotonic clock. A *unit* is the measure of work in which plans are counted.
+Times are milliseconds on the gateway's monotonic clock. Work is measured in *units*, in which plans state
+rates.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints share the memory by which repeats of an idempotency key are discarded."""
+    """Which endpoints share the deduplication state of an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -37,7 +38,7 @@
 
 
 class EndpointListKind(Enum):
-    """What an endpoint list event holds: changes only, the full list, an earlier copy of it, or nothing."""
+    """What an endpoint list event holds: changes only, the full list, a cached copy of it, or nothing."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -68,14 +69,14 @@
     """A class of requests: its priority, its deadlines, and whether a request may be repeated.
 
     Attributes:
-        name: The name that requests give.
+        name: The name by which requests refer to the class.
         priority_weight: The value of one request served within its latency objective.
-        latency_objective_ms: The latency up to which a response earns its full value.
-        deadline_ms: The latency past which a response is of no use.
-        late_value_ratio: The part of the value that a response after the objective still earns.
-        repeat_safety: What a second execution of the same request does.
-        deduplication_scope: Which endpoints discard repeats of an idempotency key.
-        deduplication_window_ms: For how long an endpoint remembers an idempotency key.
+        latency_objective_ms: The maximum latency for the full value.
+        deadline_ms: The latency beyond which a response has no value.
+        late_value_ratio: The fraction of the value of a response after the objective and before the deadline.
+        repeat_safety: The effect of executing a request more than once.
+        deduplication_scope: The endpoints that discard repeats of an idempotency key.
+        deduplication_window_ms: How long an endpoint remembers an idempotency key.
         streamed: Whether responses are streamed to the client.
         in_order: Whether requests of one key are executed in the order in which they arrived.
         modifies_data: Whether requests modify stored data.
@@ -99,13 +100,13 @@
     """The entitlements of each volume of a plan, over all gateways and endpoints.
 
     Attributes:
-        name: The name that requests give.
+        name: The name by which requests refer to the plan.
         priority_factor: A factor on the priority weight of the volume's requests.
-        fair_share_weight: The volume's weight in sharing what reservations leave.
-        expected_units_per_s: The use that the volume is sized for.
-        reserved_units_per_s: The reservation: use that has full priority.
-        limit_units_per_s: The use that is never exceeded; 0: no limit.
-        limit_burst_units: Units that the limit admits at once.
+        fair_share_weight: The volume's weight in sharing the capacity beyond all reservations.
+        expected_units_per_s: The rate that the volume is sized for.
+        reserved_units_per_s: The reservation: the rate up to which requests have full priority.
+        limit_units_per_s: The rate that is never exceeded; 0 if there is no limit.
+        limit_burst_units: Units that the limit admits as a burst.
     """
 
     name: str
@@ -119,40 +120,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a scheduler is configured with.
+    """The settings of a scheduler.
 
     Attributes:
-        gateway_count: Gateways of the deployment.
+        gateway_count: Number of gateways of the deployment.
         gateway_index: This gateway's index, from 0.
         classes: The classes of requests.
         plans: The plans of volumes.
         zone: The zone of this gateway.
         clock_tick_ms: The resolution of the gateway's clock.
         mean_request_units: The mean work of a request.
-        max_request_units: The largest work that a request may announce.
-        fair_share_priority_factor: Factor on the priority of use beyond the reservation and within the fair share.
-        excess_priority_factor: Factor on the priority of use beyond the fair share.
-        usage_report_interval_ms: How often a volume's use over all gateways is reported.
-        goal_total_weight: Weight of the value of all requests in the goal.
+        max_request_units: The maximum work that a request may declare.
+        fair_share_priority_factor: Factor on the priority of requests beyond the reservation, within the fair
+            share.
+        excess_priority_factor: Factor on the priority of requests beyond the fair share.
+        usage_report_interval_ms: Interval of the reports of a volume's usage over all gateways.
+        goal_total_weight: Weight of the total value of requests in the optimization goal.
         goal_worst_class_weight: Weight of the worst-served class in the goal.
         goal_worst_plan_weight: Weight of the worst-served plan in the goal.
-        polls_endpoint_list: Whether the endpoint list has to be requested; otherwise it is pushed.
-        max_attempts: Attempts of one request, the first included.
+        polls_endpoint_list: Whether the gateway must request the endpoint list; otherwise it is pushed.
+        max_attempts: Maximum number of attempts of a request, including the first.
         can_cancel_attempts: Whether an attempt in flight may be cancelled.
         can_health_check: Whether endpoints may be health-checked.
         can_message_peers: Whether gateways may exchange messages.
         can_hedge_requests: Whether a request may have two attempts in flight.
-        max_retry_after_ms: The Retry-After of a shed request; 0: none is given.
-        connect_timeout_ms: The time allowed for a new connection.
+        max_retry_after_ms: The Retry-After of a shed request; 0 if none is given.
+        connect_timeout_ms: The time limit for making a connection.
         slow_start_initial_capacity: The fraction of its capacity that an endpoint has when it starts.
         slow_start_duration_ms: The time until a started endpoint has its full capacity.
-        slow_start_overload_factor: How many times its capacity overloads an endpoint that warms up.
-        slow_start_overload_window_ms: The time over which that load is measured.
-        slow_start_initial_units: Units that an endpoint bears within that window when it starts; 0: not stated.
-        order_settle_ms: The pause of a key after an attempt that may still be executed, for ordered classes.
-        retry_budget_window_ms: The time over which retries are counted; 0: retries are not limited.
+        slow_start_overload_factor: The multiple of its capacity at which an endpoint that warms up is
+            overloaded.
+        slow_start_overload_window_ms: The time window over which that load is measured.
+        slow_start_initial_units: Units that a newly started endpoint can take within that window; 0 if not
+            stated.
+        order_settle_ms: For ordered classes, the pause of a key after an attempt that may still be executed.
+        retry_budget_window_ms: The time window over which retries are counted; 0 if retries are not limited.
         retry_budget_base: Retries allowed in any window.
-        retry_budget_ratio: Retries allowed beyond these, for each request in the window.
+        retry_budget_ratio: Additional retries allowed for each request in the window.
     """
 
     gateway_count: int
@@ -190,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """A storage node in the endpoint list; ``started_at_ms`` is 0 where it has been up for long."""
+    """A storage node in the endpoint list; ``started_at_ms`` is 0 if it started long ago."""
 
     name: str
     status: EndpointStatus
@@ -215,11 +219,11 @@
         request_id: Identifies the request in later events and actions.
         request_class: Name of its :class:`RequestClass`.
         plan: Name of its :class:`Plan`.
-        volume: The volume whose quota it uses.
-        key: The key by which requests are ordered, and recognised when they are retried; may be empty.
+        volume: The volume whose quota is charged.
+        key: The key that orders requests and identifies retries; may be empty.
         units: Its work.
         shard: The shard that holds its object; -1 for a new object that any shard may take.
-        sharing_gateways: Gateways that serve the volume.
+        sharing_gateways: Number of gateways that serve the volume.
         time_left_ms: The time until the client's deadline.
         is_retry: Whether the client marked it as a retry.
     """
@@ -253,10 +257,10 @@
         attempt: Index of the attempt, from 0.
         endpoint: Name of the endpoint it was sent to.
         outcome: How it ended.
-        latency_ms: Time from its start to its end.
+        latency_ms: The time from its start to its end.
         request_finished: Whether the request needs no further attempt.
-        volume_usage_percent: The volume's recent use over all gateways, in percent of the plan's expected rate;
-            None where it is not reported.
+        volume_usage_percent: The volume's recent usage over all gateways, in percent of the plan's expected
+            rate; None if not reported.
         units_via_other_gateways: Units that the shard served to the volume through other gateways.
         load_report: Values of the endpoint's load report, in the order of the settings.
     """
@@ -323,9 +327,9 @@
     Attributes:
         request_id: The request.
         endpoint: Name of the endpoint.
-        timeout_ms: The attempt's time limit; 0: the client's deadline.
-        write_timeout_ms: The attempt is given up as not sent unless its last byte is written within this time;
-            0: no such limit.
+        timeout_ms: The time limit of the attempt; 0 for the client's deadline.
+        write_timeout_ms: The attempt ends as not sent unless its last byte is written within this time; 0 if
+            there is no such limit.
     """
 
     request_id: str
@@ -378,12 +382,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEndpoints:
-    """Action: request all changes of the endpoint list from now on."""
+    """Action: subscribe to the changes of the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """Action: write a line to the operators' log."""
+    """Action: write a message to the operators' log."""
 
     message: str
 
--- a/winchdyke/placement.py
+++ b/winchdyke/placement.py
@@ -1,8 +1,9 @@
-"""Which shard holds an object. Pure: the same volume and key give the same shard at every gateway, forever.
+"""Placement of objects on shards: the same volume and key give the same shard at every gateway, at any time.
 
-A key has its place by rendezvous hashing (Thaler and Ravishankar, 1998) over the volume's shards: a shard that is
-added takes an even part of the keys, and no other key moves. A new object that may lie anywhere goes where the
-scheduler puts it, and its name then says where: ``KEY~SHARD``. So any gateway finds it with no table to share.
+Keys are placed by rendezvous hashing (Thaler and Ravishankar, 1998) over the volume's shards: an added shard
+takes over an even share of the keys, and no other key moves. A new object that any shard may hold is placed
+by the scheduler, and its name then contains the shard: ``KEY~SHARD``. So every gateway can locate it without
+a shared table.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def shard_of(volume: str, key: str, shards: Sequence[int]) -> int:
-    """The shard that holds a key; the one in its name where the name carries one of the volume's shards."""
+    """Returns the shard that holds a key: the volume's shard named in the key, else the one found by hashing."""
     if not shards:
         raise ValueError(f"volume {volume!r} has no shards")
     placed = _PLACED.fullmatch(key)
@@ -28,5 +29,5 @@
 
 
 def placed_key(stem: str, shard: int) -> str:
-    """The name of a new object that a shard has taken; ``stem`` is 32 hexadecimal digits."""
+    """Returns the name of a new object placed on a shard; ``stem`` is 32 hexadecimal digits."""
     return f"{stem}~{shard}"
--- a/winchdyke/settings.py
+++ b/winchdyke/settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings object that a gateway is given: in the simulator's first message, or in its configuration.
+"""Parses the settings object of a gateway, from the simulator's first message or from the configuration.
 
-The names of the wire are mapped to those of :class:`winchdyke.interface.Settings` here and nowhere else. Only the
-standard library is imported: the simulator's adapter starts with this module.
+Only this module maps the keys of that object to the fields of :class:`winchdyke.interface.Settings`. It
+needs no third-party package, because the simulator's adapter imports it.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class SettingsError(ValueError):
-    """Settings that the wire's description does not allow."""
+    """Raised for settings that the wire format does not allow."""
 
 
 def enum_value(table: dict[str, Any], name: str) -> Any:
-    """The value that a fixed name of the wire stands for. SettingsError where there is none."""
+    """Returns the value for a name on the wire. Raises SettingsError if the name is unknown."""
     if name not in table:
         raise SettingsError(f"unknown value {name!r}")
     return table[name]
 
 
 def settings_of(info: dict[str, Any]) -> api.Settings:
-    """The settings. Unknown keys are ignored, and null counts as absent."""
+    """Returns the parsed settings. Unknown keys are ignored, and null counts as absent."""
     info = _without_null(info)
     domain = info.get("domain", {})
     guarantees = info.get("guarantees", {})
@@ -79,7 +79,7 @@
 
 
 def _without_null(value: Any) -> Any:
-    """The same value without keys whose value is null."""
+    """Returns a copy of the value without keys whose value is null."""
     if isinstance(value, dict):
         return {key: _without_null(item) for key, item in value.items() if item is not None}
     if isinstance(value, list):
@@ -88,9 +88,9 @@
 
 
 def _class(row: dict[str, Any], index: int, data_flags: list[Any]) -> api.RequestClass:
-    """A request class. Without an objective, any latency up to the deadline is as good.
+    """Returns a request class. Without a latency objective, the deadline is used as the objective.
 
-    ``data_flags`` says for each class, by its index, whether it modifies data; it may be shorter.
+    ``data_flags`` holds, by class index, whether the class modifies data; missing entries count as false.
     """
     return api.RequestClass(
         name=row["name"],
