--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter: wire in, wire out, and what it says of input that is malformed."""
+"""Tests of the simulator's adapter: its replies on the wire, and its errors for malformed input."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 INFO = {
     "balancers": 2,
     "index": 0,
-    "unheard_of": {"x": 1},
+    "unknown_key": {"x": 1},
     "classes": [
         {"name": "read", "worth": 2.0, "promise_ms": 300.0, "deadline_ms": 2000.0, "effect": "idempotent"}
     ],
@@ -25,15 +25,15 @@
 }
 
 
-def start(who: str) -> str:
+def start(instance: str) -> str:
     return (
-        f"POWER_ON\t{who}\t7\t{json.dumps(INFO)}\n"
-        f"MEMBERS\t{who}\t2\t1\t1\nM\t1\tz\t-\t10.0.0.1:1\tkind\t1\t0\n"
+        f"POWER_ON\t{instance}\t7\t{json.dumps(INFO)}\n"
+        f"MEMBERS\t{instance}\t2\t1\t1\nM\t1\tz\t-\t10.0.0.1:1\tkind\t1\t0\n"
     )
 
 
-def demand(who: str, name: str) -> str:
-    return f"DEMAND\t{who}\t{name}\tread\tgold\tk\t900.0\tv\t2\t0\t1\t0\n"
+def demand(instance: str, name: str) -> str:
+    return f"DEMAND\t{instance}\t{name}\tread\tgold\tk\t900.0\tv\t2\t0\t1\t0\n"
 
 
 def reply(text: str) -> str:
@@ -42,28 +42,28 @@
     return sink.getvalue()
 
 
-def test_a_request_is_sent_and_an_empty_batch_answered():
+def test_a_request_is_sent_and_an_empty_batch_is_answered():
     out = reply("CLOCK\t1\nFLUSH\n\nCLOCK\t2\n" + start("gateway/0") + demand("gateway/0", "a") + "FLUSH\n")
     assert out.startswith("NEXT\n")
     assert "ISSUE\tgateway/0\ta\t10.0.0.1:1\t0.000\n" in out
     assert out.endswith("NEXT\n")
 
 
-def test_instances_share_nothing():
-    def lines(text: str, who: str) -> list[str]:
-        return [line for line in reply(text).splitlines() if f"\t{who}" in line]
+def test_instances_share_no_state():
+    def lines(text: str, instance: str) -> list[str]:
+        return [line for line in reply(text).splitlines() if f"\t{instance}" in line]
 
     def batches(names: list[str]) -> str:
-        head = "CLOCK\t1\n" + "".join(start(who) for who in names) + "FLUSH\n"
-        asks = "".join(demand(who, f"{who[-1]}{n}") for n in range(9) for who in names)
-        return head + "CLOCK\t5\n" + asks + "FLUSH\n"
+        start_lines = "CLOCK\t1\n" + "".join(start(instance) for instance in names) + "FLUSH\n"
+        demands = "".join(demand(instance, f"{instance[-1]}{n}") for n in range(9) for instance in names)
+        return start_lines + "CLOCK\t5\n" + demands + "FLUSH\n"
 
-    together = batches(["gateway/0", "gateway/1"])
-    for who in ("gateway/0", "gateway/1"):
-        assert lines(together, who) == lines(batches([who]), who)
+    both = batches(["gateway/0", "gateway/1"])
+    for instance in ("gateway/0", "gateway/1"):
+        assert lines(both, instance) == lines(batches([instance]), instance)
 
 
-def test_a_killed_instance_forgets_everything_and_may_start_again():
+def test_a_killed_instance_loses_its_state_and_can_start_again():
     out = reply(
         "CLOCK\t1\n"
         + start("gateway/0")
@@ -77,7 +77,7 @@
     assert "ISSUE\tgateway/0\tb" in out
 
 
-def test_what_is_called_off_before_it_is_written_is_no_word_of_the_wire():
+def test_an_abandoned_attempt_is_not_reported_on_the_wire():
     out = reply(
         "CLOCK\t1\n"
         + start("gateway/0")
@@ -88,7 +88,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "says"),
+    ("line", "message"),
     [
         ("DEMAND\tgateway/0\ta\n", "line 5: DEMAND: a field is missing"),
         ("DEMAND\tgateway/0\ta\tread\tgold\tk\tsoon\tv\t2\t0\t1\t0\n", "DEMAND: could not convert"),
@@ -99,14 +99,14 @@
         ("POWER_ON\tgateway/1\t7\t{nonsense\n", "POWER_ON"),
     ],
 )
-def test_malformed_input_is_named(line, says):
+def test_malformed_input_raises_an_error_with_its_line_number(line, message):
     with pytest.raises(WireError, match="line") as error:
         reply("CLOCK\t1\n" + start("gateway/0") + line + "FLUSH\n")
-    assert says in str(error.value)
+    assert message in str(error.value)
 
 
-def test_the_program_ends_with_one_plain_line_and_a_status():
-    done = subprocess.run(
+def test_the_program_prints_one_error_line_and_exits_with_status_1():
+    result = subprocess.run(
         [sys.executable, "-m", "winchdyke.benchlink"],
         input="CLOCK\tnever\n",
         capture_output=True,
@@ -114,5 +114,5 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 1
-    assert done.stderr.startswith("benchlink: line 1: CLOCK") and done.stderr.count("\n") == 1
+    assert result.returncode == 1
+    assert result.stderr.startswith("benchlink: line 1: CLOCK") and result.stderr.count("\n") == 1
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The embedding example of the README runs as printed."""
+"""Tests that the embedding example in README.md runs as printed."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 README = Path(__file__).parent.parent / "README.md"
 
 
-def test_the_example_sends_its_request():
+def test_the_readme_example_sends_its_request():
     code = re.search(r"```python\n(.*?)```", README.read_text(), re.DOTALL)
     assert code
     out = io.StringIO()
