--- a/benchmarks/decision.py
+++ b/benchmarks/decision.py
@@ -1,6 +1,6 @@
-"""What a decision costs by itself: microseconds an event, at 40 stores and 250 gateways, one scheduler of them.
+"""Measures the cost of scheduler decisions: microseconds per event, with 40 stores and one of 250 gateways.
 
-No sockets: the scheduler is handed requests and the ends of attempts in virtual time, singly and in batches.
+It uses no sockets: the scheduler gets requests and the ends of attempts in virtual time, in batches of 1 ms.
 
     python benchmarks/decision.py [--requests N]
 """
@@ -18,8 +18,9 @@
 STORES, GATEWAYS, VOLUMES = 40, 250, 300
 
 
-def scheduler() -> Scheduler:
-    kinds = (
+def make_scheduler() -> Scheduler:
+    """Returns a scheduler that knows all stores as warm endpoints."""
+    request_classes = (
         api.RequestClass(
             "read", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
         ),
@@ -39,7 +40,7 @@
     settings = api.Settings(
         gateway_count=GATEWAYS,
         gateway_index=0,
-        classes=kinds,
+        classes=request_classes,
         plans=plans,
         mean_request_units=2.0,
         max_request_units=8.0,
@@ -56,75 +57,81 @@
         retry_budget_base=3.0,
         retry_budget_ratio=0.1,
     )
-    made = Scheduler(settings, seed=1, now=0.0)
-    nodes = tuple(api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(STORES))
-    made.handle(0.0, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
-    return made
+    scheduler = Scheduler(settings, seed=1, now=0.0)
+    endpoints = tuple(api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(STORES))
+    scheduler.handle(0.0, [api.EndpointList(api.EndpointListKind.FULL, endpoints)])
+    return scheduler
 
 
-def play(rate: float, requests: int, batch_ms: float, latency_ms: float) -> tuple[float, float, float]:
-    """Microseconds an event in the mean, the slowest batch of a hundred (p99), and the part that was refused."""
-    made, draw = scheduler(), random.Random(7)
-    now, events_seen, spent, refused, taken = 0.0, 0, 0.0, 0, 0
-    due: list[tuple[float, api.Event]] = []
-    costs = []
+def simulate(rate: float, requests: int, batch_ms: float, latency_ms: float) -> tuple[float, float, float]:
+    """Returns the mean cost of an event (us), its 99th percentile over batches, and the rejected fraction."""
+    scheduler, rng = make_scheduler(), random.Random(7)
+    now, event_count, total_s, rejected, arrived = 0.0, 0, 0.0, 0, 0
+    upcoming: list[tuple[float, api.Event]] = []
+    event_costs_us = []
     attempts: dict[str, int] = {}
-    next_request = 0.0
-    while taken < requests:
+    next_arrival_ms = 0.0
+    while arrived < requests:
         now += batch_ms
         events: list[api.Event] = []
-        while next_request <= now and taken < requests:
-            taken += 1
-            next_request += draw.expovariate(rate) * 1000
-            volume = min(VOLUMES - 1, int(draw.paretovariate(0.7)))
-            plan, kind = ("basic", "gold")[volume % 2], "read" if draw.random() < 0.65 else "write"
-            name, shard = f"r{taken}", draw.randrange(STORES)
-            units = float(draw.choice((1, 1, 2, 4)))
+        while next_arrival_ms <= now and arrived < requests:
+            arrived += 1
+            next_arrival_ms += rng.expovariate(rate) * 1000
+            volume = min(VOLUMES - 1, int(rng.paretovariate(0.7)))
+            plan, request_class = ("basic", "gold")[volume % 2], "read" if rng.random() < 0.65 else "write"
+            name, shard = f"r{arrived}", rng.randrange(STORES)
+            units = float(rng.choice((1, 1, 2, 4)))
             events.append(
                 api.Request(
-                    name, kind, plan, f"v{volume}", f"k{draw.randrange(999)}", units, shard, 3, 2500.0
+                    name, request_class, plan, f"v{volume}", f"k{rng.randrange(999)}", units, shard, 3, 2500.0
                 )
             )
-        due.sort(key=lambda entry: entry[0])
-        while due and due[0][0] <= now:
-            events.append(due.pop(0)[1])
+        upcoming.sort(key=lambda entry: entry[0])
+        while upcoming and upcoming[0][0] <= now:
+            events.append(upcoming.pop(0)[1])
         if not events:
             continue
-        began = time.perf_counter()
-        actions = made.handle(now, events)
-        took = time.perf_counter() - began
-        spent, events_seen = spent + took, events_seen + len(events)
-        costs.append(took * 1e6 / len(events))
+        started_at = time.perf_counter()
+        actions = scheduler.handle(now, events)
+        elapsed_s = time.perf_counter() - started_at
+        total_s, event_count = total_s + elapsed_s, event_count + len(events)
+        event_costs_us.append(elapsed_s * 1e6 / len(events))
         for action in actions:
             if isinstance(action, api.StartAttempt):
-                number = attempts[action.request_id] = attempts.get(action.request_id, -1) + 1
-                wait = draw.expovariate(1 / latency_ms)
-                end = api.AttemptEnded(
-                    action.request_id, number, action.endpoint, api.AttemptOutcome.SERVED, wait, True, 90.0
+                attempt = attempts[action.request_id] = attempts.get(action.request_id, -1) + 1
+                duration_ms = rng.expovariate(1 / latency_ms)
+                attempt_ended = api.AttemptEnded(
+                    action.request_id,
+                    attempt,
+                    action.endpoint,
+                    api.AttemptOutcome.SERVED,
+                    duration_ms,
+                    True,
+                    90.0,
                 )
-                due.append((now + wait, end))
+                upcoming.append((now + duration_ms, attempt_ended))
             elif isinstance(action, api.SetTimer):
-                due.append((now + action.after_ms, api.TimerFired(action.timer_id)))
+                upcoming.append((now + action.after_ms, api.TimerFired(action.timer_id)))
             elif isinstance(action, (api.ShedRequest, api.FailRequest)):
-                refused += 1
-    return spent * 1e6 / events_seen, statistics.quantiles(costs, n=100)[98], refused / taken
+                rejected += 1
+    return total_s * 1e6 / event_count, statistics.quantiles(event_costs_us, n=100)[98], rejected / arrived
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--requests", type=int, default=20_000)
-    count = words.parse_args().requests
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--requests", type=int, default=20_000)
+    count = parser.parse_args().requests
     print(
         f"{STORES} stores, {GATEWAYS} gateways, {VOLUMES} volumes, {count} requests; simulated time, real CPU"
     )
-    print(f"{'load':34} {'us/event':>9} {'p99 batch':>10} {'refused':>8}")
+    print(f"{'load':34} {'us/event':>9} {'p99 batch':>10} {'rejected':>8}")
     for name, rate, latency in (
-        ("300 requests/s, 20 ms a store", 300.0, 20.0),
-        ("1000 requests/s, 20 ms a store", 1000.0, 20.0),
+        ("300 requests/s, 20 ms per store", 300.0, 20.0),
+        ("1000 requests/s, 20 ms per store", 1000.0, 20.0),
         ("1000 requests/s, 400 ms: overload", 1000.0, 400.0),
     ):
-        mean, high, refused = play(rate, count, 1.0, latency)
-        print(f"{name:34} {mean:9.1f} {high:10.1f} {refused:8.1%}")
+        mean, p99, rejected = simulate(rate, count, 1.0, latency)
+        print(f"{name:34} {mean:9.1f} {p99:10.1f} {rejected:8.1%}")
 
 
 if __name__ == "__main__":
