--- a/benchmarks/reserve.py
+++ b/benchmarks/reserve.py
@@ -21,18 +21,18 @@
     "reserve": "the same, the reserve pays in full",
     "true": "true sizes",
 }
-LARGEST, SECONDS, POWER, RESERVE = 8.0, 60.0, 100.0, 20.0
+LARGEST, SECONDS, POWER, RESERVED_UNITS_PER_S = 8.0, 60.0, 100.0, 20.0
 KIND = api.RequestClass(
     "put", 2.0, 2000.0, 6000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
 )
 
 
-def played(times: float, way: str, seed: int = 1) -> dict[str, float]:
+def simulate(times: float, way: str, seed: int = 1) -> dict[str, float]:
     """Units a second that each course was served: ``small``, ``large`` and ``rest``."""
     size = LARGEST * times
     largest = size if way == "true" else LARGEST
     plans = (
-        api.Plan("held", 1.0, 1.0, RESERVE, RESERVE),
+        api.Plan("held", 1.0, 1.0, RESERVED_UNITS_PER_S, RESERVED_UNITS_PER_S),
         api.Plan("open", 1.0, 1.0, POWER, 0.0),
     )
     cfg = api.Settings(
@@ -49,7 +49,11 @@
     )
     scheduler, draw = Scheduler(cfg, seed, 0.0), random.Random(seed)
     served = dict.fromkeys(("small", "large", "rest"), 0.0)
-    offered = {"small": (4.0, RESERVE), "large": (size, 3 * RESERVE), "rest": (4.0, 1.5 * POWER)}
+    offered = {
+        "small": (4.0, RESERVED_UNITS_PER_S),
+        "large": (size, 3 * RESERVED_UNITS_PER_S),
+        "rest": (4.0, 1.5 * POWER),
+    }
     heap: list[tuple[float, int, str, object]] = []
     count = 0
 
@@ -99,7 +103,7 @@
     print("| --- | --- | --- | --- | --- |")
     for times in (1.0, 2.0, 4.0, 8.0):
         for way, word in WAYS.items():
-            runs = [played(times, way, seed) for seed in range(1, 6)]
+            runs = [simulate(times, way, seed) for seed in range(1, 6)]
             mean = {name: sum(run[name] for run in runs) / len(runs) for name in runs[0]}
             print(f"| {times:g} | {word} | {mean['large']:.1f} | {mean['small']:.1f} | {mean['rest']:.1f} |")
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -476,9 +476,9 @@
     """Told as small ones, objects of four times the largest size have three times the reserve, at others' cost (simulated)."""
     from benchmarks import reserve
 
-    lost, mended = reserve.played(4.0, ""), reserve.played(4.0, "reserve")
-    assert lost["large"] > 2 * reserve.RESERVE
-    assert mended["large"] < 1.3 * reserve.RESERVE and mended["rest"] > 2 * lost["rest"]
+    lost, mended = reserve.simulate(4.0, ""), reserve.simulate(4.0, "reserve")
+    assert lost["large"] > 2 * reserve.RESERVED_UNITS_PER_S
+    assert mended["large"] < 1.3 * reserve.RESERVED_UNITS_PER_S and mended["rest"] > 2 * lost["rest"]
     assert mended["small"] >= 0.9 * lost["small"]
 
 
