--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -30,6 +30,7 @@
 def limit_after_updates(
     limit: Gradient2Limit, latency_ms: float, expected_ms: float, rounds: int, peak_in_flight: int = 32
 ) -> float:
+    """Records 10 equal samples before each of ``rounds`` updates. Returns the resulting limit."""
     for number in range(1, rounds + 1):
         for _ in range(10):
             limit.record(latency_ms, expected_ms)
--- a/winchdyke/scheduling/admission.py
+++ b/winchdyke/scheduling/admission.py
@@ -90,7 +90,7 @@
 
 
 def _is_exhausted(state: SchedulerState, pending: PendingRequest) -> bool:
-    """Returns whether a request has no attempts left, or not the time for its work or its volume's limit."""
+    """Returns whether no attempts are left, or too little time for the work or the volume's limit."""
     if len(pending.attempts) >= state.settings.max_attempts:
         return True
     if state.now + state.expected_work_ms(pending) >= pending.deadline_ms:
--- a/winchdyke/scheduling/concurrency_limit.py
+++ b/winchdyke/scheduling/concurrency_limit.py
@@ -10,8 +10,8 @@
 INITIAL_LIMIT = 4.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 16.0
-# With more gateways than this, the minimum limit is divided: all gateways together keep this many requests
-# per endpoint.
+# With more gateways than this, each one's minimum limit is reduced so that all of them add up to this many
+# requests per endpoint.
 MAX_UNDIVIDED_GATEWAYS = 6
 UPDATE_INTERVAL_MS = 500.0
 MIN_SAMPLES = 3
