--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -630,9 +630,9 @@
 
 def test_a_body_that_arrived_with_its_head_ends_without_more_data():
     """Reading on would wait until the client's deadline."""
-    from winchdyke.http1 import End, RequestHead, ServerSide
+    from winchdyke.http1 import EndOfBody, RequestHead, ServerCodec
 
-    codec = ServerSide(1000)
+    codec = ServerCodec(1000)
     codec.feed(b"PUT /a/b HTTP/1.1\r\nhost: x\r\ncontent-length: 0\r\nconnection: close\r\n\r\n")
     assert isinstance(codec.head(), RequestHead)
-    assert isinstance(codec.body(), End)
+    assert isinstance(codec.body(), EndOfBody)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 from conftest import SETTINGS
 
 from winchdyke import interface as api
-from winchdyke.http1 import ClientSide, Need, ProtocolError, ServerSide
+from winchdyke.http1 import ClientCodec, NeedData, ProtocolError, ServerCodec
 from winchdyke.interface import AttemptOutcome
 from winchdyke.platform import configuration, discovery_protocol, protocol
 from winchdyke.platform.client_idle_limit import (
@@ -66,10 +66,10 @@
 
 
 def parse_request(headers: dict[str, str], method: str = "GET", path: str = PATH) -> protocol.ParsedRequest:
-    side = ServerSide(4096)
+    side = ServerCodec(4096)
     side.feed(message(f"{method} {path} HTTP/1.1", headers))
     head = side.head()
-    assert head is not None and not isinstance(head, Need)
+    assert head is not None and not isinstance(head, NeedData)
     return protocol.RequestParser(SETTINGS).parse(head)
 
 
@@ -121,14 +121,14 @@
 
 
 def test_a_header_that_comes_twice_is_an_error():
-    side = ServerSide(4096)
+    side = ServerCodec(4096)
     side.feed(message(f"GET {PATH} HTTP/1.1", READ).replace(b"\r\n\r\n", b"\r\nReq-Id: other\r\n\r\n"))
     with pytest.raises(ProtocolError, match="more than one req-id"):
         protocol.RequestParser(SETTINGS).parse(side.head())
 
 
 def parse_response_head(first: str, headers: dict[str, str]) -> Any:
-    side = ClientSide(4096)
+    side = ClientCodec(4096)
     side.request("GET", b"/", [(b"host", b"h")])
     side.end()
     side.feed(message(first, headers))
--- a/winchdyke/discovery/list_service.py
+++ b/winchdyke/discovery/list_service.py
@@ -15,7 +15,7 @@
 from winchdyke.discovery.list_protocol import ListParser, ReceivedList
 from winchdyke.discovery.polling import PollRateLimiter
 from winchdyke.discovery.sources import MAX_LIST_BYTES, OnFailure, OnList
-from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
+from winchdyke.http1 import ClientCodec, EndOfBody, NeedData, ProtocolError, ResponseHead
 from winchdyke.interface import EndpointListKind
 
 MIN_POLL_INTERVAL_SECONDS = 0.02
@@ -100,17 +100,17 @@
             return f"{target}&index={self._index}&wait={wait_ms:.0f}ms"
         return f"{target}&since={quote(self._resume_token, safe='')}&wait={wait_ms:.0f}"
 
-    async def _get(self, target: str) -> tuple[AnswerHead, bytes]:
+    async def _get(self, target: str) -> tuple[ResponseHead, bytes]:
         host = self._settings.host
         async with await anyio.connect_tcp(host, self._settings.port) as stream:
-            codec = ClientSide(MAX_HEADER_BYTES)
+            codec = ClientCodec(MAX_HEADER_BYTES)
             headers = [(b"host", host.encode()), (b"connection", b"close")]
             await stream.send(codec.request("GET", target.encode(), headers) + codec.end())
-            while isinstance(head := codec.head(), Need):
+            while isinstance(head := codec.head(), NeedData):
                 codec.feed(await _receive(stream))
             body = bytearray()
-            while not isinstance(piece := codec.body(), End):
-                if isinstance(piece, Need):
+            while not isinstance(piece := codec.body(), EndOfBody):
+                if isinstance(piece, NeedData):
                     codec.feed(await _receive(stream))
                 else:
                     body += piece
@@ -118,7 +118,7 @@
                     raise EndpointListError(f"the list is larger than {MAX_LIST_BYTES} bytes")
         return head, bytes(body)
 
-    def _from_index(self, received: ReceivedList, head: AnswerHead) -> ReceivedList | None:
+    def _from_index(self, received: ReceivedList, head: ResponseHead) -> ReceivedList | None:
         """The complete list at an index, as services with blocking queries answer; None where nothing changed.
 
         After an index that went back the next call does not wait. The view takes the index as the list's version.
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -13,7 +13,7 @@
 
 from winchdyke.gateway.bodies import BodyStoreFullError, ReplayBody
 from winchdyke.gateway.pool import ConnectError, Connection, ConnectionPool
-from winchdyke.http1 import AnswerHead, Bytes, End, Headers, Need, ProtocolError
+from winchdyke.http1 import Bytes, EndOfBody, Headers, NeedData, ProtocolError, ResponseHead
 from winchdyke.interface import AttemptOutcome
 from winchdyke.object_api import store_protocol
 from winchdyke.object_api.sinks import Sink
@@ -42,7 +42,7 @@
 class UpstreamResponse:
     """A store's complete response."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -91,7 +91,7 @@
         stream_idle_ms: float,
         sink: Sink,
         on_stream_start: Callable[[], None],
-        is_expected: Callable[[AnswerHead], bool],
+        is_expected: Callable[[ResponseHead], bool],
         enter_phase: Callable[[str], None] = lambda _: None,
     ) -> None:
         self._pool = pool
@@ -262,7 +262,7 @@
 
     async def _read_response(self, connection: Connection) -> AttemptResult:
         codec = connection.codec
-        while isinstance(head := codec.head(), Need):
+        while isinstance(head := codec.head(), NeedData):
             codec.feed(await self._receive(connection))
         self._enter_phase("answer")
         if not self._is_expected(head):
@@ -273,21 +273,21 @@
             head.length is None or head.length <= MAX_BUFFERED_RESPONSE_BYTES
         ):
             chunk = await self._read_body_chunk(connection)
-            if isinstance(chunk, End):
+            if isinstance(chunk, EndOfBody):
                 return self._complete_response(head, report, bytes(body))
             body += chunk
         if head.status >= 500:
             return self._complete_response(head, report, b"")
         while not body:
             chunk = await self._read_body_chunk(connection)
-            if isinstance(chunk, End):
+            if isinstance(chunk, EndOfBody):
                 return self._complete_response(head, report, b"")
             body += chunk
         return await self._stream_response(connection, head, report, bytes(body))
 
     @staticmethod
     def _complete_response(
-        head: AnswerHead, report: store_protocol.EndpointReport, body: bytes
+        head: ResponseHead, report: store_protocol.EndpointReport, body: bytes
     ) -> AttemptResult:
         if store_protocol.proves_no_effect(head):
             return AttemptResult(AttemptOutcome.SHED, report=report, status=head.status)
@@ -304,7 +304,7 @@
     async def _stream_response(
         self,
         connection: Connection,
-        head: AnswerHead,
+        head: ResponseHead,
         report: store_protocol.EndpointReport,
         first_chunk: bytes,
     ) -> AttemptResult:
@@ -317,8 +317,8 @@
         self._result = result
         try:
             await self._send_to_client(self._sink.begin_stream(head))
-            chunk: Bytes | End = first_chunk
-            while not isinstance(chunk, End):
+            chunk: Bytes | EndOfBody = first_chunk
+            while not isinstance(chunk, EndOfBody):
                 await self._send_to_client(self._sink.data(chunk))
                 body_bytes += len(chunk)
                 with anyio.fail_after(self._stream_idle_ms / 1000):
@@ -346,10 +346,10 @@
             self._client_wait_ms += self._clock() - started_at_ms
             self._enter_phase("answer")
 
-    async def _read_body_chunk(self, connection: Connection) -> Bytes | End:
+    async def _read_body_chunk(self, connection: Connection) -> Bytes | EndOfBody:
         while True:
             chunk = connection.codec.body()
-            if not isinstance(chunk, Need):
+            if not isinstance(chunk, NeedData):
                 return chunk
             connection.codec.feed(await self._receive(connection))
 
--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -15,15 +15,15 @@
 from winchdyke.config.model import Limits
 from winchdyke.gateway.attempts import CONNECTION_ERRORS, RECEIVE_BYTES, ClientDisconnectedError
 from winchdyke.http1 import (
-    NEED,
-    AnswerHead,
+    NEED_DATA,
     Bytes,
-    End,
+    EndOfBody,
     Headers,
-    Need,
+    NeedData,
     ProtocolError,
     RequestHead,
-    ServerSide,
+    ResponseHead,
+    ServerCodec,
 )
 from winchdyke.object_api import answers
 from winchdyke.object_api.store_protocol import client_headers
@@ -52,7 +52,7 @@
     """
 
     def __init__(self, stream: SocketStream, limits: Limits, clock: Callable[[], float]) -> None:
-        self.codec = ServerSide(limits.header_bytes)
+        self.codec = ServerCodec(limits.header_bytes)
         self.timeout_at_ms = float("inf")
         self.on_disconnect: Callable[[], None] | None = None
         self.disconnected = False
@@ -116,7 +116,7 @@
         """Respond without reading a request, and close."""
         try:
             with anyio.move_on_after(LINGER_SECONDS):
-                await self._stream.send(ServerSide(1024).unasked(status, headers, body))
+                await self._stream.send(ServerCodec(1024).closing_response(status, headers, body))
                 await self._send_eof()
                 while True:
                     await self._stream.receive()
@@ -165,11 +165,11 @@
 
     async def _next_head(self) -> RequestHead | None:
         # Timeouts are found by a sweep over all connections, which costs less than a timer for each wait.
-        head = self.codec.head() if self._unread_bytes else NEED
-        if head is NEED and not self.disconnected:
+        head = self.codec.head() if self._unread_bytes else NEED_DATA
+        if head is NEED_DATA and not self.disconnected:
             self.idle = True
             self.timeout_at_ms = self._clock() + self._limits.idle_timeout
-            while head is NEED and not self.disconnected and not self._timed_out:
+            while head is NEED_DATA and not self.disconnected and not self._timed_out:
                 await self._wait_for_data()
                 if self.idle and not self._timed_out:
                     self.idle = False
@@ -177,14 +177,14 @@
                 head = self.codec.head()
             self.idle = False
             self.timeout_at_ms = float("inf")
-            if head is NEED and not self.disconnected and self._received_any:
+            if head is NEED_DATA and not self.disconnected and self._received_any:
                 raise ProtocolError(408, "head-slow", "the request's head did not arrive in time")
         self._received_any = False
         return head if isinstance(head, RequestHead) else None
 
     async def _finish_exchange(self) -> bool:
         """Discard what is left of the request; return whether the connection can carry the next one."""
-        if self.disconnected or self.codec.can_answer:
+        if self.disconnected or self.codec.can_respond:
             return False
         if not self.codec.body_done and not self.close_after_response:
             with anyio.move_on_after(LINGER_SECONDS):
@@ -249,14 +249,14 @@
             ProtocolError: The body is malformed.
         """
         if self.codec.waiting_for_continue:
-            await self._send(self.codec.go_on())
+            await self._send(self.codec.continue_response())
         while True:
             chunk = self.codec.body()
-            if not isinstance(chunk, (Need, End)):
+            if not isinstance(chunk, (NeedData, EndOfBody)):
                 self._unread_bytes = max(0, self._unread_bytes - len(chunk))
                 self._reading_resumed.set()
                 return chunk
-            if isinstance(chunk, End):
+            if isinstance(chunk, EndOfBody):
                 return b""
             if self.disconnected:
                 raise ClientDisconnectedError
@@ -273,7 +273,7 @@
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Send a complete response; no error where the client has disconnected."""
-        if not self.codec.can_answer:
+        if not self.codec.can_respond:
             return
         response = self._response_head(status, headers)
         if body:
@@ -285,11 +285,11 @@
             return
         self.response_bytes = len(body)
 
-    async def respond_from_upstream(self, head: AnswerHead, body: bytes) -> None:
+    async def respond_from_upstream(self, head: ResponseHead, body: bytes) -> None:
         """Send a store's complete response."""
         await self.respond(head.status, client_headers(head.headers), body)
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """Begin a streamed response; its head is sent with the first chunk of the body."""
         self._unsent_head = self._response_head(head.status, client_headers(head.headers))
 
@@ -319,7 +319,7 @@
             self.close_after_response = True
         self.response_status = status
         closing: Headers = [(b"connection", b"close")] if self.close_after_response else []
-        return self.codec.answer(status, headers + self.extra_headers + closing)
+        return self.codec.response_head(status, headers + self.extra_headers + closing)
 
     def _too_much_unread(self) -> bool:
         return self.declared_body_bytes is None or self.declared_body_bytes > MAX_DISCARDED_BODY_BYTES
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -36,7 +36,7 @@
 from winchdyke.gateway.pool import ConnectError, Connection
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.service import Service
-from winchdyke.http1 import End, Need
+from winchdyke.http1 import EndOfBody, NeedData
 from winchdyke.membership.agent import MembershipAgent
 from winchdyke.membership.errors import MembershipError
 from winchdyke.object_api import store_protocol
@@ -167,10 +167,10 @@
         await connection.stream.send(
             codec.request("GET", store_protocol.IDENTITY_PATH, headers) + codec.end()
         )
-        while isinstance(head := codec.head(), Need):
+        while isinstance(head := codec.head(), NeedData):
             codec.feed(await connection.stream.receive())
-        while not isinstance(chunk := codec.body(), End):
-            if isinstance(chunk, Need):
+        while not isinstance(chunk := codec.body(), EndOfBody):
+            if isinstance(chunk, NeedData):
                 codec.feed(await connection.stream.receive())
         evidence = store_protocol.read_report(head).evidence or EndpointEvidence()
         if not self.discovery.record_response(connection.endpoint, evidence):
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -15,7 +15,7 @@
 from winchdyke.gateway.pool import ConnectionPool
 from winchdyke.gateway.request_context import Caller
 from winchdyke.gateway.scheduler_loop import FinalAction, RequestAction, RequestHandle, SchedulerLoop
-from winchdyke.http1 import AnswerHead
+from winchdyke.http1 import ResponseHead
 from winchdyke.latency_attribution.recorder import Recorder
 from winchdyke.object_api import ranges, routes
 from winchdyke.object_api.sinks import Sink
@@ -254,7 +254,7 @@
     """Latency is not attributed."""
 
 
-def _is_expected(operation: routes.Operation, head: AnswerHead) -> bool:
+def _is_expected(operation: routes.Operation, head: ResponseHead) -> bool:
     if operation.part and operation.name == "get":
         # The bytes of a part are known to its store only.
         return head.status in (200, 206) or head.status >= 400
--- a/winchdyke/gateway/pool.py
+++ b/winchdyke/gateway/pool.py
@@ -11,7 +11,7 @@
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from winchdyke.http1 import ClientSide, ProtocolError
+from winchdyke.http1 import ClientCodec, ProtocolError
 
 RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024
@@ -49,7 +49,7 @@
     def __init__(self, endpoint: str, stream: SocketStream) -> None:
         self.endpoint = endpoint
         self.stream = stream
-        self.codec = ClientSide(MAX_RESPONSE_HEAD_BYTES)
+        self.codec = ClientCodec(MAX_RESPONSE_HEAD_BYTES)
         self.exchanges = 0
         self.idle_since_ms = 0.0
         self.on_close: Callable[[Connection], None] = lambda _: None
--- a/winchdyke/gateway/request_context.py
+++ b/winchdyke/gateway/request_context.py
@@ -9,7 +9,7 @@
 from winchdyke.config.model import Kind, VolumeRule
 from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import ClientDisconnectedError
-from winchdyke.http1 import AnswerHead, Bytes, ProtocolError, RequestHead
+from winchdyke.http1 import Bytes, ProtocolError, RequestHead, ResponseHead
 from winchdyke.object_api import routes
 from winchdyke.object_api.sinks import Sink
 
@@ -17,7 +17,7 @@
 class DiscardSink:
     """Refuses a streamed response, where only complete responses are used."""
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """Refuse the response.
 
         Raises:
--- a/winchdyke/gateway/sharded_listing.py
+++ b/winchdyke/gateway/sharded_listing.py
@@ -15,7 +15,7 @@
 from winchdyke.gateway.final_response import FinalResponse
 from winchdyke.gateway.request_context import DiscardSink, RequestContext
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.http1 import AnswerHead, Headers
+from winchdyke.http1 import Headers, ResponseHead
 from winchdyke.object_api import listing, routes
 
 LIST_OPERATIONS = ("list", "list-uploads")
@@ -100,4 +100,4 @@
         (b"content-type", b"application/json"),
         (b"content-length", str(len(body)).encode()),
     ]
-    return final_response.served(UpstreamResponse(AnswerHead(200, headers, len(body)), body))
+    return final_response.served(UpstreamResponse(ResponseHead(200, headers, len(body)), body))
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -12,7 +12,7 @@
 from winchdyke.gateway.request_context import RequestContext
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, tag_of
-from winchdyke.http1 import AnswerHead, Headers, ProtocolError
+from winchdyke.http1 import Headers, ProtocolError, ResponseHead
 from winchdyke.writeback.log import Full, LogError
 
 
@@ -71,7 +71,7 @@
             if failure is not None:
                 return failure
         headers: Headers = [(b"etag", etag.encode()), (b"content-length", b"0")]
-        response = UpstreamResponse(AnswerHead(200, headers, 0), b"")
+        response = UpstreamResponse(ResponseHead(200, headers, 0), b"")
         return FinalResponse(200, "served", "ok", response=response, acknowledged_by="log")
 
     async def _append(self, context: RequestContext, etag: str, body: bytes) -> FinalResponse | None:
--- a/winchdyke/http1.py
+++ b/winchdyke/http1.py
@@ -11,7 +11,7 @@
 
 import h11
 
-PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 Headers = list[tuple[bytes, bytes]]
 Bytes = bytes | bytearray
 
@@ -40,7 +40,7 @@
 
 
 @dataclass(slots=True)
-class AnswerHead:
+class ResponseHead:
     """An answer's head; ``length`` is None where only the framing tells the end."""
 
     status: int
@@ -53,15 +53,15 @@
         return b", ".join(found).decode("latin-1") if found else None
 
 
-class Need:
+class NeedData:
     """More bytes are needed."""
 
 
-class End:
+class EndOfBody:
     """The message is whole."""
 
 
-NEED, END = Need(), End()
+NEED_DATA, END_OF_BODY = NeedData(), EndOfBody()
 
 
 def _passed(connection: h11.Connection, data: Bytes) -> Bytes:
@@ -75,7 +75,7 @@
     return int(next(iter(given))) if given else None
 
 
-class ServerSide:
+class ServerCodec:
     """One client connection."""
 
     def __init__(self, header_bytes: int) -> None:
@@ -86,7 +86,7 @@
         """Take in bytes."""
         self._h11.receive_data(data)
 
-    def head(self) -> RequestHead | Need | None:
+    def head(self) -> RequestHead | NeedData | None:
         """The next request's head; None where the peer closed in good order."""
         try:
             event = self._h11.next_event()
@@ -97,7 +97,7 @@
         if isinstance(event, h11.ConnectionClosed):
             return None
         if not isinstance(event, h11.Request):
-            return NEED
+            return NEED_DATA
         headers = list(event.headers)
         names = [name for name, _ in headers]
         # The parser's own bound is on heads that are not whole yet; one that came in one piece is counted here.
@@ -117,12 +117,12 @@
             self._h11.next_event()  # the end of a body that has none
         return RequestHead(event.method.decode("ascii"), event.target, headers, length)
 
-    def body(self) -> Bytes | Need | End:
+    def body(self) -> Bytes | NeedData | EndOfBody:
         """More of the request's body."""
         if self.body_done:
             # Guards against waiting for more from a client that has said it sends no more (Connection: close): the parser then
             # tells nothing at a body's end that was read with the head.
-            return END
+            return END_OF_BODY
         try:
             event = self._h11.next_event()
         except h11.RemoteProtocolError as error:
@@ -130,9 +130,9 @@
         if isinstance(event, h11.Data):
             return event.data
         return (
-            END
+            END_OF_BODY
             if isinstance(event, (h11.EndOfMessage, h11.ConnectionClosed)) or event is h11.PAUSED
-            else NEED
+            else NEED_DATA
         )
 
     @property
@@ -145,13 +145,15 @@
         """Whether the client holds its body back until told to go on."""
         return bool(self._h11.they_are_waiting_for_100_continue)
 
-    def go_on(self) -> bytes:
+    def continue_response(self) -> bytes:
         """``100 Continue``."""
         return self._h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
-    def answer(self, status: int, headers: Headers) -> bytes:
+    def response_head(self, status: int, headers: Headers) -> bytes:
         """An answer's head."""
-        reason = PHRASES.get(status, b"")  # some clients read none of a status line that ends with its number
+        reason = REASON_PHRASES.get(
+            status, b""
+        )  # some clients read none of a status line that ends with its number
         return self._h11.send(h11.Response(status_code=status, headers=headers, reason=reason)) or b""
 
     def data(self, data: Bytes) -> Bytes:
@@ -162,13 +164,13 @@
         """The end of an answer."""
         return self._h11.send(h11.EndOfMessage()) or b""
 
-    def unasked(self, status: int, headers: Headers, body: bytes) -> bytes:
+    def closing_response(self, status: int, headers: Headers, body: bytes) -> bytes:
         """A whole answer to a request that has not been read; the connection closes after it."""
-        head = self.answer(status, [*headers, (b"connection", b"close")])
+        head = self.response_head(status, [*headers, (b"connection", b"close")])
         return head + self.data(body) + self.end()
 
     @property
-    def can_answer(self) -> bool:
+    def can_respond(self) -> bool:
         """Whether no answer has been begun."""
         return self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
@@ -178,7 +180,7 @@
         return self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE
 
     @property
-    def more(self) -> bool:
+    def has_buffered_data(self) -> bool:
         """Whether bytes of a next request have been taken in."""
         return bool(self._h11.trailing_data[0])
 
@@ -187,7 +189,7 @@
         self._h11.start_next_cycle()
 
 
-class ClientSide:
+class ClientCodec:
     """One connection to a store."""
 
     def __init__(self, header_bytes: int) -> None:
@@ -209,7 +211,7 @@
         """Take in bytes; empty means that the store has closed."""
         self._h11.receive_data(data)
 
-    def head(self) -> AnswerHead | Need:
+    def head(self) -> ResponseHead | NeedData:
         """The answer's head; what is informational is passed over."""
         try:
             while True:
@@ -217,13 +219,13 @@
                 if isinstance(event, h11.Response):
                     headers = list(event.headers)
                     chunked = any(name == b"transfer-encoding" for name, _ in headers)
-                    return AnswerHead(event.status_code, headers, None if chunked else _length(headers))
+                    return ResponseHead(event.status_code, headers, None if chunked else _length(headers))
                 if not isinstance(event, h11.InformationalResponse):
-                    return NEED
+                    return NEED_DATA
         except h11.RemoteProtocolError as error:
             raise ProtocolError(502, "store-http", str(error)) from error
 
-    def body(self) -> Bytes | Need | End:
+    def body(self) -> Bytes | NeedData | EndOfBody:
         """More of the answer's body."""
         try:
             event = self._h11.next_event()
@@ -231,7 +233,7 @@
             raise ProtocolError(502, "store-cut", str(error)) from error
         if isinstance(event, h11.Data):
             return event.data
-        return END if isinstance(event, h11.EndOfMessage) else NEED
+        return END_OF_BODY if isinstance(event, h11.EndOfMessage) else NEED_DATA
 
     @property
     def reusable(self) -> bool:
--- a/winchdyke/object_api/store_protocol.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from winchdyke.discovery.records import EndpointEvidence
-from winchdyke.http1 import AnswerHead, Headers
+from winchdyke.http1 import Headers, ResponseHead
 
 # Of a request to a store.
 REQUEST_HEADER = b"winchdyke-request"
@@ -62,7 +62,7 @@
     evidence: EndpointEvidence | None = None
 
 
-def read_report(head: AnswerHead) -> EndpointReport:
+def read_report(head: ResponseHead) -> EndpointReport:
     """The report in a response's head. Values that can't be read count as not reported."""
     volume_usage_percent: float | None = None
     units_via_other_gateways: float | None = None
@@ -85,7 +85,7 @@
     )
 
 
-def proves_no_effect(head: AnswerHead) -> bool:
+def proves_no_effect(head: ResponseHead) -> bool:
     """Whether the store reports that it did not execute the request."""
     return head.status >= 500 and any(
         name == NOT_RUN_HEADER and value == b"1" for name, value in head.headers
--- a/winchdyke/platform/client_connection.py
+++ b/winchdyke/platform/client_connection.py
@@ -8,7 +8,7 @@
 from enum import Enum, auto
 from typing import TYPE_CHECKING
 
-from winchdyke.http1 import End, Headers, Need, ProtocolError, RequestHead, ServerSide
+from winchdyke.http1 import EndOfBody, Headers, NeedData, ProtocolError, RequestHead, ServerCodec
 from winchdyke.object_api import answers
 from winchdyke.platform import protocol, sockets
 
@@ -79,7 +79,7 @@
         self.on_disconnect: Callable[[], None] | None = None
         self.close_after_response = False
         self.reserved_body_bytes = 0
-        self._codec = ServerSide(MAX_HEAD_BYTES)
+        self._codec = ServerCodec(MAX_HEAD_BYTES)
         self._head: RequestHead | None = None
         self._request: protocol.ParsedRequest | None = None
         self._body = bytearray()
@@ -162,7 +162,9 @@
 
     def process_pending(self) -> None:
         """Process what was buffered and not parsed, or what lies in the socket."""
-        if self.state is ConnectionState.IDLE and (self._codec.more or self._pipeline_overflowed):
+        if self.state is ConnectionState.IDLE and (
+            self._codec.has_buffered_data or self._pipeline_overflowed
+        ):
             self._parse_requests()
         elif not sockets.has_nothing_to_read(self.sock):
             self.on_readable()
@@ -191,7 +193,7 @@
 
     def _read_head(self) -> bool:
         head = self._codec.head()
-        if isinstance(head, Need):
+        if isinstance(head, NeedData):
             self._wait_for_more()
             return False
         if head is None:
@@ -204,16 +206,16 @@
         self._head = head
         self._connections.reserve_body(self, head.length or 0)
         if head.length != 0 and self._codec.waiting_for_continue:
-            self.sock.send(self._codec.go_on())
+            self.sock.send(self._codec.continue_response())
         return True
 
     def _read_body(self) -> bool:
         while not self._codec.body_done:
             piece = self._codec.body()
-            if isinstance(piece, Need):
+            if isinstance(piece, NeedData):
                 self._wait_for_more()
                 return False
-            if isinstance(piece, End):
+            if isinstance(piece, EndOfBody):
                 break
             self._body += piece
             self._connections.reserve_body(self, len(self._body))
@@ -267,7 +269,7 @@
 
     def _send_error(self, status: int, reason: str, text: str) -> None:
         error = answers.error(status, "refused", reason, "-", text)
-        self.sock.send(ServerSide(ERROR_HEAD_BYTES).unasked(*error))
+        self.sock.send(ServerCodec(ERROR_HEAD_BYTES).closing_response(*error))
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
         """Write the response to the request that awaits one; without effect where none does."""
@@ -278,7 +280,7 @@
         if self.close_after_response:
             headers = [*headers, (b"connection", b"close")]
         codec = self._codec
-        payload = codec.answer(status, headers) + (codec.data(body) if body else b"") + codec.end()
+        payload = codec.response_head(status, headers) + (codec.data(body) if body else b"") + codec.end()
         self.move_to(ConnectionState.WRITING_RESPONSE)
         self._write(memoryview(payload))
 
@@ -308,7 +310,7 @@
         if self.close_after_response or not self._codec.reusable:
             self._half_close()
             return
-        has_more = self._codec.more or self._pipeline_overflowed
+        has_more = self._codec.has_buffered_data or self._pipeline_overflowed
         self._codec.next_cycle()
         self._head = None
         self._pipelined_bytes = 0
--- a/winchdyke/platform/discovery_watch.py
+++ b/winchdyke/platform/discovery_watch.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import TYPE_CHECKING, cast
 
-from winchdyke.http1 import ClientSide, End, Need, ProtocolError
+from winchdyke.http1 import ClientCodec, EndOfBody, NeedData, ProtocolError
 from winchdyke.platform import protocol
 from winchdyke.platform.discovery_protocol import (
     ENDPOINTS_PATH,
@@ -41,7 +41,7 @@
         self.closed = False
         self.started_at = client.loop.time()
         self.last_received_at = self.started_at
-        self._codec = ClientSide(MAX_HEAD_BYTES)
+        self._codec = ClientCodec(MAX_HEAD_BYTES)
         self._head_received = False
         self._close_delimited = False
         self._list_buffer = bytearray()
@@ -70,9 +70,9 @@
     def _parse(self) -> None:
         if not self._head_received and not self._parse_head():
             return
-        while not self.closed and not isinstance(piece := self._codec.body(), Need):
+        while not self.closed and not isinstance(piece := self._codec.body(), NeedData):
             self.has_spoken = True
-            if isinstance(piece, End):
+            if isinstance(piece, EndOfBody):
                 self._on_end()
                 return
             if self._full_list:
@@ -82,7 +82,7 @@
 
     def _parse_head(self) -> bool:
         head = self._codec.head()
-        if isinstance(head, Need):
+        if isinstance(head, NeedData):
             return False
         if head.status != 200:
             raise EndpointListError(f"discovery answered {head.status}")
--- a/winchdyke/platform/protocol.py
+++ b/winchdyke/platform/protocol.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 
 from winchdyke import interface as api
-from winchdyke.http1 import AnswerHead, Headers, ProtocolError, RequestHead
+from winchdyke.http1 import Headers, ProtocolError, RequestHead, ResponseHead
 from winchdyke.interface import AttemptOutcome
 
 MAX_BODY_BYTES = 64 * 1024  # the protocol's limit; requests and responses of stores exceed it at times
@@ -172,18 +172,18 @@
     return headers
 
 
-def count_framing_headers(head: AnswerHead) -> int:
+def count_framing_headers(head: ResponseHead) -> int:
     """In how many ways a response's head gives the end of its body: 0, 1 or 2."""
     names = [name for name, _ in head.headers]
     return (b"content-length" in names) + (b"transfer-encoding" in names)
 
 
-def has_valid_framing(head: AnswerHead, max_body_bytes: int = MAX_BODY_BYTES) -> bool:
+def has_valid_framing(head: ResponseHead, max_body_bytes: int = MAX_BODY_BYTES) -> bool:
     """Whether a response's head gives the end of its body in exactly one way, and within the limit."""
     return count_framing_headers(head) == 1 and (head.length is None or head.length <= max_body_bytes)
 
 
-def parse_response(head: AnswerHead, load_report_fields: tuple[str, ...]) -> AttemptResult:
+def parse_response(head: ResponseHead, load_report_fields: tuple[str, ...]) -> AttemptResult:
     """What a complete response of a store means. Figures that can't be read are dropped."""
     return AttemptResult(
         outcome=_response_outcome(head),
@@ -193,7 +193,7 @@
     )
 
 
-def _response_outcome(head: AnswerHead) -> AttemptOutcome:
+def _response_outcome(head: ResponseHead) -> AttemptOutcome:
     if head.status == 200:
         return AttemptOutcome.SERVED
     if head.status in SHED_STATUSES and head.get(b"srv-declined") == "1":
--- a/winchdyke/platform/upstream_connection.py
+++ b/winchdyke/platform/upstream_connection.py
@@ -5,7 +5,7 @@
 import socket
 from typing import TYPE_CHECKING, NamedTuple
 
-from winchdyke.http1 import ClientSide
+from winchdyke.http1 import ClientCodec
 
 if TYPE_CHECKING:
     from winchdyke.platform.upstream_attempt import UpstreamAttempt
@@ -33,7 +33,7 @@
         self.pool = pool
         self.endpoint = endpoint
         self.sock = sock
-        self.codec = ClientSide(MAX_HEAD_BYTES)
+        self.codec = ClientCodec(MAX_HEAD_BYTES)
         self.attempt: UpstreamAttempt | None = None
         self.established = False
         self.idle_since_ms = 0.0
--- a/winchdyke/platform/upstream_response.py
+++ b/winchdyke/platform/upstream_response.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from winchdyke.http1 import AnswerHead, ClientSide, End, Need, ProtocolError
+from winchdyke.http1 import ClientCodec, EndOfBody, NeedData, ProtocolError, ResponseHead
 from winchdyke.platform import protocol
 from winchdyke.platform.upstream_connection import MAX_HEAD_BYTES
 
@@ -54,7 +54,7 @@
         self._memory = memory
         self._body = bytearray()
         self._received_bytes = 0
-        self.head: AnswerHead | None = None
+        self.head: ResponseHead | None = None
         self.close_delimited = False
 
     @property
@@ -67,7 +67,7 @@
         """Whether more bytes have come than a body of the permitted size and its framing take."""
         return self._received_bytes > 2 * self._memory.max_response_bytes + MAX_FRAMING_BYTES
 
-    def feed(self, codec: ClientSide, data: bytes) -> bool:
+    def feed(self, codec: ClientCodec, data: bytes) -> bool:
         """Take in bytes, empty at the connection's end; whether the response is complete.
 
         MalformedResponseError where it must not be passed on.
@@ -83,18 +83,18 @@
         """Give back the memory of the body; to be called once."""
         self._memory.buffered_bytes -= len(self._body)
 
-    def _parse(self, codec: ClientSide) -> bool:
+    def _parse(self, codec: ClientCodec) -> bool:
         if self.head is None and not self._parse_head(codec):
             return False
-        while not isinstance(piece := codec.body(), Need):
-            if isinstance(piece, End):
+        while not isinstance(piece := codec.body(), NeedData):
+            if isinstance(piece, EndOfBody):
                 return True
             self._append(piece)
         return False
 
-    def _parse_head(self, codec: ClientSide) -> bool:
+    def _parse_head(self, codec: ClientCodec) -> bool:
         head = codec.head()
-        if isinstance(head, Need):
+        if isinstance(head, NeedData):
             return False
         self.close_delimited = not protocol.count_framing_headers(head)
         if not self.close_delimited and not protocol.has_valid_framing(head, self._memory.max_response_bytes):
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from winchdyke.http1 import AnswerHead, Bytes
+from winchdyke.http1 import Bytes, ResponseHead
 from winchdyke.object_api.sinks import Sink
 from winchdyke.quotas.token_bucket import QuotaBalance, QuotaExceededError, TransferDebt, units_for_bytes
 
@@ -271,7 +271,7 @@
         self._charge = charge
         self._sink = sink
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """Charge a response of known length, then pass its head on.
 
         Raises:
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -28,7 +28,7 @@
 from winchdyke.gateway.final_response import FinalResponse
 from winchdyke.gateway.request_context import BodySource, InternalCaller
 from winchdyke.gateway.service import Service
-from winchdyke.http1 import AnswerHead, Bytes, Headers, ProtocolError, RequestHead
+from winchdyke.http1 import Bytes, Headers, ProtocolError, RequestHead, ResponseHead
 from winchdyke.object_api import listing as native
 from winchdyke.object_api import ranges, routes, store_protocol
 from winchdyke.object_api.answers import RequestError
@@ -54,9 +54,9 @@
     def __init__(self, most: int = DOCUMENT) -> None:
         self.data_, self._most, self.head = bytearray(), most, None
 
-    head: AnswerHead | None
+    head: ResponseHead | None
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """Take the head."""
         self.head = head
 
@@ -76,13 +76,13 @@
     def __init__(self, connection: ClientConnection, overrides: Headers) -> None:
         self._to, self._overrides = connection, overrides
 
-    def told(self, head: AnswerHead) -> AnswerHead:
+    def told(self, head: ResponseHead) -> ResponseHead:
         """The head with the headers that the client asked for in place of those that are kept."""
         names = {name for name, _ in self._overrides}
         headers = [(name, value) for name, value in head.headers if name not in names] + self._overrides
-        return AnswerHead(head.status, headers, head.length)
+        return ResponseHead(head.status, headers, head.length)
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """Pass the head on."""
         await self._to.begin_stream(self.told(head))
 
@@ -100,10 +100,10 @@
 
     def __init__(self) -> None:
         self._send, self._receive = anyio.create_memory_object_stream[bytes](PIPE)
-        self.begun, self.head = anyio.Event(), AnswerHead(0, [], None)
+        self.begun, self.head = anyio.Event(), ResponseHead(0, [], None)
         self.whole = False
 
-    async def begin_stream(self, head: AnswerHead) -> None:
+    async def begin_stream(self, head: ResponseHead) -> None:
         """The source is there."""
         self.head = head
         self.begun.set()
@@ -209,7 +209,7 @@
             "refused" if error.code == "SlowDown" else "failed" if error.status >= 500 else "served"
         )
         call.code = error.code
-        if connection.disconnected or not connection.codec.can_answer:
+        if connection.disconnected or not connection.codec.can_respond:
             connection.close_after_response = True
             return
         body = xml.error(
@@ -368,7 +368,7 @@
         finally:
             lanes.leave(name)
 
-    def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> AnswerHead:
+    def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> ResponseHead:
         """The head of a store's whole answer. S3Error where it says no, or where no store said anything."""
         if final.streamed:
             self.outcome = final.outcome
@@ -406,7 +406,7 @@
             told.append((b"content-type", b"application/xml"))
         await self.connection.respond(status, told, b"" if self.head.method == "HEAD" else body)
 
-    def _etag(self, head: AnswerHead) -> str:
+    def _etag(self, head: ResponseHead) -> str:
         return head.get(b"etag") or ""
 
     # Bodies
@@ -630,7 +630,7 @@
         await self._say(200, xml.document("DeleteResult", told))
 
     async def _copied(
-        self, put: Callable[[BodySource, AnswerHead], Awaitable[FinalResponse]]
+        self, put: Callable[[BodySource, ResponseHead], Awaitable[FinalResponse]]
     ) -> FinalResponse:
         """What the request names is read from its store and handed to ``put`` as it comes."""
         bucket, key, part = requests.copy_source(self.head)
@@ -688,7 +688,7 @@
                 "InvalidRequest", "a copy onto itself has to change something: REPLACE the metadata"
             )
 
-        async def put(source: BodySource, head: AnswerHead) -> FinalResponse:
+        async def put(source: BodySource, head: ResponseHead) -> FinalResponse:
             kept = requests.kept(self.head) if word == "REPLACE" else _kept_of(head)
             return await self._do("put", asked.bucket, asked.key, source, passed=kept)
 
@@ -785,7 +785,7 @@
     async def _UploadPartCopy(self, asked: Asked) -> None:
         number, upload = asked.number("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
 
-        async def put(source: BodySource, _: AnswerHead) -> FinalResponse:
+        async def put(source: BodySource, _: ResponseHead) -> FinalResponse:
             return await self._do("put-part", asked.bucket, asked.key, source, upload=upload, part=number)
 
         head = self._answered(await self._copied(put), "NoSuchUpload")
@@ -913,7 +913,7 @@
     return BodySource(read, len(data))
 
 
-def _kept_of(head: AnswerHead) -> tuple[tuple[bytes, bytes], ...]:
+def _kept_of(head: ResponseHead) -> tuple[tuple[bytes, bytes], ...]:
     return tuple(
         (name, value)
         for name, value in head.headers
