--- a/winchdyke/http1.py
+++ b/winchdyke/http1.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 behind one small seam: bytes in, events out, and back. Only this module knows the parser (h11).
+"""HTTP/1.1 codecs for servers and clients, without I/O. Only this module uses the parser library (h11).
 
-Another parser replaces the two classes here. Nothing here does I/O. What a peer does wrong raises
-:class:`ProtocolError` with the status to answer and a reason code.
+To use another parser, replace :class:`ServerCodec` and :class:`ClientCodec`. Protocol violations by a peer
+raise :class:`ProtocolError` with a response status and a reason code.
 """
 
 from __future__ import annotations
@@ -17,7 +17,12 @@
 
 
 class ProtocolError(Exception):
-    """The peer broke HTTP; ``status`` is what a server should answer."""
+    """The peer violated the protocol.
+
+    Attributes:
+        status: The status with which a server should respond.
+        reason: The reason code, such as ``bad-http``.
+    """
 
     def __init__(self, status: int, reason: str, text: str) -> None:
         super().__init__(text)
@@ -26,7 +31,7 @@
 
 @dataclass(slots=True)
 class RequestHead:
-    """A request's head; ``length`` is None where the body is chunked."""
+    """A request's head; ``length`` is in bytes, or None if the body is chunked."""
 
     method: str
     target: bytes
@@ -34,60 +39,63 @@
     length: int | None
 
     def get(self, name: bytes) -> str | None:
-        """A header's value, by its name in lower case; several are joined by commas."""
+        """Return a header's value by its lower-case name, or None; joins repeated headers with commas."""
         found = [value for key, value in self.headers if key == name]
         return b", ".join(found).decode("latin-1") if found else None
 
 
 @dataclass(slots=True)
 class ResponseHead:
-    """An answer's head; ``length`` is None where only the framing tells the end."""
+    """A response's head; ``length`` is in bytes, or None if the head has no Content-Length or is chunked."""
 
     status: int
     headers: Headers
     length: int | None
 
     def get(self, name: bytes) -> str | None:
-        """A header's value, by its name in lower case."""
+        """Return a header's value by its lower-case name, or None; joins repeated headers with commas."""
         found = [value for key, value in self.headers if key == name]
         return b", ".join(found).decode("latin-1") if found else None
 
 
 class NeedData:
-    """More bytes are needed."""
+    """The codec needs more bytes to continue."""
 
 
 class EndOfBody:
-    """The message is whole."""
+    """The message is complete."""
 
 
 NEED_DATA, END_OF_BODY = NeedData(), EndOfBody()
 
 
-def _passed(connection: h11.Connection, data: Bytes) -> Bytes:
-    """A piece of a body as it goes on the wire; not copied where its framing adds nothing."""
+def _serialize_body(connection: h11.Connection, data: Bytes) -> Bytes:
+    """Return a piece of a body with its framing; the data is not copied if no framing is added."""
     parts = connection.send_with_data_passthrough(h11.Data(data=data)) or []  # type: ignore[arg-type]
     return parts[0] if len(parts) == 1 else b"".join(parts)
 
 
-def _length(headers: Headers) -> int | None:
+def _content_length(headers: Headers) -> int | None:
     given = {value for name, value in headers if name == b"content-length"}
     return int(next(iter(given))) if given else None
 
 
 class ServerCodec:
-    """One client connection."""
+    """The server's side of one connection: parses requests and serializes responses.
+
+    ``header_bytes`` limits the size of a request's head.
+    """
 
     def __init__(self, header_bytes: int) -> None:
         self._h11 = h11.Connection(h11.SERVER, max_incomplete_event_size=header_bytes)
         self._header_bytes = header_bytes
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes."""
+        """Add received bytes to the buffer."""
         self._h11.receive_data(data)
 
     def head(self) -> RequestHead | NeedData | None:
-        """The next request's head; None where the peer closed in good order."""
+        """Return the next request's head, or None if the client has closed between requests."""
         try:
             event = self._h11.next_event()
         except h11.RemoteProtocolError as error:
@@ -100,7 +108,7 @@
             return NEED_DATA
         headers = list(event.headers)
         names = [name for name, _ in headers]
-        # The parser's own bound is on heads that are not whole yet; one that came in one piece is counted here.
+        # The parser limits only incomplete heads; a head that arrived in one piece is checked here.
         if (
             len(event.target) + sum(len(name) + len(value) + 4 for name, value in headers)
             > self._header_bytes
@@ -112,16 +120,16 @@
             )
         if names.count(b"host") > 1:
             raise ProtocolError(400, "bad-http", "more than one Host header")
-        length = None if b"transfer-encoding" in names else _length(headers) or 0
+        length = None if b"transfer-encoding" in names else _content_length(headers) or 0
         if length == 0:
-            self._h11.next_event()  # the end of a body that has none
+            self._h11.next_event()  # consumes the end of the empty body
         return RequestHead(event.method.decode("ascii"), event.target, headers, length)
 
     def body(self) -> Bytes | NeedData | EndOfBody:
-        """More of the request's body."""
+        """Return the next piece of the request's body."""
         if self.body_done:
-            # Guards against waiting for more from a client that has said it sends no more (Connection: close): the parser then
-            # tells nothing at a body's end that was read with the head.
+            # After "Connection: close", h11 reports no event for the end of a body that was read with the
+            # head. Without this check the caller would wait for data that never arrives.
             return END_OF_BODY
         try:
             event = self._h11.next_event()
@@ -137,41 +145,40 @@
 
     @property
     def body_done(self) -> bool:
-        """Whether the whole request has been read."""
+        """Whether the request was read completely."""
         return self._h11.their_state not in (h11.SEND_BODY, h11.IDLE)
 
     @property
     def waiting_for_continue(self) -> bool:
-        """Whether the client holds its body back until told to go on."""
+        """Whether the client waits for ``100 Continue`` before it sends the body."""
         return bool(self._h11.they_are_waiting_for_100_continue)
 
     def continue_response(self) -> bytes:
-        """``100 Continue``."""
+        """Serialize a ``100 Continue`` response."""
         return self._h11.send(h11.InformationalResponse(status_code=100, headers=[])) or b""
 
     def response_head(self, status: int, headers: Headers) -> bytes:
-        """An answer's head."""
-        reason = REASON_PHRASES.get(
-            status, b""
-        )  # some clients read none of a status line that ends with its number
+        """Serialize a response's head."""
+        # Some clients reject a status line that has no reason phrase.
+        reason = REASON_PHRASES.get(status, b"")
         return self._h11.send(h11.Response(status_code=status, headers=headers, reason=reason)) or b""
 
     def data(self, data: Bytes) -> Bytes:
-        """A piece of an answer's body."""
-        return _passed(self._h11, data)
+        """Serialize a piece of a response's body."""
+        return _serialize_body(self._h11, data)
 
     def end(self) -> bytes:
-        """The end of an answer."""
+        """Serialize the end of a response."""
         return self._h11.send(h11.EndOfMessage()) or b""
 
     def closing_response(self, status: int, headers: Headers, body: bytes) -> bytes:
-        """A whole answer to a request that has not been read; the connection closes after it."""
+        """Serialize a complete response with "Connection: close", without reading the rest of the request."""
         head = self.response_head(status, [*headers, (b"connection", b"close")])
         return head + self.data(body) + self.end()
 
     @property
     def can_respond(self) -> bool:
-        """Whether no answer has been begun."""
+        """Whether no response has been started."""
         return self._h11.our_state in (h11.IDLE, h11.SEND_RESPONSE)
 
     @property
@@ -181,52 +188,57 @@
 
     @property
     def has_buffered_data(self) -> bool:
-        """Whether bytes of a next request have been taken in."""
+        """Whether bytes of the next request are in the buffer."""
         return bool(self._h11.trailing_data[0])
 
     def next_cycle(self) -> None:
-        """Be ready for the next request."""
+        """Prepare for the next request on this connection."""
         self._h11.start_next_cycle()
 
 
 class ClientCodec:
-    """One connection to a store."""
+    """The client's side of one connection: serializes requests and parses responses.
+
+    ``header_bytes`` limits the size of a response's head.
+    """
 
     def __init__(self, header_bytes: int) -> None:
         self._h11 = h11.Connection(h11.CLIENT, max_incomplete_event_size=header_bytes)
 
     def request(self, method: str, target: bytes, headers: Headers) -> bytes:
-        """A request's head."""
+        """Serialize a request's head."""
         return self._h11.send(h11.Request(method=method, target=target, headers=headers)) or b""
 
     def data(self, data: Bytes) -> Bytes:
-        """A piece of the request's body."""
-        return _passed(self._h11, data)
+        """Serialize a piece of the request's body."""
+        return _serialize_body(self._h11, data)
 
     def end(self) -> bytes:
-        """The end of the request."""
+        """Serialize the end of the request."""
         return self._h11.send(h11.EndOfMessage()) or b""
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; empty means that the store has closed."""
+        """Add received bytes to the buffer; empty if the server has closed."""
         self._h11.receive_data(data)
 
     def head(self) -> ResponseHead | NeedData:
-        """The answer's head; what is informational is passed over."""
+        """Return the response's head. Informational responses are skipped."""
         try:
             while True:
                 event = self._h11.next_event()
                 if isinstance(event, h11.Response):
                     headers = list(event.headers)
                     chunked = any(name == b"transfer-encoding" for name, _ in headers)
-                    return ResponseHead(event.status_code, headers, None if chunked else _length(headers))
+                    return ResponseHead(
+                        event.status_code, headers, None if chunked else _content_length(headers)
+                    )
                 if not isinstance(event, h11.InformationalResponse):
                     return NEED_DATA
         except h11.RemoteProtocolError as error:
             raise ProtocolError(502, "store-http", str(error)) from error
 
     def body(self) -> Bytes | NeedData | EndOfBody:
-        """More of the answer's body."""
+        """Return the next piece of the response's body."""
         try:
             event = self._h11.next_event()
         except h11.RemoteProtocolError as error:
@@ -242,5 +254,5 @@
         return clean and not self._h11.trailing_data[0]
 
     def next_cycle(self) -> None:
-        """Be ready for the next request."""
+        """Prepare for the next request on this connection."""
         self._h11.start_next_cycle()
