--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -117,7 +117,7 @@
             calls = it.gateway.shutdown.schedule
             assert calls is not None
             it.gateway.shutdown.schedule = replace(
-                calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0
+                calls, close_connections_from_ms=0.0, respond_by_ms=0.0, earliest_exit_ms=0.0
             )
             with socket.socket() as client:
                 if where == "in the queue":
@@ -150,7 +150,7 @@
             it.gateway.stop()
             calls = it.gateway.shutdown.schedule
             assert calls is not None
-            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0, earliest_exit_ms=0.0)
+            it.gateway.shutdown.schedule = replace(calls, close_connections_from_ms=0.0, earliest_exit_ms=0.0)
             await asyncio.sleep(0.1)
             assert not it.gateway.shutdown.finished.done()
             writer.write(request[30:])
@@ -182,7 +182,7 @@
                 calls = it.gateway.shutdown.schedule
                 assert calls is not None
                 it.gateway.shutdown.schedule = replace(
-                    calls, closing_from_ms=0.0, answer_by_ms=0.0, earliest_exit_ms=0.0
+                    calls, close_connections_from_ms=0.0, respond_by_ms=0.0, earliest_exit_ms=0.0
                 )
                 await asyncio.sleep(0.1)
                 assert not it.gateway.shutdown.finished.done()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -256,7 +256,7 @@
         ({"discovery": "h:0"}, "HOST:PORT"),
         ({"seed": "xyz"}, "hex digits"),
         ({"limits": {"sockets": -1}}, "above 0"),
-        ({"settings": {}}, "'settings' can't be used"),
+        ({"settings": {}}, "'settings' is invalid"),
         ({"settings": []}, "give an object"),
     ],
 )
@@ -270,7 +270,7 @@
         with pytest.raises(configuration.ConfigurationError, match="NODE_CONFIG"):
             configuration.read_environment(variables)
     (tmp_path / "half").write_text('{"name": ')
-    with pytest.raises(configuration.ConfigurationError, match="no JSON"):
+    with pytest.raises(configuration.ConfigurationError, match="not valid JSON"):
         configuration.read_environment({"NODE_CONFIG": str(tmp_path / "half")})
 
 
@@ -292,6 +292,6 @@
     """The platform may end the process so long after SIGTERM; what came later than 0.7 s after it and is open is lost."""
     now = 5000.0
     times = shutdown_schedule(now, longest)
-    assert now <= times.closing_from_ms <= times.answer_by_ms < now + earliest - 300.0
-    assert times.closing_from_ms <= now + earliest - 900.0 or times.closing_from_ms == now
+    assert now <= times.close_connections_from_ms <= times.respond_by_ms < now + earliest - 300.0
+    assert times.close_connections_from_ms <= now + earliest - 900.0 or times.close_connections_from_ms == now
     assert times.earliest_exit_ms >= now + 400.0  # new connections come until then
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -486,7 +486,7 @@
                 status, headers, _ = await answer(kept_reader)
                 assert (status, headers.get("connection")) == (200, None)
             assert (await it.ask())[0] == 200  # a new one is taken, too
-            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0)
+            it.gateway.shutdown.schedule = replace(calls, close_connections_from_ms=0.0)
             it.gateway.clients.close_after_response = True
             kept.write(it.request())
             status, headers, _ = await answer(kept_reader)
@@ -512,8 +512,8 @@
             )
             it.gateway.stop()
             calls = it.gateway.shutdown.schedule
-            assert calls is not None and calls.answer_by_ms - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
-            it.gateway.shutdown.schedule = replace(calls, closing_from_ms=0.0, answer_by_ms=0.0)
+            assert calls is not None and calls.respond_by_ms - it.gateway.clock() <= 3000.0 + 700.0 - 400.0
+            it.gateway.shutdown.schedule = replace(calls, close_connections_from_ms=0.0, respond_by_ms=0.0)
             status, headers, _ = await sent
             assert (status, headers["winchdyke-reason"]) == (502, "stopping")  # it may have run: no refusal
             assert (await elsewhere)[0] == 503
--- a/winchdyke/platform/__init__.py
+++ b/winchdyke/platform/__init__.py
@@ -1,6 +1,7 @@
-"""A gateway that speaks the platform's protocol: HTTP/1.1 with clients and stores on raw sockets, and a watch of discovery.
+"""A gateway that speaks the platform's protocol: HTTP/1.1 with clients and stores, and a watch on discovery.
 
-The scheduler decides; this package carries out. Its public names are ``python -m winchdyke.platform``, ``service.PlatformGateway`` and
-``configuration.read_environment``. It may import ``interface``, ``settings``, ``http1``, ``object_api.answers``, and of ``gateway``
-the scheduler loop, the outcomes and the logs. See ``docs/platform.md``.
+The scheduler makes all decisions; this package does the I/O on raw sockets. Its entry points are
+``python -m winchdyke.platform``, ``service.PlatformGateway`` and ``configuration.read_environment``. It may
+import ``interface``, ``settings``, ``http1`` and ``object_api.answers``, and of ``gateway`` the scheduler loop,
+the outcomes, the logs and the errno list of ``pool``. See ``docs/platform.md``.
 """
--- a/winchdyke/platform/__main__.py
+++ b/winchdyke/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m winchdyke.platform``: one gateway on real sockets, configured by its environment. It exits with 0 after SIGTERM."""
+"""``python -m winchdyke.platform``: runs one gateway, configured by environment variables, until SIGTERM."""
 
 from __future__ import annotations
 
@@ -6,20 +6,23 @@
 import sys
 from types import FrameType
 
-_early_signals: list[int] = []  # received before the gateway was made
+_early_signals: list[int] = []  # received before the gateway could handle signals
 
 
 def _record_signal(number: int, _: FrameType | None) -> None:
     _early_signals.append(number)
 
 
-# From the first moment: SIGHUP would end a process that is still importing.
+# Installed before the slow imports in main(): the default action of SIGHUP would end the process.
 for _number in (signal.SIGHUP, signal.SIGTERM):
     signal.signal(_number, _record_signal)
 
 
 def main() -> int:
-    """Serve until SIGTERM; the exit status is 2 where the environment can't be used."""
+    """Serve until SIGTERM and return the exit status.
+
+    The status is 0 after a graceful shutdown, 2 if the configuration is invalid or the gateway can't start.
+    """
     import asyncio
 
     from winchdyke.gateway import logs
--- a/winchdyke/platform/client_connection.py
+++ b/winchdyke/platform/client_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: requests in, one response each out, as a state machine driven by the event loop."""
+"""One client connection: a state machine that reads requests and writes one response to each."""
 
 from __future__ import annotations
 
@@ -16,26 +16,24 @@
     from winchdyke.platform.client_connections import ClientConnections
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_PIPELINED_BYTES = (
-    64 * 1024
-)  # kept while a response is owed; what comes beyond is discarded and answered with 413
-MAX_DISCARDED_BYTES = (
-    1024 * 1024
-)  # read and discarded while lingering, or between two checks while a response is owed
+# Buffered while a response is pending. Data beyond this limit is discarded and answered with 413.
+MAX_PIPELINED_BYTES = 64 * 1024
+# Discarded in the LINGERING state, or between two timeout checks while a response is pending.
+MAX_DISCARDED_BYTES = 1024 * 1024
 ERROR_HEAD_BYTES = 1024
 READY_BODY = b"ready\n"
 
 
 class ConnectionState(Enum):
-    """Where a connection is."""
+    """The states of a client connection."""
 
-    NEW = auto()  # no complete request has come yet
-    READING_REQUEST = auto()  # a part of a request has come
+    NEW = auto()  # accepted; the first request is not complete yet
+    READING_REQUEST = auto()  # a later request has been received in part
     IDLE = auto()  # between requests
-    AWAITING_RESPONSE = auto()  # a request is owed its response
+    AWAITING_RESPONSE = auto()  # a request was accepted and its response is pending
     WRITING_RESPONSE = auto()  # a response is being written
-    LINGERING = auto()  # an error was written; the client may read it
-    HALF_CLOSED = auto()  # a response that says close was written; what the client sends now is not read
+    LINGERING = auto()  # an error response was written; incoming data is discarded until the client closes
+    HALF_CLOSED = auto()  # a response with "Connection: close" was written; incoming data is left unread
     CLOSED = auto()
 
 
@@ -46,8 +44,10 @@
 class ClientConnection:
     """One client connection.
 
-    ``on_disconnect`` is called if the connection ends while a request is owed its response. ``state_since_ms`` and
-    ``last_received_at_ms`` are milliseconds of the gateway's clock, the latter by the kernel's time of arrival.
+    Attributes:
+        on_disconnect: Called if the connection closes while a response is pending.
+        state_since_ms: When the present state was entered, in milliseconds of the gateway's clock.
+        last_received_at_ms: When the kernel received the last bytes, on the same clock; 0 if there were none.
     """
 
     __slots__ = (
@@ -93,15 +93,16 @@
         """Change the state."""
         self._connections.move_to(self, state)
 
-    # Reading.
+    # Reading from the socket.
 
     def on_readable(self) -> None:
-        """Read what has come, once."""
+        """Read from the socket once and process the data."""
         if self.state is ConnectionState.CLOSED:
             return
         if self.state is ConnectionState.HALF_CLOSED:
             if self.is_still_connected():
-                self._pause_reading()  # the request stays unread: its client sends it on a new connection
+                # The next request stays unread, so its client can safely send it again on a new connection.
+                self._pause_reading()
             return
         try:
             data, self.last_received_at_ms = sockets.receive(self.sock)
@@ -126,9 +127,10 @@
             self._parse_requests()
 
     def _buffer_pipelined(self, data: bytes) -> None:
-        """Keep what is sent ahead of a response, up to a limit; behind discarded bytes nothing is a request any more.
+        """Buffer data that arrives while a response is pending; discard it beyond ``MAX_PIPELINED_BYTES``.
 
-        Reading goes on beyond the limit, so that a disconnect behind the discarded bytes is seen.
+        Once bytes were discarded, later bytes can't be parsed as requests and are discarded as well. Reading
+        continues beyond the limit, so that a disconnect after the discarded bytes is noticed.
         """
         self._pipelined_bytes += len(data)
         if self._pipelined_bytes <= MAX_PIPELINED_BYTES and not self._pipeline_overflowed:
@@ -137,7 +139,8 @@
         self._pipeline_overflowed = True
         self._discarded_bytes += len(data)
         if self._discarded_bytes > MAX_DISCARDED_BYTES:
-            self._pause_reading()  # until the next check, so that one client can't keep the event loop busy
+            # Until the next timeout check, so that one client can't keep the event loop busy.
+            self._pause_reading()
 
     def _pause_reading(self) -> None:
         if not self._reading_paused:
@@ -145,23 +148,23 @@
             self._connections.loop.remove_reader(self.sock.fileno())
 
     def resume_reading(self) -> None:
-        """Read again after a pause."""
+        """Resume reading after a pause; does nothing if reading is not paused."""
         if self._reading_paused:
             self._reading_paused = False
             self._discarded_bytes = 0
             self._connections.loop.add_reader(self.sock.fileno(), self.on_readable)
 
     def is_still_connected(self) -> bool:
-        """Whether the client is still there, by what its socket holds; closes the connection if not.
+        """Close the connection if its socket reports a disconnect; return whether it is still open.
 
-        A disconnect may lie in the socket before the event loop has seen it.
+        The socket may already report a disconnect that the event loop has not delivered yet.
         """
         if self.state is not ConnectionState.CLOSED and sockets.peer_has_closed(self.sock):
             self.close()
         return self.state is not ConnectionState.CLOSED
 
     def process_pending(self) -> None:
-        """Process what was buffered and not parsed, or what lies in the socket."""
+        """Parse buffered data if there is any, else read data that is waiting in the socket."""
         if self.state is ConnectionState.IDLE and (
             self._codec.has_buffered_data or self._pipeline_overflowed
         ):
@@ -169,7 +172,7 @@
         elif not sockets.has_nothing_to_read(self.sock):
             self.on_readable()
 
-    # Requests.
+    # Parsing requests.
 
     def _parse_requests(self) -> None:
         if self.state not in RECEIVING_STATES:
@@ -186,7 +189,7 @@
             self._dispatch_request()
 
     def _read_request(self) -> bool:
-        """Parse what was received; whether a request for the scheduler is complete."""
+        """Parse the received data; return whether a request for the scheduler is complete."""
         if self._head is None and not self._read_head():
             return False
         return self._read_body()
@@ -222,7 +225,10 @@
         return True
 
     def _dispatch_request(self) -> None:
-        """Hand a complete request over, unless its client has left: both may be found in the same turn of the event loop."""
+        """Pass a complete request on unless its client has disconnected.
+
+        The request and the disconnect may both be waiting in the same turn of the event loop.
+        """
         if not self.is_still_connected():
             self._connections.counts["disconnected_before_dispatch"] += 1
             return
@@ -240,22 +246,25 @@
     def _wait_for_more(self) -> None:
         if self._pipeline_overflowed:
             raise ProtocolError(
-                413, "too-large", f"more than {MAX_PIPELINED_BYTES} bytes were sent ahead of an answer"
+                413, "too-large", f"more than {MAX_PIPELINED_BYTES} bytes were sent before the response"
             )
         if self.state is ConnectionState.IDLE:
             self.move_to(ConnectionState.READING_REQUEST)
 
     def _respond_ready(self, head: RequestHead) -> None:
-        """Answer a readiness check and close: whoever checks doesn't reuse the connection, and many may check at once."""
+        """Answer a readiness check and close the connection.
+
+        Readiness checks don't reuse connections, and many may arrive at the same time.
+        """
         self._head = head
         self.close_after_response = True
         self.move_to(ConnectionState.AWAITING_RESPONSE)
         self.respond(200, [(b"content-length", b"%d" % len(READY_BODY))], READY_BODY)
 
-    # Responses.
+    # Writing responses.
 
     def reject(self, status: int, reason: str, text: str) -> None:
-        """Respond with an error, and close once the client has had time to read it."""
+        """Respond with an error, then linger so that the client can read it before the connection closes."""
         self._connections.counts[reason] += 1
         self.on_disconnect = None
         try:
@@ -272,7 +281,7 @@
         self.sock.send(ServerCodec(ERROR_HEAD_BYTES).closing_response(*error))
 
     def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Write the response to the request that awaits one; without effect where none does."""
+        """Write the response to the pending request; does nothing if no request is pending."""
         if self.state is not ConnectionState.AWAITING_RESPONSE:
             return
         self.on_disconnect = None
@@ -319,16 +328,16 @@
         if not self._pipeline_overflowed:
             self.resume_reading()
         if has_more:
-            # In a later turn: many requests may have come at once, and other connections go first.
+            # In a later turn of the event loop: many requests may be pipelined, and other clients go first.
             self._connections.loop.call_soon(self._parse_requests)
 
     # Closing.
 
     def _half_close(self) -> None:
-        """Send no more, and wait for the client's end.
+        """Shut down the sending side and wait for the client to close.
 
-        Closing a socket with unread bytes resets the connection, which may destroy the response on its way; clients send on every
-        connection that is open.
+        Closing a socket that holds unread bytes resets the connection, and the client may lose the response
+        that is still on its way. Unread bytes are common, since clients send requests on any open connection.
         """
         if self._head is not None and self._head.target == protocol.READY_PATH:
             self.close()
@@ -343,29 +352,29 @@
         self.on_readable()
 
     def on_timeout(self) -> None:
-        """End a connection whose state has lasted too long; a partial request is answered with 408."""
+        """Close a connection whose state has timed out; a partial request is answered with 408."""
         if self._request_started:
             self.reject(408, "head-slow", "the request did not arrive in time")
         else:
             self.close()
 
     def evict(self) -> None:
-        """Close to free a place for another connection; a partial request is answered with 503."""
+        """Close to make room for another connection; a partial request is answered with 503."""
         if self._request_started:
             with contextlib.suppress(OSError):
-                text = "this gateway holds as many connections as it may"
+                text = "the gateway has reached its connection limit; try again"
                 self._send_error(503, "too-many-connections", text)
         self.close()
 
     @property
     def _request_started(self) -> bool:
-        """Whether a part of a request has come: closed without a response, that request would be lost."""
+        """Whether part of a request was received; closing without a response would lose that request."""
         if self.state is ConnectionState.READING_REQUEST:
             return True
         return self.state is ConnectionState.NEW and self.last_received_at_ms > 0
 
     def close(self) -> None:
-        """Close at once; calls ``on_disconnect`` where a request is owed its response."""
+        """Close immediately, and call ``on_disconnect`` if a response is pending."""
         if self.state is ConnectionState.CLOSED:
             return
         on_disconnect = self.on_disconnect
--- a/winchdyke/platform/client_connections.py
+++ b/winchdyke/platform/client_connections.py
@@ -1,4 +1,4 @@
-"""The table of all client connections: by state, with what they share: limits, counters and the flags of a shutdown."""
+"""The table of all client connections by state, with their shared limits, counters and shutdown flags."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 AcceptRequest = Callable[[ClientConnection, protocol.ParsedRequest, float], None]
 BODY_STATES = (ConnectionState.AWAITING_RESPONSE, ConnectionState.READING_REQUEST)
-UNANSWERED_STATES = (ConnectionState.NEW, ConnectionState.READING_REQUEST, ConnectionState.IDLE)
-UNSETTLED_STATES = (
+INPUT_STATES = (ConnectionState.NEW, ConnectionState.READING_REQUEST, ConnectionState.IDLE)
+UNFINISHED_STATES = (
     ConnectionState.NEW,
     ConnectionState.READING_REQUEST,
     ConnectionState.LINGERING,
@@ -22,11 +22,14 @@
 
 
 class ClientConnections:
-    """Owner of the connections' states and of the memory for large request bodies.
-
-    ``accept_request`` is handed each complete request, with when its last byte arrived; it raises ProtocolError for one that can't
-    be taken. ``on_connection_idle`` and ``on_connection_closed`` are hooks for the eviction and the listener. ``counts`` is logged
-    under ``client:``.
+    """Tracks the state of every client connection and the memory reserved for large request bodies.
+
+    Attributes:
+        accept_request: Called with each complete request and the time at which its last byte arrived. Raises
+            ProtocolError if the request can't be accepted.
+        on_connection_idle: Hook for the idle eviction.
+        on_connection_closed: Hook for the listener.
+        counts: Counters, logged with the prefix ``client:``.
     """
 
     def __init__(
@@ -41,10 +44,10 @@
         self.clock = clock
         self.request_parser = request_parser
         self.accept_request = accept_request
-        self.large_body_bytes = 0  # reserved for bodies over the protocol's limit
+        self.large_body_bytes = 0  # reserved for bodies larger than protocol.MAX_BODY_BYTES
         self.max_large_body_bytes = max_large_body_bytes
-        self.close_after_response = False  # each response says that its connection ends
-        # Each state's connections in the order of entering it: the longest silent one stands first.
+        self.close_after_response = False  # if set, every response carries "Connection: close"
+        # Ordered by when a connection entered the state, the oldest first.
         self.by_state: dict[ConnectionState, dict[ClientConnection, None]] = {
             state: {} for state in ConnectionState
         }
@@ -55,22 +58,22 @@
 
     @property
     def awaiting_count(self) -> int:
-        """How many are owed a response."""
+        """The number of connections with a pending or partly written response."""
         awaiting = self.by_state[ConnectionState.AWAITING_RESPONSE]
         return len(awaiting) + len(self.by_state[ConnectionState.WRITING_RESPONSE])
 
     @property
-    def has_unsettled(self) -> bool:
-        """Whether requests may be on their way in, or last responses on their way out."""
-        return any(self.by_state[state] for state in UNSETTLED_STATES)
+    def has_unfinished(self) -> bool:
+        """Whether a request may still be arriving, or a client may still be reading its last response."""
+        return any(self.by_state[state] for state in UNFINISHED_STATES)
 
     def add(self, connection: ClientConnection) -> None:
-        """Take in a connection that has just been accepted."""
+        """Register a connection that has just been accepted."""
         self.count += 1
         self.by_state[connection.state][connection] = None
 
     def move_to(self, connection: ClientConnection, state: ConnectionState) -> None:
-        """Change a connection's state; a body's reservation ends with the request."""
+        """Change a connection's state, and release its body memory once its request has ended."""
         self.by_state[connection.state].pop(connection, None)
         if connection.reserved_body_bytes and state not in BODY_STATES:
             self.large_body_bytes -= connection.reserved_body_bytes
@@ -84,9 +87,9 @@
             self.by_state[state][connection] = None
 
     def reserve_body(self, connection: ClientConnection, length_bytes: int) -> None:
-        """Reserve memory for a body of such a length, where that is over the protocol's limit.
+        """Reserve memory for a body that is larger than the protocol's limit.
 
-        ProtocolError 413 where no body may be so long here, 503 where other bodies hold the memory.
+        Raises ProtocolError 413 if the body exceeds the gateway's limit, 503 if other bodies use the memory.
         """
         additional_bytes = length_bytes - connection.reserved_body_bytes
         if length_bytes <= protocol.MAX_BODY_BYTES or additional_bytes <= 0:
@@ -94,18 +97,18 @@
         if length_bytes > self.request_parser.max_body_bytes:
             raise protocol.body_too_large(self.request_parser.max_body_bytes)
         if self.large_body_bytes + additional_bytes > self.max_large_body_bytes:
-            raise ProtocolError(503, "too-large", "all room for long bodies is held; try again")
+            raise ProtocolError(503, "too-large", "the memory for large request bodies is in use; try again")
         connection.reserved_body_bytes = length_bytes
         self.large_body_bytes += additional_bytes
 
     def process_pending(self) -> None:
-        """Read what has arrived on each connection that is owed no response."""
-        for state in UNANSWERED_STATES:
+        """Process the data that is waiting on each connection without a pending response."""
+        for state in INPUT_STATES:
             for connection in list(self.by_state[state]):
                 connection.process_pending()
 
     def close_all(self) -> None:
-        """Close all connections at once."""
+        """Close all connections immediately."""
         for connections in self.by_state.values():
             for connection in list(connections):
                 connection.close()
--- a/winchdyke/platform/client_idle_eviction.py
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -1,4 +1,4 @@
-"""Which client connections are closed, and when: timeouts, idle ones beyond use, and room for new ones."""
+"""Closes client connections: on timeouts, beyond the limit of idle ones, and to make room for new ones."""
 
 from __future__ import annotations
 
@@ -8,13 +8,11 @@
 from winchdyke.platform.client_connections import ClientConnections
 from winchdyke.platform.client_idle_limit import IdleConnectionLimit
 
-NEW_CONNECTION_GRACE_MS = 150.0  # from a connection's start, in which its request is still on its way
-REQUEST_TIMEOUT_MS = (
-    2400.0  # from a connection's start, or from a request's first byte, to the complete request
-)
+NEW_CONNECTION_GRACE_MS = 150.0  # from accept; the first request may still be on its way
+REQUEST_TIMEOUT_MS = 2400.0  # from accept, or from a later request's first byte, to the complete request
 IDLE_TIMEOUT_MS = 2000.0  # between requests; some clients send one request and stay connected
-WRITE_TIMEOUT_MS = 10_000.0  # for a response to be read by its client
-LINGER_TIMEOUT_MS = 800.0  # after a last response, for its client to read it before the connection is closed
+WRITE_TIMEOUT_MS = 10_000.0  # for the client to read a response
+LINGER_TIMEOUT_MS = 800.0  # for the client to read a last response before the connection is closed
 CHECK_INTERVAL_SECONDS = 0.1
 EVICTION_ORDER = (
     ConnectionState.HALF_CLOSED,
@@ -23,23 +21,29 @@
     ConnectionState.READING_REQUEST,
     ConnectionState.IDLE,
 )
-ENDED_STATES = (ConnectionState.LINGERING, ConnectionState.HALF_CLOSED, ConnectionState.WRITING_RESPONSE)
+IGNORED_INPUT_STATES = (
+    ConnectionState.LINGERING,
+    ConnectionState.HALF_CLOSED,
+    ConnectionState.WRITING_RESPONSE,
+)
 
 
 class IdleEviction:
-    """Closes connections by time and by number, the longest silent first; what has arrived on one is read before."""
+    """Closes connections by timeout and by count, the longest inactive first.
+
+    Data that has arrived on a connection is processed before the connection is closed.
+    """
 
     def __init__(self, connections: ClientConnections) -> None:
         self._connections = connections
         self._by_state = connections.by_state
         self._idle_limit = IdleConnectionLimit(connections.clock())
-        self.idle_limits_suspended = (
-            False  # in a shutdown no new connections come in the place of closed ones
-        )
+        # Set in a shutdown, when clients may be unable to open a new connection in place of a closed one.
+        self.idle_limits_suspended = False
         connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
 
     def trim_idle(self) -> None:
-        """Close idle connections beyond the limit of the moment, the longest idle first."""
+        """Close idle connections beyond the present limit, the longest idle first."""
         if self.idle_limits_suspended:
             return
         connections = self._connections
@@ -50,14 +54,15 @@
             connections.counts["idle_evicted"] += closed
 
     def close_idle(self) -> None:
-        """Close all connections between requests."""
+        """Close all connections that are between requests."""
         for connection in list(self._by_state[ConnectionState.IDLE]):
             self._close_unless_active(connection, ClientConnection.close)
 
     def evict_one(self) -> bool:
-        """Close the connection that has been silent longest; whether one could be closed.
+        """Close the connection that has been inactive longest; return whether one could be closed.
 
-        One that has just been accepted is spared: its request is still on its way.
+        Connections accepted less than ``NEW_CONNECTION_GRACE_MS`` ago are kept: their first request may still
+        be on its way.
         """
         spared_from_ms = self._connections.clock() - NEW_CONNECTION_GRACE_MS
         for state in EVICTION_ORDER:
@@ -101,9 +106,12 @@
 
     @staticmethod
     def _close_unless_active(connection: ClientConnection, close: Callable[[ClientConnection], None]) -> bool:
-        """Close a connection unless what has arrived on it, which is read first, changes its state; whether it was closed."""
+        """Process a connection's pending data, and close it if that leaves its state unchanged.
+
+        Returns whether the connection was closed.
+        """
         state = connection.state
-        if state not in ENDED_STATES:
+        if state not in IGNORED_INPUT_STATES:
             connection.process_pending()
         if connection.state is not state:
             return False
--- a/winchdyke/platform/client_listener.py
+++ b/winchdyke/platform/client_listener.py
@@ -1,4 +1,4 @@
-"""The listening socket: takes connections from its queue while places and descriptors are left."""
+"""The listening socket: accepts connections while the connection limit and the file descriptors allow it."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from winchdyke.platform.client_idle_eviction import CHECK_INTERVAL_SECONDS, IdleEviction
 
 LISTEN_BACKLOG = 512
-MAX_ACCEPTS_PER_TURN = 16  # of the event loop
+MAX_ACCEPTS_PER_TURN = 16  # in one turn of the event loop
 ACCEPT_PAUSE_SECONDS = CHECK_INTERVAL_SECONDS / 2
 
 
 class ClientListener:
-    """Accepts connections into the table, at most ``max_connections`` at a time; the rest waits in the queue."""
+    """Accepts up to ``max_connections`` connections; further ones wait in the kernel's accept queue."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._paused = False
 
     def set_accepting(self, accepting: bool) -> None:
-        """Take connections, or leave them in the queue. Without effect after ``close``."""
+        """Start or stop accepting connections. Does nothing after ``close``."""
         if self._sock.fileno() < 0:
             return
         loop = self._connections.loop
@@ -45,10 +45,13 @@
         self.accepting = accepting
 
     def accept_pending(self) -> bool:
-        """Take connections from the queue, a limited number; whether the queue is empty or can't be taken from now."""
+        """Accept up to ``MAX_ACCEPTS_PER_TURN`` connections.
+
+        Returns whether to stop for now: the accept queue is empty, or no more connections can be accepted.
+        """
         for _ in range(MAX_ACCEPTS_PER_TURN):
             if self._connections.count >= self.max_connections and not self._eviction.evict_one():
-                self._pause()  # each is owed a response, or has just come
+                self._pause()  # every connection has a pending response or was just accepted
                 return True
             try:
                 sock, _ = self._sock.accept()
@@ -62,7 +65,7 @@
         return False
 
     def _may_retry(self, error: OSError) -> bool:
-        """Whether to accept again at once after an error, having freed a descriptor where none was left."""
+        """Return whether to retry accept at once; frees a descriptor if the process has run out of them."""
         if error.errno in RESOURCE_EXHAUSTION_ERRNOS:
             if self._eviction.evict_one():
                 return True
@@ -82,18 +85,18 @@
         connection.on_readable()
 
     def _pause(self) -> None:
-        """Leave the queue alone for a moment, or until a connection closes."""
+        """Stop accepting for ``ACCEPT_PAUSE_SECONDS``, or until a connection closes."""
         self.set_accepting(False)
         self._paused = True
         self._connections.loop.call_later(ACCEPT_PAUSE_SECONDS, self.resume)
 
     def resume(self) -> None:
-        """Accept again after a pause; without effect where there is none."""
+        """Accept again after a pause; does nothing if accepting is not paused."""
         if self._paused:
             self._paused = False
             self.set_accepting(True)
 
     def close(self) -> None:
-        """Close the listening socket; connections that come from then on are refused by the system."""
+        """Close the listening socket; the kernel refuses connections from then on."""
         self.set_accepting(False)
         self._sock.close()
--- a/winchdyke/platform/configuration.py
+++ b/winchdyke/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The environment of a gateway: four variables and a configuration file, read into one checked value."""
+"""A gateway's configuration: four environment variables and a JSON file, validated as one ``Environment``."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from winchdyke import interface as api
 from winchdyke.settings import settings_of
 
-Address = tuple[str, int]  # host and port, as sockets take it
+Address = tuple[str, int]  # host and port, as the socket module takes it
 MAX_PORT = 65535
-REPORTS_IN_RESPONSES = "answers"  # the settings' word
+REPORTS_IN_RESPONSES = "answers"  # value of reporting.how if stores send load reports in their responses
 DEFAULT_CORES = 1.0
 DEFAULT_MEMORY_MB = 2048.0
 DEFAULT_DESCRIPTORS = 1024
@@ -21,12 +21,12 @@
 
 
 class ConfigurationError(Exception):
-    """The environment or the file can't be used; says what is wrong, where, and what to do."""
+    """The environment or the configuration file is invalid; the message says how to fix it."""
 
 
 @dataclass(frozen=True, slots=True)
 class MachineLimits:
-    """What the machine allows the gateway's process; memory in MiB."""
+    """Resource limits of the gateway's process; memory in MiB."""
 
     cores: float
     memory_mb: float
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """All that a gateway is started with. ``cached_endpoint_list`` is decoded JSON, empty where there is none."""
+    """The parameters of a gateway. ``cached_endpoint_list`` is decoded JSON, empty if there is no list."""
 
     name: str
     listen_address: Address
@@ -50,7 +50,7 @@
 
 
 def parse_address(text: str, where: str) -> Address:
-    """The address of HOST:PORT. ConfigurationError where it is none."""
+    """Parse HOST:PORT. Raises ConfigurationError, with ``where`` as the setting's name, if it is invalid."""
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or not 0 < int(port) <= MAX_PORT:
         raise ConfigurationError(f"{where} is {text!r}: give HOST:PORT")
@@ -58,7 +58,7 @@
 
 
 def read_environment(variables: Mapping[str, str]) -> Environment:
-    """The environment as it is now. ConfigurationError where it can't be used."""
+    """Read the environment and the configuration file. Raises ConfigurationError if either is invalid."""
     if not variables.get("NODE_CONFIG"):
         raise ConfigurationError("NODE_CONFIG is not set: give the path of the gateway's configuration file")
     path = Path(variables["NODE_CONFIG"])
@@ -70,14 +70,12 @@
     reporting = _object(settings, "reporting", where)
     parsed_settings = _parse_settings(settings, where)
     seed = _parse_seed(info, where)
-    # A name or address in the file is newer than the variable, which stays as it was at the start.
+    # The file takes precedence: it may have changed since the process started, the variables can't.
     return Environment(
         name=_text(info, "name", variables, "NODE_NAME"),
-        listen_address=parse_address(
-            _text(info, "listen", variables, "NODE_LISTEN"), "the address to listen at"
-        ),
+        listen_address=parse_address(_text(info, "listen", variables, "NODE_LISTEN"), "the listen address"),
         discovery_address=parse_address(
-            _text(info, "discovery", variables, "NODE_DISCOVERY"), "discovery's address"
+            _text(info, "discovery", variables, "NODE_DISCOVERY"), "the discovery address"
         ),
         config_path=path,
         seed=seed,
@@ -97,14 +95,14 @@
             f"{path}: {error.strerror}: NODE_CONFIG must name a file that can be read"
         ) from error
     except ValueError as error:
-        raise ConfigurationError(f"{path} is no JSON: {error}") from error
+        raise ConfigurationError(f"{path} is not valid JSON: {error}") from error
     if not isinstance(info, dict):
-        raise ConfigurationError(f"{path}: the file holds {type(info).__name__}: give an object")
+        raise ConfigurationError(f"{path}: the file contains {type(info).__name__}: give an object")
     return info
 
 
 def _object(parent: Mapping[str, Any], key: str, where: str) -> dict[str, Any]:
-    """An object under a key; empty where there is none, or null."""
+    """Return the object under a key, or an empty one if the key is missing or null."""
     value = {} if parent.get(key) is None else parent[key]
     if not isinstance(value, dict):
         raise ConfigurationError(f"{where}: {key!r} is {type(value).__name__}: give an object")
@@ -112,7 +110,7 @@
 
 
 def _number(parent: Mapping[str, Any], key: str, default: float, where: str) -> float:
-    """A number above 0 under a key; the default where there is none, or null."""
+    """Return the number above 0 under a key, or the default if the key is missing or null."""
     value = default if parent.get(key) is None else parent[key]
     if isinstance(value, bool) or not isinstance(value, (int, float)) or not value > 0:
         raise ConfigurationError(f"{where}: {key!r} is {value!r}: give a number above 0")
@@ -127,7 +125,7 @@
     try:
         return settings_of(settings)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        raise ConfigurationError(f"{where}: 'settings' can't be used: {error!r}") from error
+        raise ConfigurationError(f"{where}: 'settings' is invalid: {error!r}") from error
 
 
 def _parse_seed(info: Mapping[str, Any], where: str) -> int:
@@ -147,7 +145,7 @@
 
 
 def _parse_load_report_fields(reporting: Mapping[str, Any]) -> tuple[str, ...]:
-    """The fields of load reports that responses carry; none where reports come another way."""
+    """Return the fields of the load reports in stores' responses; none if stores report in another way."""
     if reporting.get("how") != REPORTS_IN_RESPONSES:
         return ()
     return tuple(reporting.get("fields", ()))
--- a/winchdyke/platform/discovery_client.py
+++ b/winchdyke/platform/discovery_client.py
@@ -1,4 +1,4 @@
-"""Follows discovery: one watch at a time, retried with backoff where it ends or falls silent, moved where its address changes."""
+"""Keeps a watch on discovery open: reconnects if it ends or goes silent, and moves to a new address."""
 
 from __future__ import annotations
 
@@ -11,19 +11,23 @@
 from winchdyke.platform.discovery_protocol import EndpointListError, EndpointListing
 from winchdyke.platform.discovery_watch import ENDED, EndpointWatch
 
-# An empty line comes every 2 s, so that its absence shows at once. What a silent watch misses counts as notified 6 s after it fell
-# silent, and what discovery sends when it returns counts at once: until a new watch speaks, a drain may go unnoticed.
+# Discovery sends an empty line every 2 s, so this timeout detects a dead watch almost at once. The platform
+# counts a change that a silent watch misses as notified 6 s after the watch went silent, and what discovery
+# sends when it returns as notified at once. Until a new watch receives data, the drain of a store may go
+# unnoticed.
 WATCH_SILENCE_SECONDS = 2.25
 SILENCE_CHECK_SECONDS = 0.1
-MIN_BACKOFF_SECONDS = 0.05  # from the second failure in a row on; the first is retried at once
+MIN_BACKOFF_SECONDS = 0.05  # doubled with each consecutive failure; the first failure is retried at once
 MAX_BACKOFF_SECONDS = 1.0
 MAX_COUNTED_FAILURES = 8
 
 
 class DiscoveryClient:
-    """Keeps a watch going and hands over each list and each change, in order.
+    """Keeps a watch open and delivers each endpoint list and each change, in order.
 
-    ``version`` is that of the list held. ``first_response`` is done once discovery has said anything at all.
+    Attributes:
+        version: The version of the present endpoint list.
+        first_response: Done once discovery has sent any data.
     """
 
     def __init__(
@@ -39,9 +43,8 @@
         self.first_response: asyncio.Future[None] = loop.create_future()
         self._on_endpoint_list = on_endpoint_list
         self._watch: EndpointWatch | None = None
-        self._previous_watch: EndpointWatch | None = (
-            None  # at the address before; followed until the new one speaks
-        )
+        # The watch at the previous address, kept until the new watch receives data.
+        self._previous_watch: EndpointWatch | None = None
         self._needs_full_list = False
         self._failures = 0
         self._stopped = False
@@ -51,15 +54,15 @@
         loop.call_later(SILENCE_CHECK_SECONDS, self._check_silence)
 
     def change_address(self, address: Address) -> None:
-        """Follow discovery at another address; the watch at the present one goes on until the new one speaks."""
+        """Watch discovery at another address; the present watch is kept until the new one receives data."""
         if address == self.address:
             return
         self.address = address
         watch = self._watch
         self._watch = None
         self._failures = 0
-        # The address may change again before a new watch has spoken: the one that is kept is the last that has.
-        if watch is not None and watch.has_spoken:
+        # The address may change again before the new watch has received data. Keep the last watch that has.
+        if watch is not None and watch.has_received_data:
             superseded = self._previous_watch
             self._previous_watch = watch
         else:
@@ -69,14 +72,14 @@
         self._start_watch()
 
     def stop(self) -> None:
-        """End all watches and start none any more."""
+        """Abort all watches and start no new ones."""
         self._stopped = True
         for watch in (self._watch, self._previous_watch):
             if watch is not None:
                 watch.abort()
 
     def handle_activity(self, watch: EndpointWatch) -> None:
-        """Note that a watch has spoken, be it an empty line: it replaces the one at the previous address."""
+        """Record that a watch has received data, even an empty line; it then replaces the previous watch."""
         if watch is self._watch and self._previous_watch is not None:
             self._previous_watch.abort()
             self._previous_watch = None
@@ -84,37 +87,41 @@
             self.first_response.set_result(None)
 
     def handle_endpoint_list(self, watch: EndpointWatch, listing: EndpointListing) -> None:
-        """Take a list or a change. EndpointListError where discovery's versions have started anew without a full list."""
+        """Apply an endpoint list or a change.
+
+        Raises EndpointListError if discovery's version numbers were reset and no full list was sent.
+        """
         if listing.version < watch.requested_version and not listing.full:
             raise EndpointListError(
-                f"changes of version {listing.version} came after {watch.requested_version} was asked for"
+                f"received changes of version {listing.version} although only changes after "
+                f"version {watch.requested_version} were requested"
             )
         self.handle_activity(watch)
         if listing.version < self.version and watch.requested_version <= listing.version:
-            return  # sent before the other watch told more; a full list too would bring back what drains
+            return  # the other watch delivered a newer version; even a full list would undo a drain
         if not listing.full and listing.version == self.version:
-            return  # known already, from the watch at the other address
+            return  # already received from the watch at the other address
         self.version = listing.version
         self._needs_full_list = False
-        # Where the versions started anew, they go on from there.
+        # Discovery may have reset its version numbers; later ones then count from the new number.
         watch.requested_version = min(watch.requested_version, listing.version)
         self._on_endpoint_list(listing)
 
     def handle_unreadable(self, watch: EndpointWatch, error: str) -> None:
-        """End a watch that sent something unreadable, and ask for the full list."""
+        """Close a watch that sent an invalid message, and request the full list next."""
         self._needs_full_list = True
         self.handle_watch_closed(watch, f"unreadable: {error}")
 
     def handle_watch_closed(self, watch: EndpointWatch, reason: str) -> None:
-        """End a watch and retry, at once after a first failure, else with backoff."""
+        """Close a watch and reconnect: at once after a first failure, else with backoff."""
         watch.abort()
         if watch is self._previous_watch:
             self._previous_watch = None
         if watch is not self._watch or self._stopped:
             return
         self._watch = None
-        # A watch that speaks and ends at once must not reset the backoff.
-        if watch.has_spoken and self.loop.time() - watch.started_at >= MAX_BACKOFF_SECONDS:
+        # A watch that receives data and then ends within MAX_BACKOFF_SECONDS must not reset the backoff.
+        if watch.has_received_data and self.loop.time() - watch.started_at >= MAX_BACKOFF_SECONDS:
             self._failures = 0
         if reason != ENDED and not self._failures:
             self._log.warning("discovery_watch_lost", reason=reason)
--- a/winchdyke/platform/discovery_protocol.py
+++ b/winchdyke/platform/discovery_protocol.py
@@ -1,4 +1,4 @@
-"""Discovery's messages: endpoint lists and the objects of a watch. Pure; every field is checked."""
+"""Parses and validates discovery's messages: endpoint lists and the objects of a watch. It does no I/O."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     r"(?:(?:25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9])\.){3}(?:25[0-5]|2[0-4][0-9]|1?[0-9]?[0-9]):[0-9]{1,5}"
 )
 MAX_PORT = 65535
-MAX_UNIX_MS = 1e15  # some 30,000 years
-MAX_LIST_BYTES = 4 * 1024 * 1024  # of a list, or of one object of a watch, buffered until it is complete
+MAX_UNIX_MS = 1e15  # about 30,000 years
+MAX_LIST_BYTES = 4 * 1024 * 1024  # buffered for one list, or for one object of a watch, until it is complete
 JSON_STRING_PATTERN = re.compile(rb'"(?:[^"\\]|\\.)*"')
 STATUS_BY_WIRE_NAME = {
     "in_service": EndpointStatus.READY,
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """A store of the list; ``started_at_unix_ms`` is 0 where it started long ago."""
+    """A store in an endpoint list; ``started_at_unix_ms`` is 0 if it started long ago."""
 
     id: str
     address: str
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListing:
-    """A full list, or the entries that changed up to a version."""
+    """A full endpoint list, or the entries that have changed, as of ``version``."""
 
     version: int
     full: bool
@@ -46,18 +46,21 @@
 
 
 class EndpointListError(Exception):
-    """A message of discovery that can't be used; says which entry or field is wrong."""
+    """Discovery sent an invalid message; the text names the entry or field."""
 
 
 def parse_endpoint_list(data: bytes | dict[str, Any]) -> EndpointListing:
-    """A list, or an object of a watch, as bytes or as decoded JSON. EndpointListError where it can't be used."""
+    """Parse an endpoint list or an object of a watch, given as bytes or as decoded JSON.
+
+    Raises EndpointListError if it is invalid.
+    """
     info = _parse_json(data) if isinstance(data, bytes) else data
     if not isinstance(info, dict):
-        raise EndpointListError("no object")
+        raise EndpointListError("the message is not a JSON object")
     version = info.get("version")
     rows = info.get("servers")
     if isinstance(version, bool) or not isinstance(version, int) or not isinstance(rows, list):
-        raise EndpointListError("'version' or 'servers' is missing")
+        raise EndpointListError("'version' or 'servers' is missing or has the wrong type")
     return EndpointListing(version, info.get("full") is True, tuple(_parse_entry(row) for row in rows))
 
 
@@ -65,12 +68,12 @@
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
-        raise EndpointListError(f"no JSON: {error}") from error
+        raise EndpointListError(f"invalid JSON: {error}") from error
 
 
 def _parse_entry(row: Any) -> EndpointEntry:
     if not isinstance(row, dict):
-        raise EndpointListError("an entry is no object")
+        raise EndpointListError("an entry of 'servers' is not an object")
     name = row.get("id")
     address = row.get("addr")
     state = row.get("state")
@@ -80,13 +83,13 @@
         or not isinstance(address, str)
         or state not in STATUS_BY_WIRE_NAME
     ):
-        raise EndpointListError(f"an entry can't be used: id {name!r}, addr {address!r}, state {state!r}")
-    # A host name would block the event loop while it is looked up, and some texts raise other errors than OSError.
+        raise EndpointListError(f"an entry is invalid: id {name!r}, addr {address!r}, state {state!r}")
+    # Host names are rejected: resolving them blocks the event loop and may raise errors other than OSError.
     if not ADDRESS_PATTERN.fullmatch(address) or not 0 < int(address.rpartition(":")[2]) <= MAX_PORT:
         raise EndpointListError(f"{name}: addr is {address!r}, which is not an IPv4 address and a port")
     shard = row.get("cell")
     if isinstance(shard, bool) or not isinstance(shard, int):
-        raise EndpointListError(f"{name}: cell is {shard!r}, which is no whole number")
+        raise EndpointListError(f"{name}: cell is {shard!r}, which is not an integer")
     return EndpointEntry(
         id=name,
         address=address,
@@ -103,26 +106,26 @@
         or not isinstance(started_ms, (int, float))
         or not abs(started_ms) < MAX_UNIX_MS
     ):
-        raise EndpointListError(f"{name}: started_ms is no time")
+        raise EndpointListError(f"{name}: started_ms is not a valid time")
     return max(0.0, float(started_ms))
 
 
 class WatchParser:
-    """Splits a watch into its objects, each on one line or indented over several.
+    """Splits the data of a watch into JSON objects, each on one line or indented over several lines.
 
-    An object that never becomes complete must not swallow what follows it: an incomplete one is checked at its first line, and again
-    each time its size has doubled, for whether it can still become JSON; the empty line that a watch sends while nothing changes
-    ends it too.
+    An object that never becomes complete must not consume the objects that follow it. Therefore an incomplete
+    object is checked for being a valid prefix of JSON, after its first line and each time its size has
+    doubled. The empty line that a watch sends while nothing changes is an error within an object.
     """
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._scanned_bytes = 0  # of the buffer, up to the last line end
-        self._depth = 0  # of open brackets
-        self._next_check_at = 0  # size in bytes
+        self._scanned_bytes = 0  # offset in the buffer after the last complete line
+        self._depth = 0  # nesting depth of open brackets
+        self._next_check_at = 0  # size of the object, in bytes, at which its prefix is checked next
 
     def feed(self, data: bytes | bytearray) -> list[EndpointListing]:
-        """The lists that have become complete. EndpointListError where something can't be read."""
+        """Add data and return the lists that are now complete. Raises EndpointListError on invalid data."""
         self._buffer += data
         listings = []
         while (line_end := self._buffer.find(b"\n", self._scanned_bytes)) >= 0:
@@ -139,12 +142,12 @@
             if self._depth <= 0:
                 self._start_next_object()
         if len(self._buffer) > MAX_LIST_BYTES:
-            raise EndpointListError("an object has no end")
+            raise EndpointListError(f"an object is larger than {MAX_LIST_BYTES} bytes")
         return listings
 
     def _check_nothing_open(self) -> None:
         if self._depth:
-            raise EndpointListError("an object broke off")
+            raise EndpointListError("an empty line within an object")
 
     def _start_next_object(self) -> None:
         del self._buffer[: self._scanned_bytes]
@@ -154,7 +157,7 @@
 
 
 def _bracket_balance(line: bytes) -> int:
-    """Opening less closing brackets outside strings."""
+    """Return the number of opening minus closing brackets outside strings."""
     unquoted = JSON_STRING_PATTERN.sub(b"", line)
     opening = unquoted.count(b"{") + unquoted.count(b"[")
     closing = unquoted.count(b"}") + unquoted.count(b"]")
@@ -162,11 +165,11 @@
 
 
 def _check_prefix(text: bytes) -> None:
-    """EndpointListError where no JSON begins with the text."""
+    """Raise EndpointListError unless the text can be the beginning of a JSON document."""
     try:
         json.loads(text)
     except json.JSONDecodeError as error:
         if error.pos < len(text.decode("utf-8").rstrip()):
-            raise EndpointListError(f"no JSON: {error}") from error
+            raise EndpointListError(f"invalid JSON: {error}") from error
     except (ValueError, RecursionError) as error:
-        raise EndpointListError(f"no JSON: {error}") from error
+        raise EndpointListError(f"invalid JSON: {error}") from error
--- a/winchdyke/platform/discovery_watch.py
+++ b/winchdyke/platform/discovery_watch.py
@@ -19,14 +19,16 @@
     from winchdyke.platform.discovery_client import DiscoveryClient
 
 MAX_HEAD_BYTES = 16 * 1024
-ENDED = "ended"  # the reason where a watch ends in good order
+ENDED = "ended"  # the reason passed on when discovery ends a watch normally
 
 
 class EndpointWatch(asyncio.Protocol):
-    """Asks discovery once and hands what it says to the client, until either side ends it.
+    """Sends one request to discovery and passes its messages on until either side closes the connection.
 
-    ``requested_version``: the list after which changes were requested. ``started_at`` and ``last_received_at`` are seconds of the
-    event loop's clock.
+    Attributes:
+        requested_version: Changes after this version of the endpoint list were requested.
+        started_at: When the watch was started, in seconds of the event loop's clock.
+        last_received_at: When data was last received, on the same clock.
     """
 
     def __init__(self, client: DiscoveryClient, full_list: bool, requested_version: int) -> None:
@@ -37,7 +39,7 @@
         )
         self.requested_version = requested_version
         self.transport: asyncio.Transport | None = None
-        self.has_spoken = False
+        self.has_received_data = False
         self.closed = False
         self.started_at = client.loop.time()
         self.last_received_at = self.started_at
@@ -57,7 +59,7 @@
         self.transport.write(self._codec.request("GET", self._target, headers) + self._codec.end())
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes; anything that can't be used ends the watch."""
+        """Parse received bytes; invalid data closes the watch."""
         if self.closed:
             return
         self.last_received_at = self._client.loop.time()
@@ -71,7 +73,7 @@
         if not self._head_received and not self._parse_head():
             return
         while not self.closed and not isinstance(piece := self._codec.body(), NeedData):
-            self.has_spoken = True
+            self.has_received_data = True
             if isinstance(piece, EndOfBody):
                 self._on_end()
                 return
@@ -85,7 +87,7 @@
         if isinstance(head, NeedData):
             return False
         if head.status != 200:
-            raise EndpointListError(f"discovery answered {head.status}")
+            raise EndpointListError(f"discovery responded with status {head.status}")
         self._head_received = True
         self._close_delimited = not protocol.count_framing_headers(head)
         return True
@@ -98,7 +100,7 @@
     def _append(self, piece: bytes | bytearray) -> None:
         self._list_buffer += piece
         if len(self._list_buffer) > MAX_LIST_BYTES:
-            raise EndpointListError("the list has no end")
+            raise EndpointListError(f"the list is larger than {MAX_LIST_BYTES} bytes")
 
     def _parse_changes(self, piece: bytes | bytearray) -> None:
         for listing in self._parser.feed(piece):
@@ -107,17 +109,17 @@
         self._client.handle_activity(self)
 
     def eof_received(self) -> None:
-        """End a full list without a length, which a connection closed in good order delimits; a reset does not."""
+        """Finish a full list without a content length: an orderly close delimits it, a reset does not."""
         if self._full_list and self._close_delimited and not self.closed:
             self.data_received(b"")
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report the closed connection to the client."""
         if not self.closed:
             self._client.handle_watch_closed(self, str(exc or "closed"))
 
     def abort(self) -> None:
-        """Close at once, and report nothing any more."""
+        """Close immediately and report nothing more to the client."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
--- a/winchdyke/platform/endpoint_directory.py
+++ b/winchdyke/platform/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The stores that discovery lists: their addresses for attempts, and the lists as events for the scheduler."""
+"""The stores listed by discovery: keeps their addresses for attempts and posts the lists to the scheduler."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from winchdyke.platform.upstream_connection import EndpointAddress
 from winchdyke.platform.upstream_pool import UpstreamPool
 
-MIN_START_MS = 1e-3  # above 0, which says that a store started long ago
+MIN_START_MS = 1e-3  # above 0, since 0 means that a store started long ago
 
 
 class EndpointDirectory:
-    """Owner of the stores' addresses, by endpoint id; ``addresses`` holds those that are not removed."""
+    """Maps endpoint ids to addresses; ``addresses`` holds all endpoints except removed ones."""
 
     def __init__(
         self, scheduler_loop: SchedulerLoop, upstream_pool: UpstreamPool, clock: Callable[[], float]
@@ -28,7 +28,7 @@
         self.addresses: dict[str, EndpointAddress] = {}
 
     def apply(self, listing: EndpointListing, kind: EndpointListKind) -> None:
-        """Take over a list or a change, and post it to the scheduler."""
+        """Apply an endpoint list or a change, and post it to the scheduler."""
         now_ms = self._clock()
         now_unix_ms = time.time() * 1000
         if kind is not EndpointListKind.CHANGES:
@@ -56,10 +56,10 @@
             self.addresses[entry.id] = address
 
     def _start_time(self, entry: EndpointEntry, now_ms: float, now_unix_ms: float) -> float:
-        """A store's start on the gateway's clock, 0 for long ago.
+        """Return a store's start time on the gateway's clock, 0 if it started long ago.
 
-        It is converted once and kept: converted at each list, the clocks' drift would make every list look like a restart. A start in
-        the future is another clock's error and counts as now.
+        The time is converted once and kept. If it were converted again for each list, clock drift would make
+        every list look like a restart. A start time in the future is caused by clock skew and counts as now.
         """
         if not entry.started_at_unix_ms:
             return 0.0
--- a/winchdyke/platform/graceful_shutdown.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -1,42 +1,45 @@
-"""The schedule of a graceful shutdown. Pure: it takes times in milliseconds and returns times in milliseconds.
+"""The schedule of a graceful shutdown: a pure calculation on times in milliseconds.
 
-The platform ends a gateway no sooner after SIGTERM than its longest deadline (counted as 3 s where it is longer) and 0.7 s. It comes
-back at the same time whenever it ended by itself, so exiting early serves nobody; but what is open when the platform ends it is lost.
-New connections come for 0.4 s; clients use those they have while these stay open.
+After SIGTERM the platform waits at least for the longest request deadline (counted as 3 s if it is longer)
+plus 0.7 s before it kills a gateway. It starts the gateway again at the same time even if that exited
+earlier, so an early exit has no benefit; but requests that are open when the gateway is killed are lost. New
+connections arrive for 0.4 s after SIGTERM, and clients use their existing connections for as long as these
+stay open.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_COUNTED_DEADLINE_MS = 3000.0  # given by the platform
-KILL_GRACE_MS = 700.0  # given by the platform: between the longest deadline and the earliest end
-NEW_CONNECTIONS_MS = 700.0  # in which connections may still come: the platform's 0.4 s and a margin
-ANSWER_MARGIN_MS = (
-    400.0  # before the earliest end, for a late turn of the event loop and the way to the client
-)
-CLOSING_MARGIN_MS = 900.0  # before the earliest end, which leaves half a second for the last requests
+MAX_COUNTED_DEADLINE_MS = 3000.0  # set by the platform: longer deadlines count as this
+KILL_GRACE_MS = 700.0  # set by the platform: from the longest deadline to the earliest kill
+NEW_CONNECTION_PERIOD_MS = 700.0  # new connections may arrive: the platform's 0.4 s plus a margin
+RESPONSE_MARGIN_MS = 400.0  # before the earliest kill, for event loop lag and the transfer to the client
+CLOSING_MARGIN_MS = 900.0  # before the earliest kill; leaves 0.5 s for the last requests
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The times of one shutdown, on the clock that ``now_ms`` was read from.
-
-    ``closing_from_ms``: until then all goes on; from then on responses say close, and idle connections are closed.
-    ``answer_by_ms``: what is open then is answered, whatever has become of it. ``earliest_exit_ms``: the process does not exit before,
-    since a connection may stand in the queue.
+    """The times of one shutdown, on the same clock as ``now_ms``.
+
+    Attributes:
+        close_connections_from_ms: When to start closing idle connections and sending "Connection: close" in
+            responses. Until then requests are served as usual.
+        respond_by_ms: When to send a final response to every request that is still open, whatever the state
+            of its attempts.
+        earliest_exit_ms: The process doesn't exit earlier, since a connection may be waiting to be accepted.
     """
 
-    closing_from_ms: float
-    answer_by_ms: float
+    close_connections_from_ms: float
+    respond_by_ms: float
     earliest_exit_ms: float
 
 
 def shutdown_schedule(now_ms: float, longest_deadline_ms: float) -> ShutdownSchedule:
-    """The schedule of a shutdown that starts at ``now_ms``, for the longest deadline of any class."""
+    """Return the schedule of a shutdown starting at ``now_ms``, given the longest deadline of any class."""
     earliest_kill_ms = now_ms + min(longest_deadline_ms, MAX_COUNTED_DEADLINE_MS) + KILL_GRACE_MS
     return ShutdownSchedule(
-        closing_from_ms=max(now_ms, earliest_kill_ms - CLOSING_MARGIN_MS),
-        answer_by_ms=max(now_ms, earliest_kill_ms - ANSWER_MARGIN_MS),
-        earliest_exit_ms=now_ms + NEW_CONNECTIONS_MS,
+        close_connections_from_ms=max(now_ms, earliest_kill_ms - CLOSING_MARGIN_MS),
+        respond_by_ms=max(now_ms, earliest_kill_ms - RESPONSE_MARGIN_MS),
+        earliest_exit_ms=now_ms + NEW_CONNECTION_PERIOD_MS,
     )
--- a/winchdyke/platform/maintenance.py
+++ b/winchdyke/platform/maintenance.py
@@ -1,4 +1,4 @@
-"""Periodic work of a gateway: expired connections, overdue requests, and the ``state`` line of the log."""
+"""Periodic work: closes expired store connections, finishes overdue requests and logs the ``state`` line."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Maintenance:
-    """Runs on timers of the event loop from ``start`` on, for the life of the process."""
+    """Runs on event loop timers from ``start`` until the process ends."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
 
 
 def memory_mb() -> float:
-    """The process's resident memory in MiB; 0 where the system does not tell it."""
+    """Return the process's resident memory in MiB, 0 if the system doesn't provide it."""
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
             resident_pages = int(file.read().split()[1])
--- a/winchdyke/platform/protocol.py
+++ b/winchdyke/platform/protocol.py
@@ -1,4 +1,7 @@
-"""The wire between clients, gateway and stores: heads to requests, responses to results. Pure; every field is checked."""
+"""The platform's protocol between clients, gateway and stores: validates requests and interprets responses.
+
+This module performs no I/O.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from winchdyke.http1 import Headers, ProtocolError, RequestHead, ResponseHead
 from winchdyke.interface import AttemptOutcome
 
-MAX_BODY_BYTES = 64 * 1024  # the protocol's limit; requests and responses of stores exceed it at times
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit; some requests and stores' responses exceed it
 READY_PATH = b"/-/ready"
 REQUEST_PATH_PATTERN = re.compile(rb"/api/([0-9a-f]{16})/([0-9a-f]{16})(?:\?[\x21-\x7e]*)?")
 TOKEN_PATTERN = re.compile(rb"[\x21-\x7e]{1,128}")
@@ -32,7 +35,7 @@
 
 @dataclass(slots=True)
 class ParsedRequest:
-    """A client's request: what the scheduler is told of it, and what is forwarded unchanged."""
+    """A client's request: the scheduler's view of it, and the parts that are forwarded unchanged."""
 
     request: api.Request
     method: str
@@ -43,7 +46,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """What a response of a store, or the lack of one, means."""
+    """The result of one attempt, derived from a store's response or its absence."""
 
     outcome: AttemptOutcome
     volume_usage_percent: float | None = None
@@ -52,7 +55,7 @@
 
 
 class RequestSize(NamedTuple):
-    """What ``X-IO`` tells; a shard of -1 is that of a new object."""
+    """The fields of the ``X-IO`` header; a shard of -1 means a new object."""
 
     units: float
     shard: int
@@ -60,8 +63,8 @@
 
 
 def body_too_large(max_body_bytes: int) -> ProtocolError:
-    """The error for a body that is longer than is taken here."""
-    return ProtocolError(413, "too-large", f"a body may hold {max_body_bytes} bytes")
+    """Return the error for a request body that exceeds the gateway's limit."""
+    return ProtocolError(413, "too-large", f"the request body must not exceed {max_body_bytes} bytes")
 
 
 def _invalid_header(text: str) -> ProtocolError:
@@ -69,7 +72,10 @@
 
 
 class RequestParser:
-    """Parses the heads of clients' requests by the settings. ``max_body_bytes`` limits a stated body length."""
+    """Validates the heads of clients' requests against the settings.
+
+    ``max_body_bytes`` limits the Content-Length of a request.
+    """
 
     def __init__(self, settings: api.Settings, max_body_bytes: int = MAX_BODY_BYTES) -> None:
         self.max_body_bytes = max_body_bytes
@@ -79,18 +85,21 @@
         self._gateway_count = settings.gateway_count
 
     def parse(self, head: RequestHead) -> ParsedRequest:
-        """The request of a head, with the time left as the client sent it. ProtocolError where a field can't be used."""
+        """Parse a request's head; its time left is the one that the client sent.
+
+        Raises ProtocolError on an invalid field.
+        """
         headers = _headers_by_name(head)
         if head.length is not None and head.length > self.max_body_bytes:
             raise body_too_large(self.max_body_bytes)
         path = REQUEST_PATH_PATTERN.fullmatch(head.target)
         if path is None:
-            raise ProtocolError(404, "bad-path", "the path is not /api/VOLUME/DATA, 16 hex digits each")
+            raise ProtocolError(404, "bad-path", "the path must be /api/VOLUME/DATA with 16 hex digits each")
         request_class = self._parse_class(headers)
         method = _check_method(head, request_class)
         plan = self._plans.get(headers.get(b"x-plan", b""))
         if plan is None:
-            raise ProtocolError(400, "no-plan", "X-Plan names no plan")
+            raise ProtocolError(400, "no-plan", "X-Plan is missing or names an unknown plan")
         _check_identifiers(headers, request_class)
         time_left_ms = _parse_time_left(headers)
         size = self._parse_size(headers)
@@ -111,17 +120,17 @@
     def _parse_class(self, headers: dict[bytes, bytes]) -> api.RequestClass:
         request_class = self._classes.get(headers.get(b"req-kind", b""))
         if request_class is None:
-            raise ProtocolError(400, "no-class", "Req-Kind names no class of requests")
+            raise ProtocolError(400, "no-class", "Req-Kind is missing or names an unknown request class")
         return request_class
 
     def _parse_size(self, headers: dict[bytes, bytes]) -> RequestSize:
         match = X_IO_PATTERN.fullmatch(headers.get(b"x-io", b"").replace(b" ", b""))
         if match is None:
-            raise _invalid_header("X-IO is not units=N,shard=N,hosts=N")
+            raise _invalid_header("X-IO must have the form units=N,shard=N,hosts=N")
         size = RequestSize(float(match[1]), int(match[2]), int(match[3]))
         if not 0 < size.units <= self._max_units or not 0 < size.sharing_gateways <= self._gateway_count:
             raise _invalid_header(
-                f"X-IO: units are up to {self._max_units:g}, hosts 1 to {self._gateway_count}"
+                f"X-IO: units must be above 0 and up to {self._max_units:g}, hosts 1 to {self._gateway_count}"
             )
         return size
 
@@ -138,24 +147,24 @@
 def _check_method(head: RequestHead, request_class: api.RequestClass) -> str:
     method = "PUT" if request_class.modifies_data else "GET"
     if head.method != method:
-        raise ProtocolError(405, "method", f"{request_class.name} goes by {method}")
+        raise ProtocolError(405, "method", f"{request_class.name} requires the method {method}")
     if method == "GET" and head.length != 0:
-        raise _invalid_header("a read has no body")
+        raise _invalid_header("a GET request must not have a body")
     return method
 
 
 def _check_identifiers(headers: dict[bytes, bytes], request_class: api.RequestClass) -> None:
     if not TOKEN_PATTERN.fullmatch(headers.get(b"req-id", b"")):
-        raise _invalid_header("Req-Id is missing or can't be used")
+        raise _invalid_header("Req-Id is missing or is not 1 to 128 visible ASCII characters")
     needs_key = request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY
     if needs_key and not headers.get(b"idempotency-key"):
-        raise _invalid_header(f"{request_class.name} needs an Idempotency-Key")
+        raise _invalid_header(f"{request_class.name} requires an Idempotency-Key header")
 
 
 def _parse_time_left(headers: dict[bytes, bytes]) -> float:
     text = headers.get(b"req-deadline-ms", b"")
     if not INTEGER_PATTERN.fullmatch(text) or not int(text):
-        raise _invalid_header("Req-Deadline-Ms is no whole number above 0")
+        raise _invalid_header("Req-Deadline-Ms is not an integer above 0")
     return float(int(text))
 
 
@@ -165,7 +174,7 @@
 
 
 def upstream_headers(request: ParsedRequest, time_left_ms: float) -> Headers:
-    """The headers that a store gets."""
+    """Return the headers of a request to a store, with the deadline that is left."""
     headers = [*request.headers, (b"req-deadline-ms", b"%d" % max(1, int(time_left_ms)))]
     if request.method == "PUT":
         headers.append((b"content-length", b"%d" % len(request.body)))
@@ -173,18 +182,18 @@
 
 
 def count_framing_headers(head: ResponseHead) -> int:
-    """In how many ways a response's head gives the end of its body: 0, 1 or 2."""
+    """Return how many of Content-Length and Transfer-Encoding a response's head has: 0, 1 or 2."""
     names = [name for name, _ in head.headers]
     return (b"content-length" in names) + (b"transfer-encoding" in names)
 
 
 def has_valid_framing(head: ResponseHead, max_body_bytes: int = MAX_BODY_BYTES) -> bool:
-    """Whether a response's head gives the end of its body in exactly one way, and within the limit."""
+    """Return whether a response's head delimits its body in exactly one way, and within the limit."""
     return count_framing_headers(head) == 1 and (head.length is None or head.length <= max_body_bytes)
 
 
 def parse_response(head: ResponseHead, load_report_fields: tuple[str, ...]) -> AttemptResult:
-    """What a complete response of a store means. Figures that can't be read are dropped."""
+    """Interpret a store's complete response. Invalid numbers in its headers are ignored."""
     return AttemptResult(
         outcome=_response_outcome(head),
         volume_usage_percent=_parse_figure(head.get(b"x-volume-use")),
@@ -202,7 +211,7 @@
 
 
 def _parse_figure(text: str | None) -> float | None:
-    """A finite number that is not negative; None where there is none."""
+    """Parse a finite number that is not negative; None if the text is missing or invalid."""
     if text is None:
         return None
     try:
@@ -213,7 +222,7 @@
 
 
 def _parse_load_report(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """The fields' values in order; empty where one of them is missing."""
+    """Return the values of the fields in order, or an empty tuple if any is missing or invalid."""
     if text is None or not fields:
         return ()
     pairs = dict(part.strip().partition("=")[::2] for part in text.split(","))
--- a/winchdyke/platform/request_forwarding.py
+++ b/winchdyke/platform/request_forwarding.py
@@ -1,4 +1,4 @@
-"""Carries out the scheduler's actions on requests: attempts at stores, and final responses to clients."""
+"""Carries out the scheduler's actions on requests: attempts at stores and final responses to clients."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from winchdyke.platform.upstream_attempt import UpstreamAttempt
 from winchdyke.platform.upstream_pool import UpstreamPool
 
-LATE_SEND_MS = 300.0  # after a client's disconnect; what is written later is counted apart
+LATE_SEND_MS = 300.0  # requests written longer than this after a client's disconnect are counted separately
 
 
 class ForwardedRequest(RequestHandle):
-    """An accepted request, its client, and the outcome of its last attempt."""
+    """An accepted request with its client connection and the outcome of its last attempt."""
 
     __slots__ = ("client", "disconnected_at_ms", "forwarder", "last_outcome", "request")
 
@@ -41,12 +41,12 @@
         self.disconnected_at_ms = float("inf")
 
     def deliver(self, action: RequestAction) -> None:
-        """Carry out an action of the scheduler, or of the scheduler loop in its place, at once."""
+        """Carry out an action of the scheduler, or of the scheduler loop on its behalf, immediately."""
         self.forwarder.execute(self, action)
 
 
 class RequestForwarder:
-    """Hands requests to the scheduler loop and carries out what it decides. ``counts`` is logged."""
+    """Submits requests to the scheduler loop and carries out the resulting actions. ``counts`` is logged."""
 
     def __init__(
         self,
@@ -62,19 +62,20 @@
         self.counts: Counter[str] = Counter()
 
     def accept(
-        self, client: ClientConnection, parsed: ParsedRequest, received_at_ms: float, answer_by_ms: float
+        self, client: ClientConnection, parsed: ParsedRequest, received_at_ms: float, respond_by_ms: float
     ) -> None:
-        """Hand a request over; its time left counts from when it was received, and ends at ``answer_by_ms`` at the latest.
+        """Submit a request to the scheduler.
 
-        ProtocolError 409 where a request with its id is open.
+        Its time left counts from ``received_at_ms`` and ends at ``respond_by_ms`` at the latest. Raises
+        ProtocolError 409 if a request with the same id is open.
         """
         request = parsed.request
         loop = self._scheduler_loop
         if request.request_id in loop.open_requests or request.request_id in loop.disconnected_requests:
-            raise ProtocolError(409, "id-in-use", "a request with this Req-Id is open")
+            raise ProtocolError(409, "id-in-use", "a request with this Req-Id is still open")
         now_ms = self._clock()
         time_left_ms = request.time_left_ms - max(0.0, now_ms - received_at_ms)
-        time_left_ms = min(time_left_ms, answer_by_ms - now_ms)
+        time_left_ms = min(time_left_ms, respond_by_ms - now_ms)
         self.counts["requests_accepted"] += 1
         parsed.request = dataclasses.replace(request, time_left_ms=time_left_ms)
         forwarded = ForwardedRequest(self, client, parsed, now_ms + time_left_ms)
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -1,4 +1,4 @@
-"""One gateway on real sockets: its parts put together, the scheduler's turns on the event loop, signals and the end."""
+"""One gateway: connects its components, runs the scheduler, handles signals and shutdown."""
 
 from __future__ import annotations
 
@@ -27,23 +27,25 @@
 
 RESERVED_DESCRIPTORS = 24  # for the standard streams, the event loop, the listener and discovery
 MIN_SHARED_DESCRIPTORS = 32
-CLIENT_DESCRIPTOR_FRACTION = 0.7  # of the other descriptors; what is left is for stores
-# Some clients exceed the protocol's 64 KiB; the machine's memory limits what is taken.
+CLIENT_DESCRIPTOR_FRACTION = 0.7  # of the shared descriptors; the others are for connections to stores
+# Some clients exceed the protocol's body limit of 64 KiB; these fractions of the machine's memory limit them.
 MAX_BODY_MEMORY_FRACTION = 1 / 256  # for one request body
-LARGE_BODIES_MEMORY_FRACTION = 1 / 16  # for all bodies over the protocol's limit
+LARGE_BODIES_MEMORY_FRACTION = 1 / 16  # for all request bodies that exceed the protocol's limit
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
-# What discovery's agent holds counts as notified from a process's first moment, and it answers at once: nobody is served by the cached
-# list of an earlier process before that. While discovery is down the agent says nothing. Where lists are polled, nothing counts as
-# notified before it was requested, and there is no wait.
+# The platform counts a gateway as notified, from the start of its process, of everything that discovery's
+# agent knows, and the agent responds at once. Therefore no client is served from the cached list of an
+# earlier process before the first response. While discovery is down the agent sends nothing, so the wait is
+# limited. If lists are polled, nothing counts as notified before it was requested, and the gateway doesn't
+# wait.
 MAX_DISCOVERY_WAIT_SECONDS = 1.0
-MAX_RELOAD_ATTEMPTS = 5  # a file that is being replaced is read again
+MAX_RELOAD_ATTEMPTS = 5  # the file may be incomplete while it is being replaced
 RELOAD_RETRY_SECONDS = 0.2
 
 
 class PlatformGateway:
-    """All parts of one gateway. It decides nothing: events go to the scheduler, its actions are carried out.
+    """The components of one gateway: passes events to the scheduler and carries out its actions.
 
-    OSError where the listening socket can't be opened.
+    Raises OSError if the listening socket can't be opened.
     """
 
     def __init__(self, environment: configuration.Environment, loop: asyncio.AbstractEventLoop) -> None:
@@ -73,7 +75,7 @@
         self.discovery = DiscoveryClient(
             loop, environment.discovery_address, cached.version, self._on_endpoint_list
         )
-        self._accept_once_discovery_spoke()
+        self._accept_after_first_discovery_response()
         self.shutdown = ShutdownSequence(
             loop, self.clock, self.scheduler_loop, self.clients, self.idle_eviction, self.listener
         )
@@ -91,7 +93,7 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """How many requests were accepted, attempts ended how, and final responses given by which reason."""
+        """The numbers of accepted requests, of attempts by outcome and of final responses by reason."""
         return self.forwarder.counts
 
     def _make_upstream_pool(self, max_connections: int) -> UpstreamPool:
@@ -118,7 +120,7 @@
             memory_bytes * LARGE_BODIES_MEMORY_FRACTION,
         )
 
-    def _accept_once_discovery_spoke(self) -> None:
+    def _accept_after_first_discovery_response(self) -> None:
         polls = self.environment.settings.polls_endpoint_list
         wait_seconds = 0.0 if polls else MAX_DISCOVERY_WAIT_SECONDS
         self.discovery.first_response.add_done_callback(lambda _: self.listener.set_accepting(True))
@@ -127,14 +129,14 @@
     def _accept_request(
         self, client: ClientConnection, request: protocol.ParsedRequest, received_at_ms: float
     ) -> None:
-        self.forwarder.accept(client, request, received_at_ms, self.shutdown.answer_by_ms)
+        self.forwarder.accept(client, request, received_at_ms, self.shutdown.respond_by_ms)
 
-    # The scheduler's turns.
+    # Running the scheduler.
 
     def _schedule_turn(self) -> None:
         if not self._turn_scheduled:
             self._turn_scheduled = True
-            # Behind all that is ready now, so that events which came together are handed over together.
+            # Runs after the callbacks that are ready now, so that simultaneous events form one batch.
             self.loop.call_soon(self._turn)
 
     def _turn(self) -> None:
@@ -159,7 +161,10 @@
     # The endpoint list.
 
     def _read_cached_list(self) -> EndpointListing:
-        """The list of an earlier process; an empty one where it can't be read, since discovery sends it anew."""
+        """Return the endpoint list of an earlier process.
+
+        It is empty if the cached list is invalid, since discovery sends a new list.
+        """
         empty = EndpointListing(0, True, ())
         cached = self.environment.cached_endpoint_list
         if not cached:
@@ -177,9 +182,10 @@
     # Signals.
 
     def reload(self, attempts: int = MAX_RELOAD_ATTEMPTS) -> None:
-        """Read the configuration again; one that can't be used is reported, and changes nothing.
+        """Read the configuration again; an invalid one is logged and changes nothing.
 
-        Only discovery's address changes without a restart. ``attempts``: how often the file is read until it can be used.
+        Only the discovery address can change without a restart. An invalid file is read up to ``attempts``
+        times, since it may be incomplete while it is being replaced.
         """
         try:
             environment = configuration.read_environment(os.environ)
@@ -192,13 +198,13 @@
         current = self.environment
         if environment.settings != current.settings or environment.listen_address != current.listen_address:
             self.log.warning(
-                "config_reload_partial", reason="settings and the listen address change with a restart"
+                "config_reload_partial", reason="changes to settings or the listen address need a restart"
             )
         self.log.info("config_reloaded", discovery=":".join(map(str, environment.discovery_address)))
         self.discovery.change_address(environment.discovery_address)
 
     def stop(self) -> None:
-        """Shut down gracefully: serve on while there is time, answer all that was accepted, then end."""
+        """Start a graceful shutdown: serve while time permits, respond to every open request, then exit."""
         if self.shutdown.schedule is not None:
             return
         classes = self.environment.settings.classes
@@ -208,7 +214,7 @@
         self.shutdown.advance()
 
     async def run(self) -> None:
-        """Serve until a shutdown has finished."""
+        """Serve until the shutdown has finished."""
         gc.collect()
         gc.freeze()
         self.log.info(
@@ -224,10 +230,11 @@
 
 
 async def serve(early_signals: list[int]) -> None:
-    """Run a gateway by the process's environment until a shutdown has finished.
+    """Run a gateway, configured by the process's environment, until a shutdown has finished.
 
-    ``early_signals``: SIGHUP and SIGTERM received before, which the gateway then handles. ConfigurationError where the environment
-    can't be used, OSError where the listening socket can't be opened.
+    ``early_signals`` lists the SIGHUP and SIGTERM signals received before the gateway existed; it handles
+    them first. Raises ConfigurationError if the environment is invalid, OSError if the listening socket can't
+    be opened.
     """
     loop = asyncio.get_running_loop()
     gateway = PlatformGateway(configuration.read_environment(os.environ), loop)
--- a/winchdyke/platform/shutdown_sequence.py
+++ b/winchdyke/platform/shutdown_sequence.py
@@ -1,4 +1,4 @@
-"""Carries out a graceful shutdown by its schedule: closing connections, answering what is open, and the end."""
+"""Carries out a graceful shutdown on its schedule: closes connections and finishes open requests."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from winchdyke.platform.client_listener import ClientListener
 from winchdyke.platform.graceful_shutdown import ShutdownSchedule, shutdown_schedule
 
-SHUTDOWN_CHECK_SECONDS = 0.02  # between looks at what is still open
+SHUTDOWN_CHECK_SECONDS = 0.02  # interval at which the progress of a shutdown is checked
 
 
 class ShutdownSequence:
-    """One shutdown. ``schedule`` is None before it starts; ``finished`` is done when nothing is open any more."""
+    """One shutdown. ``schedule`` is None before it starts; ``finished`` is done once everything is closed."""
 
     def __init__(
         self,
@@ -36,28 +36,28 @@
         self.finished: asyncio.Future[None] = loop.create_future()
 
     @property
-    def answer_by_ms(self) -> float:
-        """When open requests are answered, whatever has become of them; infinite before a shutdown."""
-        return float("inf") if self.schedule is None else self.schedule.answer_by_ms
+    def respond_by_ms(self) -> float:
+        """When every open request gets a final response; infinite before a shutdown."""
+        return float("inf") if self.schedule is None else self.schedule.respond_by_ms
 
     def start(self, longest_deadline_ms: float) -> None:
-        """Begin, for classes with such a longest deadline."""
+        """Start the shutdown, given the longest deadline of any request class."""
         self.schedule = shutdown_schedule(self._clock(), longest_deadline_ms)
         self._eviction.idle_limits_suspended = True
 
     def advance(self) -> None:
-        """Do what is due by now, and come back until the end."""
+        """Perform the steps that are due, and schedule the next check unless the shutdown has finished."""
         schedule = self.schedule
         assert schedule is not None
         now_ms = self._clock()
-        if now_ms >= schedule.closing_from_ms:
+        if now_ms >= schedule.close_connections_from_ms:
             self._clients.close_after_response = True
             self._eviction.close_idle()
-        if now_ms >= schedule.answer_by_ms and self._scheduler_loop.open_requests:
-            # The process is ended at a time that nobody tells beforehand, and what is open then would be lost.
+        if now_ms >= schedule.respond_by_ms and self._scheduler_loop.open_requests:
+            # The platform doesn't announce when it kills the process, and open requests would be lost.
             self._scheduler_loop.finish_all("stopping")
         if (
-            not self._is_settled(schedule, now_ms)
+            not self._may_finish(schedule, now_ms)
             or self._scheduler_loop.open_requests
             or not self._process_pending()
         ):
@@ -67,16 +67,17 @@
             self._clients.close_all()
             self.finished.set_result(None)
 
-    def _is_settled(self, schedule: ShutdownSchedule, now_ms: float) -> bool:
-        """Whether no request can be on its way any more, or none that is waited for."""
+    def _may_finish(self, schedule: ShutdownSchedule, now_ms: float) -> bool:
+        """Return whether no request can still arrive, or the shutdown no longer waits for one."""
         if not self._clients.close_after_response or now_ms < schedule.earliest_exit_ms:
             return False
-        return now_ms >= schedule.answer_by_ms or not self._clients.has_unsettled
+        return now_ms >= schedule.respond_by_ms or not self._clients.has_unfinished
 
     def _process_pending(self) -> bool:
-        """Take all that stands in the queue or in a socket; whether no response is owed.
+        """Accept all waiting connections and read all waiting data; return whether no response is pending.
 
-        Called in the turn of the event loop that ends the process: what came before it was taken, and would be lost.
+        Called in the last turn of the event loop: the kernel has accepted this data, so the requests in it
+        would be lost if the process exited now.
         """
         while not self._listener.accept_pending():
             pass
--- a/winchdyke/platform/sockets.py
+++ b/winchdyke/platform/sockets.py
@@ -1,7 +1,8 @@
-"""Non-blocking sockets, read with the time at which the kernel received the bytes.
+"""Non-blocking sockets whose data is read together with the time at which the kernel received it.
 
-A process that was kept off its core reads late what came in time. The kernel's timestamp (``SO_TIMESTAMPNS``) tells when it came, so
-that neither a store's latency nor a client's time left contains the event loop's lag.
+A process that was descheduled reads data later than it arrived. The kernel's timestamp (``SO_TIMESTAMPNS``)
+gives the time of arrival, so that neither a store's latency nor a client's time left includes the event
+loop's lag.
 """
 
 from __future__ import annotations
@@ -15,25 +16,27 @@
 from winchdyke.gateway.scheduler_loop import monotonic_ms
 from winchdyke.platform.configuration import Address
 
-SO_TIMESTAMPNS = getattr(
-    socket, "SO_TIMESTAMPNS", 35
-)  # Linux' number, which the standard library does not name
+# The socket module doesn't define this constant; 35 is its value on Linux.
+SO_TIMESTAMPNS = getattr(socket, "SO_TIMESTAMPNS", 35)
 TIMESPEC = struct.Struct("@qq")
 ANCILLARY_BYTES = socket.CMSG_SPACE(TIMESPEC.size)
 MAX_RECEIVE_BYTES = 64 * 1024
 
 
 def configure(sock: socket.socket) -> None:
-    """Make a connection's socket non-blocking, with timestamps and without Nagle's delay. OSError where it is closed."""
+    """Make a connection's socket non-blocking, with timestamps and TCP_NODELAY.
+
+    Raises OSError if the socket is closed.
+    """
     sock.setblocking(False)
-    with contextlib.suppress(OSError):  # without timestamps, bytes count as received when they are read
+    with contextlib.suppress(OSError):  # without timestamps, the time of reading is used instead
         sock.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
     if sock.family != socket.AF_UNIX:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
 def open_listener(address: Address, backlog: int) -> socket.socket:
-    """A non-blocking socket that listens. OSError where the address can't be used."""
+    """Return a non-blocking listening socket. Raises OSError if the address can't be used."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -47,9 +50,10 @@
 
 
 def receive(sock: socket.socket, max_bytes: int = MAX_RECEIVE_BYTES) -> tuple[bytes, float]:
-    """Bytes, and when the last of them was received, in milliseconds of the gateway's clock; no bytes at the connection's end.
+    """Read bytes, and return them with the time at which the kernel received the last of them.
 
-    BlockingIOError where nothing has come, another OSError where the connection is broken.
+    The time is in milliseconds of the gateway's clock. The bytes are empty once the peer has closed the
+    connection. Raises BlockingIOError if there is no data, another OSError if the connection is broken.
     """
     data, ancillary, _, _ = sock.recvmsg(max_bytes, ANCILLARY_BYTES)
     now_ms = monotonic_ms()
@@ -62,7 +66,7 @@
 
 
 def has_nothing_to_read(sock: socket.socket) -> bool:
-    """Whether no bytes, no end and no error wait to be read; nothing is consumed."""
+    """Return whether the socket has no data, end of stream or error to report. Consumes nothing."""
     try:
         sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -73,7 +77,7 @@
 
 
 def peer_has_closed(sock: socket.socket) -> bool:
-    """Whether the peer has closed or reset, with nothing unread before it; nothing is consumed."""
+    """Return whether the peer has closed or reset the connection and no data is unread. Consumes nothing."""
     try:
         return not sock.recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -83,7 +87,7 @@
 
 
 def connect_has_finished(sock: socket.socket) -> bool:
-    """Whether a connect has succeeded or failed."""
+    """Return whether a connect has either succeeded or failed."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLOUT)
     return bool(poll.poll(0))
--- a/winchdyke/platform/upstream_attempt.py
+++ b/winchdyke/platform/upstream_attempt.py
@@ -1,22 +1,22 @@
-"""One attempt at a store, from taking a connection to its outcome. Nothing here decides whether or where to send.
+"""One attempt at a store, from taking a connection to its outcome. The scheduler chooses the store.
 
-Whether a request may have run follows from bytes alone: an attempt *never ran* only where its last byte was not handed to
-the kernel, or where the store says so.
+A request certainly *never ran* if its last byte was not passed to the kernel, or if the store declined it. In
+all other cases it may have run.
 
 ====================  =========================================================================  =========
-outcome               what happened                                                              never ran
+outcome               cause                                                                      never ran
 ====================  =========================================================================  =========
 ``CONNECT_FAILED``    no connection was established, or it broke before the request's last byte  yes
                       was written
 ``NOT_SENT``          the deadline passed, no descriptor was left, or the attempt was abandoned  yes
                       before the last byte was written
-``SHED``              the store declined it                                                      yes
-``CONNECTION_RESET``  the connection broke after that, or ended within a response, or the        no
-                      response was malformed
-``ERROR``             any other response than 200                                                no
-``TIMED_OUT``         no complete response at the deadline                                       no
-``CANCELLED``         the scheduler cancelled it                                                 no
-``SERVED``            a complete 200                                                             no
+``SHED``              the store declined the request                                             yes
+``CONNECTION_RESET``  the connection broke after the request's last byte was written or within   no
+                      the response, or the response was malformed
+``ERROR``             a response with a status other than 200                                    no
+``TIMED_OUT``         no complete response by the deadline                                       no
+``CANCELLED``         the scheduler cancelled the attempt                                        no
+``SERVED``            a complete response with status 200                                        no
 ====================  =========================================================================  =========
 """
 
@@ -36,21 +36,22 @@
 from winchdyke.platform.upstream_pool import UpstreamPool
 from winchdyke.platform.upstream_response import MalformedResponseError, ResponseReader
 
-# A response without a length is complete at the end of its connection, which follows its last byte closely; one whose connection
-# stays open for longer is malformed.
+# A response without a length ends when its connection closes, which happens shortly after the last byte. If
+# the connection stays open for longer than this, the response is malformed.
 CLOSE_DELIMITED_TIMEOUT_MS = 100.0
 LOCAL_RESOURCE_ERRORS = (*RESOURCE_EXHAUSTION_ERRNOS, errno.EADDRNOTAVAIL)
 RESPONSE_OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.ERROR, AttemptOutcome.SHED)
 
 
 class UpstreamAttempt:
-    """One request sent to one store.
+    """One request to one store.
 
-    ``on_finished`` is called once, with the attempt, its result and its latency in milliseconds. Times are milliseconds of the pool's
-    clock.
+    ``on_finished`` is called once, with the attempt, its result and its latency in milliseconds. Times are
+    milliseconds of the pool's clock.
     """
 
     __slots__ = (
+        "_client_connected",
         "_connection",
         "_deadline",
         "_fully_written",
@@ -58,7 +59,6 @@
         "_opened_connection",
         "_pool",
         "_response",
-        "_still_wanted",
         "_unsent",
         "body",
         "deadline_ms",
@@ -79,12 +79,12 @@
         deadline_ms: float,
         on_finished: Callable[[UpstreamAttempt, AttemptResult, float], None],
         write_deadline_ms: float = float("inf"),
-        still_wanted: Callable[[], bool] = lambda: True,
+        client_connected: Callable[[], bool] = lambda: True,
     ) -> None:
         """Prepare an attempt.
 
-        ``write_deadline_ms``: until when the last byte may be written. ``still_wanted`` is asked before the first byte goes on a
-        connection that has just been established.
+        The attempt is abandoned if it would write after ``write_deadline_ms``, or if ``client_connected``
+        returns False when a new connection is established and nothing was written yet.
         """
         self._pool = pool
         self.endpoint = endpoint
@@ -92,7 +92,7 @@
         self.deadline_ms = deadline_ms
         self.on_finished = on_finished
         self.write_deadline_ms = write_deadline_ms
-        self._still_wanted = still_wanted
+        self._client_connected = client_connected
         self.started_at_ms = pool.clock()
         self.finished = False
         self.body = b""
@@ -102,11 +102,11 @@
         self._unsent: memoryview | None = None
         self._last_byte_at_ms = 0.0
         self._opened_connection = False
-        self._fully_written = False  # the last byte is with the kernel: from then on the request may run
-        self.written_at_ms = -1e18  # when the last byte was written
+        self._fully_written = False  # True once the kernel has the last byte: the store may run the request
+        self.written_at_ms = -1e18  # when the last byte was written; far in the past until then
 
     def start(self) -> None:
-        """Take an idle connection, or open one, and send the request."""
+        """Send the request on an idle connection, or open a new one."""
         pool = self._pool
         while (connection := pool.take_idle(self.endpoint)) is not None:
             connection.attempt = self
@@ -117,14 +117,14 @@
         self._connect()
 
     def cancel(self) -> None:
-        """Stop waiting; a response that has arrived already is taken."""
+        """Cancel the attempt; a response that has already arrived still counts."""
         if not self.finished and self._connection is not None and self._connection.established:
             self.on_readable()
         outcome = AttemptOutcome.CANCELLED if self._fully_written else AttemptOutcome.NOT_SENT
         self._finish(AttemptResult(outcome))
 
     def abandon(self) -> None:
-        """Give up a request that has not been written completely: it never ran. Any other goes on."""
+        """End the attempt unless its request was written completely; an abandoned request never ran."""
         if self._fully_written:
             return
         if not self.finished:
@@ -138,13 +138,13 @@
         if not connection.established and not self._on_connected(connection):
             return
         too_late = self._pool.clock() > self.write_deadline_ms
-        if too_late or (self._unsent is None and not self._still_wanted()):
+        if too_late or (self._unsent is None and not self._client_connected()):
             self.abandon()
         else:
             self._write()
 
     def on_readable(self) -> None:
-        """Read what has arrived of the response."""
+        """Read the data that has arrived."""
         connection = self._connection
         assert connection is not None
         while not self.finished:
@@ -159,10 +159,10 @@
                 return
 
     def _on_data(self, connection: UpstreamConnection, data: bytes) -> bool:
-        """Parse received bytes; whether the socket may hold more that is to be read now."""
+        """Parse received bytes; return whether to read from the socket again."""
         response = self._response
         if not data and not response.close_delimited:
-            self._fail_broken("ended")  # before the end that the head gave
+            self._fail_broken("ended")  # the body is shorter than its head says
             return False
         try:
             complete = response.feed(connection.codec, data)
@@ -185,7 +185,8 @@
         self.body = self._response.body
         result = protocol.parse_response(head, self._pool.load_report_fields)
         if not self._fully_written and result.outcome is not AttemptOutcome.SHED:
-            # A store begins a request when its last byte has come, which has not left yet: this response belongs to another request.
+            # A store processes a request only after its last byte, which was not written yet. This response
+            # must belong to an earlier request.
             self._pool.counts["early_responses"] += 1
             result = AttemptResult(AttemptOutcome.NOT_SENT)
         self._finish(result)
@@ -205,11 +206,11 @@
             self.on_writable()
 
     def _on_connected(self, connection: UpstreamConnection) -> bool:
-        """Take the result of the connect; whether it succeeded."""
+        """Check the result of the connect; return whether it succeeded."""
         sock = connection.sock
-        fault = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if fault:
-            self._fail_connect(fault)
+        connect_error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if connect_error:
+            self._fail_connect(connect_error)
             return False
         connection.established = True
         self._pool.loop.remove_writer(sock.fileno())
@@ -228,13 +229,13 @@
         connection = self._connection
         due_at_ms = self._deadline.due_at_ms
         assert connection is not None
-        # The event loop may be late: what the socket already holds counts before the deadline does.
+        # The event loop may be late: data that is already in the socket takes precedence over the deadline.
         if connection.established:
             self.on_readable()
         elif sockets.connect_has_finished(connection.sock):
             self.on_writable()
         if self.finished or self._deadline.due_at_ms != due_at_ms:
-            return  # it ended or was established just now, and has a new deadline
+            return  # the attempt has just finished, or was connected and has a new deadline
         self._fail_timed_out(connection, due_at_ms)
 
     def _fail_timed_out(self, connection: UpstreamConnection, due_at_ms: float) -> None:
@@ -258,7 +259,7 @@
         return payload + codec.end()
 
     def _write(self) -> bool:
-        """Send what is left; False where an idle connection proved dead before any of the request was written."""
+        """Write the rest of the request; return False if a reused connection failed at the first write."""
         connection = self._connection
         assert connection is not None
         first_write = self._unsent is None
@@ -272,7 +273,7 @@
                 connection.attempt = None
                 connection.close()
                 return False
-            self._finish(AttemptResult(AttemptOutcome.CONNECT_FAILED))  # its last byte was never written
+            self._finish(AttemptResult(AttemptOutcome.CONNECT_FAILED))  # the last byte was not written
             return True
         self._on_sent(connection, unsent, sent_bytes)
         return True
@@ -292,7 +293,7 @@
 
     def _fail_broken(self, reason: str) -> None:
         self._pool.counts[f"connection_broken:{reason}"] += 1
-        # It is known not to have run only while a part of the request is still here.
+        # Only a request that was not written completely is known not to have run.
         outcome = AttemptOutcome.CONNECTION_RESET if self._fully_written else AttemptOutcome.CONNECT_FAILED
         self._finish(AttemptResult(outcome))
 
@@ -309,7 +310,7 @@
         responded = result.outcome in RESPONSE_OUTCOMES
         self._release_connection(responded)
         if result.outcome is AttemptOutcome.TIMED_OUT:
-            # Idle connections to a machine that stays silent may be dead too; a new connection shows it sooner.
+            # Idle connections to an unresponsive machine may be dead too; a new connection fails sooner.
             self._pool.close_idle_to(self.endpoint)
         ended_at_ms = self._last_byte_at_ms if responded else self._pool.clock()
         self.on_finished(self, result, max(0.0, ended_at_ms - self.started_at_ms))
--- a/winchdyke/platform/upstream_connection.py
+++ b/winchdyke/platform/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a store: its socket, its HTTP codec and the attempt that uses it, one request at a time."""
+"""One connection to a store: its socket, its HTTP codec and the attempt that is using it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 class EndpointAddress(NamedTuple):
-    """A store and where it listens; an address can pass to another store, so neither identifies a connection alone."""
+    """The id and the address of a store.
+
+    A connection is identified by both, since an address can be reassigned to another store.
+    """
 
     endpoint_id: str
     address: str
@@ -24,7 +27,8 @@
 class UpstreamConnection:
     """One connection to a store, in use by an attempt or idle in the pool.
 
-    ``established`` tells whether the connect has succeeded; ``idle_since_ms`` is when the last response's last byte arrived.
+    ``established`` is True once the connect has succeeded; ``idle_since_ms`` is when the last byte of the
+    latest response arrived.
     """
 
     __slots__ = ("attempt", "codec", "endpoint", "established", "idle_since_ms", "pool", "sock")
@@ -39,17 +43,17 @@
         self.idle_since_ms = 0.0
 
     def on_readable(self) -> None:
-        """Hand readable data to the attempt; an idle connection with data or an end is closed."""
+        """Let the attempt read. An idle connection is closed, since data on it is unexpected."""
         if self.attempt is not None:
             self.attempt.on_readable()
         else:
             self.close()
 
     def on_writable(self) -> None:
-        """Tell the attempt that the connect has finished or that the socket accepts bytes again."""
+        """Notify the attempt that the connect has finished or that the socket is writable again."""
         if self.attempt is not None:
             self.attempt.on_writable()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close immediately."""
         self.pool.close_connection(self)
--- a/winchdyke/platform/upstream_deadline.py
+++ b/winchdyke/platform/upstream_deadline.py
@@ -1,4 +1,4 @@
-"""The one timer of an attempt: connect timeout, attempt deadline, or the end of a response without a length."""
+"""The timer of an attempt: connect timeout, deadline, or the limit for a response without a length."""
 
 from __future__ import annotations
 
@@ -17,15 +17,16 @@
         self.due_at_ms = 0.0
 
     def set(self, due_at_ms: float, on_due: Callable[[], None]) -> None:
-        """Replace the timer by one that calls ``on_due`` at a time.
+        """Replace the timer with one that calls ``on_due`` at ``due_at_ms``.
 
-        The callback is passed here, not kept: a cancelled timer then leaves no reference cycle with the attempt.
+        The callback is not stored in an attribute, so that a cancelled timer leaves no reference cycle with
+        the attempt.
         """
         self.cancel()
         self.due_at_ms = due_at_ms
         self._timer = self._loop.call_at(due_at_ms / 1000, on_due)
 
     def cancel(self) -> None:
-        """Stop the timer, if one runs."""
+        """Cancel the timer if it is running."""
         if self._timer is not None:
             self._timer.cancel()
--- a/winchdyke/platform/upstream_pool.py
+++ b/winchdyke/platform/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The connections of one gateway to all stores: opened, kept idle between attempts, closed when expired."""
+"""The pool of connections to stores: opens them, keeps them idle between attempts, closes expired ones."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from winchdyke.platform.upstream_connection import EndpointAddress, UpstreamConnection
 from winchdyke.platform.upstream_response import ResponseMemory
 
-REUSE_IDLE_FRACTION = (
-    0.5  # of the stores' idle timeout, so that a reused connection does not cross the store's close
-)
-# Stores may send a response twice, some milliseconds apart; on a connection reused at once the second one would answer the next
-# request. What arrives during the pause closes the connection.
+# Connections are reused only within this fraction of the stores' idle timeout, so that a request is not sent
+# while the store closes the connection.
+REUSE_IDLE_FRACTION = 0.5
+# Stores may send a response twice, a few milliseconds apart. On a connection that is reused at once, the
+# second copy would be taken as the response to the next request. Data that arrives during the pause closes
+# the connection.
 MIN_REUSE_PAUSE_MS = 50.0
 
 
 class UpstreamPool:
-    """Connections to stores by endpoint; one request at a time goes on each.
+    """Connections to stores, by endpoint; each carries one request at a time.
 
     Times are milliseconds of ``clock``. ``counts`` is logged under ``store:``.
     """
@@ -50,7 +51,11 @@
         self._idle_by_endpoint: dict[EndpointAddress, list[UpstreamConnection]] = {}
 
     def take_idle(self, endpoint: EndpointAddress) -> UpstreamConnection | None:
-        """An idle connection that has paused long enough and on which nothing has come since; expired ones are closed."""
+        """Return an idle connection that may be reused, or None.
+
+        Its pause since the last response is over and no data has arrived since. Connections that have expired
+        or received data are closed.
+        """
         now = self.clock()
         for connection in reversed(self._idle_by_endpoint.get(endpoint, ())[:]):
             idle_ms = now - connection.idle_since_ms
@@ -64,13 +69,13 @@
         return None
 
     def connect(self, endpoint: EndpointAddress) -> UpstreamConnection:
-        """Begin a new connection, closing the longest idle one where the limit is reached.
+        """Start a new connection; at the limit, the longest idle connection is closed first.
 
-        OSError where it can't be begun; EMFILE where all connections are in use.
+        Raises OSError if the connect fails at once, with EMFILE if all connections are in use.
         """
         if len(self.connections) >= self.max_connections:
             if not self._idle:
-                raise OSError(errno.EMFILE, "as many connections to stores as may be are in use")
+                raise OSError(errno.EMFILE, "the limit of connections to stores is reached and none is idle")
             next(iter(self._idle)).close()
         sock = _begin_connect(endpoint.address)
         connection = UpstreamConnection(self, endpoint, sock)
@@ -80,14 +85,14 @@
         return connection
 
     def release(self, connection: UpstreamConnection, idle_since_ms: float) -> None:
-        """Keep a connection whose exchange is complete; its store counts it as idle since then."""
+        """Keep a connection for reuse after a complete response, idle since its last byte arrived."""
         connection.codec.next_cycle()
         connection.idle_since_ms = idle_since_ms
         self._idle[connection] = None
         self._idle_by_endpoint.setdefault(connection.endpoint, []).append(connection)
 
     def close_connection(self, connection: UpstreamConnection) -> None:
-        """Close a connection, idle or in use; one that is closed already is left alone."""
+        """Close a connection, idle or in use; does nothing if it is already closed."""
         if connection not in self.connections:
             return
         self.connections.discard(connection)
@@ -103,7 +108,7 @@
             connection.close()
 
     def close_expired(self, listed: set[EndpointAddress]) -> None:
-        """Close what has been idle for too long, or belongs to an endpoint that is not listed any more."""
+        """Close idle connections that have expired or whose endpoint is no longer listed."""
         expired_at = self.clock() - self.max_idle_ms
         expired = [
             connection
@@ -127,14 +132,14 @@
 
 
 def _begin_connect(address: str) -> socket.socket:
-    """A socket whose connect to HOST:PORT has begun; OSError where it failed at once."""
+    """Return a socket that is connecting to HOST:PORT. Raises OSError if the connect fails at once."""
     host, _, port = address.rpartition(":")
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sockets.configure(sock)
-        fault = sock.connect_ex((host, int(port)))
-        if fault not in (0, errno.EINPROGRESS):
-            raise OSError(fault, os.strerror(fault))
+        connect_error = sock.connect_ex((host, int(port)))
+        if connect_error not in (0, errno.EINPROGRESS):
+            raise OSError(connect_error, os.strerror(connect_error))
     except BaseException:
         sock.close()
         raise
--- a/winchdyke/platform/upstream_response.py
+++ b/winchdyke/platform/upstream_response.py
@@ -1,4 +1,4 @@
-"""Reads one response of a store completely, within the memory that responses may take."""
+"""Reads one complete response of a store within memory limits."""
 
 from __future__ import annotations
 
@@ -8,15 +8,13 @@
 from winchdyke.platform import protocol
 from winchdyke.platform.upstream_connection import MAX_HEAD_BYTES
 
-MAX_FRAMING_BYTES = (
-    2 * MAX_HEAD_BYTES
-)  # of a response beside its body: informational responses, head and chunk framing
+MAX_FRAMING_BYTES = 2 * MAX_HEAD_BYTES  # informational responses, head and chunk framing of one response
 MAX_RESPONSE_MEMORY_FRACTION = 1 / 64  # of the machine's memory, for one response
 MAX_BUFFERED_MEMORY_FRACTION = 1 / 8  # of the machine's memory, for all responses that are being read
 
 
 class MalformedResponseError(Exception):
-    """A response that must not be passed on; ``reason`` is ``http``, ``length`` or ``too-large``."""
+    """A response must not be forwarded; ``reason`` is ``http``, ``length`` or ``too-large``."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(f"malformed response: {reason}")
@@ -25,10 +23,10 @@
 
 @dataclass(slots=True)
 class ResponseMemory:
-    """Bytes of response bodies that are buffered, over all attempts of a gateway, and their limits.
+    """Counts the bytes of response bodies that all attempts of a gateway buffer, and limits them.
 
-    A response is read completely before any of it is passed on. Stores exceed the protocol's 64 KiB at times, so the machine's
-    memory limits a response.
+    A response is read completely before any of it is forwarded. Stores sometimes exceed the protocol's 64
+    KiB, so the limits depend on the machine's memory.
     """
 
     max_response_bytes: int
@@ -37,7 +35,7 @@
 
     @classmethod
     def of_machine(cls, memory_mb: float) -> ResponseMemory:
-        """The limits for a machine with so much memory, in MiB."""
+        """Return the limits for a machine with ``memory_mb`` MiB of memory."""
         memory_bytes = memory_mb * 2**20
         return cls(
             max(protocol.MAX_BODY_BYTES, int(memory_bytes * MAX_RESPONSE_MEMORY_FRACTION)),
@@ -46,7 +44,10 @@
 
 
 class ResponseReader:
-    """Parses one response. ``close_delimited``: its head gives no length, so it ends with its connection, in good order."""
+    """Parses one response.
+
+    ``close_delimited`` is True if the head gives no length; the body then ends with an orderly close.
+    """
 
     __slots__ = ("_body", "_memory", "_received_bytes", "close_delimited", "head")
 
@@ -59,18 +60,18 @@
 
     @property
     def body(self) -> bytes:
-        """The body as far as it was read."""
+        """The part of the body that was read so far."""
         return bytes(self._body)
 
     @property
     def exceeds_wire_limit(self) -> bool:
-        """Whether more bytes have come than a body of the permitted size and its framing take."""
+        """Whether more bytes were received than a body of the permitted size can take with its framing."""
         return self._received_bytes > 2 * self._memory.max_response_bytes + MAX_FRAMING_BYTES
 
     def feed(self, codec: ClientCodec, data: bytes) -> bool:
-        """Take in bytes, empty at the connection's end; whether the response is complete.
+        """Parse received bytes, empty at the end of the connection; return whether the response is complete.
 
-        MalformedResponseError where it must not be passed on.
+        Raises MalformedResponseError if the response must not be forwarded.
         """
         self._received_bytes += len(data)
         try:
@@ -80,7 +81,7 @@
             raise MalformedResponseError("http") from error
 
     def release(self) -> None:
-        """Give back the memory of the body; to be called once."""
+        """Release the memory of the body; must be called exactly once."""
         self._memory.buffered_bytes -= len(self._body)
 
     def _parse(self, codec: ClientCodec) -> bool:
