--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,11 +1,12 @@
-"""Which system calls the platform's gateway makes, from its start over load and SIGHUP to its end after SIGTERM.
+"""Lists the system calls of the platform's gateway: start, load, SIGHUP, and exit after SIGTERM.
 
     python benchmarks/calls.py [--requests 2000] [--keep TRACE]
 
-The `run` line of deploy/balancer.toml is started as the platform starts it, by `/bin/sh -c` under `strace -f`, on loopback,
-with a store, discovery and clients of its own. What is printed is judged from the trace alone: programs started, threads,
-families of sockets, where it listened and connected, files opened for writing, and every call with its count. A line that
-begins with ``BROKEN`` is a thing that the platform's page refuses; then the exit status is 1. Needs `strace`; not for CI.
+The `run` line of deploy/balancer.toml is started as the platform starts it, by `/bin/sh -c`, but under
+`strace -f` and on loopback, with a store, discovery and clients of this program. The output is derived from
+the trace alone: programs started, threads, socket families, addresses of bind and connect, files opened for
+writing, and each system call with its count. A line that begins with ``BROKEN`` names something that the
+platform's page forbids; the exit status is then 1. Requires `strace`; not run in CI.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from pathlib import Path
 
 HOME = Path(__file__).resolve().parent.parent
-REFUSED = {
+FORBIDDEN_CALLS = {
     "fork", "vfork", "io_uring_setup", "io_uring_enter", "splice", "sendfile", "sendfile64", "vmsplice", "tee", "execveat",
 }  # fmt: skip
 SETTINGS = {
@@ -42,7 +43,7 @@
 
 
 async def store(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A good answer to each head."""
+    """Respond with 200 to each request."""
     try:
         while True:
             await reader.readuntil(b"\r\n\r\n")
@@ -52,7 +53,7 @@
 
 
 async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-    """A watch that says nothing new."""
+    """Serve a watch that sends only empty lines."""
     await reader.readuntil(b"\r\n\r\n")
     writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
     try:
@@ -65,7 +66,7 @@
 
 
 async def client(port: int, first: int, count: int, answers: Counter[str]) -> None:
-    """Requests one after the other, each answer's status counted."""
+    """Send requests one after the other and count the statuses of the responses."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     for number in range(first, first + count):
         writer.write(
@@ -78,30 +79,30 @@
     writer.close()
 
 
-async def play(line: str, trace: Path, folder: Path, requests: int) -> tuple[int, Counter[str]]:
-    """The gateway under strace; its exit status and what its clients got."""
-    stores = await asyncio.start_server(store, "127.0.0.1", 0)
-    lists = await asyncio.start_server(discovery, "127.0.0.1", 0)
-    with socket.socket() as free:
-        free.bind(("127.0.0.1", 0))
-        port = free.getsockname()[1]
-    at = stores.sockets[0].getsockname()[1]
+async def run_gateway(line: str, trace: Path, folder: Path, requests: int) -> tuple[int, Counter[str]]:
+    """Run the gateway under strace; return its exit status and the statuses that its clients received."""
+    store_server = await asyncio.start_server(store, "127.0.0.1", 0)
+    discovery_server = await asyncio.start_server(discovery, "127.0.0.1", 0)
+    with socket.socket() as free_socket:
+        free_socket.bind(("127.0.0.1", 0))
+        port = free_socket.getsockname()[1]
+    store_port = store_server.sockets[0].getsockname()[1]
     entry = {
         "id": "s-1",
-        "addr": f"127.0.0.1:{at}",
+        "addr": f"127.0.0.1:{store_port}",
         "zone": "a",
         "cell": 3,
         "state": "in_service",
         "started_ms": 0,
     }
-    told = {
+    config = {
         "name": "n0", "listen": f"127.0.0.1:{port}", "seed": "1",
-        "discovery": f"127.0.0.1:{lists.sockets[0].getsockname()[1]}",
+        "discovery": f"127.0.0.1:{discovery_server.sockets[0].getsockname()[1]}",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
         "known": {"version": 1, "full": True, "servers": [entry]}, "settings": SETTINGS,
     }  # fmt: skip
     file = folder / "config.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
         "strace", "-f", "-qq", "-o", str(trace), "/bin/sh", "-c", line,
         cwd=HOME, env={**os.environ, "NODE_CONFIG": str(file), "TMPDIR": str(folder)},
@@ -116,24 +117,26 @@
         except OSError:
             await asyncio.sleep(0.1)
     answers = Counter[str]()
-    lanes = 10
-    await asyncio.gather(*(client(port, n * requests, requests // lanes, answers) for n in range(lanes)))
+    client_count = 10
+    await asyncio.gather(
+        *(client(port, n * requests, requests // client_count, answers) for n in range(client_count))
+    )
     gateway = int(Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()[0])
     os.kill(gateway, signal.SIGHUP)
     await asyncio.gather(
-        *(client(port, (n + 20) * requests, requests // lanes, answers) for n in range(lanes))
+        *(client(port, (n + 20) * requests, requests // client_count, answers) for n in range(client_count))
     )
     os.kill(gateway, signal.SIGTERM)
     status = await asyncio.wait_for(process.wait(), 30)
-    stores.close()
-    lists.close()
+    store_server.close()
+    discovery_server.close()
     return status, answers
 
 
-def told(trace: str) -> tuple[list[str], list[str]]:
-    """What the trace shows, in lines, and what of it is refused."""
-    calls, broken, lines = Counter[str](), list[str](), list[str]()
-    execs, families, places, written = list[str](), Counter[str](), Counter[str](), Counter[str]()
+def analyze_trace(trace: str) -> tuple[list[str], list[str]]:
+    """Return a summary of the trace, in lines, and the violations of the platform's rules."""
+    calls, violations, lines = Counter[str](), list[str](), list[str]()
+    execs, families, addresses, written = list[str](), Counter[str](), Counter[str](), Counter[str]()
     threads = 0
     for row in trace.splitlines():
         match = re.match(r"\d+\s+(\w+)\((.*)", row)
@@ -146,44 +149,50 @@
         elif name in ("clone", "clone3"):
             threads += 1
             if "CLONE_THREAD" not in rest:
-                broken.append(f"a process by {name}({rest[:80]}")
+                violations.append(f"a process created by {name}({rest[:80]}")
         elif name == "socket":
             families[", ".join(part.split("|")[0].strip() for part in rest.split(",")[:2])] += 1
             if not rest.startswith("AF_INET,"):
-                broken.append(f"socket({rest[:60]}")
+                violations.append(f"socket({rest[:60]}")
         elif name in ("bind", "connect"):
             found = re.search(r'inet_addr\("([^"]+)"', rest)
-            places[f"{name} {found.group(1) if found else rest[:60]}"] += 1
+            addresses[f"{name} {found.group(1) if found else rest[:60]}"] += 1
         elif name in ("open", "openat") and re.search(r"O_(WRONLY|RDWR|CREAT)", rest) and "= -1" not in rest:
             path = rest.split('"')[1]
             written[path] += 1
             if path != "/dev/null":
-                broken.append(f"{path} opened for writing")
-        if name in REFUSED:
-            broken.append(f"{name}({rest[:80]}")
+                violations.append(f"{path} opened for writing")
+        if name in FORBIDDEN_CALLS:
+            violations.append(f"{name}({rest[:80]}")
     if len(execs) != 2:
-        broken.append(f"programs started: {execs}")
-    lines += [f"programs: {' then '.join(execs)}", f"threads made: {threads}", f"sockets: {dict(families)}"]
-    lines += [f"places: {dict(places)}", f"files written: {dict(written)}"]
+        violations.append(f"programs started: {execs}")
+    lines += [
+        f"programs: {' then '.join(execs)}",
+        f"threads started: {threads}",
+        f"sockets: {dict(families)}",
+    ]
+    lines += [f"addresses: {dict(addresses)}", f"files written: {dict(written)}"]
     lines.append("calls: " + ", ".join(f"{name} {count}" for name, count in calls.most_common()))
-    return lines, broken
+    return lines, violations
 
 
 def main() -> int:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--requests", type=int, default=2000)
-    words.add_argument("--keep", type=Path)
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--requests", type=int, default=2000)
+    parser.add_argument("--keep", type=Path)
+    arguments = parser.parse_args()
     line = tomllib.loads((HOME / "deploy" / "balancer.toml").read_text())["run"]
     with tempfile.TemporaryDirectory() as folder:
-        trace = chosen.keep or Path(folder) / "trace"
-        status, answers = asyncio.run(play(line, trace, Path(folder), chosen.requests))
-        lines, broken = told(trace.read_text(errors="replace"))
+        trace = arguments.keep or Path(folder) / "trace"
+        status, answers = asyncio.run(run_gateway(line, trace, Path(folder), arguments.requests))
+        lines, violations = analyze_trace(trace.read_text(errors="replace"))
     print(f"run = {shlex.quote(line)}; ended with {status}; answers {dict(answers)}")
     print("\n".join(lines))
-    for thing in broken:
-        print("BROKEN", thing)
-    return 1 if broken or status else 0
+    for violation in violations:
+        print("BROKEN", violation)
+    return 1 if violations or status else 0
 
 
 if __name__ == "__main__":
--- a/benchmarks/passthrough.py
+++ b/benchmarks/passthrough.py
@@ -1,6 +1,7 @@
-"""A proxy of the gateway's own HTTP parts that decides nothing: the measure for what deciding costs.
+"""A pass-through proxy made of the gateway's HTTP components: the baseline for the cost of scheduling.
 
-Same listener, connections, parser, pool and attempts; no scheduler, no checks of what is asked, no access log.
+It has the same listener, connections, parser, pool and attempts, but no scheduler, request checks or access
+log.
 
     python benchmarks/passthrough.py STORE_PORT [STORE_PORT ...]      prints its port
 """
@@ -23,17 +24,17 @@
 
 
 class PassThrough:
-    """In the place of the service: every request goes to the store that its path's hash names."""
+    """Replaces the gateway's service: forwards each request to a store chosen by the hash of its path."""
 
     def __init__(self, gateway: Gateway, nodes: list[str]) -> None:
         self.nodes, self.pool, self.limits = nodes, gateway.pool, gateway.config.limits
         self.clock = gateway.scheduler_loop.clock
         self.bodies = BodyStore(1 << 30, 1 << 18)
         self.stopping, self.active_requests, self.recorder = False, 0, None
-        self.byte_meter = gateway.service.byte_meter  # which the gateway settles as it sweeps
+        self.byte_meter = gateway.service.byte_meter  # settled by the gateway's periodic sweep
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
-        """Send it on, and the answer back."""
+        """Forward a request to its store and the response to the client."""
         connection.begin_request([], close=False)
         connection.declared_body_bytes = head.length
         body = None
