--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one store: written, waited for, and its outcome classified.
+"""One attempt to have a request executed by a store: sends it, reads the response and classifies the outcome.
 
 The outcomes are defined in :mod:`winchdyke.gateway.outcomes`.
 """
@@ -20,12 +20,12 @@
 from winchdyke.quotas.token_bucket import QuotaExceededError
 
 MAX_BUFFERED_RESPONSE_BYTES = 64 * 1024  # a larger response is streamed
-RECEIVE_BYTES = 256 * 1024  # the transport's own read size: a smaller one would copy each read into pieces
+RECEIVE_BYTES = 256 * 1024  # the transport's read size; a smaller one would copy each read in pieces
 CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class ClientDisconnectedError(Exception):
-    """The client's connection is lost."""
+    """The client has disconnected."""
 
 
 @dataclass(slots=True)
@@ -52,13 +52,13 @@
 
     Attributes:
         outcome: Its outcome.
-        latency_ms: Time from its start to its end, without time spent waiting for the client.
+        latency_ms: Time from its start to its end, excluding time spent waiting for the client.
         report: The load report in the response's head.
-        response: The complete response, where it was buffered.
+        response: The complete response; None: there was none, or it was streamed.
         streamed: Whether a part of the response has been passed to the client.
-        status: The response's status; 0 where there was none.
+        status: The response's status; 0: there was no response.
         body_bytes: Bytes of the response's body.
-        error: What ended it at the client's side, or in the gateway itself.
+        error: The error of the client or the gateway that ended the attempt; None: there was none.
     """
 
     outcome: AttemptOutcome
@@ -72,15 +72,15 @@
 
 
 class Attempt:
-    """One attempt while it runs.
+    """One running attempt.
 
     Args:
-        pool: Where the connection is taken from.
+        pool: The pool that provides the connection.
         clock: Monotonic time in milliseconds.
         stream_idle_ms: The longest pause between two chunks of a streamed response.
         sink: Receives a streamed response.
         on_stream_start: Called before the first chunk of a streamed response is passed on.
-        is_expected: Whether a response's head answers the request.
+        is_expected: Returns whether the head of a response matches the request.
         enter_phase: Called with the name of each phase that begins.
     """
 
@@ -117,25 +117,25 @@
         return self._write_completed
 
     def cancel(self) -> None:
-        """Stop waiting for the attempt."""
+        """Cancel the attempt; a store that has received the request may still execute it."""
         self._cancelled = True
         self._scope.cancel()
 
     def abandon(self) -> None:
-        """Give the attempt up where no byte of it has been passed to the socket."""
+        """Cancel the attempt if no byte of it has been passed to the socket."""
         if not self._write_started:
             self._scope.cancel()
 
     async def run(
         self, endpoint: str, request: OutgoingRequest, timeout_ms: float, write_timeout_ms: float = 0.0
     ) -> AttemptResult:
-        """Carry the attempt out; raises only where the task itself is cancelled.
+        """Run the attempt; raises only if the calling task is cancelled.
 
         Args:
             endpoint: Address of the store.
-            request: What to write.
+            request: The request to send.
             timeout_ms: The attempt's time limit, up to the start of a streamed response.
-            write_timeout_ms: Nothing is written where connecting took longer than this; 0: no such limit.
+            write_timeout_ms: If connecting takes longer than this, nothing is written; 0: no limit.
         """
         started_at_ms = self._clock()
         connection: Connection | None = None
@@ -150,8 +150,8 @@
                 else:
                     result = AttemptResult(AttemptOutcome.NOT_SENT)
         except ConnectError as error:
-            own_fault = error.local_exhaustion
-            result = AttemptResult(AttemptOutcome.NOT_SENT if own_fault else AttemptOutcome.CONNECT_FAILED)
+            local_fault = error.local_exhaustion
+            result = AttemptResult(AttemptOutcome.NOT_SENT if local_fault else AttemptOutcome.CONNECT_FAILED)
         except CONNECTION_ERRORS:
             result = AttemptResult(self._outcome_of_connection_error())
         except ProtocolError:
@@ -173,7 +173,7 @@
     def _outcome_when_interrupted(self) -> AttemptOutcome:
         if not self._write_started:
             return AttemptOutcome.NOT_SENT
-        # A timeout makes the endpoint suspect, which a client that sends its body slowly must not do.
+        # A timeout marks the endpoint as suspect; a client that sends its body slowly must not cause that.
         if self._cancelled or self._waiting_on_client:
             return AttemptOutcome.CANCELLED
         return AttemptOutcome.TIMED_OUT
@@ -241,7 +241,7 @@
             self._client_error = error
             group.cancel_scope.cancel()
         except CONNECTION_ERRORS:
-            pass  # reading the response meets the same error
+            pass  # reading the response raises the same error
         finally:
             await chunks.aclose()
 
@@ -255,7 +255,7 @@
         now = self._clock()
         self._enter_phase("send")
         self._client_wait_ms += now - self._client_wait_since_ms
-        # Stays set where the wait was interrupted, for the classification of the outcome.
+        # Stays set if the wait was interrupted, so that the outcome is classified as the client's fault.
         self._waiting_on_client = self._waiting_on_client and self._scope.cancel_called
 
     # Reading the response
@@ -266,7 +266,7 @@
             codec.feed(await self._receive(connection))
         self._enter_phase("answer")
         if not self._is_expected(head):
-            raise ProtocolError(502, "store-range", "the store's range is not the one asked for")
+            raise ProtocolError(502, "store-range", "the store's range is not the requested one")
         report = store_protocol.read_report(head)
         body = bytearray()
         while len(body) <= MAX_BUFFERED_RESPONSE_BYTES and (
@@ -308,7 +308,7 @@
         report: store_protocol.EndpointReport,
         first_chunk: bytes,
     ) -> AttemptResult:
-        self._scope.deadline = float("inf")  # from here on the client's pace decides
+        self._scope.deadline = float("inf")  # from here on, the client's pace determines the duration
         self._on_stream_start()
         body_bytes = 0
         result = AttemptResult(
--- a/winchdyke/gateway/bodies.py
+++ b/winchdyke/gateway/bodies.py
@@ -1,7 +1,7 @@
-"""Request bodies that may have to be sent again: in memory up to a size, beyond it in a temporary file.
+"""Retains request bodies so that they can be resent: small bodies in memory, larger ones in a temporary file.
 
-All retained bodies share one limit, which is checked before a body is read: where it is reached, a request is rejected
-before its client is asked for the body.
+All retained bodies share one limit, which is checked before a body is read: once it is reached, a request is rejected
+before its client is told to send the body (``100 Continue``).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from winchdyke.http1 import Bytes
 
-FILE_BATCH_BYTES = 1 << 20  # written to a file at once, by a thread
+FILE_BATCH_BYTES = 1 << 20  # size of one write to a file, done by a thread
 FILE_WRITERS = ThreadPoolExecutor(4, thread_name_prefix="winchdyke-body")
 
 
@@ -25,14 +25,14 @@
     written = os.writev(file.fileno(), chunks)
     if written == size:
         return
-    # A short write means a full disk, on which one of the next writes raises OSError.
+    # A short write means that the disk is full; one of the next writes then raises OSError.
     rest: Bytes = b"".join(chunks)[written:]
     while rest:
         rest = rest[os.write(file.fileno(), rest) :]
 
 
 class BodyStoreFullError(Exception):
-    """No capacity is left for bodies, in the store's limit or on the disk."""
+    """No capacity is left for bodies: their shared limit is reached, or the disk is full."""
 
 
 class BodyStore:
@@ -64,13 +64,13 @@
 
 
 class ReplayBody:
-    """A request's body, read from the client once and given out any number of times from its start.
+    """A request's body, read from the client once, and replayable from its start any number of times.
 
     Args:
         read: Returns the next bytes from the client; empty at the end.
-        length: The body's length in bytes; None: unknown, so that capacity is reserved as it arrives.
-        store: The limit it counts against.
-        replayable: Whether it is retained; else it can be given out once only.
+        length: The body's length in bytes; None: unknown; capacity is reserved as it arrives.
+        store: The shared limit that it counts against.
+        replayable: Whether it is retained; if not, it can be read only once.
 
     Raises:
         BodyStoreFullError: No capacity is left for a body of this length.
@@ -95,7 +95,7 @@
         self._file: IO[bytes] | None = None
         self._unwritten_chunks: list[Bytes] = []
         self._unwritten_bytes = 0
-        # One batch at most is written while the next one is received.
+        # At most one batch is written while the next one is received.
         self._write_in_progress: Future[None] | None = None
 
     async def _read_more(self) -> Bytes:
@@ -142,10 +142,10 @@
             raise BodyStoreFullError from error
 
     async def chunks(self) -> AsyncGenerator[Bytes, None]:
-        """Yield the body from its start: what is retained, then what still arrives.
+        """Yield the body from its start: first its retained part, then the rest as it arrives.
 
         Raises:
-            BodyStoreFullError: No capacity is left, or the body is not replayable and has been read before.
+            BodyStoreFullError: No capacity is left, or the body is not replayable and was read before.
         """
         if self.received_bytes and not self._replayable:
             raise BodyStoreFullError
@@ -171,13 +171,13 @@
 
     @property
     def in_memory(self) -> bytes | None:
-        """The complete body where it is in memory; else None."""
+        """The complete body; None: it is incomplete or not in memory."""
         if not self.complete or self._file is not None or not self._replayable:
             return None
         return bytes(self._memory)
 
     def close(self) -> None:
-        """Release the capacity, and delete what is retained."""
+        """Release the reserved capacity, and delete the retained data."""
         self._store.release(self._reserved_bytes)
         self._reserved_bytes = 0
         self._replayable = False
--- a/winchdyke/gateway/pool.py
+++ b/winchdyke/gateway/pool.py
@@ -15,16 +15,17 @@
 
 RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024
-# A busy host answers late: the identity check may take longer than connecting, which the host's kernel answers.
+# On a busy host, the identity check may take longer than connecting: the store's process answers the check, the kernel
+# accepts the connection.
 MIN_IDENTITY_CHECK_TIMEOUT_MS = 1000.0
 HANG_UP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR | select.POLLNVAL
 
 
 class ConnectError(Exception):
-    """No connection was made.
+    """No usable connection could be made.
 
     Attributes:
-        local_exhaustion: Whether this host had no file descriptor or memory left for one.
+        local_exhaustion: Whether this host had no file descriptor or memory left for a connection.
     """
 
     def __init__(self, text: str, local_exhaustion: bool) -> None:
@@ -59,11 +60,11 @@
         )
 
     def is_readable_or_closed(self) -> bool:
-        """Whether the store has closed an idle connection or sent anything on it: it must not be used again."""
+        """Whether the store has closed an idle connection or sent data on it, so that it must not be reused."""
         return bool(self._poll.poll(0))
 
     def peer_hung_up(self) -> bool:
-        """Whether the store has closed its side, even if there is unread data before."""
+        """Whether the store has closed its side, even if unread data is left."""
         return any(event & HANG_UP_EVENTS for _, event in self._poll.poll(0))
 
     async def close(self) -> None:
@@ -73,7 +74,7 @@
 
 
 def _error_numbers(error: BaseException | None) -> set[int]:
-    """Return the errno of an exception and of all that it was caused by."""
+    """Return the errno values of an exception and of its causes."""
     found: set[int] = set()
     while error is not None:
         if isinstance(error, BaseExceptionGroup):
@@ -90,15 +91,15 @@
 
     Args:
         connect_timeout_ms: The time allowed for a new connection.
-        max_idle_ms: An idle connection that is older is not used again.
+        max_idle_ms: A connection that has been idle for longer is not reused.
         max_idle_per_endpoint: Idle connections kept for an endpoint.
         clock: Monotonic time in milliseconds.
 
     Attributes:
-        verify_identity: Asks a store who it is on a new connection; raises ConnectError where it isn't the expected one.
-        tls_context: Gives the TLS context for stores; None: connections are not encrypted.
+        verify_identity: Verifies a store's identity on a new connection; raises ConnectError if it is not the expected one.
+        tls_context: Returns the TLS context for stores; None: connections are not encrypted.
         connections_opened: Connections opened so far.
-        connections_reused: Attempts so far that took an idle connection.
+        connections_reused: Number of times that an idle connection was reused.
     """
 
     def __init__(
@@ -152,8 +153,8 @@
             raise ConnectError(f"{endpoint}: {error}", local_exhaustion) from error
         self.connections_opened += 1
         connection = Connection(endpoint, stream)
-        # Another store may have taken over the address. It can't while a connection to the one before is open, so that
-        # only the first connection has to ask.
+        # Another store may have taken over the address, but only after the previous one has closed all its connections:
+        # the identity is checked only if no other connection is open.
         if self.verify_identity is not None and all(other.peer_hung_up() for other in self._open[endpoint]):
             await self._check_identity(connection)
         self._open[endpoint].add(connection)
@@ -185,11 +186,11 @@
             raise
         if not connection.codec.reusable:
             await connection.close()
-            raise ConnectError(f"{connection.endpoint}: closes after the identity check", False)
+            raise ConnectError(f"{connection.endpoint}: closed after the identity check", False)
         connection.codec.next_cycle()
 
     async def release(self, connection: Connection) -> None:
-        """Keep a connection whose exchange has ended, or close it where it can't be used again."""
+        """Keep a connection whose exchange has ended, or close it if it can't be reused."""
         idle = self._idle[connection.endpoint]
         if not connection.codec.reusable or len(idle) >= self.max_idle_per_endpoint:
             await connection.close()
