--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -1,6 +1,6 @@
 """One client's connection: reads its requests one after another, and writes the responses.
 
-A receiving task reads ahead up to a limit, so that a disconnect is noticed while the request waits.
+A receiving task reads ahead up to a limit, so that a disconnect is detected while the request is queued.
 """
 
 from __future__ import annotations
@@ -29,26 +29,28 @@
 from winchdyke.object_api.store_protocol import client_headers
 
 MAX_READ_AHEAD_BYTES = 128 * 1024
-MAX_DISCARDED_BODY_BYTES = 64 * 1024  # of an unwanted body, so that its connection can be kept
-LINGER_SECONDS = 1.0  # for the client to read its response before a connection with an unread body is closed
+# An unread request body up to this size is read and discarded, so that its connection can be kept.
+MAX_DISCARDED_BODY_BYTES = 64 * 1024
+# Time for a client to read its response before a connection with an unread body is closed.
+LINGER_SECONDS = 1.0
 
 RequestHandler = Callable[["ClientConnection", RequestHead], Awaitable[None]]
 
 
 class ClientConnection:
-    """A connection, and the request that is being processed on it. Its response may be streamed: it is a ``Sink``.
+    """A client's connection, and the request that is being processed on it. It is the ``Sink`` of a streamed response.
 
     Attributes:
         codec: HTTP parser and serializer of the connection.
-        timeout_at_ms: When the present wait for the client takes too long; infinite where none is under way.
+        timeout_at_ms: When the current wait for the client times out; infinite: there is no wait.
         on_disconnect: Called once the client has disconnected.
         disconnected: Whether the client has disconnected.
-        idle: Whether no request has begun to arrive.
-        close_after_response: Whether the connection is closed after the present response.
-        extra_headers: Headers of the response to the present request.
-        response_status: Status of that response; 0 before it.
+        idle: Whether it is waiting for the first byte of a request.
+        close_after_response: Whether the connection is closed after the current response.
+        extra_headers: Headers that are added to the response to the current request.
+        response_status: Status of that response; 0: it has not begun.
         response_bytes: Bytes of its body that have been sent.
-        declared_body_bytes: Length of the present request's body; None: unknown.
+        declared_body_bytes: Declared length of the current request's body; None: unknown.
     """
 
     def __init__(self, stream: SocketStream, limits: Limits, clock: Callable[[], float]) -> None:
@@ -73,13 +75,13 @@
         self._data_arrived = anyio.Event()
         self._reading_resumed = anyio.Event()
         self._scope = anyio.CancelScope()
-        # Registered for no events: errors and hang-ups are always reported.
+        # Registered for no events, because poll() always reports errors and hang-ups.
         self._reset_poll = select.poll()
         self._reset_poll.register(stream.extra(SocketAttribute.raw_socket).fileno(), 0)
 
     @property
     def stream(self) -> SocketStream:
-        """The socket, for the addresses of both ends."""
+        """The socket, for its local and remote addresses."""
         return self._stream
 
     # The connection
@@ -97,9 +99,9 @@
                 await anyio.aclose_forcefully(self._stream)
 
     def check_for_reset(self) -> None:
-        """Notice a reset by a client whose data is unread, and call ``on_disconnect``.
+        """Detect a reset by a client whose data is unread, and call ``on_disconnect``.
 
-        While receiving is paused, the transport does not report a reset. An orderly close is noticed only once all data
+        While receiving is paused, the transport does not report a reset. An orderly close is detected only once all data
         before it has been read.
         """
         if self.disconnected or self._unread_bytes <= MAX_READ_AHEAD_BYTES or not self._reset_poll.poll(0):
@@ -127,7 +129,7 @@
                 await anyio.aclose_forcefully(self._stream)
 
     def close_when_idle(self) -> None:
-        """Close now where no request is being processed or waits in the socket; else after the response."""
+        """Close now if no request is being processed or waiting in the socket, else after the response."""
         self.close_after_response = True
         if self.idle and not self._has_unread_data():
             self._scope.cancel()
@@ -138,7 +140,7 @@
         return any(event & select.POLLIN for _, event in poll.poll(0))
 
     async def expire(self) -> None:
-        """End the present wait for the client: a head gets an error response, a response is cut."""
+        """Time out the current wait for the client: an incomplete head gets an error response, a response is cut."""
         self._timed_out = True
         self.timeout_at_ms = float("inf")
         self._data_arrived.set()
@@ -164,7 +166,7 @@
                 return
 
     async def _next_head(self) -> RequestHead | None:
-        # Timeouts are found by a sweep over all connections, which costs less than a timer for each wait.
+        # Timeouts are detected by a periodic sweep over all connections, which costs less than a timer for each wait.
         head = self.codec.head() if self._unread_bytes else NEED
         if head is NEED and not self.disconnected:
             self.idle = True
@@ -183,7 +185,7 @@
         return head if isinstance(head, RequestHead) else None
 
     async def _finish_exchange(self) -> bool:
-        """Discard what is left of the request; return whether the connection can carry the next one."""
+        """Discard the rest of the request; return whether the connection can be used for the next one."""
         if self.disconnected or self.codec.can_answer:
             return False
         if not self.codec.body_done and not self.close_after_response:
@@ -198,7 +200,7 @@
         return True
 
     async def _linger(self) -> None:
-        """Read on for a while before the connection is closed.
+        """Keep reading for up to ``LINGER_SECONDS`` before the connection is closed.
 
         Closing a socket with unread data resets the connection, and the reset may discard a response that the client has
         not read.
@@ -214,7 +216,7 @@
             pass
 
     async def _send_eof(self) -> None:
-        """Close the sending side, which TLS can't do alone."""
+        """Close the sending side only; not possible with TLS."""
         if not isinstance(self._stream, TLSStream):
             await self._stream.send_eof()
 
@@ -265,14 +267,14 @@
     # Responses
 
     def begin_request(self, extra_headers: Headers, close: bool) -> None:
-        """Reset the response's state, and set the headers that the response carries whatever it is."""
+        """Reset the state of the response, and set headers that are added to any response."""
         self.extra_headers = extra_headers
         self.response_status = 0
         self.response_bytes = 0
         self.close_after_response = self.close_after_response or close
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a complete response; no error where the client has disconnected."""
+        """Send a complete response; a disconnect of the client is ignored."""
         if not self.codec.can_answer:
             return
         response = self._response_head(status, headers)
--- a/winchdyke/gateway/listeners.py
+++ b/winchdyke/gateway/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets: accepts the connections of clients and of operators, and runs them."""
+"""Listening sockets: accepts the connections of clients and of operators, and serves them."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from winchdyke.object_api import answers
 
 LISTEN_BACKLOG = 1024
-ACCEPT_RETRY_SECONDS = 0.05  # where no file descriptor is left
-LAST_ACCEPT_SECONDS = 0.01  # at a shutdown, for connections that the host has accepted already
+ACCEPT_RETRY_SECONDS = 0.05  # after running out of file descriptors or memory
+LAST_ACCEPT_SECONDS = 0.01  # at a shutdown, for connections that the kernel has already established
 
 
 @dataclass(frozen=True, slots=True)
 class ListenerSpec:
-    """What to listen at.
+    """The specification of a listener.
 
     Attributes:
-        setting: The setting that asks for it, for error messages.
+        setting: The setting that configures it, for error messages.
         address: Host and port.
         handler: Processes the requests that arrive.
         uses_tls: Whether connections are encrypted.
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenListener:
-    """A listening socket."""
+    """A listening socket and its specification."""
 
     socket: SocketListener
     spec: ListenerSpec
@@ -54,7 +54,7 @@
     """Open listening sockets, all or none.
 
     Raises:
-        StartError: An address can't be listened at.
+        StartError: A listener can't be opened.
     """
     opened: list[OpenListener] = []
     for spec in specs:
@@ -78,7 +78,7 @@
         limits: Bounds on connections and their timeouts.
         clock: Monotonic time in milliseconds.
         certificates: The certificates for TLS; None: no listener uses TLS.
-        retry_after_ms: Gives the Retry-After of a rejected connection.
+        retry_after_ms: Returns the Retry-After of a rejected connection, in milliseconds.
 
     Attributes:
         connections: The connections that are open.
@@ -101,7 +101,7 @@
         self._log = structlog.get_logger("gateway")
 
     def stop_accepting(self) -> None:
-        """Accept what the host has accepted already, and close the listening sockets."""
+        """Close the listening sockets, after accepting the connections that the kernel has already established."""
         for scope in self._accepting:
             scope.cancel()
 
@@ -121,7 +121,7 @@
                         continue
                     _pause_reading(stream)
                     group.start_soon(self._run_connection, stream, spec)
-            # Closing the socket resets the connections that the host has accepted and this process has not.
+            # Closing the socket resets the connections that the kernel has established and this process has not accepted.
             while True:
                 with anyio.move_on_after(LAST_ACCEPT_SECONDS) as none_left:
                     stream = await listener.socket.accept()
@@ -150,7 +150,7 @@
 
     async def _reject(self, connection: ClientConnection) -> None:
         connection.close_after_response = True
-        text = "this gateway holds as many connections as it may; come back later"
+        text = "this gateway has reached its limit of connections; retry later"
         status, headers, body = answers.error(
             503, "refused", "too-many-connections", "-", text, self._retry_after_ms()
         )
@@ -159,7 +159,7 @@
     async def _handshake(
         self, stream: SocketStream, certificates: CertificateReloader
     ) -> SocketStream | None:
-        """Return the encrypted stream; None where the handshake failed, took too long, or too many are in progress."""
+        """Return the encrypted stream; None: the handshake failed or timed out, or too many are in progress."""
         encrypted: TLSStream | None = None
         if len(self.connections) + self._handshakes < self._limits.connections:
             self._handshakes += 1
@@ -182,7 +182,7 @@
 
 
 class AdminListeners:
-    """Accepts the connections of operators, a few at a time, which take none from clients.
+    """Accepts the connections of operators, which have a limit of their own and don't count against that of clients.
 
     Attributes:
         connections: The connections that are open.
@@ -204,24 +204,24 @@
         self, socket: SocketListener, handler: RequestHandler, max_connections: int, group: TaskGroup
     ) -> None:
         """Accept connections until :meth:`stop_accepting`, and run each in a task of the group."""
-        places = anyio.Semaphore(max_connections)
+        connection_slots = anyio.Semaphore(max_connections)
         async with socket:
             with anyio.CancelScope() as scope:
                 self._accepting.append(scope)
                 while True:
-                    await places.acquire()
+                    await connection_slots.acquire()
                     try:
                         stream = await socket.accept()
                     except OSError as error:
-                        places.release()
+                        connection_slots.release()
                         _raise_unless_transient(error)
                         await anyio.sleep(ACCEPT_RETRY_SECONDS)
                         continue
                     _pause_reading(stream)
-                    group.start_soon(self._run_connection, stream, handler, places)
+                    group.start_soon(self._run_connection, stream, handler, connection_slots)
 
     async def _run_connection(
-        self, stream: SocketStream, handler: RequestHandler, places: anyio.Semaphore
+        self, stream: SocketStream, handler: RequestHandler, connection_slots: anyio.Semaphore
     ) -> None:
         connection = ClientConnection(stream, self._limits, self._clock)
         self.connections.add(connection)
@@ -231,7 +231,7 @@
             self._log.error("connection_failed", exc_info=error)
         finally:
             self.connections.discard(connection)
-            places.release()
+            connection_slots.release()
 
 
 def _raise_unless_transient(error: OSError) -> None:
@@ -240,10 +240,10 @@
 
 
 def _pause_reading(stream: SocketStream) -> None:
-    """Keep the transport from reading until data is asked for.
+    """Keep the transport from reading until data is requested.
 
     anyio pauses the transport of an accepted connection only after a read that had to wait: until then it reads whatever
-    the client sends. Nothing public reaches the transport.
+    the client sends. anyio has no public access to the transport.
     """
     transport = getattr(stream, "_transport", None)
     if transport is not None:
--- a/winchdyke/gateway/logs.py
+++ b/winchdyke/gateway/logs.py
@@ -1,4 +1,4 @@
-"""Structured logging with structlog: JSON lines, or coloured lines for people."""
+"""Structured logging with structlog: JSON lines, or coloured lines for a terminal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     Args:
         form: ``json``, ``console`` or ``none``.
-        access: Whether each request is logged.
+        access: Whether the access log is written.
     """
     global access_log_enabled
     access_log_enabled = access and form != "none"
--- a/winchdyke/gateway/tls.py
+++ b/winchdyke/gateway/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts of listeners and for connections to stores.
+"""TLS contexts for listeners and for connections to stores.
 
-The certificate of a listener is loaded again when its files change. Each handshake takes the context that is current then;
-open connections keep theirs. A certificate that can't be used is logged, and the one before stays in use.
+The certificate of a listener is reloaded when its files change. Each handshake uses the current context; open connections
+keep theirs. If a new certificate can't be used, the error is logged and the previous certificate stays in use.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class TlsError(Exception):
-    """A certificate or key that can't be used; says why and which setting to look at."""
+    """A certificate or key can't be used; the text gives the reason and the setting to check."""
 
 
 def load_server_context(settings: Settings, now_s: float) -> ssl.SSLContext:
-    """Load a listener's context from the files that the settings name.
+    """Load a listener's context from the configured files.
 
     Args:
         settings: The ``tls`` settings.
@@ -89,10 +89,10 @@
 
 
 def load_store_context(path: str) -> ssl.SSLContext:
-    """Load a context for connecting to stores, whose certificates must be for the address that is connected to.
+    """Load a context for connections to stores, whose certificates must be valid for the address that is connected to.
 
     Args:
-        path: A PEM file with the certificates of the issuers that are trusted.
+        path: A PEM file with the certificates of the trusted issuers.
 
     Raises:
         TlsError: The file can't be used.
@@ -107,14 +107,14 @@
 
 
 class CertificateReloader:
-    """The current context of a listener, loaded again when its files change.
+    """The current context of a listener, reloaded when its files change.
 
     Args:
         settings: The ``tls`` settings.
-        unix_time: Gives the Unix time in seconds.
+        unix_time: Returns the Unix time in seconds.
 
     Attributes:
-        load_count: Contexts loaded so far.
+        load_count: Number of contexts loaded so far.
 
     Raises:
         TlsError: The files can't be used at the start.
@@ -133,7 +133,7 @@
         return tuple(_file_stamp(name) for name in files)
 
     def current_context(self) -> ssl.SSLContext:
-        """Return the context for one handshake, after a look at the files where the last one is long enough ago."""
+        """Return the context for one handshake; checks the files at most once per ``FILE_CHECK_INTERVAL_SECONDS``."""
         now = time.monotonic()
         if now >= self._checked_at_seconds + FILE_CHECK_INTERVAL_SECONDS:
             self._checked_at_seconds = now
