--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -96,7 +96,7 @@
     Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection"),
     Mutant("order key not made of the volume", S, "if rules.in_order:", "if False:", test="test_stores_are_told_the_volume_and_the_key_that_order_goes_by"),
     Mutant("a client's leaving not heeded", X, "            self._scheduler_loop.client_disconnected(exchange.handle)\n            attempt = exchange.running", "            attempt = None", rules=(1,), test="test_the_client_disconnects"),
-    Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # never an end that looks complete", "pass", rules=(1,)),
+    Mutant("a cut answer left open", "gateway/final_response.py", "connection.close_after_response = True  # otherwise the response would look complete", "pass", rules=(1,)),
     # Attempts
     Mutant("a reset claims that nothing ran", A, "            result = AttemptResult(self._outcome_of_connection_error())\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.CONNECTION_RESET)",
            "            result = AttemptResult(AttemptOutcome.NOT_SENT)\n        except ProtocolError:\n            result = AttemptResult(AttemptOutcome.NOT_SENT)"),
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -20,22 +20,22 @@
 from winchdyke.object_api import ranges, routes
 from winchdyke.object_api.sinks import Sink
 
-DEADLINE_TOLERANCE_MS = 5.0  # an answer this shortly before the deadline is a timeout
+DEADLINE_TOLERANCE_MS = 5.0  # a failure this close before the deadline counts as a timeout
 
 
 @dataclass(slots=True)
 class Exchange:
-    """One request that the scheduler has, and how it is sent.
+    """A request submitted to the scheduler, and how it is sent.
 
     Attributes:
         handle: Receives the scheduler's actions.
-        operation: What the request asks for.
-        outgoing: Builds what an endpoint receives, from its name and the index of the attempt.
+        operation: The requested operation.
+        outgoing: Builds the request to an endpoint, from the endpoint's name and the index of the attempt.
         sink: Receives a streamed response.
-        caller: Who the request comes from.
-        record: What is gathered for the access log.
-        last_outcome: Outcome of the last attempt.
-        running: The attempt that was started last.
+        caller: The originator of the request.
+        record: The data collected for the access log.
+        last_outcome: Outcome of the last attempt that ended; None: there was none.
+        running: The attempt that was started last; None: there was none.
     """
 
     handle: RequestHandle
@@ -52,15 +52,15 @@
     """Runs the exchanges of one gateway.
 
     Args:
-        scheduler_loop: Takes the events of attempts.
+        scheduler_loop: Receives the events of attempts.
         pool: The connections to stores.
         clock: Monotonic time in milliseconds.
         stream_idle_ms: The longest pause in a streamed response.
-        metering: Charges what the scheduler is not told.
-        recorder: Attributes latency; None: it is not attributed.
+        metering: Charges the units beyond those passed to the scheduler.
+        recorder: Attributes latency; None: latency is not attributed.
 
     Attributes:
-        on_endpoint_evidence: Called with what an endpoint says of itself in a response.
+        on_endpoint_evidence: Called with an endpoint and the evidence about it in its response.
         on_connect_failed: Called with an endpoint that refused a connection.
     """
 
@@ -87,7 +87,7 @@
         try:
             return await self._run(exchange)
         finally:
-            # Has an effect only after an exception: the scheduler must not keep a request that nobody waits for.
+            # Has an effect only after an exception: the scheduler must drop a request that nobody waits for.
             self._scheduler_loop.client_disconnected(exchange.handle)
 
     async def _run(self, exchange: Exchange) -> FinalResponse:
@@ -106,7 +106,7 @@
             exchange.caller.check_for_reset()
             result = await self._attempt(exchange, action)
             self._record_attempt(exchange, action.endpoint, result)
-            final = final_response.of_attempt(result)
+            final = final_response.from_attempt(result)
             if final is not None:
                 return final
 
@@ -137,8 +137,8 @@
                 previous()
             self._scheduler_loop.client_disconnected(exchange.handle)
             attempt = exchange.running
-            # A completely written attempt is executed all the same: its end is waited for, so that the concurrency limit
-            # of its endpoint accounts for it.
+            # The store executes a completely written attempt anyway: its end is awaited, so that the concurrency limit of
+            # its endpoint accounts for it.
             if attempt is not None and not attempt.write_completed:
                 attempt.cancel()
 
@@ -171,7 +171,7 @@
                 outgoing = exchange.outgoing(action.endpoint, number)
                 result = await attempt.run(action.endpoint, outgoing, timeout_ms, action.write_timeout_ms)
             except BaseException as error:
-                # Whatever it was, the scheduler has to learn that the attempt has ended.
+                # Whatever the error is, the scheduler has to learn that the attempt has ended.
                 client_error = error if isinstance(error, Exception) else None
                 cancelled = AttemptResult(api.AttemptOutcome.CANCELLED, error=client_error)
                 self._report_end(handle, number, action.endpoint, cancelled)
@@ -251,11 +251,11 @@
 
 
 def _ignore_phase(_: str) -> None:
-    """Latency is not attributed."""
+    """Do nothing, because latency is not attributed."""
 
 
 def _is_expected(operation: routes.Operation, head: AnswerHead) -> bool:
     if operation.part and operation.name == "get":
-        # The bytes of a part are known to its store only.
+        # Only the store knows which bytes a part has.
         return head.status in (200, 206) or head.status >= 400
     return ranges.answers(operation.range, head.status, head.get(b"content-range"), head.length)
--- a/winchdyke/gateway/final_response.py
+++ b/winchdyke/gateway/final_response.py
@@ -1,4 +1,4 @@
-"""The final response to a request: what it can be, and how it is sent."""
+"""The final response to a request: its variants, and how it is sent."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
     """The one final response to a request.
 
     Attributes:
-        status: Its HTTP status; 0 where the client has disconnected.
-        outcome: ``served``, ``refused``, ``failed``, or ``gone`` where the client has disconnected.
+        status: Its HTTP status; 0: the client has disconnected.
+        outcome: ``served``, ``refused``, ``failed``, or ``gone`` if the client has disconnected.
         reason: Its reason code.
-        text: What was wrong; empty: the reason code's own text.
-        retry_after_ms: When a retry may succeed; None: not stated.
-        response: A store's complete response.
+        text: Description of the error; empty: the default text of the reason code.
+        retry_after_ms: Time until a retry may succeed; None: not stated.
+        response: A store's complete response; None: there is none.
         streamed: Whether a store's response was streamed to the client.
-        acknowledged_by: What acknowledged a write, where it was not a store.
-        shard_bodies: The bodies of an operation on several shards that are not merged.
+        acknowledged_by: The component that acknowledged a write; empty: a store did.
+        shard_bodies: The unmerged response bodies of an operation on several shards; None: not applicable.
     """
 
     status: int
@@ -43,7 +43,7 @@
 
 
 def client_disconnected() -> FinalResponse:
-    """Return the response that nobody receives."""
+    """Return the result for a client that has disconnected; no response is sent."""
     return FinalResponse(0, "gone", "client-gone")
 
 
@@ -53,7 +53,7 @@
 
 
 def invalid_request(error: RequestError) -> FinalResponse:
-    """Return the response to a request that the scheduler is not asked about."""
+    """Return the response to an invalid request, which is not submitted to the scheduler."""
     return FinalResponse(error.status, "refused", error.reason, str(error))
 
 
@@ -68,15 +68,15 @@
 
 
 def rejected(reason: str, retry_after_ms: float) -> FinalResponse:
-    """Return the response to a request of which nothing was executed."""
+    """Return the response to a request that was rejected before anything was executed."""
     return FinalResponse(503, "refused", reason, outcomes.REASON_TEXTS[reason], retry_after_ms)
 
 
-def of_attempt(result: AttemptResult) -> FinalResponse | None:
-    """Return the final response where an attempt's end is the request's end; None where the scheduler decides."""
+def from_attempt(result: AttemptResult) -> FinalResponse | None:
+    """Return the final response if the attempt's end finishes the request; None: the scheduler decides what follows."""
     error = result.error
     if result.streamed:
-        return _of_streamed_attempt(result)
+        return _from_streamed_attempt(result)
     if isinstance(error, ClientDisconnectedError):
         return client_disconnected()
     if isinstance(error, QuotaExceededError):
@@ -91,7 +91,7 @@
     return None
 
 
-def _of_streamed_attempt(result: AttemptResult) -> FinalResponse:
+def _from_streamed_attempt(result: AttemptResult) -> FinalResponse:
     if result.outcome is AttemptOutcome.SERVED:
         return FinalResponse(result.status, "served", "ok", streamed=True)
     by_client = isinstance(result.error, ClientDisconnectedError)
@@ -100,12 +100,12 @@
 
 
 async def send(connection: ClientConnection, request_id: str, final: FinalResponse) -> None:
-    """Send a final response, as far as it has not been streamed; a cut one closes the connection."""
+    """Send a final response that has not been streamed; an incomplete stream closes the connection."""
     if final.outcome == "gone" or connection.disconnected:
         connection.close_after_response = True
     elif final.streamed:
         if final.outcome != "served":
-            connection.close_after_response = True  # never an end that looks complete
+            connection.close_after_response = True  # otherwise the response would look complete
     elif final.response is not None:
         extra: Headers = [(answers.OUTCOME, b"served"), (answers.REASON, b"ok")]
         if final.acknowledged_by:
--- a/winchdyke/gateway/request_context.py
+++ b/winchdyke/gateway/request_context.py
@@ -1,4 +1,4 @@
-"""One request on its way through the gateway, and the callers that a request can have."""
+"""The data of one request while the gateway processes it, and the originators that a request can have."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 from winchdyke.object_api.sinks import Sink
 
 
-class DiscardSink:
-    """Refuses a streamed response, where only complete responses are used."""
+class RejectingSink:
+    """Rejects any streamed response, for operations that need a complete response."""
 
     async def begin_stream(self, head: AnswerHead) -> None:
-        """Refuse the response.
+        """Reject the response.
 
         Raises:
             ClientDisconnectedError: Always.
@@ -26,7 +26,7 @@
         raise ClientDisconnectedError
 
     async def data(self, data: Bytes) -> None:
-        """Refuse the response.
+        """Reject the response.
 
         Raises:
             ClientDisconnectedError: Always.
@@ -34,7 +34,7 @@
         raise ClientDisconnectedError
 
     async def finish(self) -> None:
-        """Refuse the response.
+        """Reject the response.
 
         Raises:
             ClientDisconnectedError: Always.
@@ -43,19 +43,19 @@
 
 
 class Caller(Sink, Protocol):
-    """Who a request comes from: a client's connection, or the gateway itself."""
+    """The originator of a request: a client's connection, or the gateway itself."""
 
     on_disconnect: Callable[[], None] | None
     disconnected: bool
 
     def check_for_reset(self) -> None:
-        """Notice a disconnect that has not been reported yet."""
+        """Detect a disconnect that has not been reported yet."""
 
     async def read_body(self) -> Bytes:
         """Return the next bytes of the request's body; empty at its end."""
 
 
-class InternalCaller(DiscardSink):
+class InternalCaller(RejectingSink):
     """The gateway itself as a caller, which never disconnects."""
 
     on_disconnect: Callable[[], None] | None = None
@@ -63,7 +63,7 @@
     response_status = 0
 
     def check_for_reset(self) -> None:
-        """Nothing can be lost."""
+        """Do nothing: there is no connection."""
 
     async def read_body(self) -> Bytes:
         """Return the end of an empty body."""
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class BodySource:
-    """Where a request's body comes from: ``read`` returns its next bytes; ``length`` is None where it is unknown."""
+    """The source of a request's body: ``read`` returns its next bytes; ``length`` is None if it is unknown."""
 
     read: Callable[[], Awaitable[Bytes]]
     length: int | None
@@ -84,18 +84,18 @@
 
     Attributes:
         request_id: The gateway's id of the request.
-        caller: Who it comes from.
+        caller: Its originator.
         head: Its HTTP head.
-        operation: What it asks for.
+        operation: The requested operation.
         kind: Its request class.
         volume: The rule of its volume.
-        record: What is gathered for the access log.
-        source: Its body.
+        record: The data collected for the access log.
+        source: The source of its body.
         sink: Receives a streamed response.
-        internal: Whether the gateway itself makes it.
-        units: The work that the scheduler is told.
-        time_left_ms: The time until the deadline.
-        transfer_bytes: Bytes that its volume's limit is charged for in advance; None: not known before.
+        internal: Whether it originates from the gateway itself.
+        units: The units passed to the scheduler.
+        time_left_ms: The time until its deadline.
+        transfer_bytes: Bytes that are charged to the limit of its volume in advance; None: not known in advance.
     """
 
     request_id: str
--- a/winchdyke/gateway/sharded_listing.py
+++ b/winchdyke/gateway/sharded_listing.py
@@ -1,4 +1,4 @@
-"""Lists a volume: one request for each of its shards, whose pages are merged."""
+"""Lists a volume: sends one request to each of its shards, and merges their pages."""
 
 from __future__ import annotations
 
@@ -13,15 +13,22 @@
 from winchdyke.gateway.attempts import OutgoingRequest, UpstreamResponse
 from winchdyke.gateway.exchange import Exchange, ExchangeRunner
 from winchdyke.gateway.final_response import FinalResponse
-from winchdyke.gateway.request_context import DiscardSink, RequestContext
+from winchdyke.gateway.request_context import RejectingSink, RequestContext
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.http1 import AnswerHead, Headers
 from winchdyke.object_api import listing, routes
 
 LIST_OPERATIONS = ("list", "list-uploads")
-MERGE_PRECEDENCE = ("gone", "failed", "refused", "served")  # the worst outcome of a shard is the listing's
+MERGE_PRECEDENCE = (
+    "gone",
+    "failed",
+    "refused",
+    "served",
+)  # worst first: a listing gets the worst outcome of its shards
 
-HeadersOf = Callable[[api.Request, int, int], Headers]  # of a request to a shard, by the index of the attempt
+HeadersOf = Callable[
+    [api.Request, int, int], Headers
+]  # from the request to the shard, the shard, the attempt's index
 
 
 def request_for_shard(request: api.Request, shard: int, request_id: str) -> api.Request:
@@ -49,12 +56,12 @@
     async def run(
         self, context: RequestContext, request: api.Request, headers_of: HeadersOf
     ) -> FinalResponse:
-        """Ask each shard of the volume for its page, and merge the pages.
+        """Request a page from each shard of the volume, and merge the pages.
 
         Args:
             context: The client's request.
-            request: The request as the scheduler would have it, without a shard.
-            headers_of: Gives the headers of an attempt, from the request to the shard, the shard and the attempt's index.
+            request: The template for the requests to the shards.
+            headers_of: Returns the headers of an attempt.
         """
         finals: list[FinalResponse] = []
 
@@ -78,7 +85,7 @@
             )
 
         record = AccessLogRecord(config_version=context.record.config_version, request=shard_request)
-        exchange = Exchange(handle, context.operation, outgoing, DiscardSink(), context.caller, record)
+        exchange = Exchange(handle, context.operation, outgoing, RejectingSink(), context.caller, record)
         final = await self._exchanges.run(exchange)
         context.record.add_attempts_of(record)
         return final
@@ -94,7 +101,7 @@
     try:
         pages = [msgspec.json.decode(body, type=listing.Page) for body in bodies]
     except msgspec.DecodeError:
-        return FinalResponse(502, "failed", "store-error", "a store's listing can't be read")
+        return FinalResponse(502, "failed", "store-error", "a store's listing can't be decoded")
     body = msgspec.json.encode(listing.merge(pages, operation.limit)) + b"\n"
     headers: Headers = [
         (b"content-type", b"application/json"),
--- a/winchdyke/gateway/store_request.py
+++ b/winchdyke/gateway/store_request.py
@@ -20,16 +20,16 @@
     body: ReplayBody | None,
     config_version: int,
 ) -> Headers:
-    """Return the headers of an attempt, by ``docs/store-protocol.md``.
+    """Return the headers of an attempt, as ``docs/store-protocol.md`` defines them.
 
     Args:
         gateway_name: The gateway's name.
         request_class: The request's class.
-        request: The request as the scheduler has it.
-        operation: What it asks for.
+        request: The request as passed to the scheduler.
+        operation: The requested operation.
         shard: The shard that the attempt is sent to.
         attempt: Index of the attempt, from 0.
-        body: The request's body; None: it has none.
+        body: The request's body; None: it has no body.
         config_version: Version of the request's configuration; 0: not stated.
     """
     headers: Headers = [
