--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -1,8 +1,8 @@
-"""Drives the scheduler of one gateway: collects events, fires timers and carries out the actions that are returned.
+"""Drives the scheduler of one gateway: collects events, fires timers and carries out the actions that it returns.
 
-Nothing is decided here. Whoever submits a request holds a :class:`RequestHandle` and receives the actions for it;
-everything else that happens is posted as an event. All events that have been posted by the time the loop runs are
-passed to the scheduler in one batch.
+The loop itself decides nothing. The submitter of a request gets a :class:`RequestHandle`, which receives the actions for
+that request; everything else is posted as an event. All events posted before the loop runs are passed to the scheduler in
+one batch.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 from winchdyke.scheduling import Scheduler
 from winchdyke.scheduling.quota import VolumeQuota
 
-# Imported where it is used: it brings along the configuration language, a third of the start-up time.
+# Imported in the function that uses it, because it loads the configuration language: a third of the start-up time.
 if TYPE_CHECKING:
     from winchdyke.latency_attribution.queue_observer import QueueObserver
 
 RequestAction = api.StartAttempt | api.ShedRequest | api.FailRequest | api.CancelAttempt
 FinalAction = api.ShedRequest | api.FailRequest
-Timer = tuple[float, int, int]  # due time in ms, number in order of creation, the scheduler's timer id
+Timer = tuple[float, int, int]  # due time in ms, sequence number, the scheduler's timer id
 
 MAX_REMOVED_ENDPOINTS = 64
 OVERDUE_GRACE_MS = 200.0
 
-# Names under which the actions are counted; the log event ``stopped`` shows them.
+# The names of the counters of actions, which are fields of the log event ``stopped``.
 ACTION_COUNTERS: dict[type[api.Action], str] = {
     api.StartAttempt: "attempts_started",
     api.ShedRequest: "requests_shed",
@@ -51,26 +51,26 @@
 
 
 class BatchScheduler(Protocol):
-    """What the loop needs of a scheduler."""
+    """The interface to the scheduler."""
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
-        """Return the actions that answer a batch of events; ``now`` is in milliseconds."""
+        """Process a batch of events and return the resulting actions; ``now`` is in milliseconds."""
 
 
 class RequestHandle:
-    """One submitted request, and the scheduler's actions for it in order.
+    """A submitted request and the queue of the scheduler's actions for it. Its owner is the task that carries them out.
 
     Attributes:
         request_id: Identifies the request in events and actions.
         deadline_ms: The client's deadline, on the gateway's clock.
-        actions: Actions that have not been taken yet.
-        attempts_started: Attempts that the holder has started.
+        actions: Actions that the owner has not taken yet.
+        attempts_started: Attempts that the owner has started.
         attempts_in_flight: Attempts that the scheduler has started and that have not ended.
         client_disconnected: Whether the client disconnected before the final answer.
         finished: Whether the request needs no further answer.
-        override_reason: Reason code where the loop answered in the scheduler's place; else empty.
-        on_cancel: Called to cancel an attempt by its index; -1 for whichever is running.
-        on_abandon: Called to give up an attempt by its index where nothing of it has been written.
+        override_reason: Reason code of an answer that the loop gave in place of the scheduler; empty: it gave none.
+        on_cancel: Called to cancel an attempt by its index; -1: the running one.
+        on_abandon: Called to cancel an attempt by its index if no byte of it has been written.
     """
 
     __slots__ = (
@@ -101,12 +101,12 @@
         self._wake: anyio.Event | None = None
 
     def deliver(self, action: RequestAction) -> None:
-        """Queue an action and wake the holder."""
+        """Queue an action and wake the owner."""
         self.actions.append(action)
         self.wake()
 
     def wake(self) -> None:
-        """Wake the holder where it waits for an action."""
+        """Wake the owner if it is waiting for an action."""
         if self._wake is not None:
             self._wake.set()
 
@@ -121,19 +121,19 @@
 
 
 class SchedulerLoop:
-    """The scheduler of one gateway, with its clock, its timers and the requests that it has to answer.
+    """The scheduler of one gateway, with its clock, its timers and its open requests.
 
     Attributes:
-        settings: What the scheduler is configured with.
+        settings: The scheduler's settings.
         clock: Monotonic time in milliseconds.
         observing: Whether the reasons for queueing are observed.
-        observer: Observes why requests are queued; None where that is not asked for.
+        observer: Observes why requests are queued; None: not observed.
         open_requests: Submitted requests that have no final answer yet, by id.
         disconnected_requests: Requests whose client has disconnected and whose attempts go on, by id.
-        counts: Actions by ``ACTION_COUNTERS``, and what the loop did in the scheduler's place.
-        endpoints: The endpoint list as the scheduler has it, by name.
-        on_watch_endpoints: Called where the scheduler requests changes of the endpoint list.
-        on_event_posted: Called for each posted event in place of waking :meth:`run`, where another loop calls
+        counts: Counters of actions, named by ``ACTION_COUNTERS``, and of failures that the loop handled.
+        endpoints: The endpoint list as passed to the scheduler, by name.
+        on_watch_endpoints: Called when the scheduler requests changes of the endpoint list.
+        on_event_posted: Called for each posted event instead of waking :meth:`run`, for use with another loop that calls
             :meth:`process_events`.
     """
 
@@ -167,7 +167,7 @@
     # Configuration and inspection
 
     def start_observing(self) -> None:
-        """Observe from now on why requests are queued."""
+        """Start to observe why requests are queued."""
         self.observing = True
         self._attach_observer()
 
@@ -179,7 +179,7 @@
         return list(islice(scheduler.quotas, start, None))
 
     def apply_settings(self, settings: api.Settings, plans: Mapping[str, api.Plan]) -> int:
-        """Apply other plans from the next batch on; return how many volumes' quotas changed."""
+        """Apply other settings and plans from the next batch on; return the number of quotas that changed."""
         from winchdyke.config_rollout.hot_reload import apply_settings
 
         self.settings = settings
@@ -189,14 +189,14 @@
         return apply_settings(scheduler, settings, plans, self.clock())
 
     def refill_quotas(self, volumes: list[str]) -> None:
-        """Refill the quotas of some volumes up to the present time."""
+        """Refill the quotas of some volumes up to the current time."""
         from winchdyke.config_rollout.hot_reload import refill_quotas
 
         if isinstance(self._scheduler, Scheduler):
             refill_quotas(self._scheduler, volumes, self.clock())
 
     def quota(self, volume: str) -> VolumeQuota | None:
-        """Return the scheduler's quota of a volume; None where it has had no request of it."""
+        """Return the scheduler's quota of a volume; None: there has been no request for the volume."""
         scheduler = self._scheduler
         if not isinstance(scheduler, Scheduler):
             return None
@@ -212,7 +212,7 @@
     # Events
 
     def submit(self, request: api.Request, handle: RequestHandle | None = None) -> RequestHandle:
-        """Pass a request to the scheduler, which owes it exactly one final answer from now on.
+        """Submit a request to the scheduler, which then has to answer it exactly once.
 
         Raises:
             ValueError: A request with this id is open.
@@ -260,9 +260,8 @@
         """Process events until cancelled."""
         while True:
             if self._pending_events or self._timer_due():
-                await anyio.sleep(
-                    0
-                )  # other tasks that are ready post their events first, so that they share a batch
+                # Lets other ready tasks post their events first, so that these share a batch.
+                await anyio.sleep(0)
             else:
                 self._wake = anyio.Event()
                 if self._timers:
@@ -274,7 +273,7 @@
 
     @property
     def next_timer_at_ms(self) -> float | None:
-        """When the next timer is due, on the gateway's clock; None where none is set."""
+        """Due time of the next timer, on the gateway's clock; None: no timer is set."""
         return self._timers[0][0] if self._timers else None
 
     def _timer_due(self) -> bool:
@@ -307,7 +306,7 @@
         for endpoint in event.endpoints:
             self.endpoints.pop(endpoint.name, None)
             self.endpoints[endpoint.name] = endpoint
-        # The newest removed endpoints stay: their shard may still be looked up for an attempt in flight.
+        # The latest removed endpoints are kept: their shard may still be looked up for an attempt in flight.
         removed = [
             name for name, endpoint in self.endpoints.items() if endpoint.status is api.EndpointStatus.REMOVED
         ]
@@ -359,17 +358,17 @@
     def _handle_of(self, request_id: str) -> RequestHandle | None:
         return self.open_requests.get(request_id) or self.disconnected_requests.get(request_id)
 
-    # Answers in the scheduler's place
+    # Answers in place of the scheduler
 
     def finish_all(self, reason: str) -> None:
-        """Give every open request a final answer and cancel its attempts, because the process ends.
+        """Give every open request a final answer and cancel its attempts, before the process ends.
 
         Args:
             reason: The reason code of the answers.
         """
         for handle in list(self.open_requests.values()):
             if handle.on_cancel is not None:
-                # A response that is in the socket already is delivered first, and finishes the request.
+                # If its response is already in the socket, it is delivered first and finishes the request.
                 handle.on_cancel(-1)
             if handle.finished:
                 continue
@@ -378,7 +377,7 @@
             self.post(api.ClientDisconnected(handle.request_id))
 
     def finish_overdue(self, now: float) -> None:
-        """Fail requests without an attempt in flight that the scheduler has left unanswered past their deadline."""
+        """Fail requests that have no attempt in flight and that the scheduler has not answered by their deadline."""
         overdue = [
             handle
             for handle in self.open_requests.values()
@@ -400,7 +399,7 @@
             handle.on_cancel(-1)
 
     def _replace_scheduler(self, error: Exception) -> None:
-        """Fail all open requests, since their state is lost, and go on with a new scheduler that has the endpoint list."""
+        """Fail all open requests, whose state is lost, and continue with a new scheduler that gets the endpoint list."""
         self.counts["scheduler_failures"] += 1
         self._log.error(
             "scheduler_failed", error=repr(error), open_requests=len(self.open_requests), exc_info=error
