--- a/winchdyke/gateway/access_log.py
+++ b/winchdyke/gateway/access_log.py
@@ -1,4 +1,4 @@
-"""The access log: one line for each request, and what is gathered for it."""
+"""The access log: one line per request, and the data collected for it."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 
 @dataclass(slots=True)
 class AccessLogRecord:
-    """What is known of a request while it is processed.
+    """Data about one request, collected while it is processed.
 
     Attributes:
-        trace: Its phases, where latency is attributed.
-        config_version: The version of its configuration.
-        operation: What it asks for, once that is known.
-        kind: Its request class, once that is known.
-        excess_units: Units that its body counts beyond those that the scheduler is told.
-        unit_bytes: Bytes that count as one unit.
-        limit_units_per_s: The limit of its volume over all gateways; 0: none.
-        charge: What it pays for the excess, where its volume has a limit.
-        request: The request as the scheduler has it.
-        attempt_count: Attempts that ended.
-        endpoints: Where they were sent.
-        outcomes: How they ended, as reason codes.
-        queued_ms: Time spent waiting in this gateway.
-        attempts_ms: Time of attempts at stores, without time spent waiting for the client.
+        trace: The trace of its phases; None: its latency is not attributed.
+        config_version: The version of the configuration that applies to it; 0: the one at the start.
+        operation: The requested operation; None until the request has been parsed.
+        kind: Its request class; None until it is resolved.
+        excess_units: Units of its body beyond those passed to the scheduler.
+        unit_bytes: Bytes per unit.
+        limit_units_per_s: The limit of its volume, over all gateways; 0: no limit.
+        charge: Charges the excess to the limit of its volume; None: nothing to charge.
+        request: The request as passed to the scheduler; None until then.
+        attempt_count: Number of attempts that have ended.
+        endpoints: The endpoints of these attempts, in order.
+        outcomes: The outcomes of these attempts, as reason codes.
+        queued_ms: Time spent queued in this gateway.
+        attempts_ms: Duration of the attempts, excluding time spent waiting for the client.
     """
 
     trace: RequestTrace | None = None
@@ -54,7 +54,7 @@
     attempts_ms: float = 0.0
 
     def add_attempts_of(self, other: AccessLogRecord) -> None:
-        """Count the attempts of a part of this request."""
+        """Add the attempts of a request that was sent as a part of this one."""
         self.attempt_count += other.attempt_count
         self.endpoints += other.endpoints
         self.outcomes += other.outcomes
@@ -77,7 +77,7 @@
         record: AccessLogRecord,
         total_ms: float,
     ) -> None:
-        """Write the line of a request that has its final response."""
+        """Write the line of a request whose final response has been sent."""
         if not logs.access_log_enabled:
             return
         operation = record.operation
--- a/winchdyke/gateway/config_snapshot.py
+++ b/winchdyke/gateway/config_snapshot.py
@@ -1,4 +1,4 @@
-"""The configuration as one request sees it."""
+"""The configuration that applies to one request."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class ConfigSnapshot:
-    """The configuration that a request has from its arrival to its last attempt; a change makes a new snapshot.
+    """The configuration that applies to a request from its arrival to its last attempt; a change creates a new one.
 
     Attributes:
         config: The configuration.
-        version: Its version, where it was changed in service; else 0.
-        plan_limits_units_per_s: The limit of each plan, in units a second; 0: none.
+        version: The number of its version; 0: the configuration at the start.
+        plan_limits_units_per_s: The limit of each plan, in units per second; 0: no limit.
     """
 
     __slots__ = ("_volume_rules", "config", "plan_limits_units_per_s", "version")
@@ -25,7 +25,7 @@
         self._volume_rules: dict[str, VolumeRule | None] = {}
 
     def volume(self, name: str) -> VolumeRule | None:
-        """Return the rule that applies to a volume; None where there is none."""
+        """Return the rule that applies to a volume; None: no rule does."""
         if name not in self._volume_rules:
             if len(self._volume_rules) > MAX_CACHED_VOLUMES:
                 self._volume_rules.clear()
--- a/winchdyke/gateway/metering.py
+++ b/winchdyke/gateway/metering.py
@@ -1,7 +1,7 @@
 """Charges transfers of large objects to the limit of their volume.
 
-The scheduler is told at most ``max_request_units`` for a request. Where a volume has a limit, the rest of a transfer is
-charged to it here, before the body moves or while it does.
+The scheduler accounts for at most ``max_request_units`` of a request. If the volume has a limit, the rest of a transfer is
+charged to that limit here, before or during the transfer.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
     """Charges the transfers of one gateway.
 
     Args:
-        byte_meter: The debts of all volumes.
-        scheduler_loop: Has the quotas of the scheduler.
+        byte_meter: Records the debts of all volumes.
+        scheduler_loop: Provides the scheduler's settings and quotas.
         clock: Monotonic time in milliseconds.
         max_object_bytes: The largest object that the gateway accepts.
     """
@@ -47,9 +47,9 @@
         self._max_object_bytes = max_object_bytes
 
     def needs_charge(self, context: RequestContext) -> bool:
-        """Record the units beyond those of the scheduler, and return whether :meth:`charge` has to be called.
+        """Record the units beyond those passed to the scheduler, and return whether :meth:`charge` has to be called.
 
-        Where the size of a volume's object is known from an earlier transfer, the scheduler is told its units.
+        If the size of an object is known from an earlier transfer, it determines the units passed to the scheduler.
         """
         operation = context.operation
         record = context.record
@@ -80,14 +80,14 @@
         return None if length is None else min(length, self._max_object_bytes)
 
     async def charge(self, context: RequestContext) -> FinalResponse | None:
-        """Charge a transfer whose length is known, in turn, and arrange that any other is charged as it moves.
+        """Charge a transfer of known length when its turn comes, and have any other charged while it proceeds.
 
         Returns:
-            The final response where the limit doesn't allow the transfer in time, or the client disconnected meanwhile.
+            The final response if the limit doesn't allow the transfer in time or the client disconnected; else None.
         """
         record = context.record
         started_at_ms = self._clock()
-        # Past this time, what is left would not suffice for the latency objective.
+        # After this time, the rest of the deadline is shorter than the latency objective.
         give_up_at_ms = started_at_ms + max(
             0.0, context.time_left_ms - context.kind.rules.latency_objective_ms
         )
@@ -113,7 +113,7 @@
         return None
 
     async def _pay_in_advance(self, charge: TransferCharge, context: RequestContext) -> bool:
-        """Pay for a body of known length; return False where the client disconnected meanwhile."""
+        """Charge a body of known length; return False if the client disconnected meanwhile."""
         if context.transfer_bytes is None:
             return True
         caller = context.caller
@@ -156,7 +156,7 @@
             self._charge_reservation(record.request, record.excess_units)
 
     def charge_excess_after(self, record: AccessLogRecord, result: AttemptResult) -> None:
-        """Charge the excess of a read that only its response has shown."""
+        """Charge the excess of a read whose size was unknown before its response."""
         request = record.request
         if record.excess_units or result.body_bytes <= record.unit_bytes or request is None:
             return
--- a/winchdyke/gateway/outcomes.py
+++ b/winchdyke/gateway/outcomes.py
@@ -1,7 +1,7 @@
-"""The meaning of attempt outcomes, and the reason codes and status of final responses. Pure tables.
+"""The meaning of attempt outcomes, and the reason codes and status of final responses.
 
-Whether a request may be repeated rests on what its attempt is known to have done. "Never executed" in the table below is
-stated only where that is certain:
+Whether a request may be retried depends on whether its attempt may have been executed. The table says "never executed" only
+if that is certain:
 
 ======================  =================================================================  ==============
 outcome                 what happened                                                      never executed
@@ -13,7 +13,7 @@
 ``CONNECTION_RESET``    the connection was lost, or the response was not HTTP or cut       no
                         short, after a byte of the request may have been sent; this
                         includes a keep-alive connection that the store closes as it is
-                        used again
+                        reused
 ``ERROR``               a complete response of status 5xx without that header              no
 ``TIMED_OUT``           the attempt's time limit passed after a byte may have been sent    no
 ``CANCELLED``           the scheduler cancelled it, or the client's body was cut short     no
@@ -43,13 +43,13 @@
 
 OUTCOMES_BY_CODE = {code: outcome for outcome, code in OUTCOME_CODES.items()}
 
-# What the reason codes mean, as clients are told.
+# Descriptions of the reason codes, which are sent to clients.
 REASON_TEXTS = {
     "ok": "the store's response was passed on",
     "held-out": "queued at this gateway and given up before any attempt: no capacity, no time, no endpoint or over the limit",
     "over-limit": "the volume's limit is used up by large objects; nothing was executed",
-    "write-back": "the write-back log has no capacity for it, or holds an older write that its store lacks; nothing was executed",
-    "write-back-lost": "the write could not be made durable in the write-back log; nothing is promised",
+    "write-back": "the write-back log is full, or holds an earlier write of the object that is not stored yet; nothing was executed",
+    "write-back-lost": "the write could not be made durable in the write-back log; it is not acknowledged and may be lost",
     "dial-failed": "no connection to the store could be made",
     "store-shed": "the store rejected the request without executing it",
     "store-error": "the store responded with an error",
@@ -59,13 +59,13 @@
     "unsent": "nothing was sent: the time was up, or no file descriptor was left",
     "store-cut": "the store's response ended early after a part of it had been sent to the client; the connection was closed",
     "engine-fault": "the scheduler failed; all open requests were answered, and a new scheduler was started",
-    "engine-silent": "the scheduler gave no answer in time; the gateway answered in its place",
+    "engine-silent": "the scheduler did not decide in time; the gateway answered in its place",
     "client-gone": "the client disconnected before its response",
     "body-cut": "the client's body ended early or is not as long as declared",
     "body-slow": "the client's body did not arrive in time",
     "body-store-full": "no capacity is left for bodies that may have to be sent again",
     "key-in-use": "a request with the same Idempotency-Key is in progress at this gateway",
-    "too-many-connections": "this gateway has as many connections as it may have",
+    "too-many-connections": "this gateway has reached its limit of connections",
     "stopping": "this gateway is shutting down",
     "bad-http": "the request is not valid HTTP/1.1",
     "conflicting-length": "both Content-Length and Transfer-Encoding were given",
@@ -73,7 +73,7 @@
     "head-slow": "the request's head did not arrive in time",
     "bad-path": "the path does not name a volume and an object",
     "bad-header": "a header of the request can't be parsed",
-    "bad-query": "the query is not one that this API has",
+    "bad-query": "the query is not supported by this API",
     "no-volume": "no such volume is configured",
     "no-class": "no request class is configured for this operation",
     "method": "the path does not allow this method",
@@ -90,7 +90,7 @@
 
     Args:
         action: The scheduler's action.
-        last_outcome: The outcome of the last attempt; None where there was none.
+        last_outcome: The outcome of the last attempt; None: there was no attempt.
         deadline_passed: Whether the client's deadline has passed.
     """
     reason = "held-out" if last_outcome is None else OUTCOME_CODES[last_outcome]
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -1,8 +1,8 @@
-"""The object API of one gateway: from a request to its one final response.
+"""The object API of one gateway: processes each request up to its one final response.
 
-The steps of a request, each in a module of its own: its operation and class are resolved here, its transfer is charged
-(:mod:`.metering`), a write may be acknowledged from the log (:mod:`.write_back_path`), and the scheduler's actions are carried
-out (:mod:`.exchange`). Nothing is decided here about where and when it is sent.
+The steps of a request: its operation and class are resolved (here), its transfer is charged (:mod:`.metering`), a write may
+be acknowledged from the write-back log (:mod:`.write_back_path`), and the scheduler's actions are carried out
+(:mod:`.exchange`). The scheduler alone decides where and when a request is sent.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 from winchdyke.quotas.byte_metering import ByteMeter
 
 OPERATIONS_WITH_BODY = ("put", "post", "put-part", "complete-upload")
-INTERNAL_ID_PREFIX = "own-"  # of requests that the gateway itself makes
+INTERNAL_ID_PREFIX = "own-"  # of the ids of requests that originate from the gateway itself
 KEY_IN_USE_RETRY_AFTER_MS = 1000.0
 
 
@@ -58,14 +58,14 @@
         config: The configuration at the start.
         scheduler_loop: Decides where and when requests are sent.
         clock: Monotonic time in milliseconds.
-        snapshot: The configuration for requests from now on.
-        bodies: The limit of all retained bodies.
-        byte_meter: The debts of volumes that have a limit.
+        snapshot: The configuration that applies to new requests.
+        bodies: The shared limit of all retained bodies.
+        byte_meter: Records the debts of volumes that have a limit.
         exchanges: Runs the exchanges with stores.
-        recorder: Attributes latency; None: it is not attributed.
-        on_request_end: Called with volume, shard, outcome and time in ms of each request.
-        stopping: Whether the gateway is shutting down, so that connections are closed after their response.
-        active_requests: Requests without a final response.
+        recorder: Attributes latency; None: latency is not attributed.
+        on_request_end: Called with the volume, shard, outcome and total time (ms) of each finished request.
+        stopping: Whether the gateway is shutting down; connections are then closed after their response.
+        active_requests: Number of requests that have no final response yet.
     """
 
     def __init__(
@@ -97,12 +97,12 @@
         self._write_back_path: WriteBackPath | None = None
         self._request_classes = {kind.rules.name: kind.rules for kind in config.kinds}
         self._idempotency_keys_in_use: set[tuple[str, str]] = set()
-        self._id_prefix = uuid.uuid4().hex[:20]  # of this process's request ids
+        self._id_prefix = uuid.uuid4().hex[:20]  # unique to this process
         self._requests_handled = 0
         self._access_log = AccessLog()
 
     def acknowledge_writes_from(self, write_back: WriteBack) -> None:
-        """Acknowledge writes from a log from now on, where their class allows it."""
+        """Acknowledge writes from the write-back log if their request class allows it."""
         self._write_back_path = WriteBackPath(write_back, self.scheduler_loop, self.clock)
 
     # Entry points
@@ -163,7 +163,7 @@
     async def execute_internal(
         self, operation: routes.Operation, body: bytes, request_id: str
     ) -> InternalResult:
-        """Execute an operation for the gateway itself."""
+        """Execute an operation that originates from the gateway itself."""
         head = RequestHead(operation.store_method, operation.target(), [], len(body))
         record = AccessLogRecord(config_version=self.snapshot.version)
         unread = [body] if body else []
@@ -249,7 +249,7 @@
         config = snapshot.config
         volume = snapshot.volume(operation.volume)
         if volume is None:
-            raise RequestError(404, "no-volume", f"no volume {operation.volume!r} is set up here")
+            raise RequestError(404, "no-volume", f"volume {operation.volume!r} is not configured")
         route = _matching_route(config, operation, head)
         if route is not None and route.shards:
             volume = dataclasses.replace(volume, shards=route.shards)
@@ -260,7 +260,9 @@
             kind = config.kind_for(name, None)
         if kind is None:
             in_class = f" in class {operation.class_name!r}" if operation.class_name else ""
-            raise RequestError(400, "no-class", f"no class is set up for {operation.name}{in_class}")
+            raise RequestError(
+                400, "no-class", f"no request class is configured for {operation.name}{in_class}"
+            )
         return kind, volume
 
     # Steps of a request
@@ -271,7 +273,7 @@
         in_use = (operation.volume, operation.idempotency_key)
         if operation.idempotency_key:
             if in_use in self._idempotency_keys_in_use:
-                text = "a request with this Idempotency-Key is under way; wait for its answer"
+                text = "a request with this Idempotency-Key is in progress; wait for its response"
                 return FinalResponse(409, "refused", "key-in-use", text, KEY_IN_USE_RETRY_AFTER_MS)
             self._idempotency_keys_in_use.add(in_use)
         try:
@@ -308,7 +310,7 @@
                 body.close()
 
     def _estimate(self, context: RequestContext) -> None:
-        """Set the units and the time that the scheduler is told."""
+        """Set the units and the time left that are passed to the scheduler."""
         operation = context.operation
         kind = context.kind
         rules = kind.rules
@@ -328,7 +330,7 @@
         length = context.source.length
         max_bytes = self.config.limits.object_bytes
         if length is not None and length > max_bytes:
-            raise RequestError(413, "too-large", f"{length} bytes; {max_bytes} is the most here")
+            raise RequestError(413, "too-large", f"{length} bytes exceed the limit ({max_bytes} bytes)")
         replayable = self.scheduler_loop.settings.max_attempts > 1
         return ReplayBody(context.source.read, length, self.bodies, replayable)
 
@@ -355,7 +357,8 @@
 
     async def _list(self, context: RequestContext, request: api.Request) -> FinalResponse:
         if context.record.trace is not None:
-            context.record.trace.enter_phase("store")  # its parts are requests of their own, side by side
+            # Each shard is listed by a request of its own, concurrently.
+            context.record.trace.enter_phase("store")
 
         def headers_of(shard_request: api.Request, shard: int, attempt: int) -> Headers:
             return self._headers(context, shard_request, shard, attempt, None)
