--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -1,4 +1,5 @@
-"""The way of a request past the write-back log: writes are acknowledged from it, others wait for it."""
+"""The step of a request at the write-back log: acknowledges writes from the log, and delays other requests for an object
+until the object's writes are stored."""
 
 from __future__ import annotations
 
@@ -17,11 +18,11 @@
 
 
 class WriteBackPath:
-    """Acknowledges writes from the log of one gateway.
+    """Acknowledges writes from the write-back log of one gateway.
 
     Args:
-        write_back: The log.
-        scheduler_loop: Has the settings for retries.
+        write_back: The write-back log.
+        scheduler_loop: Provides the setting for Retry-After.
         clock: Monotonic time in milliseconds.
     """
 
@@ -33,10 +34,10 @@
         self._clock = clock
 
     async def handle(self, context: RequestContext) -> FinalResponse | None:
-        """Acknowledge a write, or wait until the log holds nothing of the request's object.
+        """Acknowledge a write, or wait until the log holds no write of the request's object.
 
         Returns:
-            The final response; None where the request is for the scheduler.
+            The final response; None: the request has to be submitted to the scheduler.
         """
         write_back = self._write_back
         accepted = write_back.accepts(context.operation, context.kind.rules.name, context.source.length)
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -1,7 +1,7 @@
-"""Write-back in a running gateway: writes are acknowledged from the log, and sent to their stores behind live requests.
+"""Write-back in a running gateway: acknowledges writes from the log, and sends them to their stores after live requests.
 
-What is promised is in ``docs/writeback.md``. Which record is sent next and what may be sent again are decided in
-``writeback/drain.py`` and ``writeback/replay.py``; here they are carried out, each attempt through the scheduler as any
+The guarantees are in ``docs/writeback.md``. Which record is sent next and what may be sent again are defined by
+``writeback/drain.py`` and ``writeback/replay.py`` and carried out here; each record is sent through the scheduler like any
 request.
 """
 
@@ -34,7 +34,7 @@
 DRAIN_INTERVAL_SECONDS = 0.05
 MAX_REMEMBERED_IDEMPOTENCY_KEYS = 100_000
 RETRY_DELAY_MS = 250.0
-SHUTDOWN_DRAIN_SECONDS = 5.0  # what is left then stays in the log
+SHUTDOWN_DRAIN_SECONDS = 5.0  # records that are left then stay in the log
 
 
 class WriteBackRecord(msgspec.Struct, array_like=True):
@@ -44,11 +44,11 @@
         volume: The object's volume.
         key: The object's key.
         class_name: Name of the request class.
-        repeat_key: The client's Idempotency-Key; empty: none.
+        repeat_key: The client's Idempotency-Key; empty: the client sent none.
         passed: The client's headers that are passed to the store.
         shard: The shard that holds the object.
         units: The work of the write.
-        etag: The tag that the store will give the body.
+        etag: The ETag that the store will give the object.
         unix_ms: When it was acknowledged.
         client_request: The client's own id of the request.
         body: The object's content.
@@ -69,7 +69,7 @@
 
 @dataclass
 class _PendingObject:
-    """The records that the log holds of one object, and an event for when there are none left."""
+    """The log's records of one object; ``stored`` is set once none is left."""
 
     sequences: list[int] = field(default_factory=list)
     stored: anyio.Event = field(default_factory=anyio.Event)
@@ -77,25 +77,25 @@
 
 @dataclass(frozen=True, slots=True)
 class _RememberedWrite:
-    """What a write with an Idempotency-Key was answered, and when."""
+    """The response to a write with an Idempotency-Key, and the time of that response."""
 
     etag: str
     unix_ms: float
 
 
 class WriteBackError(Exception):
-    """The log can't be used; says why and which setting to look at."""
+    """The write-back log can't be used; the text gives the reason and the setting to check."""
 
 
 @dataclass(frozen=True, slots=True)
 class InternalResult:
-    """How an operation of the gateway's own ended.
+    """The result of an operation that originates from the gateway itself.
 
     Attributes:
         outcome: ``served``, ``refused``, ``failed`` or ``gone``.
-        last_attempt: How its last attempt ended; None: there was none.
+        last_attempt: The outcome of its last attempt; None: there was no attempt.
         status: Its HTTP status.
-        etag: The object's tag; empty: none was given.
+        etag: The object's ETag; empty: the response had none.
     """
 
     outcome: str
@@ -113,15 +113,15 @@
     Args:
         config: The configuration.
         clock: Monotonic time in milliseconds.
-        execute: Sends one operation through the scheduler.
+        execute: Executes one operation through the scheduler.
 
     Attributes:
         settings: The ``writeback`` settings.
         log: The log on the disk.
         committer: The thread that writes to it.
         drain: Decides which record is sent next.
-        quarantined: Records that are not sent again, with the reason.
-        counts: What became of records.
+        quarantined: The reason why a record is not sent again, by the record's sequence number.
+        counts: Counters of records, by what happened to them.
 
     Raises:
         WriteBackError: The log can't be opened, or a class can't be written back.
@@ -141,7 +141,7 @@
         self.counts: Counter[str] = Counter()
         self._pending_objects: dict[tuple[str, str], _PendingObject] = {}
         self._remembered: dict[tuple[str, str], _RememberedWrite] = {}  # by Idempotency-Key, oldest first
-        # The tag that a store had before a record was first sent; empty: it had no such object.
+        # The ETag of the stored object before a record was first sent; empty: there was no such object.
         self._preconditions: dict[int, str] = {}
         self._possibly_executed: set[int] = set()
         self._retry_at_ms: dict[int, float] = {}
@@ -194,7 +194,7 @@
     # Requests of clients
 
     def accepts(self, operation: routes.Operation, class_name: str, length: int | None) -> bool:
-        """Whether a write may be acknowledged from the log: its class opted in, it fits a record, it has no condition."""
+        """Whether a write may be acknowledged from the log: its class allows it, it fits a record and it is unconditional."""
         if operation.name != "put" or class_name not in self.settings.classes:
             return False
         if length is None or length > self.settings.record_bytes:
@@ -202,23 +202,23 @@
         return not any(name.startswith(b"if-") for name, _ in operation.passed)
 
     def remembered_etag(self, volume: str, idempotency_key: str) -> str | None:
-        """Return the tag that a write with this key was answered with, even after its store has forgotten the key."""
+        """Return the ETag that a write with this key was answered with, even after its store has forgotten the key."""
         if not idempotency_key:
             return None
         remembered = self._remembered.get((volume, idempotency_key))
         return remembered.etag if remembered is not None else None
 
     async def append(self, record: WriteBackRecord) -> None:
-        """Write a record to the log; it may be acknowledged afterwards.
+        """Write a record to the log durably; the write may be acknowledged afterwards.
 
         Raises:
             Full: The log has no capacity for it; nothing was written.
-            LogError: It could not be made durable; nothing is promised.
+            LogError: It could not be made durable; the write must not be acknowledged.
         """
         free_bytes = self.log.room()
         if not self.drain.admits(record.volume, len(record.body), free_bytes, self.settings.total_bytes):
             self.counts["rejected"] += 1
-            raise Full("the log has no room for this course; what is in it has to reach the stores first")
+            raise Full("the write-back log has no capacity for this volume until earlier writes are stored")
         sequence = await self._wait_for_sync(self.committer.write(msgspec.msgpack.encode(record)))
         self._add(sequence, record, self._clock())
         self.counts["acknowledged"] += 1
@@ -228,7 +228,7 @@
         return (volume, key) in self._pending_objects
 
     async def wait_until_stored(self, volume: str, key: str, until_ms: float) -> bool:
-        """Wait until the log holds no write of an object; return False where that takes longer than ``until_ms``."""
+        """Wait until the log holds no write of an object; return False if it still does at ``until_ms``."""
         while (pending := self._pending_objects.get((volume, key))) is not None:
             left_ms = until_ms - self._clock()
             if left_ms <= 0:
@@ -243,7 +243,7 @@
         """Send records to their stores until cancelled.
 
         Args:
-            queue_lengths: Gives the live requests that are queued for each shard.
+            queue_lengths: Returns the number of live requests that are queued for each shard.
         """
         async with anyio.create_task_group() as group:
             while True:
@@ -286,13 +286,13 @@
         elif result.status == 412:
             await self._resolve_conflict(waiting, record)
         else:
-            self._quarantine(waiting, f"its store answered {result.status}")
+            self._quarantine(waiting, f"its store responded with status {result.status}")
 
     async def _set_precondition(self, sequence: int, record: WriteBackRecord) -> bool:
-        """Ask the store what it has, and make that durable; return False where that fails.
+        """Record durably which version of the object the store has; return False if that fails.
 
-        It is durable before the record is first sent: after a crash the record is sent again under the same condition, so
-        that it takes effect once at most.
+        This precedes the first sending of the record: after a crash the record is sent again with the same precondition,
+        so that it takes effect at most once.
         """
         etag = await self._stored_etag(record)
         if etag is None:
@@ -318,21 +318,21 @@
         )
 
     async def _resolve_conflict(self, waiting: Waiting, record: WriteBackRecord) -> None:
-        """Decide what to do where the store has something else than before the record was first sent."""
+        """Resolve a failed precondition: the stored object has changed since before the record was first sent."""
         etag = await self._stored_etag(record)
         if etag is None:
             self._retry_later(waiting)
         elif etag == record.etag:
             self._complete(waiting)
         elif waiting.sequence in self._possibly_executed:
-            # replay.after_asking: whether it was executed before the other write can't be told.
-            self._quarantine(waiting, "it may have run, and its store holds something else now")
-        else:  # never executed: another client wrote after the store was asked
+            # See replay.after_asking: it is unknown whether the record was executed before the other write.
+            self._quarantine(waiting, "it may have been executed, and its store holds something else now")
+        else:  # never executed: another client wrote after the precondition was determined
             del self._preconditions[waiting.sequence]
             self._retry_later(waiting)
 
     async def _stored_etag(self, record: WriteBackRecord) -> str | None:
-        """Return the tag of what the store has, empty where it has no such object; None where that can't be told now."""
+        """Return the ETag of the stored object, empty: no such object; None: the store could not be queried."""
         operation = routes.Operation("head", record.volume, record.key)
         result = await self._execute(operation, b"", f"ask-{time.monotonic_ns():x}")
         if result.outcome != "served" or (result.status != 404 and not result.etag):
@@ -345,8 +345,8 @@
         loop = asyncio.get_running_loop()
 
         def notify(_: Future[int]) -> None:
-            # Where the sync is over already, this runs in the loop's own thread, which must not wait for itself. A loop that
-            # has ended raises RuntimeError: nobody waits then.
+            # If the sync has already ended, this runs in the event loop's own thread, which must not wait for itself. A
+            # closed event loop raises RuntimeError: then nothing waits for the result.
             with contextlib.suppress(RuntimeError):
                 loop.call_soon_threadsafe(finished.set)
 
@@ -365,7 +365,7 @@
         self._forget_record(waiting)
 
     def _quarantine(self, waiting: Waiting, reason: str) -> None:
-        """Keep a record in the log without sending it again, for an operator to look at."""
+        """Keep a record in the log for an operator to inspect, and don't send it again."""
         self.counts["quarantined"] += 1
         self.quarantined[waiting.sequence] = reason
         self._events.error(
@@ -389,7 +389,7 @@
             pending.stored.set()
 
     async def stop(self) -> None:
-        """Drain for a limited time, and close the log; the next process finds what is left."""
+        """Drain for a limited time, and close the log; the next process recovers the records that are left."""
         with anyio.move_on_after(SHUTDOWN_DRAIN_SECONDS):
             while self._pending_objects:
                 await anyio.sleep(DRAIN_INTERVAL_SECONDS)
@@ -402,10 +402,10 @@
     for name in config.writeback.classes:
         request_class = request_classes.get(name)
         if request_class is None:
-            raise WriteBackError(f"no class {name!r} is set up; see writeback, classes")
+            raise WriteBackError(f"no class {name!r} is configured; see writeback, classes")
         if request_class.repeat_safety is api.RepeatSafety.AT_MOST_ONCE:
             raise WriteBackError(
-                f"class {name!r} is never sent twice, so its writes can't be kept for later; see writeback, classes"
+                f"class {name!r} is at-most-once: its writes are never sent twice, so never written back; see writeback, classes"
             )
 
 
@@ -424,5 +424,5 @@
 
 
 def tag_of(body: bytes) -> str:
-    """Return the tag that a store gives a body that is put complete (``docs/store-protocol.md``)."""
+    """Return the ETag that a store gives an object that is put in one piece (``docs/store-protocol.md``)."""
     return f'"{hashlib.md5(body, usedforsecurity=False).hexdigest()}"'
