--- a/winchdyke/durable_files.py
+++ b/winchdyke/durable_files.py
@@ -1,4 +1,4 @@
-"""Files that survive a crash and files that their owner alone may read.
+"""Durable replacement of files, and files that only their owner may access.
 
 Public names: :func:`sync_directory`, :func:`replace_file`, :func:`read_private_file`, :func:`write_private_file`,
 :class:`WatchedFile`, :class:`PrivateFileError`. Imports nothing of the project.
@@ -19,11 +19,11 @@
 
 
 class PrivateFileError(Exception):
-    """A private file that can't be used; the text says what is wrong and what to do."""
+    """A private file can't be used; the text gives the reason and the remedy."""
 
 
 def sync_directory(directory: Path) -> None:
-    """Flush a directory's entries to the disk: files created, renamed or deleted. Raises OSError."""
+    """Flush a directory's entries (files created, renamed or deleted) to the disk. Raises OSError."""
     descriptor = os.open(directory, os.O_RDONLY)
     try:
         os.fsync(descriptor)
@@ -31,18 +31,18 @@
         os.close(descriptor)
 
 
-def replace_file(path: Path, data: bytes, new: Path) -> None:
-    """Replace a file's content atomically and durably: write ``new`` beside it, mode 0600, then rename. Raises OSError."""
-    with open(os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
+def replace_file(path: Path, data: bytes, temporary: Path) -> None:
+    """Replace a file atomically and durably: write ``temporary`` (mode 0600), then rename it. Raises OSError."""
+    with open(os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600), "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    new.replace(path)
+    temporary.replace(path)
     sync_directory(path.parent)
 
 
 def read_private_file(path: Path, max_bytes: int = MAX_PRIVATE_FILE_BYTES) -> bytes:
-    """Read a file that its owner alone may read and write, up to ``max_bytes``.
+    """Read a file that only its owner may access, up to ``max_bytes``.
 
     Raises:
         PrivateFileError: Others may access it, or it can't be read.
@@ -76,7 +76,7 @@
 
 
 class WatchedFile(Generic[T]):
-    """A value read from a file, and read again when the file changes; while it can't be read there is no value."""
+    """A value that is read from a file, again whenever the file changes; no old value is returned if that fails."""
 
     def __init__(self, path: Path, read: Callable[[Path], T]) -> None:
         self.path = path
@@ -85,7 +85,7 @@
         self._value: T | None = None
 
     def get(self) -> T:
-        """The present value. Raises OSError, or what ``read`` raises."""
+        """Return the current value. Raises OSError, or any error of ``read``."""
         status = self.path.stat()
         version = (status.st_mtime_ns, status.st_ino, status.st_size, status.st_mode, status.st_uid)
         if version != self._version or self._value is None:
--- a/winchdyke/gateway/composition.py
+++ b/winchdyke/gateway/composition.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a gateway from its configuration."""
+"""Creates the components of a gateway from its configuration."""
 
 from __future__ import annotations
 
@@ -24,13 +24,16 @@
 
 
 def make_pool(config: Config, clock: Callable[[], float]) -> ConnectionPool:
-    """Make the pool of connections to stores."""
+    """Create the pool of connections to stores."""
     limits = config.limits
     return ConnectionPool(limits.connect_timeout, limits.pool_idle, limits.pool_per_node, clock)
 
 
 def load_certificates(config: Config, pool: ConnectionPool) -> CertificateReloader | None:
-    """Load the certificates of listeners, None where there are none, and those of stores for the pool.
+    """Load the certificates of listeners, and make the pool verify stores by the configured issuers.
+
+    Returns:
+        The certificates of listeners; None: none are configured.
 
     Raises:
         StartError: A file can't be used.
@@ -46,7 +49,7 @@
 
 
 def open_ledger(config: Config) -> LedgerWriter | None:
-    """Open the ledger of latencies; None where none is kept.
+    """Open the ledger of latencies; None: no ledger is configured.
 
     Raises:
         StartError: Its folder can't be written to.
@@ -72,7 +75,7 @@
 def make_recorder(
     config: Config, ledger: LedgerWriter | None, scheduler_loop: SchedulerLoop
 ) -> Recorder | None:
-    """Make what attributes latency, and let the scheduler loop observe queueing; None where no ledger is kept."""
+    """Create the recorder of latencies, and let the scheduler loop observe queueing; None without a ledger."""
     if ledger is None:
         return None
     scheduler_loop.start_observing()
@@ -80,7 +83,7 @@
 
 
 def open_write_back(config: Config, clock: Callable[[], float], service: Service) -> WriteBack | None:
-    """Open the write-back log, and let the service acknowledge writes from it; None where there is none.
+    """Open the write-back log, and let the service acknowledge writes from it; None: no log is configured.
 
     Raises:
         StartError: The log can't be used.
@@ -101,7 +104,7 @@
     on_endpoint_list: Callable[[api.EndpointList], Awaitable[None]],
     health_check: Callable[[str], Awaitable[bool]],
 ) -> EndpointFollower:
-    """Make what follows the endpoint list, from the sources that are configured."""
+    """Create the follower of the endpoint list, with the configured sources."""
     discovery = config.nodes
     name = config.gateway.name
     sources: list[EndpointSource] = [ListServiceSource(discovery, name, clock)]
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One gateway from its start to its shutdown: its parts, their tasks, and the process around it."""
+"""The daemon of one gateway, from start to shutdown: its components, their tasks, and signal handling."""
 
 from __future__ import annotations
 
@@ -44,38 +44,39 @@
 
 __all__ = ["Gateway", "StartError", "serve"]
 
-# At a shutdown, for requests that are on their way, before idle connections are closed.
+# Wait at a shutdown for requests that are on their way, before idle connections are closed.
 LAST_REQUEST_SECONDS = 0.1
 SHUTDOWN_MARGIN_SECONDS = 1.0  # beyond the longest deadline
 SHUTDOWN_POLL_SECONDS = 0.01
 SWEEP_INTERVAL_SECONDS = 0.1
 QUEUE_REPORT_INTERVAL_MS = 500.0
-# How long a computing thread may keep the event loop waiting. The interpreter's own 5 ms would delay each step of each request.
+# The interpreter's switch interval: how long a busy thread can block the event loop. The default of 5 ms would delay each
+# step of each request.
 THREAD_SWITCH_SECONDS = 0.0002
 
 
 class Gateway:
-    """A gateway.
+    """The daemon of one gateway.
 
     Attributes:
         config: The configuration at the start.
         scheduler_loop: Runs the scheduler.
         pool: The connections to stores.
-        ledger: The ledger of latencies; None: none is kept.
+        ledger: The ledger of latencies; None: no ledger is configured.
         service: The object API.
         discovery: Follows the endpoint list.
-        membership_agent: Takes part in the membership of gateways; None: it does not.
-        rollout: Applies changes of the configuration; None: it does not change in service.
-        write_back: The write-back log; None: there is none.
-        s3: The S3 API, once the gateway runs; None: there is none.
+        membership_agent: Takes part in the membership of the fleet; None: no fleet is configured.
+        rollout: Applies changes to the configuration; None: changes need a restart.
+        write_back: The write-back log; None: no log is configured.
+        s3: The S3 API, once the gateway runs; None: it is not configured.
         clients: The listeners of clients.
         admins: The listeners of operators.
-        address: The first address that it listens at, once it runs.
-        addresses: All addresses that it listens at for clients.
-        admin_addresses: All addresses that it listens at for operators.
+        address: The first of ``addresses``.
+        addresses: The addresses of the listeners for clients, once the gateway runs.
+        admin_addresses: The addresses of the listeners for operators, once the gateway runs.
 
     Raises:
-        StartError: A part can't be made from the configuration.
+        StartError: A component can't be created from the configuration.
     """
 
     def __init__(self, config: Config, scheduler_loop: SchedulerLoop | None = None) -> None:
@@ -108,7 +109,7 @@
         self._stop = anyio.Event()
         self._log = structlog.get_logger("gateway")
 
-    # Changes of the configuration
+    # Configuration changes
 
     def _make_rollout(self) -> RolloutController | None:
         if not self.config.changes.folder:
@@ -134,19 +135,18 @@
         return rollout
 
     def _shards_without_endpoint(self) -> set[int]:
-        """Return the shards without a usable endpoint, whose failures are not due to a change of the configuration."""
+        """Return the shards without a usable endpoint, whose failures are not attributed to a configuration change."""
         view = self.discovery.view
         usable = {known.shard for known in view.endpoints.values() if view.is_usable(known.name)}
         return {known.shard for known in view.endpoints.values()} - usable
 
     def _swap(self, prepared: PreparedSwap) -> None:
-        """Apply another version of the configuration, for all requests from now on."""
-        # Events of requests that arrived under the old version must be decided by it: the new one may lack their plans.
+        """Apply another version of the configuration to all later requests."""
+        # The scheduler must process the requests of the old version under that version: the new one may lack their plans.
         self.scheduler_loop.process_events()
         plans = prepared.plans
-        if new_volumes := self.scheduler_loop.volumes_with_quota(
-            prepared.volume_count
-        ):  # since it was prepared
+        # Volumes that have got a quota since the swap was prepared.
+        if new_volumes := self.scheduler_loop.volumes_with_quota(prepared.volume_count):
             plans = {**plans, **changed_plans(new_volumes, prepared.old, prepared.new)}
         if self.service.snapshot.version != prepared.version:
             self.service.snapshot = ConfigSnapshot(prepared.new.config, prepared.version)
@@ -157,10 +157,10 @@
     # Endpoints
 
     async def _verify_identity(self, connection: Connection) -> None:
-        """Ask a store who it is.
+        """Verify the identity of a store on a new connection.
 
         Raises:
-            ConnectError: It is not the store that the endpoint list means, or it is draining.
+            ConnectError: Its identity does not match the endpoint list, or it is draining.
         """
         codec = connection.codec
         headers = [(b"host", b"store"), (store_protocol.GATEWAY_HEADER, self.config.gateway.name.encode())]
@@ -174,7 +174,9 @@
                 codec.feed(await connection.stream.receive())
         evidence = store_protocol.read_report(head).evidence or EndpointEvidence()
         if not self.discovery.record_response(connection.endpoint, evidence):
-            raise ConnectError(f"{connection.endpoint}: not the store that is meant, or it drains", False)
+            raise ConnectError(
+                f"{connection.endpoint}: not the store of the endpoint list, or draining", False
+            )
 
     async def _health_check(self, endpoint: str) -> bool:
         try:
@@ -196,7 +198,7 @@
     # Lifecycle
 
     def stop(self) -> None:
-        """Accept nothing more, answer all requests that have arrived, and end."""
+        """Stop accepting requests, answer those that have arrived, and end."""
         self._stop.set()
 
     async def run(self, started: Callable[[], None] = lambda: None) -> None:
@@ -206,7 +208,7 @@
             started: Called once the gateway accepts connections.
 
         Raises:
-            StartError: An address can't be listened at.
+            StartError: A listener can't be opened.
         """
         sys.setswitchinterval(THREAD_SWITCH_SECONDS)
         listeners = await open_listeners(self._listener_specs())
@@ -253,7 +255,7 @@
         return sockets
 
     def _admin_folder(self) -> Path | None:
-        """Return the folder of the admin socket; None where there is nothing to administer, or no place for it."""
+        """Return the folder of the admin socket; None: there is nothing to administer, or no folder is configured."""
         if self.rollout is not None:
             return self.rollout.folder
         if self.membership_agent is None:
@@ -311,7 +313,7 @@
             group.start_soon(self.admins.accept, socket, admin.handle, admin.max_connections, group)
 
     async def _sweep(self) -> None:
-        """Find what only the passing of time changes."""
+        """Check periodically for resets, timeouts, overdue requests and charges that can be settled."""
         reported_at_ms = 0.0
         recorder = self.service.recorder
         while True:
@@ -329,7 +331,8 @@
 
     async def _shut_down(self) -> None:
         if self.membership_agent is not None:
-            self.membership_agent.leave()  # early, so that the other gateways have heard of it by the end
+            # Early, so that the other gateways have learned of it before this one ends.
+            self.membership_agent.leave()
         self.clients.stop_accepting()
         self.admins.stop_accepting()
         await self._drain_connections()
@@ -339,7 +342,7 @@
     async def _drain_connections(self) -> None:
         self.service.stopping = True
         if self.rollout is not None:
-            self.rollout.stopping = True  # a change that is staged stays so for the next start
+            self.rollout.stopping = True  # a staged change stays staged until the next start
         await anyio.sleep(LAST_REQUEST_SECONDS)
         longest_deadline_ms = max(kind.rules.deadline_ms for kind in self.config.kinds)
         with anyio.move_on_after(longest_deadline_ms / 1000 + SHUTDOWN_MARGIN_SECONDS):
@@ -399,7 +402,7 @@
 
 
 def _write_port_files(gateway: Gateway, path: Path) -> None:
-    """Write the addresses to files, the first one last: who finds it finds the others."""
+    """Write the addresses to files; ``path`` is written last, so that the other files exist once it does."""
     if gateway.s3 is not None:
         _write_address(path.with_name(path.name + ".s3"), gateway.addresses[-1])
     if gateway.membership_agent is not None:
