--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The outcome of attempts: each row of the table in gateway/outcomes.py, brought about by an emulated store."""
+"""Outcomes of attempts: emulated stores produce each row of the table in gateway/outcomes.py."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from winchdyke.standins.wire import LOST
 
 READ = "/school-1/object"
-SLACK_S = 0.2  # for a host that stands still; the days' judge grants 0.25
+SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
 
 
-async def _first(trick: str, method: str = "GET", **headers: str):
-    """The outcomes of the attempts and the response, where the store misbehaves at its first request."""
+async def _run_with_trick(trick: str, method: str = "GET", **headers: str):
+    """Return the attempts' outcomes and the response if the store misbehaves at the first request."""
     async with rig() as it:
         store = it.where(READ)
         await it.ask("PUT", READ, b"x" * 3000)
@@ -43,7 +43,7 @@
     ],
 )
 def test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried(trick, outcome):
-    outcomes, reply = anyio.run(_first, trick)
+    outcomes, reply = anyio.run(_run_with_trick, trick)
     assert outcomes == [outcome, "SERVED"]
     assert (reply.status, len(reply.body)) == (200, 3000)
 
@@ -51,16 +51,17 @@
 @pytest.mark.parametrize(
     ("trick", "class_name", "outcomes", "status"),
     [
-        ("reset-after-run", "once", ["CONNECTION_RESET"], 502),  # may have run: never again
+        ("reset-after-run", "once", ["CONNECTION_RESET"], 502),  # may have been executed: not retried
         ("error", "once", ["ERROR"], 502),
-        ("shed", "once", ["SHED", "SERVED"], 200),  # proven not to have run
+        ("shed", "once", ["SHED", "SERVED"], 200),  # certainly not executed: retried
         ("early-shed", "once", ["SHED", "SERVED"], 200),
-        ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),  # its store drops the repeat
+        # The store deduplicates the retry.
+        ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),
     ],
 )
 def test_a_write_is_retried_only_where_its_class_allows(trick, class_name, outcomes, status):
-    got, reply = anyio.run(lambda: _first(trick, "PUT", winchdyke_class=class_name))
-    assert (got, reply.status) == (outcomes, status)
+    actual_outcomes, reply = anyio.run(lambda: _run_with_trick(trick, "PUT", winchdyke_class=class_name))
+    assert (actual_outcomes, reply.status) == (outcomes, status)
 
 
 def test_a_refused_connection_is_connect_failed():
@@ -76,17 +77,17 @@
 
 
 def test_without_file_descriptors_an_attempt_is_not_sent(monkeypatch):
-    async def none_left(host, port):
+    async def fail_connect(host, port):
         raise OSError("All connection attempts failed") from OSError(errno.EMFILE, "Too many open files")
 
     @played
     async def run():
         async with rig() as it:
-            real = anyio.connect_tcp
+            connect_tcp = anyio.connect_tcp
             peer = await it.connect()
-            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", none_left)
+            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", fail_connect)
             reply = await it.ask("GET", READ, peer=peer)
-            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", real)
+            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", connect_tcp)
             assert set(it.outcomes) == {"NOT_SENT"}
             assert (reply.status, reply.reason) == (503, "unsent")
             assert (await it.ask("GET", READ, peer=peer)).status == 404
@@ -99,17 +100,17 @@
     async def run():
         async with rig() as it:
             it.where(READ).tricks.append("silence")
-            began = anyio.current_time()
+            started_at = anyio.current_time()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="300ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert (reply.status, reply.reason) == (504, "timed-out")
-            assert anyio.current_time() - began < 0.3 + SLACK_S
+            assert anyio.current_time() - started_at < 0.3 + SLACK_S
 
     run()
 
 
 def test_an_idle_connection_closed_as_it_is_reused_is_a_reset_never_not_sent(monkeypatch):
-    """The store closes while the request is on its way, after the idle check."""
+    """The store closes the connection after the idle check, while the request is in transit."""
 
     @played
     async def run():
@@ -191,9 +192,9 @@
             await it.ask("PUT", READ, b"x" * 300)
             it.where(READ).tricks.append("long-answer")
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            dialled = it.gateway.pool.connections_opened
+            opened_before = it.gateway.pool.connections_opened
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            assert it.gateway.pool.connections_opened == dialled + 1
+            assert it.gateway.pool.connections_opened == opened_before + 1
 
     run()
 
@@ -213,7 +214,7 @@
 
 
 def test_a_range_other_than_the_requested_one_is_not_passed_on():
-    outcomes, reply = anyio.run(lambda: _first("wrong-range", range="bytes=5-9"))
+    outcomes, reply = anyio.run(lambda: _run_with_trick("wrong-range", range="bytes=5-9"))
     assert outcomes == ["CONNECTION_RESET", "SERVED"]
     assert (reply.status, reply.headers["content-range"]) == (206, "bytes 5-9/3000")
 
@@ -251,7 +252,7 @@
 
 
 def test_a_connect_timeout_is_connect_failed():
-    """A listener whose backlog is full accepts nothing: the connect hangs."""
+    """A listener with a full backlog accepts no connection, so that the connect hangs."""
 
     @played
     async def run():
@@ -285,10 +286,10 @@
 
             async def cancel():
                 await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
-                ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
-                await it.until(lambda: ticket.on_cancel is not None)
+                request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
+                await it.until(lambda: request_handle.on_cancel is not None)
                 await anyio.sleep(0.05)
-                it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(ticket.request_id, 0))
+                it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(request_handle.request_id, 0))
 
             it.group.start_soon(cancel)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -300,41 +301,41 @@
 
 @pytest.mark.parametrize("order", ["it is called off", "its time to be written ends"])
 def test_nothing_is_written_on_a_connection_that_is_ready_too_late(monkeypatch, order):
-    """Otherwise a store that has begun to drain would get the request."""
-    get, handle = ConnectionPool.acquire, Scheduler.handle
+    """Otherwise a store that has begun draining would receive the request."""
+    acquire, handle = ConnectionPool.acquire, Scheduler.handle
 
     @played
     async def run():
         async with rig() as it:
-            begun, up = anyio.Event(), anyio.Event()
+            connected, released = anyio.Event(), anyio.Event()
 
-            async def late(pool, node):
-                connection = await get(pool, node)
-                begun.set()
-                await up.wait()
+            async def acquire_late(pool, endpoint):
+                connection = await acquire(pool, endpoint)
+                connected.set()
+                await released.wait()
                 return connection
 
-            def bounded(scheduler, now, events):
+            def handle_with_write_timeout(scheduler, now, events):
                 return [
                     replace(action, write_timeout_ms=1.0) if isinstance(action, api.StartAttempt) else action
                     for action in handle(scheduler, now, events)
                 ]
 
-            async def later():
-                await begun.wait()
+            async def release_connection():
+                await connected.wait()
                 if order == "it is called off":
-                    ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
-                    it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(ticket.request_id, 0))
+                    request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
+                    it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(request_handle.request_id, 0))
                     await it.until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
                 monkeypatch.setattr(Scheduler, "handle", handle)
-                up.set()
+                released.set()
 
-            monkeypatch.setattr(ConnectionPool, "acquire", late)
+            monkeypatch.setattr(ConnectionPool, "acquire", acquire_late)
             if order != "it is called off":
-                monkeypatch.setattr(Scheduler, "handle", bounded)
-            it.group.start_soon(later)
+                monkeypatch.setattr(Scheduler, "handle", handle_with_write_timeout)
+            it.group.start_soon(release_connection)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
             assert it.outcomes == ["NOT_SENT", "SERVED"] and reply.status == 201
             assert len([seen for seen in it.record.seen if seen["what"] == "whole"]) == 1
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Faults of clients, the endpoint list, the scheduler and at a shutdown: each brought about on sockets."""
+"""Faults of clients, the list service and the scheduler, and faults at a shutdown, produced over sockets."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from winchdyke.standins.wire import LOST
 
 READ = "/school-1/object"
-SLACK_S = 0.2  # for a host that stands still; the days' judge grants 0.25
+SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
 
 
 def _head(raw: bytes) -> tuple[int, dict[str, str]]:
@@ -118,16 +118,16 @@
     async def run():
         async with rig() as it:
             peer = await it.connect()
-            began = time.monotonic()
+            started_at = time.monotonic()
             head = b"PUT /school-1/late HTTP/1.1\r\nhost: t\r\ncontent-length: 500000\r\nwinchdyke-time-left: 400ms\r\n\r\n"
             await peer.stream.send(head + b"x" * 300_000)
             peer.h11.send(
                 h11.Request(method="PUT", target="/", headers=[("host", "t"), ("content-length", "1")])
             )
             answer = await reply(peer)
-            assert time.monotonic() - began < 0.4 + SLACK_S
+            assert time.monotonic() - started_at < 0.4 + SLACK_S
             assert answer.headers["winchdyke-outcome"] in ("failed", "refused")
-            assert it.outcomes == ["CANCELLED"], "the client's slowness is not the store's"
+            assert it.outcomes == ["CANCELLED"], "a slow client must not count as a store timeout"
             assert not any("suspect" in str(event) for event in it.events)
             await anyio.aclose_forcefully(peer.stream)
 
@@ -139,7 +139,7 @@
     @played
     async def run():
         async with rig(unit_ms=60.0) as it:
-            assert (await it.ask("GET", READ)).status == 404  # who the store is has been asked
+            assert (await it.ask("GET", READ)).status == 404  # the store's identity has been verified
             it.ended.clear()
             busy = [await it.connect() for _ in range(12 if when == "before" else 1)]
             for number, peer in enumerate(busy):
@@ -152,11 +152,11 @@
             for peer in busy:
                 await peer.reset()
             await it.until(lambda: not it.gateway.scheduler_loop.open_requests)
-            await anyio.sleep(0.05)  # what was on its way to a store as the client left is there by now
+            await anyio.sleep(0.05)  # requests in transit when the client disconnected have arrived by now
             heads = [seen["client"] for seen in it.record.seen if seen["what"] == "head"]
-            assert len(heads) < len(busy) or when != "before", "some were held, and are never sent"
+            assert len(heads) < len(busy) or when != "before", "some requests were queued and are never sent"
             await it.until(lambda: not it.gateway.service.active_requests)
-            # What was out is heard to its end, so that the window knows; nothing else is sent.
+            # Attempts in flight are awaited, so that the concurrency limit accounts for them; nothing else is sent.
             assert all(
                 event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
             )
@@ -258,14 +258,14 @@
             await put()
             assert len([seen for seen in it.record.seen if seen["what"] == "effect"]) == 1
             assert len({answer.headers["x-request-id"] for answer in answers}) == 3, (
-                "ids are the gateway's own"
+                "the gateway assigns the request ids"
             )
 
     run()
 
 
 def test_the_event_loop_is_blocked_for_300_ms():
-    """Responses due meanwhile are sent as soon as it continues."""
+    """Responses that were due meanwhile are sent as soon as the event loop continues."""
 
     @played
     async def run():
@@ -274,9 +274,9 @@
             got = []
 
             async def ask():
-                began = time.monotonic()
+                started_at = time.monotonic()
                 got.append(await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms"))
-                got.append(time.monotonic() - began)
+                got.append(time.monotonic() - started_at)
 
             it.group.start_soon(ask)
             await anyio.sleep(0.2)
@@ -288,7 +288,7 @@
     run()
 
 
-class Broken:
+class FailingScheduler:
     """A scheduler that fails at its second request."""
 
     def __init__(self, *_: object) -> None:
@@ -304,7 +304,7 @@
 def test_a_failing_scheduler_leaves_no_request_unanswered():
     @played
     async def run():
-        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Broken)) as it:
+        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, FailingScheduler)) as it:
             got = []
 
             async def ask():
@@ -316,12 +316,12 @@
             await it.until(lambda: len(got) == 2)
             assert {(answer.status, answer.reason) for answer in got} == {(502, "engine-fault")}
             assert it.gateway.scheduler_loop.counts["scheduler_failures"] == 1
-            assert len(it.gateway.scheduler_loop.endpoints) == 8, "the new one is given the list"
+            assert len(it.gateway.scheduler_loop.endpoints) == 8, "the new scheduler gets the endpoint list"
 
     run()
 
 
-class Mute:
+class SilentScheduler:
     """A scheduler that never returns an action."""
 
     def __init__(self, *_: object) -> None:
@@ -334,7 +334,7 @@
 def test_the_gateway_answers_for_a_silent_scheduler():
     @played
     async def run():
-        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, Mute)) as it:
+        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, SilentScheduler)) as it:
             answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
             assert not it.gateway.scheduler_loop.open_requests
@@ -370,7 +370,7 @@
 
 
 def test_an_early_response_reaches_a_client_that_is_still_sending():
-    """The gateway reads on for a while before it closes, so that no reset discards the response."""
+    """The gateway keeps reading before it closes the connection, so that no reset discards the response."""
 
     @played
     async def run():
@@ -424,11 +424,13 @@
             async with anyio.create_task_group() as group:
                 for number in range(200):
                     group.start_soon(ask, number)
-                await it.until(lambda: it.gateway.service.active_requests + len(got) == 200)  # all were taken
+                await it.until(
+                    lambda: it.gateway.service.active_requests + len(got) == 200
+                )  # all have been accepted
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
                 with pytest.raises((OSError, *LOST)):
-                    while True:  # a connection may still sit in the backlog as the listener closes
+                    while True:  # a connection may still be in the backlog while the listener closes
                         peer = await it.connect()
                         await peer.stream.send(b"GET / HTTP/1.1\r\n")
                         await peer.stream.receive()
@@ -454,7 +456,7 @@
                         held.append(open("/dev/null", "rb"))  # noqa: SIM115
                 for store in it.stores:
                     store.tricks.append("close-idle")
-                # On the kept connection: the store's is still open, or there is no descriptor for another one.
+                # On the open connection: that to the store is open too, or there is no file descriptor for a new one.
                 answers = [await it.ask("GET", READ, peer=peer) for _ in range(3)]
                 assert {answer.status for answer in answers} <= {200, 503}
                 big = await it.ask("PUT", READ, b"x" * 600_000, peer=peer)
@@ -463,7 +465,7 @@
                 for file in held:
                     file.close()
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            # The stand-ins share the limit: a store that could not accept is tried again first.
+            # The emulated stores have the same limit: a store that could not accept has to retry that first.
             with anyio.fail_after(5):
                 while (await it.ask("GET", READ)).status != 200:
                     await anyio.sleep(0.05)
@@ -521,22 +523,21 @@
 
 
 def test_a_client_that_sends_faster_than_its_store_reads_is_slowed_down():
-    """What a gateway reads ahead of a store that reads nothing stays bounded."""
+    """The gateway reads a bounded part of a body ahead of a store that reads nothing."""
 
     @played
     async def run():
         async with rig(listing=False) as it:
-            it.gateway.pool.verify_identity = None  # the deaf one would not say who it is
-            # Held by the scheduler's list: nobody reads the body at all.
-            deaf = await anyio.create_tcp_listener(local_host="127.0.0.1")
-            port = deaf.extra(anyio.abc.SocketAttribute.local_port)
-            node = api.Endpoint(f"127.0.0.1:{port}", api.EndpointStatus.READY, it.where(READ).spec.shard)
-            it.gateway.scheduler_loop.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
+            it.gateway.pool.verify_identity = None  # the silent listener does not answer an identity check
+            # An endpoint that accepts connections and never reads.
+            silent_listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+            port = silent_listener.extra(anyio.abc.SocketAttribute.local_port)
+            endpoint = api.Endpoint(f"127.0.0.1:{port}", api.EndpointStatus.READY, it.where(READ).spec.shard)
+            it.gateway.scheduler_loop.post(api.EndpointList(api.EndpointListKind.FULL, (endpoint,)))
             sock = socket.create_connection(it.gateway.address)
             head = b"PUT /school-1/object HTTP/1.1\r\nhost: t\r\ncontent-length: 900000000\r\n\r\n"
-            sock.sendall(
-                head + b"x" * 200_000
-            )  # there before the gateway's first read: the case that never paused
+            # Arrives before the gateway's first read: in this case the transport once never paused.
+            sock.sendall(head + b"x" * 200_000)
             sock.setblocking(False)
             sent, until = 0, anyio.current_time() + 1.0
             while anyio.current_time() < until:
@@ -548,7 +549,7 @@
             queued = sum(len(chunk) for chunk in it.gateway_streams()[0]._protocol.read_queue)
             assert queued < 2_000_000
             sock.close()
-            await deaf.aclose()
+            await silent_listener.aclose()
 
     run()
 
@@ -594,7 +595,7 @@
 
 
 def test_a_reset_behind_an_unread_upload_is_noticed_and_nothing_is_sent():
-    """Receiving is paused at its limit, and a paused transport does not report a reset."""
+    """At the read-ahead limit receiving is paused, and a paused transport does not report a reset."""
 
     @played
     async def run():
@@ -629,7 +630,7 @@
 
 
 def test_a_body_that_arrived_with_its_head_ends_without_more_data():
-    """Reading on would wait until the client's deadline."""
+    """Otherwise reading more would wait until the client's deadline."""
     from winchdyke.http1 import End, RequestHead, ServerSide
 
     codec = ServerSide(1000)
--- a/tests/test_scheduler_loop.py
+++ b/tests/test_scheduler_loop.py
@@ -1,4 +1,4 @@
-"""The scheduler loop without sockets: batches, timers, every event in and every action out."""
+"""The scheduler loop without sockets: batches, timers, and each kind of event and action."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 SETTINGS = api.Settings(gateway_count=1, gateway_index=0, classes=(), plans=())
 
 
-class Script:
-    """A scheduler that records its batches and answers from a script."""
+class PreparedScheduler:
+    """A scheduler that records its batches and returns prepared actions."""
 
     def __init__(self, *_: object) -> None:
         self.batches: list[tuple[float, list[api.Event]]] = []
-        self.answers: list[list[api.Action]] = []
+        self.prepared_actions: list[list[api.Action]] = []
 
     def handle(self, now: float, events: list[api.Event]) -> list[api.Action]:
         self.batches.append((now, events))
-        return self.answers.pop(0) if self.answers else []
+        return self.prepared_actions.pop(0) if self.prepared_actions else []
 
 
-def make_loop() -> tuple[SchedulerLoop, Script, list[float]]:
-    script, now = Script(), [1000.0]
-    return SchedulerLoop(SETTINGS, 1, lambda *_: script, lambda: now[0]), script, now
+def make_loop() -> tuple[SchedulerLoop, PreparedScheduler, list[float]]:
+    scheduler, now = PreparedScheduler(), [1000.0]
+    return SchedulerLoop(SETTINGS, 1, lambda *_: scheduler, lambda: now[0]), scheduler, now
 
 
 def request(name: str) -> api.Request:
@@ -36,7 +36,7 @@
 
 
 def test_every_kind_of_event_is_passed_to_the_scheduler_unchanged():
-    loop, script, _ = make_loop()
+    loop, scheduler, _ = make_loop()
     events: list[api.Event] = [
         *(api.EndpointList(kind) for kind in api.EndpointListKind),
         request("a"),
@@ -49,36 +49,36 @@
     for event in events:
         loop.post(event)
     loop.process_events()
-    assert script.batches == [(1000.0, events)]
+    assert scheduler.batches == [(1000.0, events)]
     loop.process_events()
-    assert len(script.batches) == 1, "no event, no batch"
+    assert len(scheduler.batches) == 1, "a batch needs an event"
 
 
 def test_due_timers_fire_in_order_of_time_in_one_batch():
-    loop, script, now = make_loop()
-    script.answers = [
+    loop, scheduler, now = make_loop()
+    scheduler.prepared_actions = [
         [api.SetTimer(7, 30.0), api.SetTimer(8, 10.0), api.SetTimer(9, 10.0), api.SetTimer(5, 90.0)]
     ]
     loop.post(api.ClientDisconnected("x"))
     loop.process_events()
     now[0] = 1031.0
     loop.process_events()
-    assert script.batches[1] == (1031.0, [api.TimerFired(8), api.TimerFired(9), api.TimerFired(7)])
+    assert scheduler.batches[1] == (1031.0, [api.TimerFired(8), api.TimerFired(9), api.TimerFired(7)])
     now[0] = 1089.0
     loop.process_events()
-    assert len(script.batches) == 2
+    assert len(scheduler.batches) == 2
 
 
 def test_actions_reach_the_handle_of_their_request():
-    loop, script, _ = make_loop()
-    watched = []
-    loop.on_watch_endpoints = lambda: watched.append(True)
+    loop, scheduler, _ = make_loop()
+    watch_calls = []
+    loop.on_watch_endpoints = lambda: watch_calls.append(True)
     handles = {name: loop.submit(request(name)) for name in "abc"}
     cancelled = []
     handles["a"].on_cancel = cancelled.append
     abandoned = []
     handles["a"].on_abandon = abandoned.append
-    script.answers = [
+    scheduler.prepared_actions = [
         [
             api.StartAttempt("a", "n1", 50.0),
             api.ShedRequest("b", 250.0),
@@ -96,7 +96,7 @@
     assert list(handles["a"].actions) == [api.StartAttempt("a", "n1", 50.0)]
     assert list(handles["b"].actions) == [api.ShedRequest("b", 250.0)]
     assert list(handles["c"].actions) == [api.FailRequest("c")]
-    assert (cancelled, abandoned, watched) == ([0], [0], [True])
+    assert (cancelled, abandoned, watch_calls) == ([0], [0], [True])
     assert set(loop.open_requests) == {"a"}
     assert (handles["a"].attempts_in_flight, handles["b"].finished, handles["c"].finished) == (1, True, True)
 
@@ -114,32 +114,32 @@
 
 
 def test_a_client_that_disconnects_twice_is_reported_once():
-    loop, script, _ = make_loop()
+    loop, scheduler, _ = make_loop()
     handle = loop.submit(request("a"))
     loop.client_disconnected(handle)
     loop.client_disconnected(handle)
     loop.process_events()
-    assert script.batches[0][1] == [request("a"), api.ClientDisconnected("a")]
+    assert scheduler.batches[0][1] == [request("a"), api.ClientDisconnected("a")]
 
 
 def test_after_a_failure_the_next_scheduler_starts_with_the_endpoint_list_and_no_old_timers():
-    class Once(Script):
+    class FailingScheduler(PreparedScheduler):
         def handle(self, now, events):
             super().handle(now, events)
             if any(isinstance(event, api.ClientDisconnected) for event in events):
                 raise RuntimeError("by design")
             return [api.SetTimer(1, 5.0)]
 
-    schedulers: list[Once] = []
+    schedulers: list[FailingScheduler] = []
 
-    def make(*_: object) -> Once:
-        schedulers.append(Once())
+    def make_scheduler(*_: object) -> FailingScheduler:
+        schedulers.append(FailingScheduler())
         return schedulers[-1]
 
     now = [0.0]
-    loop = SchedulerLoop(SETTINGS, 1, make, lambda: now[0])
-    node = api.Endpoint("n", api.EndpointStatus.READY, 0)
-    loop.post(api.EndpointList(api.EndpointListKind.FULL, (node,)))
+    loop = SchedulerLoop(SETTINGS, 1, make_scheduler, lambda: now[0])
+    endpoint = api.Endpoint("n", api.EndpointStatus.READY, 0)
+    loop.post(api.EndpointList(api.EndpointListKind.FULL, (endpoint,)))
     handle = loop.submit(request("a"))
     loop.process_events()
     loop.post(api.ClientDisconnected("nobody"))
@@ -148,15 +148,15 @@
     assert handle.override_reason == "engine-fault" and not loop.open_requests
     now[0] = 100.0
     loop.process_events()
-    assert schedulers[1].batches == [(100.0, [api.EndpointList(api.EndpointListKind.CACHED, (node,))])]
+    assert schedulers[1].batches == [(100.0, [api.EndpointList(api.EndpointListKind.CACHED, (endpoint,))])]
 
 
 def test_events_posted_together_share_a_batch_and_timers_wake_the_loop():
     @played
     async def run():
-        script = Script()
-        loop = SchedulerLoop(SETTINGS, 1, lambda *_: script)
-        script.answers = [[api.SetTimer(3, 20.0)]]
+        scheduler = PreparedScheduler()
+        loop = SchedulerLoop(SETTINGS, 1, lambda *_: scheduler)
+        scheduler.prepared_actions = [[api.SetTimer(3, 20.0)]]
         async with anyio.create_task_group() as group:
             group.start_soon(loop.run)
             await anyio.sleep(0.01)
@@ -167,11 +167,11 @@
             for name in "abc":
                 group.start_soon(post, name)
             with anyio.fail_after(2):
-                while len(script.batches) < 2:
+                while len(scheduler.batches) < 2:
                     await anyio.sleep(0.005)
-            assert [len(events) for _, events in script.batches] == [3, 1]
-            assert script.batches[1][1] == [api.TimerFired(3)]
-            assert script.batches[1][0] - script.batches[0][0] >= 20.0
+            assert [len(events) for _, events in scheduler.batches] == [3, 1]
+            assert scheduler.batches[1][1] == [api.TimerFired(3)]
+            assert scheduler.batches[1][0] - scheduler.batches[0][0] >= 20.0
             group.cancel_scope.cancel()
 
     run()
