--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -1,4 +1,4 @@
-"""Write-back in a running gateway: acknowledged from the log, at the store once, whatever fails between."""
+"""Write-back in a running gateway: writes are acknowledged from the log and take effect once, despite failures."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from winchdyke.gateway.daemon import Gateway, StartError
 
 
-def config(folder: Path, **more: Any) -> Any:
+def config(folder: Path, **changes: Any) -> Any:
     base = settings()
     return dataclasses.replace(
         base,
-        writeback=WriteBack(str(folder), ("submit",), 1 << 20, 8 << 20, **more),
+        writeback=WriteBack(str(folder), ("submit",), 1 << 20, 8 << 20, **changes),
         s3=S3(Listen("127.0.0.1", 0), unsigned="all"),
     )
 
 
 def effects(it: Rig, key: str) -> int:
-    """How many writes of an object took effect at stores."""
+    """Return how many writes of an object took effect at stores."""
     return sum(
         seen["what"] == "effect" and seen["object"] == key and seen["method"] == "PUT"
         for seen in it.record.seen
@@ -36,14 +36,15 @@
 
 
 def stored(it: Rig, volume: str, key: str) -> bytes | None:
-    """What the store of an object holds."""
+    """Return the stored content of an object; None: its store has no such object."""
     found = it.where(f"/{volume}/{key}").shelf.objects.get((volume, key))
     return found[0] if found else None
 
 
-async def drained(it: Rig) -> None:
-    back = it.gateway.write_back
-    await it.until(lambda: not back._pending_objects and not back.drain.out, 10)
+async def wait_until_drained(it: Rig) -> None:
+    """Wait until all records of the log are stored or quarantined."""
+    write_back = it.gateway.write_back
+    await it.until(lambda: not write_back._pending_objects and not write_back.drain.out, 10)
 
 
 def test_a_write_is_acknowledged_from_the_log_and_reaches_its_store_once(tmp_path):
@@ -54,7 +55,7 @@
             assert answer.status == 200 and answer.headers["winchdyke-acknowledged"] == "log"
             read = await it.ask("GET", "/school-1/a")
             assert read.body == b"hello" and read.headers["etag"] == answer.headers["etag"]
-            await drained(it)
+            await wait_until_drained(it)
             assert effects(it, "a") == 1 and stored(it, "school-1", "a") == b"hello"
 
     run()
@@ -84,7 +85,7 @@
             read = await it.ask("GET", "/school-1/a", winchdyke_time_left="700ms")
             assert read.status == 503 and read.reason == "write-back"
             await store.start(it.group)
-            await drained(it)
+            await wait_until_drained(it)
             assert stored(it, "school-1", "a") == b"v4" and effects(it, "a") == 5
 
     run()
@@ -96,11 +97,11 @@
     async def run():
         async with rig(config(tmp_path)) as it:
             assert (await it.ask("PUT", "/school-1/a", b"old")).status == 200
-            await drained(it)
+            await wait_until_drained(it)
             store = it.where("/school-1/a")
-            store.tricks.extend(["", fault])  # the look at what it holds, then the write
+            store.tricks.extend(["", fault])  # the query for the precondition, then the write
             assert (await it.ask("PUT", "/school-1/a", b"new")).status == 200
-            await drained(it)
+            await wait_until_drained(it)
             assert stored(it, "school-1", "a") == b"new" and effects(it, "a") == 2
             assert not it.gateway.write_back.quarantined
 
@@ -108,20 +109,20 @@
 
 
 def test_a_write_whose_response_was_lost_is_quarantined_after_the_deduplication_window(tmp_path):
-    """The store forgets keys after 100 ms, and another client writes meanwhile: whether it was executed can't be told."""
+    """The store forgets keys after 100 ms and another client writes: it is unknown whether the first write was executed."""
 
     @played
     async def run():
         async with rig(config(tmp_path), memory_ms=100.0) as it:
             store = it.where("/school-1/a")
             store.tricks.extend(["", "silence"])
-            back = it.gateway.write_back
+            write_back = it.gateway.write_back
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
             await it.until(lambda: stored(it, "school-1", "a") == b"mine")
             store.shelf.objects["school-1", "a"] = (b"other", '"other"')
-            await it.until(lambda: bool(back.quarantined), 15)
+            await it.until(lambda: bool(write_back.quarantined), 15)
             assert stored(it, "school-1", "a") == b"other" and effects(it, "a") == 1
-            assert "something else" in next(iter(back.quarantined.values()))
+            assert "something else" in next(iter(write_back.quarantined.values()))
 
     run()
 
@@ -131,11 +132,11 @@
     async def run():
         async with rig(config(tmp_path), memory_ms=50.0) as it:
             first = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
-            await drained(it)
+            await wait_until_drained(it)
             await anyio.sleep(0.2)
             again = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
             assert again.status == 200 and again.headers["etag"] == first.headers["etag"]
-            await drained(it)
+            await wait_until_drained(it)
             assert effects(it, "a") == 1
 
     run()
@@ -149,7 +150,7 @@
         async with rig(config(tmp_path)) as it:
             out, new = it.where("/school-1/out"), it.where("/school-1/new")
             assert (await it.ask("PUT", "/school-1/out", b"old")).status == 200
-            await drained(it)
+            await wait_until_drained(it)
             out.tricks.extend(["", "silence"])
             assert (await it.ask("PUT", "/school-1/out", b"fresh")).status == 200
             await it.until(lambda: stored(it, "school-1", "out") == b"fresh")
@@ -157,18 +158,18 @@
             assert (await it.ask("PUT", "/school-1/new", b"fresh")).status == 200
             log = it.gateway.write_back.log
             assert len(log.open) == 2
-            # A kill: nothing more is sent or written, and the folder is free.
+            # Simulates a kill: nothing more is sent or written, and the lock of the folder is released.
             it.gateway.write_back.drain.next = lambda *_: []
             log.disk.close()
             await new.start(it.group)
-            made = Gateway(
+            next_gateway = Gateway(
                 dataclasses.replace(it.gateway.config, listeners=(("main", Listen("127.0.0.1", 0)),))
             )
             ready = anyio.Event()
-            it.group.start_soon(made.run, ready.set)
+            it.group.start_soon(next_gateway.run, ready.set)
             await ready.wait()
-            it.gateway = made
-            await drained(it)
+            it.gateway = next_gateway
+            await wait_until_drained(it)
             assert effects(it, "out") == 2 and effects(it, "new") == 1
             assert stored(it, "school-1", "out") == b"fresh" and stored(it, "school-1", "new") == b"fresh"
 
@@ -181,8 +182,8 @@
         async with rig(config(tmp_path, record_bytes=600_000)) as it:
             for store in it.stores:
                 store.kill()
-            said = [(await it.ask("PUT", f"/school-1/{n}", b"x" * 500_000)).reason for n in range(16)]
-            assert said.count("ok") >= 4 and said[-1] == "write-back"
+            reasons = [(await it.ask("PUT", f"/school-1/{n}", b"x" * 500_000)).reason for n in range(16)]
+            assert reasons.count("ok") >= 4 and reasons[-1] == "write-back"
             other = await it.ask("PUT", "/contest-1/a", b"x" * 100_000)
             assert other.status == 200
 
@@ -194,19 +195,19 @@
     async def run():
         async with rig(config(tmp_path)) as it:
             disk = it.gateway.write_back.log.disk
-            sync, fail = disk.sync, [True]
+            sync, failures = disk.sync, [True]
 
-            def once(name: str) -> None:
-                if fail and not name.endswith(".new"):
-                    fail.clear()
-                    raise OSError(errno.EIO, "made to fail")
+            def fail_once(name: str) -> None:
+                if failures and not name.endswith(".new"):
+                    failures.clear()
+                    raise OSError(errno.EIO, "injected failure")
                 sync(name)
 
-            disk.sync = once
+            disk.sync = fail_once
             lost = await it.ask("PUT", "/school-1/a", b"x")
             assert lost.status == 502 and lost.reason == "write-back-lost"
             assert (await it.ask("PUT", "/school-1/b", b"x")).status == 200
-            await drained(it)
+            await wait_until_drained(it)
             assert effects(it, "a") == 0 and effects(it, "b") == 1
 
     run()
@@ -234,27 +235,27 @@
                     store.kill()
                 for number in range(20):
                     assert (await it.ask("PUT", f"/school-1/{number}", b"x")).status == 200
-                began = anyio.current_time()
+                stopped_at = anyio.current_time()
                 it.gateway.stop()
                 await it.until(lambda: not it.gateway.write_back.committer._thread.is_alive(), 10)
-                assert anyio.current_time() - began < 6.0
+                assert anyio.current_time() - stopped_at < 6.0
         from winchdyke.writeback.disk import Folder
         from winchdyke.writeback.log import Log
 
-        found = Log(Folder(tmp_path), 1 << 20, 8 << 20)
-        assert len(found.open) == 20 and not found.found.torn
+        recovered = Log(Folder(tmp_path), 1 << 20, 8 << 20)
+        assert len(recovered.open) == 20 and not recovered.found.torn
 
     run()
 
 
 @pytest.mark.parametrize(
-    ("classes", "said"), [(("once",), "never sent twice"), (("none-such",), "no class 'none-such'")]
+    ("classes", "message"), [(("once",), "never sent twice"), (("none-such",), "no class 'none-such'")]
 )
-def test_classes_that_can_not_be_written_back_are_errors_at_the_start(tmp_path, classes, said):
+def test_classes_that_can_not_be_written_back_are_errors_at_the_start(tmp_path, classes, message):
     base = config(tmp_path)
-    wrong = dataclasses.replace(base, writeback=dataclasses.replace(base.writeback, classes=classes))
-    with pytest.raises(StartError, match=said):
-        Gateway(wrong)
+    invalid = dataclasses.replace(base, writeback=dataclasses.replace(base.writeback, classes=classes))
+    with pytest.raises(StartError, match=message):
+        Gateway(invalid)
 
 
 def test_a_log_in_use_by_another_gateway_is_an_error_at_the_start(tmp_path):
@@ -265,12 +266,13 @@
 
 
 def test_waiting_for_a_sync_that_is_over_does_not_block_the_loop():
-    """The callback then runs in the loop's own thread, which would wait for itself forever."""
-    made, found = Future[int](), list[int]()
-    made.set_result(7)
-    waits = threading.Thread(
-        target=lambda: found.append(anyio.run(gateway_writeback.WriteBack._wait_for_sync, made)), daemon=True
+    """The callback then runs in the event loop's own thread, which must not wait for itself."""
+    synced, results = Future[int](), list[int]()
+    synced.set_result(7)
+    waiter = threading.Thread(
+        target=lambda: results.append(anyio.run(gateway_writeback.WriteBack._wait_for_sync, synced)),
+        daemon=True,
     )
-    waits.start()
-    waits.join(10.0)
-    assert found == [7]
+    waiter.start()
+    waiter.join(10.0)
+    assert results == [7]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -35,11 +35,11 @@
     def __init__(self, folder: Path, name: str = "test issuer") -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        self.certificate = self._made(self.name, self.key.public_key(), True)
+        self.certificate = self._sign(self.name, self.key.public_key(), True)
         self.path = folder / f"{name.replace(' ', '-')}.pem"
         self.path.write_bytes(self.certificate.public_bytes(serialization.Encoding.PEM))
 
-    def _made(self, subject, key, authority, start=-DAY, end=30 * DAY):
+    def _sign(self, subject, key, authority, start=-DAY, end=30 * DAY):
         now = datetime.datetime.now(datetime.UTC)
         builder = (
             x509.CertificateBuilder()
@@ -64,10 +64,10 @@
         return builder.sign(self.key, hashes.SHA256())
 
     def issue(self, folder: Path, name: str, start=-DAY, end=20 * DAY) -> tuple[Path, Path]:
-        """A certificate and its key."""
+        """Issue a server certificate and write it and its key to a folder."""
         key = ec.generate_private_key(ec.SECP256R1())
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        made = self._made(subject, key.public_key(), False, start, end)
+        made = self._sign(subject, key.public_key(), False, start, end)
         certificate, private = folder / "server.pem", folder / "server.key"
         certificate.write_bytes(made.public_bytes(serialization.Encoding.PEM))
         private.write_bytes(
@@ -78,8 +78,8 @@
         return certificate, private
 
 
-def settings_of(certificate: Path, key: Path, **more: str) -> Tls:
-    return Tls(str(certificate), str(key), **more)
+def settings_of(certificate: Path, key: Path, **changes: str) -> Tls:
+    return Tls(str(certificate), str(key), **changes)
 
 
 def test_boto3_over_tls_with_a_stalled_handshake_and_a_certificate_reloaded_in_service(tmp_path, monkeypatch):
@@ -111,7 +111,7 @@
             )
             assert got == data
 
-            async def shown(context: ssl.SSLContext | None = None) -> str:
+            async def presented_subject(context: ssl.SSLContext | None = None) -> str:
                 context = context or ssl.create_default_context(cafile=str(issuer.path))
                 async with await anyio.connect_tcp(
                     host, port, tls=True, ssl_context=context, tls_standard_compatible=False
@@ -119,11 +119,11 @@
                     der = s.extra(anyio.streams.tls.TLSAttribute.peer_certificate_binary)
                     return x509.load_der_x509_certificate(der).subject.rfc4514_string()
 
-            assert await shown() == "CN=first"
-            # One that says nothing is closed, and holds nobody up.
+            assert await presented_subject() == "CN=first"
+            # A connection whose handshake stalls is closed, and delays no other connection.
             stalled = await anyio.connect_tcp(host, port)
             await stalled.send(b"\x16\x03\x01")
-            assert await shown() == "CN=first"
+            assert await presented_subject() == "CN=first"
             with anyio.fail_after(3), pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 while True:
                     await stalled.receive()
@@ -132,26 +132,26 @@
             with anyio.fail_after(3), pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
                 while True:
                     await plain.receive()
-            # An open connection goes on over a change of certificates; new ones see the new one.
+            # An open connection survives a change of the certificate; new connections get the new one.
             context = ssl.create_default_context(cafile=str(issuer.path))
-            kept = await anyio.connect_tcp(
+            open_connection = await anyio.connect_tcp(
                 host, port, tls=True, ssl_context=context, tls_standard_compatible=False
             )
             issuer.issue(tmp_path, "second")
-            assert await shown() == "CN=second"
-            await kept.send(b"GET /school-1/k HTTP/1.1\r\nhost: x\r\n\r\n")
-            assert b"403" in await kept.receive()
-            await kept.aclose()
-            # One that is over, and one that is no certificate, are not taken: the one before stays.
+            assert await presented_subject() == "CN=second"
+            await open_connection.send(b"GET /school-1/k HTTP/1.1\r\nhost: x\r\n\r\n")
+            assert b"403" in await open_connection.receive()
+            await open_connection.aclose()
+            # An expired certificate and an invalid file are not used: the previous certificate stays in use.
             issuer.issue(tmp_path, "over", start=-3 * DAY, end=-DAY)
-            assert await shown() == "CN=second"
+            assert await presented_subject() == "CN=second"
             certificate.write_text("no certificate")
-            assert await shown() == "CN=second"
+            assert await presented_subject() == "CN=second"
             issuer.issue(tmp_path, "third")
-            assert await shown() == "CN=third"
+            assert await presented_subject() == "CN=third"
             old = ssl.create_default_context(cafile=str(issuer.path))
             old.minimum_version = old.maximum_version = ssl.TLSVersion.TLSv1_2
-            assert await shown(old) == "CN=third"
+            assert await presented_subject(old) == "CN=third"
 
     run()
 
@@ -159,14 +159,14 @@
 def test_client_certificates_and_the_minimum_tls_version_are_enforced(tmp_path):
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "server")
-    people = Issuer(tmp_path, "people")
+    client_issuer = Issuer(tmp_path, "people")
     (tmp_path / "ann").mkdir()
-    own, own_key = people.issue(tmp_path / "ann", "ann")
+    client_certificate, client_key = client_issuer.issue(tmp_path / "ann", "ann")
 
     @played
     async def run():
-        asked = settings_of(certificate, key, least="1.3", clients=str(people.path))
-        async with rig(dataclasses.replace(with_s3(keys), tls=asked)) as it:
+        tls_settings = settings_of(certificate, key, least="1.3", clients=str(client_issuer.path))
+        async with rig(dataclasses.replace(with_s3(keys), tls=tls_settings)) as it:
             host, port = it.gateway.addresses[-1]
 
             async def status(context: ssl.SSLContext) -> bytes:
@@ -176,15 +176,15 @@
                     await s.send(b"GET /school-1/k HTTP/1.1\r\nhost: x\r\n\r\n")
                     return await s.receive()
 
-            with_one = ssl.create_default_context(cafile=str(issuer.path))
-            with_one.load_cert_chain(own, own_key)
-            assert b"403" in await status(with_one)
-            lost = (anyio.EndOfStream, anyio.BrokenResourceError, ssl.SSLError)
-            with pytest.raises(lost):
+            with_certificate = ssl.create_default_context(cafile=str(issuer.path))
+            with_certificate.load_cert_chain(client_certificate, client_key)
+            assert b"403" in await status(with_certificate)
+            rejection_errors = (anyio.EndOfStream, anyio.BrokenResourceError, ssl.SSLError)
+            with pytest.raises(rejection_errors):
                 await status(ssl.create_default_context(cafile=str(issuer.path)))
-            with_one.maximum_version = ssl.TLSVersion.TLSv1_2
-            with pytest.raises(lost):
-                await status(with_one)
+            with_certificate.maximum_version = ssl.TLSVersion.TLSv1_2
+            with pytest.raises(rejection_errors):
+                await status(with_certificate)
 
     run()
 
@@ -194,7 +194,7 @@
     certificate, key = issuer.issue(tmp_path, "one")
     now = time.time()
     assert CertificateReloader(settings_of(certificate, key)).current_context()
-    for settings, at, said in [
+    for settings, now_s, message in [
         (settings_of(tmp_path / "none", key), now, "can't be read"),
         (settings_of(key, key), now, "no certificate in PEM"),
         (settings_of(certificate, tmp_path / "none"), now, "can't be read"),
@@ -203,8 +203,8 @@
         (settings_of(certificate, key), now - 40 * 24 * 3600, "is not valid before"),
         (settings_of(certificate, key, clients=str(key)), now, "issuers"),
     ]:
-        with pytest.raises(TlsError, match=said):
-            load_server_context(settings, at)
+        with pytest.raises(TlsError, match=message):
+            load_server_context(settings, now_s)
 
 
 def test_tls_to_stores_and_a_store_with_an_untrusted_certificate(tmp_path):
@@ -221,13 +221,13 @@
             for _ in range(3):
                 assert (await it.ask("PUT", "/school-1/k", data)).status in (200, 201)
                 assert (await it.ask("GET", "/school-1/k")).body == data
-            assert it.gateway.pool.connections_reused >= 4, "a kept connection is used again"
-        others = Issuer(tmp_path, "others")
-        config = dataclasses.replace(config, tls=Tls(stores=str(others.path)))
+            assert it.gateway.pool.connections_reused >= 4, "idle connections are reused"
+        other_issuer = Issuer(tmp_path, "others")
+        config = dataclasses.replace(config, tls=Tls(stores=str(other_issuer.path)))
         async with rig(config, unit_ms=0.2, secure=context) as it:
             answer = await it.ask("GET", "/school-1/k", winchdyke_time_left="500ms")
             assert answer.status == 503 and it.record.seen, (
-                "no store that can't show who it is is sent anything"
+                "nothing is sent to a store with an untrusted certificate"
             )
             assert not [seen for seen in it.record.seen if seen["what"] == "head"]
 
