--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""What all tests share: a small deployment, and a gateway that is driven by hand."""
+"""Shared by all tests: the settings of a small deployment, and a gateway whose clock the test controls."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from winchdyke import Scheduler
 from winchdyke import interface as api
 
-hypothesis_settings.register_profile("same", derandomize=True, deadline=None)
-hypothesis_settings.load_profile("same")
+hypothesis_settings.register_profile("deterministic", derandomize=True, deadline=None)
+hypothesis_settings.load_profile("deterministic")
 
 READ = api.RequestClass(
     "read", 2.0, 300.0, 2000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
@@ -71,7 +71,7 @@
 
 
 class Gateway:
-    """A gateway driven by hand: it keeps the time, fires the timers and checks what any gateway may check."""
+    """A gateway without sockets, driven by the test: keeps the time, fires timers, and checks that each request gets one answer."""
 
     def __init__(self, seed: int = 7, **changes: object) -> None:
         self.settings = replace(SETTINGS, **changes)  # type: ignore[arg-type]
@@ -86,12 +86,12 @@
         self.watches = 0
 
     def give(self, *events: api.Event) -> list[api.Action]:
-        """Hand over events at the present time."""
+        """Pass events to the scheduler at the current time."""
         actions = self.scheduler.handle(self.now, events)
         for action in actions:
             match action:
-                case api.SetTimer(tag, after):
-                    self.timers.append((self.now + max(after, 0.001), tag))
+                case api.SetTimer(timer_id, after_ms):
+                    self.timers.append((self.now + max(after_ms, 0.001), timer_id))
                 case api.StartAttempt(request):
                     assert request not in self.answers, "sent after its final answer"
                     self.sends.append((self.now, action))
@@ -108,7 +108,7 @@
         return actions
 
     def run(self, span: float) -> None:
-        """Let time pass, firing what comes due."""
+        """Advance the time by ``span`` milliseconds, and fire the timers that come due."""
         end = self.now + span
         while self.timers and min(self.timers)[0] <= end:
             due = min(self.timers)
@@ -118,17 +118,17 @@
         self.now = end
 
     def nodes(self, *nodes: api.Endpoint, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
-        """Tell the list; by default one warm node a shard, for shards 0 and 1."""
+        """Pass an endpoint list to the scheduler; by default one warm endpoint each for shards 0 and 1."""
         self.give(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
 
     def ask(self, name: str, **changes: object) -> list[api.Action]:
-        """Hand over one request."""
+        """Pass one request to the scheduler."""
         return self.give(request(name, **changes))
 
     def end(
         self, name: str, outcome: api.AttemptOutcome, closed: bool | None = None, **changes: object
     ) -> None:
-        """End the newest attempt of a request."""
+        """Pass the end of the latest attempt of a request to the scheduler."""
         sent_at, send = [(at, s) for at, s in self.sends if s.request_id == name][-1]
         done = outcome is api.AttemptOutcome.SERVED if closed is None else closed
         event = api.AttemptEnded(
@@ -144,31 +144,31 @@
 def node(
     name: str, shard: int, state: api.EndpointStatus = api.EndpointStatus.READY, started: float = 0.0
 ) -> api.Endpoint:
-    """An entry of the node list."""
+    """Return an entry of the endpoint list."""
     return api.Endpoint(name, state, shard, "hall", started)
 
 
 def request(name: str, **changes: object) -> api.Request:
-    """A read of 2 units in shard 0 of an open volume."""
+    """Return a read of 2 units in shard 0, from a volume of the plan ``open``."""
     base = api.Request(name, "read", "open", "v1", "k", 2.0, 0, 1, 2000.0)
     return replace(base, **changes)  # type: ignore[arg-type]
 
 
 @pytest.fixture
 def gateway() -> Gateway:
-    """A gateway that knows two warm nodes."""
-    made = Gateway()
-    made.nodes()
-    return made
+    """A gateway with two warm endpoints."""
+    gateway = Gateway()
+    gateway.nodes()
+    return gateway
 
 
 @pytest.fixture
 def make() -> Callable[..., Gateway]:
-    """Make gateways with other settings."""
+    """A function that creates a gateway with changed settings."""
 
-    def made(nodes: Sequence[api.Endpoint] = (), **changes: object) -> Gateway:
-        built = Gateway(**changes)
-        built.nodes(*nodes)
-        return built
+    def make_gateway(nodes: Sequence[api.Endpoint] = (), **changes: object) -> Gateway:
+        gateway = Gateway(**changes)
+        gateway.nodes(*nodes)
+        return gateway
 
-    return made
+    return make_gateway
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A gateway with stand-ins in one event loop: what the tests on sockets share."""
+"""A gateway with emulated stores and an emulated list service in one event loop, for tests over sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def settings(extra: str = "", **changes: str) -> Config:
-    """The embedded settings with other values (``section__key``) and more classes."""
+    """Return the default settings with changed values (``section__key``) and additional request classes."""
     text = INI + ONCE + extra
     for name, value in changes.items():
         section, key = name.split("__")
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as a client read it."""
+    """A response as received by a client."""
 
     status: int
     headers: dict[str, str]
@@ -69,7 +69,7 @@
 
 
 class Rig:
-    """What runs, and what the gateway told its scheduler of attempts."""
+    """The running components, and the events that the gateway passed to its scheduler."""
 
     def __init__(self) -> None:
         self.record, self.meter, self.rack = Record(), Meter(), Rack()
@@ -82,32 +82,32 @@
 
     @property
     def outcomes(self) -> list[str]:
-        """How the attempts ended, in order."""
+        """The outcomes of the attempts that have ended, in order."""
         return [event.outcome.name for event in self.ended]
 
     def watch(self) -> None:
-        """Keep what the engine is told."""
-        engine = self.gateway.scheduler_loop
-        told, posted = engine.attempt_ended, engine.post
+        """Record the events that are passed to the scheduler loop."""
+        loop = self.gateway.scheduler_loop
+        attempt_ended, post = loop.attempt_ended, loop.post
 
-        def ended(ticket: Any, event: api.AttemptEnded) -> None:
+        def record_attempt_ended(handle: Any, event: api.AttemptEnded) -> None:
             self.ended.append(event)
-            told(ticket, event)
+            attempt_ended(handle, event)
 
-        def post(event: api.Event) -> None:
+        def record_post(event: api.Event) -> None:
             self.events.append(event)
-            posted(event)
+            post(event)
 
-        engine.attempt_ended, engine.post = ended, post  # type: ignore[method-assign]
+        loop.attempt_ended, loop.post = record_attempt_ended, record_post  # type: ignore[method-assign]
 
     async def connect(self) -> Peer:
-        """A client's connection to the gateway."""
+        """Open a client connection to the gateway."""
         return Peer(await anyio.connect_tcp(*self.gateway.address), h11.CLIENT)
 
     async def ask(
         self, method: str, path: str, body: bytes | None = None, peer: Peer | None = None, **headers: str
     ) -> Reply:
-        """One request and its answer; header names take _ for -."""
+        """Send a request and return the response; ``_`` in a header name stands for ``-``."""
         own = peer is None
         peer = peer or await self.connect()
         try:
@@ -124,7 +124,7 @@
                 await anyio.aclose_forcefully(peer.stream)
 
     async def raw(self, data: bytes) -> bytes:
-        """Send bytes, and read until the gateway closes."""
+        """Send bytes, and return all bytes that the gateway sends until it closes the connection."""
         peer = await self.connect()
         got = b""
         with anyio.fail_after(5):
@@ -137,25 +137,25 @@
         return got
 
     def where(self, path: str) -> Store:
-        """The store that holds an object."""
+        """Return the store that holds an object."""
         from winchdyke.placement import shard_of
 
         volume, _, key = path[1:].partition("/")
         return self.stores[shard_of(volume, key, range(len(self.stores)))]
 
     def gateway_streams(self) -> list[Any]:
-        """The streams of the clients' connections, at the gateway's side."""
+        """Return the gateway's streams of the client connections."""
         return [connection._stream for connection in self.gateway.clients.connections]
 
     async def until(self, done: Callable[[], bool], seconds: float = 5.0) -> None:
-        """Wait for something to be so."""
+        """Wait until a condition holds; TimeoutError after ``seconds``."""
         with anyio.fail_after(seconds):
             while not done():
                 await anyio.sleep(0.005)
 
 
 async def reply(peer: Peer) -> Reply:
-    """Read one answer; EndOfStream where it is cut short."""
+    """Read one response; raises EndOfStream if it is cut short."""
     head: h11.Response | None = None
     got = bytearray()
     while True:
@@ -182,7 +182,16 @@
     engine: Callable[[Config], SchedulerLoop] | None = None,
     **spec: Any,
 ) -> AsyncIterator[Rig]:
-    """Start stores, list service and gateway; all end with the block."""
+    """Start stores, list service and gateway; all of them are stopped at the end of the block.
+
+    Args:
+        config: The gateway's configuration; None: the test settings.
+        stores: Number of stores, each with a shard of its own.
+        unit_ms: Time that a store needs for one unit, in milliseconds.
+        listing: Whether the list service runs.
+        engine: Creates the scheduler loop; None: the gateway's own.
+        spec: Further parameters of the stores.
+    """
     made = Rig()
     config = config or settings()
     async with anyio.create_task_group() as group:
@@ -212,7 +221,7 @@
 
 
 def played(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """Run an asynchronous test, within half a minute."""
+    """Return a synchronous function that runs an asynchronous test, with a time limit of 30 s."""
 
     async def bounded() -> None:
         with anyio.fail_after(30):
