--- a/tests/host.py
+++ b/tests/host.py
@@ -1,13 +1,15 @@
-"""Tests that hold real time to account, on hosts that stand still at times.
-
-A verdict on milliseconds is one on the gateway only where the host ran what was ready to run. Virtual machines are taken
-off their processors by their hypervisor, and processes wait where there are more of them than processors: both can be
-read, and neither is a thing that a gateway does. A test marked ``measured`` is played beside few others (``scripts/test``
-plays them last, two at a time). A play of it that fails counts where the host ran; where the host stood still for
-``STILL_MS`` within some half second of it, the play is void and played anew, ``PLAYS`` in all, and the last one counts.
-
-Guards against verdicts that hang on the machine: six tests failed in one run and passed in the next with nothing changed,
-each on milliseconds: answers 264 and 326 ms late in days whose bound is 100, 3.3 ms where 2.5 are the host's.
+"""Repeats tests with real-time bounds whose failure may be due to a stalled host.
+
+A bound in milliseconds says something about the gateway only if the host ran the processes that were ready to run. The
+hypervisor takes processors from a virtual machine (steal time), and processes wait if there are more of them than processors
+(CPU pressure); neither is caused by the gateway, and the system reports both. Tests marked ``measured`` run beside few others
+(``scripts/test`` runs them last, two at a time). A failed run counts if the host was not stalled. If the host was stalled for
+``STALL_MS`` within ``STALL_WINDOW_S`` of the run, the run is void and the test is repeated, up to ``MAX_RUNS`` runs in total;
+the last run always counts.
+
+Guards against results that depend on the machine: six tests failed in one run and passed in the next without a change, each
+by milliseconds: responses 264 and 326 ms late in simulated days whose bound is 100 ms, and 3.3 ms where the host alone took
+2.5 ms.
 """
 
 from __future__ import annotations
@@ -24,89 +26,95 @@
 
 import pytest
 
-PLAYS = 4
-STILL_MS = 50.0  # half of what a message may take in a day
-WITHIN_S = 0.5
-LOOK_S = 0.05
-TICK_MS = 10.0  # of /proc/stat
+MAX_RUNS = 4
+STALL_MS = 50.0  # half of the longest delay of a message that simulated days allow
+STALL_WINDOW_S = 0.5
+SAMPLE_INTERVAL_S = 0.05
+CLOCK_TICK_MS = 10.0  # of /proc/stat
 
 
-def still_ms(proc: Path = Path("/proc")) -> float:
-    """For how long something was ready and did not run, since the host began (ms): its processor taken, or waited for.
+def stalled_ms(proc: Path = Path("/proc")) -> float:
+    """Return for how long processes were ready but did not run since boot, in ms: steal time plus CPU pressure.
 
-    0 where the system does not say; then no play is void.
+    Values that the system does not report count as 0; without any, no run is void.
     """
-    return _taken_ms(proc) + _waited_ms(proc)
+    return _steal_ms(proc) + _pressure_ms(proc)
 
 
-def _taken_ms(proc: Path) -> float:
+def _steal_ms(proc: Path) -> float:
     try:
-        return float((proc / "stat").read_text().split("\n", 1)[0].split()[8]) * TICK_MS
+        return float((proc / "stat").read_text().split("\n", 1)[0].split()[8]) * CLOCK_TICK_MS
     except (OSError, IndexError, ValueError):
         return 0.0
 
 
-def _waited_ms(proc: Path) -> float:
+def _pressure_ms(proc: Path) -> float:
     try:
-        found = re.search(r"^some .*total=(\d+)", (proc / "pressure" / "cpu").read_text(), re.MULTILINE)
+        match = re.search(r"^some .*total=(\d+)", (proc / "pressure" / "cpu").read_text(), re.MULTILINE)
     except OSError:
         return 0.0
-    return int(found[1]) / 1000 if found else 0.0
+    return int(match[1]) / 1000 if match else 0.0
 
 
-class Watch:
-    """Looks at the host beside a play; ``worst`` is the longest that it stood still within half a second (ms)."""
+class StallMonitor:
+    """Samples the stalled time of the host during a run.
+
+    Attributes:
+        longest_stall_ms: The longest stalled time within ``STALL_WINDOW_S``.
+    """
 
-    def __init__(self, still: Callable[[], float] = still_ms) -> None:
-        self.worst = 0.0
-        self._still, self._seen = still, deque[tuple[float, float]]()
-        self._over = threading.Event()
+    def __init__(self, read_stalled_ms: Callable[[], float] = stalled_ms) -> None:
+        self.longest_stall_ms = 0.0
+        self._read_stalled_ms, self._samples = read_stalled_ms, deque[tuple[float, float]]()
+        self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
-    def __enter__(self) -> Watch:
-        self.look(time.monotonic())
+    def __enter__(self) -> StallMonitor:
+        self.sample(time.monotonic())
         self._thread.start()
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._over.set()
+        self._stopped.set()
         self._thread.join()
-        self.look(time.monotonic())
+        self.sample(time.monotonic())
 
     def _run(self) -> None:
-        while not self._over.wait(LOOK_S):
-            self.look(time.monotonic())
+        while not self._stopped.wait(SAMPLE_INTERVAL_S):
+            self.sample(time.monotonic())
 
-    def look(self, now: float) -> None:
-        """Read the host at a time (s)."""
-        while len(self._seen) > 1 and self._seen[1][0] <= now - WITHIN_S:
-            self._seen.popleft()
-        total = self._still()
-        self._seen.append((now, total))
-        self.worst = max(self.worst, total - self._seen[0][1])
+    def sample(self, now: float) -> None:
+        """Sample the stalled time; ``now`` is in seconds."""
+        while len(self._samples) > 1 and self._samples[1][0] <= now - STALL_WINDOW_S:
+            self._samples.popleft()
+        stalled_total_ms = self._read_stalled_ms()
+        self._samples.append((now, stalled_total_ms))
+        self.longest_stall_ms = max(self.longest_stall_ms, stalled_total_ms - self._samples[0][1])
 
 
-def measured(test: Callable[..., None], still: Callable[[], float] = still_ms) -> Callable[..., None]:
-    """A test whose bounds are in real time: void, and played anew, where it fails while the host stood still."""
+def measured(
+    test: Callable[..., None], read_stalled_ms: Callable[[], float] = stalled_ms
+) -> Callable[..., None]:
+    """Mark a test as having real-time bounds, and repeat it if it fails while the host is stalled."""
 
     @functools.wraps(test)
-    def play(*args: Any, **kwargs: Any) -> None:
-        for number in range(1, PLAYS + 1):
-            own = dict(kwargs)
-            if "tmp_path" in own:
-                own["tmp_path"] = kwargs["tmp_path"] / f"play-{number}"
-                own["tmp_path"].mkdir()
-            watch = Watch(still)
+    def run_test(*args: Any, **kwargs: Any) -> None:
+        for number in range(1, MAX_RUNS + 1):
+            run_kwargs = dict(kwargs)
+            if "tmp_path" in run_kwargs:
+                run_kwargs["tmp_path"] = kwargs["tmp_path"] / f"run-{number}"
+                run_kwargs["tmp_path"].mkdir()
+            monitor = StallMonitor(read_stalled_ms)
             try:
-                with watch:
-                    return test(*args, **own)
+                with monitor:
+                    return test(*args, **run_kwargs)
             except Exception as error:
-                if watch.worst < STILL_MS or number == PLAYS:
+                if monitor.longest_stall_ms < STALL_MS or number == MAX_RUNS:
                     raise
                 warnings.warn(
-                    f"play {number} is void: the host stood still for {watch.worst:.0f} ms within {WITHIN_S} s "
-                    f"of it. It failed with {error!r:.300}",
+                    f"run {number} is void: the host was stalled for {monitor.longest_stall_ms:.0f} ms within "
+                    f"{STALL_WINDOW_S} s. The run failed with {error!r:.300}",
                     stacklevel=2,
                 )
 
-    return pytest.mark.measured(play)
+    return pytest.mark.measured(run_test)
