--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -1,7 +1,7 @@
-"""Gateway, pass-through and store in one run: requests a second, added latency, CPU, MB/s, memory.
+"""Measures gateway, pass-through proxy and store in one run: requests per second, added latency, CPU, MB/s, memory.
 
-The three are measured in turn, round after round, and compared within a round: machines are shared and noisy, so
-only the ratios of one run say anything. Loopback only; about two minutes.
+The three are measured alternately in several rounds and compared within each round: machines are shared and noisy, so that
+only ratios within one run are meaningful. Uses the loopback interface only; takes about two minutes.
 
     python benchmarks/gateway.py [--rounds N] [--seconds S] [--json FILE]
 """
@@ -24,7 +24,7 @@
 from winchdyke.standins.record import Record
 
 HERE = Path(__file__).parent
-STORES, CONNECTIONS, MIB, MOVES = 4, 32, 64, 4
+STORES, CONNECTIONS, OBJECT_MIB, TRANSFERS = 4, 32, 64, 4
 SETTINGS = """
 [gateway]
 name = bench
@@ -62,7 +62,7 @@
 
 
 def started(*command: str) -> tuple[subprocess.Popen, int]:
-    """A Python process of ours, and the port it prints."""
+    """Start a Python process of the benchmark; return it and the port that it prints."""
     process = subprocess.Popen(
         [sys.executable, *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
     )
@@ -71,47 +71,50 @@
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def memory_mib(pid: int) -> float:
-    """Resident memory of a process."""
+    """Return the resident memory of a process, in MiB."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def lean(*words: object) -> dict:
-    """Run a lean client to its end."""
+def lean(*arguments: object) -> dict:
+    """Run a client of ``lean.py`` to its end, and return its results."""
     done = subprocess.run(
-        [sys.executable, str(HERE / "lean.py"), *map(str, words)], capture_output=True, text=True, check=True
+        [sys.executable, str(HERE / "lean.py"), *map(str, arguments)],
+        capture_output=True,
+        text=True,
+        check=True,
     )
     return json.loads(done.stdout)
 
 
 class Target:
-    """What is loaded: its port and, where its CPU is counted, its process."""
+    """A load target: its port, and its process if CPU and memory are measured."""
 
     def __init__(self, name: str, port: int, pid: int | None) -> None:
         self.name, self.port, self.pid = name, port, pid
 
     def throughput(self, seconds: float) -> dict:
-        """Closed loop."""
+        """Measure with a closed loop."""
         before = cpu_s(self.pid) if self.pid else 0.0
-        found = lean("load", "127.0.0.1", self.port, "closed", CONNECTIONS, seconds, "/v/k-")
-        found["cpu_us"] = (cpu_s(self.pid) - before) * 1e6 / found["requests"] if self.pid else 0.0
-        return found
+        results = lean("load", "127.0.0.1", self.port, "closed", CONNECTIONS, seconds, "/v/k-")
+        results["cpu_us"] = (cpu_s(self.pid) - before) * 1e6 / results["requests"] if self.pid else 0.0
+        return results
 
     def latency(self, rate: float, seconds: float) -> dict:
-        """Open loop."""
+        """Measure with an open loop of ``rate`` requests per second."""
         return lean("load", "127.0.0.1", self.port, "open", rate, seconds, "/v/k-")
 
-    def move(self, how: str) -> tuple[dict, float, float]:
-        """A large object, and the memory before and at the most while it streams."""
+    def transfer(self, method: str) -> tuple[dict, float, float]:
+        """Transfer a large object; return the results, and the memory before and at its peak (MiB)."""
         before = peak = memory_mib(self.pid) if self.pid else 0.0
-        words = ["move", "127.0.0.1", str(self.port), how, str(MIB), str(MOVES), "/v/"]
+        arguments = ["move", "127.0.0.1", str(self.port), method, str(OBJECT_MIB), str(TRANSFERS), "/v/"]
         process = subprocess.Popen(
-            [sys.executable, str(HERE / "lean.py"), *words], stdout=subprocess.PIPE, text=True
+            [sys.executable, str(HERE / "lean.py"), *arguments], stdout=subprocess.PIPE, text=True
         )
         while process.poll() is None:
             peak = max(peak, memory_mib(self.pid)) if self.pid else 0.0
@@ -120,76 +123,77 @@
         return json.loads(process.stdout.read()), before, peak
 
 
-def measured(targets: list[Target], rounds: int, seconds: float) -> dict:
-    """All figures, by name of what was measured and of the target."""
-    found: dict[str, dict[str, list[float]]] = {}
+def measure(targets: list[Target], rounds: int, seconds: float) -> dict:
+    """Return all measured values, by the names of the quantity and of the target."""
+    results: dict[str, dict[str, list[float]]] = {}
 
-    def note(what: str, target: Target, value: float) -> None:
-        found.setdefault(what, {}).setdefault(target.name, []).append(value)
+    def record(quantity: str, target: Target, value: float) -> None:
+        results.setdefault(quantity, {}).setdefault(target.name, []).append(value)
 
     for target in targets:
         target.throughput(1.0)  # warm-up
     for _ in range(rounds):
         for target in targets:
             run = target.throughput(seconds)
-            note("requests/s", target, run["per_s"])
-            note("answers that were errors", target, run["bad"])
-            note("CPU us a request", target, run["cpu_us"])
-        half = found["requests/s"]["gateway"][-1] / 2
+            record("requests/s", target, run["per_s"])
+            record("answers that were errors", target, run["bad"])
+            record("CPU us a request", target, run["cpu_us"])
+        half_rate = results["requests/s"]["gateway"][-1] / 2
         for target in targets:
-            run = target.latency(half, seconds)
-            note("p50 ms at half load", target, run["p50"])
-            note("p99 ms at half load", target, run["p99"])
-            note("answers that were errors", target, run["bad"])
-        for how in ("get", "put"):
+            run = target.latency(half_rate, seconds)
+            record("p50 ms at half load", target, run["p50"])
+            record("p99 ms at half load", target, run["p99"])
+            record("answers that were errors", target, run["bad"])
+        for method in ("get", "put"):
             for target in targets:
-                run, before, peak = target.move(how)
-                note(f"MB/s {how} {MIB} MiB", target, run["mb_per_s"])
-                note(f"MiB of memory more, {how}", target, peak - before)
-                note("answers that were errors", target, run["bad"])
-    return found
+                run, before, peak = target.transfer(method)
+                record(f"MB/s {method} {OBJECT_MIB} MiB", target, run["mb_per_s"])
+                record(f"MiB of memory more, {method}", target, peak - before)
+                record("answers that were errors", target, run["bad"])
+    return results
 
 
-def told(found: dict) -> list[str]:
-    """The figures as lines: medians, and ratios taken round by round."""
+def format_results(results: dict) -> list[str]:
+    """Format the results as lines: medians, and ratios within each round."""
     lines = [f"{'':28} {'store':>10} {'pass':>10} {'gateway':>10}  gateway/pass (min-max)"]
-    for what, by in found.items():
-        medians = [statistics.median(by[name]) for name in ("store", "pass", "gateway")]
-        ratios = [a / b for a, b in zip(by["gateway"], by["pass"], strict=True) if b]
+    for quantity, values in results.items():
+        medians = [statistics.median(values[name]) for name in ("store", "pass", "gateway")]
+        ratios = [a / b for a, b in zip(values["gateway"], values["pass"], strict=True) if b]
         ratio = f"{statistics.median(ratios):.2f} ({min(ratios):.2f}-{max(ratios):.2f})" if ratios else "-"
-        if what == "answers that were errors":
-            medians, ratio = [float(sum(by[name])) for name in ("store", "pass", "gateway")], "sums"
-        lines.append(f"{what:28} " + " ".join(f"{value:10.2f}" for value in medians) + f"  {ratio}")
+        if quantity == "answers that were errors":
+            medians, ratio = [float(sum(values[name])) for name in ("store", "pass", "gateway")], "sums"
+        lines.append(f"{quantity:28} " + " ".join(f"{value:10.2f}" for value in medians) + f"  {ratio}")
     for name in ("p50", "p99"):
-        by = found[f"{name} ms at half load"]
-        added = [a - b for a, b in zip(by["gateway"], by["store"], strict=True)]
-        over = [a - b for a, b in zip(by["gateway"], by["pass"], strict=True)]
+        values = results[f"{name} ms at half load"]
+        over_store = [a - b for a, b in zip(values["gateway"], values["store"], strict=True)]
+        over_pass_through = [a - b for a, b in zip(values["gateway"], values["pass"], strict=True)]
         lines.append(
-            f"{name} added at half load: {statistics.median(added):.2f} ms over the store, "
-            f"{statistics.median(over):.2f} ms over the pass-through"
+            f"{name} added at half load: {statistics.median(over_store):.2f} ms over the store, "
+            f"{statistics.median(over_pass_through):.2f} ms over the pass-through"
         )
     return lines
 
 
-async def run(rounds: int, seconds: float, log: str, where: Path) -> dict:
+async def run(rounds: int, seconds: float, log: str, directory: Path) -> dict:
+    """Start all processes, with files in a directory, and return the measured values."""
     processes: list[subprocess.Popen] = []
     try:
         stores = [started(str(HERE / "lean.py"), "store") for _ in range(STORES)]
         processes += [process for process, _ in stores]
         ports = [port for _, port in stores]
-        passing, pass_port = started(str(HERE / "passthrough.py"), *map(str, ports))
-        processes.append(passing)
+        pass_through, pass_port = started(str(HERE / "passthrough.py"), *map(str, ports))
+        processes.append(pass_through)
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
             await listing.start(group)
             for shard, port in enumerate(ports):
                 await listing.set(f"127.0.0.1:{port}", "ready", shard, "hall")
-            port_file, settings = where / "port", where / "bench.ini"
+            port_file, settings = directory / "port", directory / "bench.ini"
             settings.write_text(
                 SETTINGS.format(port_file=port_file, list_port=listing.port, last=STORES - 1, log=log)
             )
             command = [sys.executable, "-m", "winchdyke", "serve", "-c", str(settings)]
-            with (where / "gateway.log").open("wb") as out:
+            with (directory / "gateway.log").open("wb") as out:
                 gateway = subprocess.Popen(command, stdout=out, stderr=out)
             processes.append(gateway)
             while not port_file.exists():
@@ -197,28 +201,28 @@
             port = int(port_file.read_text().strip().rpartition(":")[2])
             await anyio.sleep(0.3)
             targets = [
-                Target("store", ports[0], None), Target("pass", pass_port, passing.pid), Target("gateway", port, gateway.pid),
+                Target("store", ports[0], None), Target("pass", pass_port, pass_through.pid), Target("gateway", port, gateway.pid),
             ]  # fmt: skip
-            found = await anyio.to_thread.run_sync(measured, targets, rounds, seconds)
+            results = await anyio.to_thread.run_sync(measure, targets, rounds, seconds)
             group.cancel_scope.cancel()
-        return found
+        return results
     finally:
         for process in processes:
             process.kill()
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__)
-    words.add_argument("--rounds", type=int, default=5)
-    words.add_argument("--seconds", type=float, default=3.0)
-    words.add_argument("--log", choices=("json", "none"), default="json")
-    words.add_argument("--json", type=Path)
-    chosen = words.parse_args()
-    with tempfile.TemporaryDirectory(prefix="winchdyke-bench-") as where:
-        found = anyio.run(run, chosen.rounds, chosen.seconds, chosen.log, Path(where))
-    print("\n".join(told(found)))
-    if chosen.json:
-        chosen.json.write_text(json.dumps(found))
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--rounds", type=int, default=5)
+    parser.add_argument("--seconds", type=float, default=3.0)
+    parser.add_argument("--log", choices=("json", "none"), default="json")
+    parser.add_argument("--json", type=Path)
+    arguments = parser.parse_args()
+    with tempfile.TemporaryDirectory(prefix="winchdyke-bench-") as directory:
+        results = anyio.run(run, arguments.rounds, arguments.seconds, arguments.log, Path(directory))
+    print("\n".join(format_results(results)))
+    if arguments.json:
+        arguments.json.write_text(json.dumps(results))
 
 
 if __name__ == "__main__":
