--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -35,7 +35,7 @@
 from winchdyke.discovery.list_protocol import ReceivedList
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, ListedEndpoint
 from winchdyke.discovery.sources import OnFailure, OnList
-from winchdyke.gateway.writeback import WriteBackRecord, tag_of
+from winchdyke.gateway.writeback import WriteBackRecord, etag_of
 from winchdyke.latency_attribution import compaction, ledger_writer
 from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup
 from winchdyke.membership import member_cache as fleet_disk
@@ -226,7 +226,7 @@
             passed=[(b"content-type", b"image/jpeg")],
             shard=number,
             units=1.5,
-            etag=tag_of(body),
+            etag=etag_of(body),
             unix_ms=START_MS + number,
             client_request=f"client-{number}",
             body=body,
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -12,7 +12,7 @@
 from winchdyke.gateway.final_response import FinalResponse
 from winchdyke.gateway.request_context import RequestContext
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, tag_of
+from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, etag_of
 from winchdyke.http1 import AnswerHead, Headers, ProtocolError
 from winchdyke.writeback.log import Full, LogError
 
@@ -67,7 +67,7 @@
         except ClientDisconnectedError:
             return final_response.client_disconnected()
         if etag is None:
-            etag = tag_of(bytes(body))
+            etag = etag_of(bytes(body))
             failure = await self._append(context, etag, bytes(body))
             if failure is not None:
                 return failure
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -423,6 +423,6 @@
         return self._plan_weights.get(rule.plan, default) if rule is not None else default
 
 
-def tag_of(body: bytes) -> str:
+def etag_of(body: bytes) -> str:
     """Return the ETag that a store gives an object that is put in one piece (``docs/store-protocol.md``)."""
     return f'"{hashlib.md5(body, usedforsecurity=False).hexdigest()}"'
