--- a/benchmarks/gateway.py
+++ b/benchmarks/gateway.py
@@ -61,7 +61,7 @@
 """
 
 
-def started(*command: str) -> tuple[subprocess.Popen, int]:
+def start_process(*command: str) -> tuple[subprocess.Popen, int]:
     """Start a Python process of the benchmark; return it and the port that it prints."""
     process = subprocess.Popen(
         [sys.executable, *command], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
@@ -81,7 +81,7 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * os.sysconf("SC_PAGE_SIZE") / 2**20
 
 
-def lean(*arguments: object) -> dict:
+def run_client(*arguments: object) -> dict:
     """Run a client of ``lean.py`` to its end, and return its results."""
     done = subprocess.run(
         [sys.executable, str(HERE / "lean.py"), *map(str, arguments)],
@@ -101,13 +101,13 @@
     def throughput(self, seconds: float) -> dict:
         """Measure with a closed loop."""
         before = cpu_s(self.pid) if self.pid else 0.0
-        results = lean("load", "127.0.0.1", self.port, "closed", CONNECTIONS, seconds, "/v/k-")
+        results = run_client("load", "127.0.0.1", self.port, "closed", CONNECTIONS, seconds, "/v/k-")
         results["cpu_us"] = (cpu_s(self.pid) - before) * 1e6 / results["requests"] if self.pid else 0.0
         return results
 
     def latency(self, rate: float, seconds: float) -> dict:
         """Measure with an open loop of ``rate`` requests per second."""
-        return lean("load", "127.0.0.1", self.port, "open", rate, seconds, "/v/k-")
+        return run_client("load", "127.0.0.1", self.port, "open", rate, seconds, "/v/k-")
 
     def transfer(self, method: str) -> tuple[dict, float, float]:
         """Transfer a large object; return the results, and the memory before and at its peak (MiB)."""
@@ -178,10 +178,10 @@
     """Start all processes, with files in a directory, and return the measured values."""
     processes: list[subprocess.Popen] = []
     try:
-        stores = [started(str(HERE / "lean.py"), "store") for _ in range(STORES)]
+        stores = [start_process(str(HERE / "lean.py"), "store") for _ in range(STORES)]
         processes += [process for process, _ in stores]
         ports = [port for _, port in stores]
-        pass_through, pass_port = started(str(HERE / "passthrough.py"), *map(str, ports))
+        pass_through, pass_port = start_process(str(HERE / "passthrough.py"), *map(str, ports))
         processes.append(pass_through)
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -109,10 +109,10 @@
     """Start all, and measure."""
     processes: list[subprocess.Popen] = []
     try:
-        stores = [plain.started(str(HERE / "lean.py"), "store") for _ in range(plain.STORES)]
+        stores = [plain.start_process(str(HERE / "lean.py"), "store") for _ in range(plain.STORES)]
         processes += [process for process, _ in stores]
         ports = [port for _, port in stores]
-        passing, pass_port = plain.started(str(HERE / "passthrough.py"), *map(str, ports))
+        passing, pass_port = plain.start_process(str(HERE / "passthrough.py"), *map(str, ports))
         processes.append(passing)
         new_master(where / "master")
         key, secret = made("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
--- a/benchmarks/two_settings.py
+++ b/benchmarks/two_settings.py
@@ -49,7 +49,7 @@
     ports: dict[str, int] = {}
     pids: dict[str, int] = {}
     try:
-        stores = [bench.started(str(bench.HERE / "lean.py"), "store") for _ in range(8)]
+        stores = [bench.start_process(str(bench.HERE / "lean.py"), "store") for _ in range(8)]
         processes += [process for process, _ in stores]
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
@@ -101,7 +101,7 @@
         # The order alternates, so that drift on a shared machine affects both alike.
         for name, port in sorted(ports.items(), reverse=bool(number % 2)):
             before = bench.cpu_s(pids[name])
-            results = bench.lean("load", "127.0.0.1", port, "closed", 32, seconds, PATH)
+            results = bench.run_client("load", "127.0.0.1", port, "closed", 32, seconds, PATH)
             assert not results["bad"], f"{results['bad']} errors at {name}"
             if number:  # the first round is a warm-up
                 rates[name].append(results["per_s"])
