--- a/tests/rig.py
+++ b/tests/rig.py
@@ -136,7 +136,7 @@
                 await anyio.aclose_forcefully(peer.stream)
         return got
 
-    def where(self, path: str) -> Store:
+    def store_of(self, path: str) -> Store:
         """Return the store that holds an object."""
         from winchdyke.placement import shard_of
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -22,7 +22,7 @@
 async def _run_with_trick(trick: str, method: str = "GET", **headers: str):
     """Return the attempts' outcomes and the response if the store misbehaves at the first request."""
     async with rig() as it:
-        store = it.where(READ)
+        store = it.store_of(READ)
         await it.ask("PUT", READ, b"x" * 3000)
         it.ended.clear()
         store.tricks.append(trick)
@@ -68,7 +68,7 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).kill()
+            it.store_of(READ).kill()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms")
             assert set(it.outcomes) == {"CONNECT_FAILED"}
             assert (reply.status, reply.headers["winchdyke-outcome"]) == (503, "refused")
@@ -99,7 +99,7 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("silence")
+            it.store_of(READ).tricks.append("silence")
             started_at = anyio.current_time()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="300ms")
             assert it.outcomes == ["TIMED_OUT"]
@@ -117,7 +117,7 @@
         async with rig() as it:
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
             monkeypatch.setattr("winchdyke.gateway.pool.Connection.is_readable_or_closed", lambda self: False)
-            store = it.where(READ)
+            store = it.store_of(READ)
             store.kill()
             await anyio.sleep(0.05)
             await store.start(it.group)
@@ -133,7 +133,7 @@
     @played
     async def run():
         async with rig() as it:
-            store = it.where(READ)
+            store = it.store_of(READ)
             store.tricks.append("close-idle")
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
             await anyio.sleep(0.05)
@@ -147,7 +147,7 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("die-on-accept")
+            it.store_of(READ).tricks.append("die-on-accept")
             assert (await it.ask("GET", READ)).status == 404
             assert it.outcomes[0] in ("CONNECTION_RESET", "NOT_SENT", "CONNECT_FAILED")
             assert it.outcomes[-1] == "SERVED"
@@ -159,11 +159,11 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("die-mid-request")
+            it.store_of(READ).tricks.append("die-mid-request")
             reply = await it.ask("PUT", READ, b"x" * 900_000)
             assert it.outcomes == ["CONNECTION_RESET", "SERVED"]
             assert reply.status == 201
-            assert len(it.where(READ).shelf.objects["school-1", "object"][0]) == 900_000
+            assert len(it.store_of(READ).shelf.objects["school-1", "object"][0]) == 900_000
 
     run()
 
@@ -174,7 +174,7 @@
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 900_000)
             it.ended.clear()
-            it.where(READ).tricks.append("die-mid-answer")
+            it.store_of(READ).tricks.append("die-mid-answer")
             with pytest.raises(LOST):
                 await it.ask("GET", READ)
             await it.until(lambda: bool(it.ended))
@@ -190,7 +190,7 @@
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 300)
-            it.where(READ).tricks.append("long-answer")
+            it.store_of(READ).tricks.append("long-answer")
             assert (await it.ask("GET", READ)).body == b"x" * 300
             opened_before = it.gateway.pool.connections_opened
             assert (await it.ask("GET", READ)).body == b"x" * 300
@@ -205,7 +205,7 @@
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 3000)
             it.ended.clear()
-            it.where(READ).tricks.append("trickle")
+            it.store_of(READ).tricks.append("trickle")
             reply = await it.ask("GET", READ, winchdyke_time_left="250ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert reply.status in (503, 504)
@@ -244,7 +244,7 @@
             event = it.ended[0]
             assert event.volume_usage_percent is not None
             assert len(event.load_report) == 2
-            it.where(READ)._others["school-1"]["dev"] = 5.0
+            it.store_of(READ)._others["school-1"]["dev"] = 5.0
             await it.ask("GET", READ)
             assert it.ended[1].units_via_other_gateways == 5.0
 
@@ -282,7 +282,7 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("silence")
+            it.store_of(READ).tricks.append("silence")
 
             async def cancel():
                 await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -37,7 +37,7 @@
 
 def stored(it: Rig, volume: str, key: str) -> bytes | None:
     """Return the stored content of an object; None: its store has no such object."""
-    found = it.where(f"/{volume}/{key}").shelf.objects.get((volume, key))
+    found = it.store_of(f"/{volume}/{key}").shelf.objects.get((volume, key))
     return found[0] if found else None
 
 
@@ -78,7 +78,7 @@
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
-            store = it.where("/school-1/a")
+            store = it.store_of("/school-1/a")
             store.kill()
             for number in range(5):
                 assert (await it.ask("PUT", "/school-1/a", b"v%d" % number)).status == 200
@@ -98,7 +98,7 @@
         async with rig(config(tmp_path)) as it:
             assert (await it.ask("PUT", "/school-1/a", b"old")).status == 200
             await wait_until_drained(it)
-            store = it.where("/school-1/a")
+            store = it.store_of("/school-1/a")
             store.tricks.extend(["", fault])  # the query for the precondition, then the write
             assert (await it.ask("PUT", "/school-1/a", b"new")).status == 200
             await wait_until_drained(it)
@@ -114,7 +114,7 @@
     @played
     async def run():
         async with rig(config(tmp_path), memory_ms=100.0) as it:
-            store = it.where("/school-1/a")
+            store = it.store_of("/school-1/a")
             store.tricks.extend(["", "silence"])
             write_back = it.gateway.write_back
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
@@ -148,7 +148,7 @@
     @played
     async def run():
         async with rig(config(tmp_path)) as it:
-            out, new = it.where("/school-1/out"), it.where("/school-1/new")
+            out, new = it.store_of("/school-1/out"), it.store_of("/school-1/new")
             assert (await it.ask("PUT", "/school-1/out", b"old")).status == 200
             await wait_until_drained(it)
             out.tricks.extend(["", "silence"])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -399,7 +399,7 @@
             mark = len(it.record.seen)
             began = anyio.current_time()
             await restarted(it, tmp_path)
-            paths = {it.where(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
+            paths = {it.store_of(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
             while (await it.ask("GET", paths[5])).status != 404:
                 assert anyio.current_time() - began < 3.0
             await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 6)
@@ -425,7 +425,7 @@
         async with rig() as it:
             from_disk(it.stores, tmp_path)
             await restarted(it, tmp_path)
-            store = it.where("/school-1/object")
+            store = it.store_of("/school-1/object")
             await it.until(lambda: it.gateway.discovery.view.is_usable(store.name))
             assert (await it.ask("GET", "/school-1/object")).status == 404
             store.draining = True
@@ -463,7 +463,7 @@
             fresh.kill()
             await fresh.start(it.group, cold=True)
             it.list.kill()
-            paths = [path for path in (f"/school-1/k{n}" for n in range(400)) if it.where(path) is fresh]
+            paths = [path for path in (f"/school-1/k{n}" for n in range(400)) if it.store_of(path) is fresh]
             gateways = []
             for number in range(5):
                 folder = tmp_path / str(number)
@@ -640,7 +640,7 @@
             source = view.sources["list"]
             await it.until(lambda: source.regressed_since_ms is not None)
             assert view.is_usable(left_out.name) and not view.is_usable(flapping.name)
-            path = next(p for p in (f"/school-1/k{n}" for n in range(200)) if it.where(p) is left_out)
+            path = next(p for p in (f"/school-1/k{n}" for n in range(200)) if it.store_of(p) is left_out)
             assert (await it.ask("GET", path)).status == 404
 
     run()
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -81,7 +81,7 @@
             assert it.outcomes == ["CANCELLED"]
             await it.until(lambda: not it.gateway.service.active_requests)
             assert not it.gateway.scheduler_loop.open_requests
-            assert ("school-1", "cut") not in it.where("/school-1/cut").shelf.objects
+            assert ("school-1", "cut") not in it.store_of("/school-1/cut").shelf.objects
             assert it.gateway.service.bodies.used_bytes == 0
 
     run()
@@ -96,7 +96,7 @@
             )
             assert _head(got)[0] == 201
             assert b" 400 " in got.split(b"\r\n\r\n", 1)[1]
-            assert it.where("/school-1/long").shelf.objects["school-1", "long"][0] == b"abc"
+            assert it.store_of("/school-1/long").shelf.objects["school-1", "long"][0] == b"abc"
 
     run()
 
@@ -108,7 +108,7 @@
             head = b"PUT /school-1/c HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n"
             status, headers = _head(await it.raw(head + b"3\r\nabc\r\nzz\r\n"))
             assert (status, headers["winchdyke-reason"]) == (400, "body-cut")
-            assert not it.where("/school-1/c").shelf.objects
+            assert not it.store_of("/school-1/c").shelf.objects
 
     run()
 
@@ -270,7 +270,7 @@
     @played
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("silence")
+            it.store_of(READ).tricks.append("silence")
             got = []
 
             async def ask():
@@ -404,10 +404,10 @@
     async def run():
         async with rig() as it:
             body = bytes(range(256)) * 12_000
-            it.where(READ).tricks.extend(["reset-after-run", "shed"])
+            it.store_of(READ).tricks.extend(["reset-after-run", "shed"])
             it.rack.known.clear()
             assert (await it.ask("PUT", READ, body)).status in (200, 201)
-            assert it.where(READ).shelf.objects["school-1", "object"][0] == body
+            assert it.store_of(READ).shelf.objects["school-1", "object"][0] == body
 
     run()
 
@@ -504,7 +504,7 @@
     @played
     async def run():
         async with rig() as it:
-            old = it.where(READ)
+            old = it.store_of(READ)
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
             await it.until(
@@ -532,7 +532,9 @@
             # An endpoint that accepts connections and never reads.
             silent_listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             port = silent_listener.extra(anyio.abc.SocketAttribute.local_port)
-            endpoint = api.Endpoint(f"127.0.0.1:{port}", api.EndpointStatus.READY, it.where(READ).spec.shard)
+            endpoint = api.Endpoint(
+                f"127.0.0.1:{port}", api.EndpointStatus.READY, it.store_of(READ).spec.shard
+            )
             it.gateway.scheduler_loop.post(api.EndpointList(api.EndpointListKind.FULL, (endpoint,)))
             sock = socket.create_connection(it.gateway.address)
             head = b"PUT /school-1/object HTTP/1.1\r\nhost: t\r\ncontent-length: 900000000\r\n\r\n"
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -271,7 +271,7 @@
     @played
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=slow_ms / 10) as it:
-            slow = it.where("/school-1/object")
+            slow = it.store_of("/school-1/object")
             slow.slow = 10.0
             for _ in range(max(6, int(400 / slow_ms))):
                 await it.ask("GET", "/school-1/object")
@@ -318,7 +318,7 @@
     @played
     async def run():
         async with rig(with_ledger(tmp_path)) as it:
-            store = it.where("/school-1/object")
+            store = it.store_of("/school-1/object")
             store.kill()
             first = await it.ask(
                 "PUT", "/school-1/object", b"x", idempotency_key="k", winchdyke_time_left="300ms"
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -192,7 +192,7 @@
         async with rig(with_ledger(tmp_path), unit_ms=150.0, cores=1) as it:
             shown = LiveView([tmp_path], 30.0)
             paths = [f"/school-{n % 2}/k{n}" for n in range(400)]
-            paths = [path for path in paths if it.where(path) is it.stores[0]][:12]
+            paths = [path for path in paths if it.store_of(path) is it.stores[0]][:12]
             async with anyio.create_task_group() as group:
                 for path in paths:
                     group.start_soon(it.ask, "PUT", path, b"x")
@@ -314,9 +314,9 @@
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
             paths = {volume: f"/{volume}/k" for volume in ("school-1", "school-2")}
-            node = it.where(paths["school-1"])
+            node = it.store_of(paths["school-1"])
             keys = [f"/school-2/k{n}" for n in range(100)]
-            paths["school-2"] = next(path for path in keys if it.where(path) is node)
+            paths["school-2"] = next(path for path in keys if it.store_of(path) is node)
             for _ in range(3):
                 for path in paths.values():
                     await it.ask("GET", path)
@@ -340,7 +340,7 @@
     @played
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
-            node = it.where("/school-1/object")
+            node = it.store_of("/school-1/object")
             node.lost_share, node.lost_how = 1.0, "reset"
             assert (await it.ask("GET", "/school-1/object")).status in (502, 503)
             it.gateway.ledger.close()
@@ -366,7 +366,7 @@
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=100.0, cores=1) as it:
             paths = [
-                path for path in (f"/school-1/k{n}" for n in range(300)) if it.where(path) is it.stores[0]
+                path for path in (f"/school-1/k{n}" for n in range(300)) if it.store_of(path) is it.stores[0]
             ]
             async with anyio.create_task_group() as group:
                 for path in paths[:10]:
@@ -459,7 +459,7 @@
     @played
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=25.0, cores=2) as it:
-            lie = lambda path: it.where(path) is it.stores[0]  # noqa: E731
+            lie = lambda path: it.store_of(path) is it.stores[0]  # noqa: E731
             others = list(filter(lie, (f"/contest-9/k{n}" for n in range(2000))))[:count]
             mine = list(filter(lie, (f"/school-1/k{n}" for n in range(400))))[:10]
             sent: dict[str, float] = {}
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -544,7 +544,7 @@
         async with rig(dataclasses.replace(config, kinds=kinds), unit_ms=0.1) as it:
             s3 = boto(it, keys)
             upload = (await off(lambda: s3.create_multipart_upload(**where)))["UploadId"]
-            store = it.where("/school-1/k")
+            store = it.store_of("/school-1/k")
             store.tricks.append(trick)
             tag = (
                 await off(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"x" * 100_000))
@@ -607,7 +607,7 @@
             tag = (
                 await off(lambda: one.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"b" * 1000))
             )["ETag"]
-            store = it.where("/school-1/k")
+            store = it.store_of("/school-1/k")
             apply = store._multipart
 
             def changed(asked: Any, job: Any) -> None:
@@ -693,7 +693,7 @@
         async with rig(with_s3(keys, domain="s3.test", unsigned="all")) as it:
             put = b"PUT /k HTTP/1.1\r\nhost: school-1.s3.test:99\r\ncontent-length: 1\r\n\r\nx"
             assert b"200" in await sent(it, put)
-            assert ("school-1", "k") in it.where("/school-1/k").shelf.objects
+            assert ("school-1", "k") in it.store_of("/school-1/k").shelf.objects
 
     run()
 
@@ -744,8 +744,8 @@
         async with rig(with_s3(keys, parts_at_once=lane, part_least=1), unit_ms=12.0, cores=1) as it:
             s3 = boto(it, keys, max_pool_connections=40)
             upload = (await off(lambda: s3.create_multipart_upload(**where)))["UploadId"]
-            store = it.where("/school-1/big")
-            name = next(f"k{n}" for n in range(100) if it.where(f"/school-1/k{n}") is store)
+            store = it.store_of("/school-1/big")
+            name = next(f"k{n}" for n in range(100) if it.store_of(f"/school-1/k{n}") is store)
             waits = []
 
             async def part(number: int) -> None:
@@ -814,7 +814,7 @@
                     group.start_soon(part, number)
             took = time.perf_counter() - began
             assert took > (12 * 64 - 100 - 64) / 400 * 0.9, "a burst and one part ahead of the limit"
-            assert len(it.where("/school-1/big").shelf.uploads[upload][2]) == 12
+            assert len(it.store_of("/school-1/big").shelf.uploads[upload][2]) == 12
 
     run()
 
@@ -910,7 +910,7 @@
                 await off(lambda: s3.put_object(Bucket="school-1", Key="other", Body=b"x"))
                 assert time.perf_counter() - began < 2
             assert len(found) == 3
-            assert ("school-1", "k") not in it.where("/school-1/k").shelf.objects
+            assert ("school-1", "k") not in it.store_of("/school-1/k").shelf.objects
 
     run()
 
@@ -949,7 +949,7 @@
                 assert said in await sent(it, head.encode() + body), name
             kept = [key for store in it.stores for _, key in store.shelf.objects]
             assert kept == ["right"]
-            assert it.where("/school-1/right").shelf.objects["school-1", "right"][0] == data
+            assert it.store_of("/school-1/right").shelf.objects["school-1", "right"][0] == data
 
     run()
 
