--- a/tests/rig.py
+++ b/tests/rig.py
@@ -85,7 +85,7 @@
         """The outcomes of the attempts that have ended, in order."""
         return [event.outcome.name for event in self.ended]
 
-    def watch(self) -> None:
+    def record_events(self) -> None:
         """Record the events that are passed to the scheduler loop."""
         loop = self.gateway.scheduler_loop
         attempt_ended, post = loop.attempt_ended, loop.post
@@ -179,7 +179,7 @@
     stores: int = 8,
     unit_ms: float = 2.0,
     listing: bool = True,
-    engine: Callable[[Config], SchedulerLoop] | None = None,
+    make_scheduler_loop: Callable[[Config], SchedulerLoop] | None = None,
     **spec: Any,
 ) -> AsyncIterator[Rig]:
     """Start stores, list service and gateway; all of them are stopped at the end of the block.
@@ -189,7 +189,7 @@
         stores: Number of stores, each with a shard of its own.
         unit_ms: Time that a store needs for one unit, in milliseconds.
         listing: Whether the list service runs.
-        engine: Creates the scheduler loop; None: the gateway's own.
+        make_scheduler_loop: Creates the scheduler loop; None: the gateway's own.
         spec: Further parameters of the stores.
     """
     made = Rig()
@@ -207,8 +207,8 @@
         if not listing:
             made.list.kill()
         config = dataclasses.replace(config, nodes=dataclasses.replace(config.nodes, port=made.list.port))
-        made.gateway = Gateway(config, engine(config) if engine else None)
-        made.watch()
+        made.gateway = Gateway(config, make_scheduler_loop(config) if make_scheduler_loop else None)
+        made.record_events()
         ready = anyio.Event()
         group.start_soon(made.gateway.run, ready.set)
         await ready.wait()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -378,7 +378,7 @@
         it.list.kill()
     config = with_nodes(port=it.list.port, keep=str(folder), **changes)
     it.gateway = Gateway(config)
-    it.watch()
+    it.record_events()
     ready = anyio.Event()
     it.group.start_soon(it.gateway.run, ready.set)
     await ready.wait()
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -304,7 +304,9 @@
 def test_a_failing_scheduler_leaves_no_request_unanswered():
     @played
     async def run():
-        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, FailingScheduler)) as it:
+        async with rig(
+            make_scheduler_loop=lambda config: SchedulerLoop(config.settings(), 1, FailingScheduler)
+        ) as it:
             got = []
 
             async def ask():
@@ -334,7 +336,9 @@
 def test_the_gateway_answers_for_a_silent_scheduler():
     @played
     async def run():
-        async with rig(engine=lambda config: SchedulerLoop(config.settings(), 1, SilentScheduler)) as it:
+        async with rig(
+            make_scheduler_loop=lambda config: SchedulerLoop(config.settings(), 1, SilentScheduler)
+        ) as it:
             answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
             assert not it.gateway.scheduler_loop.open_requests
