--- a/tests/rig.py
+++ b/tests/rig.py
@@ -220,7 +220,7 @@
             group.cancel_scope.cancel()
 
 
-def played(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
     """Return a synchronous function that runs an asynchronous test, with a time limit of 30 s."""
 
     async def bounded() -> None:
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -11,7 +11,7 @@
 import anyio.to_thread
 import pytest
 from click.testing import CliRunner
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import durable_files
 from winchdyke.admin.client import AdminClient
@@ -160,7 +160,7 @@
         signing, "MAX_CLOCK_SKEW_SECONDS", -2
     )  # the first seconds after a start are another test's
 
-    @played
+    @run_async
     async def run():
         file, mine = tmp_path / "keys", tmp_path / "mine"
         name = ran("keys", "new", str(file), "--who", "ann", "--to", str(mine)).strip()
@@ -205,7 +205,7 @@
 
 
 def test_what_is_no_request_of_the_admin_api_is_told_so_and_clients_are_not_held_up(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_admin(tmp_path)) as it:
             unix = str(tmp_path / "s")
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -8,7 +8,7 @@
 
 import anyio
 import pytest
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.gateway.pool import ConnectError, ConnectionPool
@@ -65,7 +65,7 @@
 
 
 def test_a_refused_connection_is_connect_failed():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).kill()
@@ -80,7 +80,7 @@
     async def fail_connect(host, port):
         raise OSError("All connection attempts failed") from OSError(errno.EMFILE, "Too many open files")
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             connect_tcp = anyio.connect_tcp
@@ -96,7 +96,7 @@
 
 
 def test_a_silent_store_times_out_at_the_clients_deadline():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("silence")
@@ -112,7 +112,7 @@
 def test_an_idle_connection_closed_as_it_is_reused_is_a_reset_never_not_sent(monkeypatch):
     """The store closes the connection after the idle check, while the request is in transit."""
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -130,7 +130,7 @@
 
 
 def test_an_idle_connection_that_the_store_has_closed_is_not_used():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             store = it.store_of(READ)
@@ -144,7 +144,7 @@
 
 
 def test_a_store_that_dies_between_accept_and_read():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("die-on-accept")
@@ -156,7 +156,7 @@
 
 
 def test_a_store_that_dies_in_the_middle_of_a_request():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("die-mid-request")
@@ -169,7 +169,7 @@
 
 
 def test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 900_000)
@@ -186,7 +186,7 @@
 
 
 def test_a_response_longer_than_declared_is_cut_and_its_connection_is_not_reused():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 300)
@@ -200,7 +200,7 @@
 
 
 def test_a_response_that_trickles_past_the_clients_deadline_is_timed_out():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 3000)
@@ -220,7 +220,7 @@
 
 
 def test_latency_excludes_time_spent_waiting_for_the_clients_body():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -237,7 +237,7 @@
 
 
 def test_load_reports_and_volume_usage_reach_the_scheduler():
-    @played
+    @run_async
     async def run():
         async with rig(settings()) as it:
             await it.ask("PUT", READ, b"x")
@@ -254,7 +254,7 @@
 def test_a_connect_timeout_is_connect_failed():
     """A listener with a full backlog accepts no connection, so that the connect hangs."""
 
-    @played
+    @run_async
     async def run():
         blocker = socket.socket()
         blocker.bind(("127.0.0.1", 0))
@@ -279,7 +279,7 @@
 
 
 def test_the_scheduler_cancels_an_attempt():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("silence")
@@ -304,7 +304,7 @@
     """Otherwise a store that has begun draining would receive the request."""
     acquire, handle = ConnectionPool.acquire, Scheduler.handle
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             connected, released = anyio.Event(), anyio.Event()
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from rig import Rig, played, rig, settings
+from rig import Rig, rig, run_async, settings
 
 from winchdyke.config.model import S3, Listen, WriteBack
 from winchdyke.gateway import writeback as gateway_writeback
@@ -48,7 +48,7 @@
 
 
 def test_a_write_is_acknowledged_from_the_log_and_reaches_its_store_once(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
             answer = await it.ask("PUT", "/school-1/a", b"hello")
@@ -62,7 +62,7 @@
 
 
 def test_s3_puts_are_acknowledged_from_the_log_too(tmp_path):
-    @played
+    @run_async
     async def run():
         from test_quotas import ask
 
@@ -75,7 +75,7 @@
 
 
 def test_writes_during_a_stores_outage_are_sent_in_order_when_it_is_back(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
             store = it.store_of("/school-1/a")
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("fault", ["reset-after-run", "shed", "error", "die-mid-request"])
 def test_a_lost_response_or_a_failure_causes_no_second_effect(tmp_path, fault):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
             assert (await it.ask("PUT", "/school-1/a", b"old")).status == 200
@@ -111,7 +111,7 @@
 def test_a_write_whose_response_was_lost_is_quarantined_after_the_deduplication_window(tmp_path):
     """The store forgets keys after 100 ms and another client writes: it is unknown whether the first write was executed."""
 
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path), memory_ms=100.0) as it:
             store = it.store_of("/school-1/a")
@@ -128,7 +128,7 @@
 
 
 def test_a_late_retry_is_answered_from_the_remembered_idempotency_key(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path), memory_ms=50.0) as it:
             first = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
@@ -145,7 +145,7 @@
 def test_acknowledged_writes_are_recovered_by_the_next_process_and_sent_once(tmp_path):
     """The first gateway is killed while a store is down; one of two writes had been sent."""
 
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
             out, new = it.store_of("/school-1/out"), it.store_of("/school-1/new")
@@ -177,7 +177,7 @@
 
 
 def test_a_full_log_rejects_writes_and_one_volume_does_not_starve_another(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path, record_bytes=600_000)) as it:
             for store in it.stores:
@@ -191,7 +191,7 @@
 
 
 def test_a_failed_sync_promises_nothing_and_the_next_write_is_safe(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
             disk = it.gateway.write_back.log.disk
@@ -214,7 +214,7 @@
 
 
 def test_large_objects_and_conditional_writes_bypass_the_log(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(config(tmp_path, record_bytes=1000)) as it:
             large = await it.ask("PUT", "/school-1/a", b"x" * 2000)
@@ -226,7 +226,7 @@
 
 
 def test_a_shutdown_with_a_full_log_ends_in_time_and_leaves_the_records(tmp_path):
-    @played
+    @run_async
     async def run():
         with pytest.MonkeyPatch.context() as patch:
             patch.setattr("winchdyke.gateway.writeback.SHUTDOWN_DRAIN_SECONDS", 0.3)
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -19,7 +19,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.admin import keys
@@ -302,7 +302,7 @@
 def test_changes_under_load_are_applied_at_one_instant_and_undone(tmp_path):
     """Each answer carries its version, and every attempt at a store carried the same; waits that span a swap add up."""
 
-    @played
+    @run_async
     async def run():
         config = with_changes(tmp_path)
         config = dataclasses.replace(
@@ -365,7 +365,7 @@
 
 
 def test_a_limit_below_what_a_course_sends_now_binds_at_the_stores(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path), unit_ms=1.0) as it:
             stop = False
@@ -399,7 +399,7 @@
     keys.write_keys(tmp_path / "keys", [keys.Key("k", base64.b64encode(b"k" * 32).decode(), "fleet")])
     fleet = Fleet(Listen("127.0.0.1", 0), seeds=(Listen("127.0.0.1", 9),), keys=str(tmp_path / "keys"))
 
-    @played
+    @run_async
     async def run():
         config = dataclasses.replace(with_changes(tmp_path / "changes"), fleet=fleet)
         async with rig(config) as it:
@@ -427,7 +427,7 @@
 
 
 def test_what_does_not_pass_or_needs_a_start_or_clashes_is_refused_with_words(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
 
@@ -519,7 +519,7 @@
 def test_a_change_that_makes_a_course_unreachable_is_undone_by_itself(tmp_path):
     """It passes the check: its shard has a node in the list of settings, and none on the floor."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path), stores=6, unit_ms=2.0) as it:
             stop = False
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -21,7 +21,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from benchmarks import kills
 from winchdyke.config import parse
@@ -170,7 +170,7 @@
 
 
 def test_an_undo_while_a_newer_change_is_staged_withdraws_it_and_an_undo_of_the_undo_goes_forward(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=6")
@@ -202,7 +202,7 @@
 def test_what_was_undone_by_itself_does_not_come_back_within_what_was_staged_on_top_of_it(tmp_path):
     """The staged one was applied right after the undo, whole, with the harm in it."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=6", confirm_within_ms=900.0)
@@ -229,7 +229,7 @@
         )
     change_log.append(Step("undoing", 1), "gateway", "version 2 does harm")
 
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             assert it.gateway.service.snapshot.version == 1
@@ -269,7 +269,7 @@
 
 @pytest.mark.parametrize("writes", [0, 1])
 def test_a_full_disk_leaves_the_old_version_in_service_and_nothing_half_done(tmp_path, writes):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             rollout = it.gateway.rollout
@@ -302,7 +302,7 @@
 
 
 def test_harm_is_undone_even_where_the_disk_is_full(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=6", confirm_within_ms=400.0)
@@ -359,7 +359,7 @@
 
 
 def test_a_gateway_starts_with_a_damaged_change_log_and_records_it_in_the_new_one(tmp_path):
-    @played
+    @run_async
     async def first():
         async with rig(with_changes(tmp_path)) as it:
             await change(it, "plan", "school", "weight=9")
@@ -374,7 +374,7 @@
     with sqlite3.connect(tmp_path / "changes.db") as db:
         db.execute("UPDATE trail SET who = 'nobody' WHERE seq = 3")
 
-    @played
+    @run_async
     async def second():
         async with rig(with_changes(tmp_path)) as it:
             assert it.gateway.service.snapshot.version == 2
@@ -395,7 +395,7 @@
     """1,000 in a minute: CHANGES=1000."""
     count = int(os.environ.get("CHANGES", "60"))
 
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path, keep=20)) as it:
             for number in range(count):
@@ -523,7 +523,7 @@
 
 
 def test_a_change_during_a_stop_waits_for_the_next_start(tmp_path):
-    @played
+    @run_async
     async def first():
         async with rig(with_changes(tmp_path), unit_ms=120.0) as it:
             answers = []
@@ -543,7 +543,7 @@
     first()
     assert ChangeLog(tmp_path).state().staged == 2
 
-    @played
+    @run_async
     async def second():
         async with rig(with_changes(tmp_path)) as it:
             await serves(it, 2)
@@ -552,7 +552,7 @@
 
 
 def test_a_volume_that_is_removed_while_its_upload_is_under_way(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             peer = await it.connect()
@@ -584,7 +584,7 @@
 def test_requests_that_are_held_while_their_plan_and_volume_go_are_answered_once_under_their_version(
     tmp_path,
 ):
-    @played
+    @run_async
     async def run():
         async with rig(with_changes(tmp_path), unit_ms=60.0) as it:
             stop, answers = False, []
@@ -624,7 +624,7 @@
 def test_a_course_that_moves_to_another_plan_in_a_burst_is_answered_all_the_while_and_by_its_new_limit(
     tmp_path,
 ):
-    @played
+    @run_async
     async def run():
         text = "\n[plan small]\nusual_rate = 10\nlimit = 20\nlimit_burst = 8\n"
         config = dataclasses.replace(settings(text), changes=Changes(str(tmp_path)), admin=Admin("none"))
@@ -734,7 +734,7 @@
     old, new = limit
     least = min(limit)
 
-    @played
+    @run_async
     async def run():
         base = set_values(settings(), "plan", "basic", [f"limit={old} units/s", "limit_burst=9"])
         config = dataclasses.replace(
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 from host import measured
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.discovery import cache
@@ -387,7 +387,7 @@
 def test_a_gateway_starts_from_the_disk_with_discovery_down_and_a_gone_node_and_a_stranger_get_nothing(
     tmp_path,
 ):
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             from_disk(it.stores, tmp_path)
@@ -420,7 +420,7 @@
 
 
 def test_a_node_that_drains_while_discovery_is_down_says_so_itself_and_is_left_alone(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             from_disk(it.stores, tmp_path)
@@ -452,7 +452,7 @@
 def test_five_gateways_that_start_together_never_send_a_new_node_more_than_it_bears(tmp_path):
     """Discovery is down, and one node of the list has just started: the stand-in falls over where it is sent too much."""
 
-    @played
+    @run_async
     async def run():
         async with rig(
             cold_from=0.1, warm_ms=4000.0, fall_window_ms=300.0, cold_units=9.0, unit_ms=2.0
@@ -503,7 +503,7 @@
 
 @pytest.mark.parametrize("how", ["empty", "silence", "error"])
 def test_discovery_that_comes_back_empty_or_answers_nothing_takes_no_node_away(tmp_path, how):
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             from_disk(it.stores, tmp_path)
@@ -524,7 +524,7 @@
     real = time.time
     monkeypatch.setattr("winchdyke.discovery.follower.time.time", lambda: real() - 86_400)
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             from_disk(it.stores, tmp_path)
@@ -535,7 +535,7 @@
 
 
 def test_a_file_and_dns_stand_in_where_the_list_service_is_down(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             file = tmp_path / "list.json"
@@ -561,7 +561,7 @@
 
 
 def test_a_folder_that_can_not_be_written_costs_the_list_and_nothing_else(tmp_path):
-    @played
+    @run_async
     async def run():
         blocked = tmp_path / "file"
         blocked.write_text("")
@@ -592,7 +592,7 @@
     def said(*words: str) -> str:
         return CliRunner().invoke(main, ["nodes", *words]).output
 
-    @played
+    @run_async
     async def run():
         async with rig(with_nodes(keep=str(tmp_path))) as it:
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
@@ -621,7 +621,7 @@
 
 
 def test_a_restored_list_service_and_one_that_flaps_take_nothing_away_and_send_nothing_to_what_drains():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             view = it.gateway.discovery.view
@@ -647,7 +647,7 @@
 
 
 def test_a_service_with_blocking_queries_by_an_index_is_followed_and_its_going_back_is_noticed():
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             from winchdyke.gateway.daemon import Gateway
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -9,7 +9,7 @@
 import anyio
 import h11
 import pytest
-from rig import played, reply, rig, settings
+from rig import reply, rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
@@ -47,7 +47,7 @@
     ],
 )
 def test_invalid_http_is_rejected_with_a_reason(sent, status, reason):
-    @played
+    @run_async
     async def run():
         async with rig(stores=1) as it:
             got, headers = _head(await it.raw(sent))
@@ -58,7 +58,7 @@
 
 
 def test_a_head_that_never_ends_times_out():
-    @played
+    @run_async
     async def run():
         async with rig(settings(limits__header_timeout="200ms"), stores=1) as it:
             status, headers = _head(await it.raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\nx-slow: "))
@@ -68,7 +68,7 @@
 
 
 def test_a_body_shorter_than_declared_stores_no_object():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -88,7 +88,7 @@
 
 
 def test_bytes_beyond_the_declared_body_are_parsed_as_the_next_request():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             got = await it.raw(
@@ -102,7 +102,7 @@
 
 
 def test_a_malformed_chunked_body_fails_and_stores_no_object():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             head = b"PUT /school-1/c HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -114,7 +114,7 @@
 
 
 def test_the_deadline_passes_while_a_body_still_arrives():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("when", ["before", "during", "after"])
 def test_the_client_disconnects(when):
-    @played
+    @run_async
     async def run():
         async with rig(unit_ms=60.0) as it:
             assert (await it.ask("GET", READ)).status == 404  # the store's identity has been verified
@@ -168,7 +168,7 @@
 
 
 def test_a_client_that_disconnects_during_a_download_ends_the_stores_response():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 30_000_000)
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("how", ["down", "error", "silence"])
 def test_the_list_service_is_down_at_the_start_and_comes_later(how):
-    @played
+    @run_async
     async def run():
         config = settings(nodes__timeout="200ms")
         async with rig(config, listing=False) as it:
@@ -208,7 +208,7 @@
 
 
 def test_the_list_service_fails_later_and_the_old_list_serves_on():
-    @played
+    @run_async
     async def run():
         async with rig(settings(nodes__wait="200ms", nodes__timeout="200ms")) as it:
             it.list.failing = "error"
@@ -232,7 +232,7 @@
 
 
 def test_the_scheduler_requests_the_endpoint_list_where_it_has_to_be_polled():
-    @played
+    @run_async
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
             assert it.gateway.scheduler_loop.counts["endpoint_watches_requested"] == 1
@@ -242,7 +242,7 @@
 
 
 def test_two_concurrent_requests_with_one_idempotency_key_execute_once():
-    @played
+    @run_async
     async def run():
         async with rig(unit_ms=60.0) as it:
             answers = []
@@ -267,7 +267,7 @@
 def test_the_event_loop_is_blocked_for_300_ms():
     """Responses that were due meanwhile are sent as soon as the event loop continues."""
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("silence")
@@ -302,7 +302,7 @@
 
 
 def test_a_failing_scheduler_leaves_no_request_unanswered():
-    @played
+    @run_async
     async def run():
         async with rig(
             make_scheduler_loop=lambda config: SchedulerLoop(config.settings(), 1, FailingScheduler)
@@ -334,7 +334,7 @@
 
 
 def test_the_gateway_answers_for_a_silent_scheduler():
-    @played
+    @run_async
     async def run():
         async with rig(
             make_scheduler_loop=lambda config: SchedulerLoop(config.settings(), 1, SilentScheduler)
@@ -347,7 +347,7 @@
 
 
 def test_expect_continue_is_rejected_before_the_body_is_requested():
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             sent = b"PUT /school-1/big HTTP/1.1\r\nhost: t\r\ncontent-length: 9000000\r\nexpect: 100-continue\r\n\r\n"
@@ -359,7 +359,7 @@
 
 
 def test_expect_continue_is_confirmed_once_the_request_is_sent_to_a_store():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -376,7 +376,7 @@
 def test_an_early_response_reaches_a_client_that_is_still_sending():
     """The gateway keeps reading before it closes the connection, so that no reset discards the response."""
 
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             answer = await it.ask("PUT", READ, b"x" * 900_000)
@@ -386,7 +386,7 @@
 
 
 def test_bodies_beyond_the_limit_are_rejected_before_they_are_read():
-    @played
+    @run_async
     async def run():
         async with rig(settings(limits__body_total="1MiB")) as it:
             peer = await it.connect()
@@ -404,7 +404,7 @@
 
 
 def test_a_body_is_sent_again_complete_from_its_temporary_file():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             body = bytes(range(256)) * 12_000
@@ -417,7 +417,7 @@
 
 
 def test_a_shutdown_answers_all_200_requests_in_flight():
-    @played
+    @run_async
     async def run():
         async with rig(unit_ms=200.0) as it:
             got = []
@@ -446,7 +446,7 @@
 
 
 def test_running_out_of_file_descriptors_is_no_crash():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -478,7 +478,7 @@
 
 
 def test_more_connections_than_allowed_get_a_clear_answer():
-    @played
+    @run_async
     async def run():
         async with rig(settings(limits__connections="2")) as it:
             peers = [await it.connect() for _ in range(2)]
@@ -493,7 +493,7 @@
 
 
 def test_requests_one_after_another_and_pipelined_on_one_connection():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             two = b"PUT /school-1/p HTTP/1.1\r\nhost: t\r\ncontent-length: 2\r\n\r\nhi"
@@ -505,7 +505,7 @@
 
 
 def test_a_drained_store_gets_nothing_new_and_its_successor_does():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             old = it.store_of(READ)
@@ -529,7 +529,7 @@
 def test_a_client_that_sends_faster_than_its_store_reads_is_slowed_down():
     """The gateway reads a bounded part of a body ahead of a store that reads nothing."""
 
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             it.gateway.pool.verify_identity = None  # the silent listener does not answer an identity check
@@ -561,7 +561,7 @@
 
 
 def test_an_unexpected_error_in_the_gateway_is_answered_and_leaves_nothing_behind(monkeypatch):
-    @played
+    @run_async
     async def run():
         async with rig() as it:
 
@@ -581,7 +581,7 @@
 
 
 def test_a_cached_endpoint_list_is_followed_by_later_changes():
-    @played
+    @run_async
     async def run():
         async with rig(listing=False) as it:
             it.list.keep_old_copy()
@@ -603,7 +603,7 @@
 def test_a_reset_behind_an_unread_upload_is_noticed_and_nothing_is_sent():
     """At the read-ahead limit receiving is paused, and a paused transport does not report a reset."""
 
-    @played
+    @run_async
     async def run():
         async with rig(unit_ms=1500.0) as it:
             heads = lambda: [seen["client"] for seen in it.record.seen if seen["what"] == "head"]  # noqa: E731
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -7,7 +7,7 @@
 import anyio
 import msgspec
 import pytest
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.days.judge import RULES, Judge
@@ -290,7 +290,7 @@
     kinds: list[Class] = day.classes
     assert {kind.name for kind in kinds} >= {"once", "turns"}
 
-    @played
+    @run_async
     async def run():
         config = settings(gateway__name="gateway-0")
         wrong = lambda config: SchedulerLoop(config.settings(), 1, Wrong)  # noqa: E731
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -561,9 +561,9 @@
 
 def test_routes_and_listeners_in_a_running_gateway():
     import anyio
-    from rig import played, rig
+    from rig import rig, run_async
 
-    @played
+    @run_async
     async def play():
         text = written(ini.load_text(INI, "d.ini").values) + (
             "\nlistener second {\n    address = 127.0.0.1:0\n}\n"
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -18,7 +18,7 @@
 from host import measured
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import INI, ONCE, played, rig
+from rig import INI, ONCE, rig, run_async
 from rig import settings as rig_settings
 
 from winchdyke import Scheduler
@@ -268,7 +268,7 @@
 def test_what_a_slow_node_added_is_measured_within_5_percent(tmp_path, slow_ms):
     """One node takes a known time; the report names it, and what was out there is what was put in."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=slow_ms / 10) as it:
             slow = it.store_of("/school-1/object")
@@ -315,7 +315,7 @@
 
 
 def test_second_tries_belong_to_the_first_and_those_elsewhere_are_unknown(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path)) as it:
             store = it.store_of("/school-1/object")
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -19,7 +19,7 @@
 from host import measured
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from rig import played, rig
+from rig import rig, run_async
 from rig import settings as rig_settings
 from test_latency_attribution import account, segment, with_ledger
 
@@ -187,7 +187,7 @@
 def test_top_shows_who_is_held_now_by_whom_and_what_ended(tmp_path):
     """Live from a gateway with a node that takes its time: the held, their holder, then the ended."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=150.0, cores=1) as it:
             shown = LiveView([tmp_path], 30.0)
@@ -310,7 +310,7 @@
 def test_a_node_that_is_slow_for_some_and_not_for_others_is_told_by_course(tmp_path):
     """Half of a node's disks are slow: the report says which courses met it, and leaves the others out."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
             paths = {volume: f"/{volume}/k" for volume in ("school-1", "school-2")}
@@ -337,7 +337,7 @@
 
 
 def test_answers_lost_at_a_working_node_are_told_as_such_and_not_as_slowness(tmp_path):
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
             node = it.store_of("/school-1/object")
@@ -362,7 +362,7 @@
 def test_a_wait_that_spans_a_new_scheduler_and_a_stop_adds_up_and_reaches_the_disk(tmp_path):
     """The scheduler faults and a new one begins while some wait; then the gateway is stopped with others waiting."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=100.0, cores=1) as it:
             paths = [
@@ -456,7 +456,7 @@
 ):
     """Within 5% (and 3 ms each for the host) of what the clients' and the store's own records say, and put on the course."""
 
-    @played
+    @run_async
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=25.0, cores=2) as it:
             lie = lambda path: it.store_of(path) is it.stores[0]  # noqa: E731
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from rig import played, rig
+from rig import rig, run_async
 from test_s3 import Keys, address, with_s3
 
 from winchdyke.cli.main import main
@@ -62,7 +62,7 @@
 def test_a_stall_is_seen_by_all_whose_time_came_meanwhile():
     """A closed loop would have seen it once for each of its clients."""
 
-    @played
+    @run_async
     async def run():
         async with rig(unit_ms=0.5) as it:
             host, port = it.gateway.address
@@ -93,7 +93,7 @@
 def test_a_signed_mix_of_all_operations_against_the_s3_listener(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.02) as it:
             mix = Mix.read("get=4,range=2,put=4,upload=0.5,list=1")
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -8,7 +8,7 @@
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
-from rig import played, rig
+from rig import rig, run_async
 
 from winchdyke.http1 import RequestHead
 from winchdyke.object_api import listing, ranges, routes
@@ -202,7 +202,7 @@
 
 
 def test_conditions_and_ranges_on_sockets():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             tag = (await it.ask("PUT", "/school-1/k", b"0123456789")).headers["etag"]
@@ -229,7 +229,7 @@
 
 
 def test_an_upload_in_parts():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             upload = json.loads((await it.ask("POST", "/school-1/big?uploads")).body)["uploadId"]
@@ -250,7 +250,7 @@
 
 
 def test_a_new_object_goes_where_the_scheduler_puts_it_and_is_found_and_listed():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             places = [
@@ -271,7 +271,7 @@
 
 
 def test_a_new_object_that_stores_turn_away_goes_to_another_and_is_found_there():
-    @played
+    @run_async
     async def run():
         async with rig(stores=2) as it:
             for store in it.stores:
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -16,7 +16,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from rig import Reply, Rig, played, reply, rig, settings
+from rig import Reply, Rig, reply, rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.config.model import S3, Listen
@@ -213,7 +213,7 @@
 def test_objects_put_one_after_another_pay_for_all_their_bytes(dialect):
     """Eight objects of 128 units: 1,024 units where 400 a second may go, and a burst of 100."""
 
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             began = anyio.current_time()
@@ -242,7 +242,7 @@
 @pytest.mark.parametrize("asked", ["whole", "range"])
 @measured
 def test_what_is_read_is_paid_for_as_it_is_heard_of(dialect, asked):
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (300 * UNIT)
@@ -268,7 +268,7 @@
 def test_small_requests_of_a_course_go_on_beside_its_large_one(dialect):
     """Half of the rate is theirs while the debt stands; large ones are told when to come back, truly."""
 
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (3000 * UNIT)  # 187 MiB: 7.5 s of the course's limit
@@ -288,7 +288,7 @@
 
 @measured
 def test_a_large_one_that_comes_back_when_it_was_told_to_is_served():
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (1600 * UNIT)
@@ -318,7 +318,7 @@
 def test_an_upload_of_unknown_length_pays_as_it_comes_and_is_refused_beyond_the_limit():
     """Three at once, each more than the limit gives in a request's time: never more than it, a burst and steps."""
 
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             moved, answers = [0], deque[Reply]()
@@ -364,7 +364,7 @@
 
 
 def test_a_client_that_leaves_pays_for_what_it_sent_and_no_more():
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             peer = await connect(it, "object")
@@ -388,7 +388,7 @@
 
 
 def test_a_client_that_leaves_while_it_waits_frees_its_turn():
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             data = b"x" * (700 * UNIT)
@@ -411,7 +411,7 @@
 def test_a_limit_lowered_while_an_upload_is_under_way_counts_for_what_follows():
     """64 MiB go through, being one object; what they owe is paid off at the lower limit."""
 
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             engine, byte_meter = it.gateway.scheduler_loop, it.gateway.service.byte_meter
@@ -460,7 +460,7 @@
 def test_a_request_that_was_never_sent_is_not_paid_for():
     """The gateway that dies between paying and sending loses its account; one that lives gives the payment back."""
 
-    @played
+    @run_async
     async def run():
         async with rig(
             limited(), unit_ms=0.02, listing=False
@@ -484,7 +484,7 @@
 
 @pytest.mark.parametrize("asked", ["put", "range", "whole"])
 def test_the_gateway_lets_the_reserve_pay(asked):
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
@@ -503,7 +503,7 @@
 def test_small_reads_of_unknown_size_come_out_of_the_bucket():
     """Told as two units, eight in truth: the course is charged eight, once for each read, with no wait."""
 
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
@@ -539,7 +539,7 @@
 
 
 def test_stores_are_told_the_volume_and_the_key_that_order_goes_by():
-    @played
+    @run_async
     async def run():
         async with rig(limited(), unit_ms=0.02) as it:
             for volume in ("contest-1", "contest-2"):
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -28,7 +28,7 @@
 from hypothesis import given
 from hypothesis import settings as examples
 from hypothesis import strategies as st
-from rig import Rig, played, rig, settings
+from rig import Rig, rig, run_async, settings
 
 from winchdyke.auth.keys import Right, made, new_master, write
 from winchdyke.cli.main import main
@@ -167,7 +167,7 @@
         keys = [each["Key"] for each in s3.list_objects_v2(Bucket="school-1")["Contents"]]
         assert keys == ["SHA256", "a b/ü+c"]
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.2) as it:
             await off(lambda: calls(boto(it, keys)))
@@ -214,7 +214,7 @@
             400,
         )
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.05) as it:
             await off(lambda: calls(boto(it, keys)))
@@ -297,7 +297,7 @@
             400,
         )
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.02) as it:
             await off(lambda: calls(boto(it, keys)))
@@ -341,7 +341,7 @@
         errors = s3.remove_objects(bucket_name="school-1", delete_object_list=[DeleteObject("m/big")])
         assert list(errors) == []
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.02) as it:
             await off(lambda: calls(it))
@@ -386,7 +386,7 @@
 def test_bodies_that_do_not_fit_store_nothing(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys)) as it:
             data = os.urandom(200_000)
@@ -461,7 +461,7 @@
             "withdrawn"
         )
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.2) as it:
             await off(lambda: calls(it))
@@ -476,7 +476,7 @@
         except urllib.error.HTTPError as error:
             return error.code
 
-    @played
+    @run_async
     async def run():
         for word, reads, writes in (("none", 403, 403), ("read", 404, 403), ("all", 404, 200)):
             async with rig(with_s3(Keys(tmp_path), unsigned=word)) as it:
@@ -493,7 +493,7 @@
     data = os.urandom(5 * MIB)
     where = {"Bucket": "school-1", "Key": "k"}
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys, upload_keep=60_000.0), unit_ms=0.02) as it:
             s3 = boto(it, keys)
@@ -532,7 +532,7 @@
     keys = Keys(tmp_path)
     where = {"Bucket": "school-1", "Key": "k"}
 
-    @played
+    @run_async
     async def run():
         config = with_s3(keys)
         kinds = tuple(
@@ -565,7 +565,7 @@
     keys = Keys(tmp_path)
     where = {"Bucket": "school-1", "Key": "k"}
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=1.0) as it:
             other = Gateway(dataclasses.replace(with_s3(keys), nodes=it.gateway.config.nodes))
@@ -627,7 +627,7 @@
 def test_a_refusal_is_slow_down_with_a_time_and_boto3_comes_back(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         text = "\n[plan small]\nusual_rate = 5\nlimit = 8\nlimit_burst = 8\n"
         config = with_s3(keys)
@@ -668,7 +668,7 @@
         b'<?xml version="1.0"?><!DOCTYPE x [<!ENTITY a "b">]><Delete><Object><Key>&a;</Key></Object></Delete>'
     )
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys)) as it:
             for body in (b"no xml", bomb, b"<Other/>", b"<Delete></Delete>", b"<Delete><Object/></Delete>"):
@@ -688,7 +688,7 @@
 def test_buckets_in_the_hosts_name(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys, domain="s3.test", unsigned="all")) as it:
             put = b"PUT /k HTTP/1.1\r\nhost: school-1.s3.test:99\r\ncontent-length: 1\r\n\r\nx"
@@ -766,7 +766,7 @@
             assert len(store.shelf.uploads[upload][2]) == 16
             return max(waits)
 
-    @played
+    @run_async
     async def run():
         for lane in (1, 64):
             worst[lane] = await beside_an_upload(lane)
@@ -788,7 +788,7 @@
     """The scheduler is told 8 units at the most for each: twelve parts of 64 units would be 96, not 768."""
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         made = settings("\n[plan small]\nusual_rate = 5\nlimit = 400\nlimit_burst = 100\n")
         small = next(plan for plan in made.plans if plan.name == "small")
@@ -828,7 +828,7 @@
 def test_ranges_read_while_an_object_is_overwritten_are_each_of_one_version(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.05) as it:
             s3 = boto(it, keys, max_pool_connections=12)
@@ -860,7 +860,7 @@
 def test_clients_that_send_slowly_are_told_or_cut_at_each_step_and_hold_nobody_up(tmp_path):
     keys = Keys(tmp_path)
 
-    @played
+    @run_async
     async def run():
         config = with_s3(keys)
         limits = dataclasses.replace(config.limits, header_timeout=400.0, stream_idle=600.0)
@@ -932,7 +932,7 @@
     keys, data = Keys(tmp_path), os.urandom(200_000)
     right = base64.b64encode(zlib.crc32(data).to_bytes(4, "big"))
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys, unsigned="all")) as it:
             for name, trailer, said in (
@@ -958,7 +958,7 @@
     keys = Keys(tmp_path)
     where = {"Bucket": "school-1", "Key": "k"}
 
-    @played
+    @run_async
     async def run():
         async with rig(with_s3(keys, part_least=1), unit_ms=0.1) as it:
             s3 = boto(it, keys)
--- a/tests/test_scheduler_loop.py
+++ b/tests/test_scheduler_loop.py
@@ -6,7 +6,7 @@
 
 import anyio
 import pytest
-from rig import played
+from rig import run_async
 
 from winchdyke import interface as api
 from winchdyke.gateway.scheduler_loop import ACTION_COUNTERS, SchedulerLoop
@@ -152,7 +152,7 @@
 
 
 def test_events_posted_together_share_a_batch_and_timers_wake_the_loop():
-    @played
+    @run_async
     async def run():
         scheduler = PreparedScheduler()
         loop = SchedulerLoop(SETTINGS, 1, lambda *_: scheduler)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -19,7 +19,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 from cryptography.x509.oid import NameOID
-from rig import played, rig
+from rig import rig, run_async
 from test_s3 import Keys, with_s3
 
 from winchdyke.config.model import Tls
@@ -87,7 +87,7 @@
     keys, issuer = Keys(tmp_path), Issuer(tmp_path)
     certificate, key = issuer.issue(tmp_path, "first")
 
-    @played
+    @run_async
     async def run():
         config = with_s3(keys)
         limits = dataclasses.replace(config.limits, header_timeout=700.0)
@@ -163,7 +163,7 @@
     (tmp_path / "ann").mkdir()
     client_certificate, client_key = client_issuer.issue(tmp_path / "ann", "ann")
 
-    @played
+    @run_async
     async def run():
         tls_settings = settings_of(certificate, key, least="1.3", clients=str(client_issuer.path))
         async with rig(dataclasses.replace(with_s3(keys), tls=tls_settings)) as it:
@@ -214,7 +214,7 @@
     context.load_cert_chain(certificate, key)
     data = b"x" * 300_000
 
-    @played
+    @run_async
     async def run():
         config = dataclasses.replace(with_s3(keys), tls=Tls(stores=str(issuer.path)))
         async with rig(config, unit_ms=0.2, secure=context) as it:
