--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -71,7 +71,18 @@
 
 
 class Gateway:
-    """A gateway without sockets, driven by the test: keeps the time, fires timers, and checks that each request gets one answer."""
+    """A gateway without sockets whose clock the test controls; asserts that each request gets one final answer.
+
+    Attributes:
+        now: The current time in milliseconds.
+        timers: Due time and id of each timer that has not fired.
+        sends: Time and action of each attempt that was started.
+        answers: The final answer of each finished request, by request id.
+        attempts: Number of attempts, by request id.
+        logs: Logged messages.
+        cancelled: Cancelled attempts.
+        watches: Number of requests to watch the endpoint list.
+    """
 
     def __init__(self, seed: int = 7, **changes: object) -> None:
         self.settings = replace(SETTINGS, **changes)  # type: ignore[arg-type]
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -69,7 +69,17 @@
 
 
 class Rig:
-    """The running components, and the events that the gateway passed to its scheduler."""
+    """The running components, and the events that the gateway passed to its scheduler.
+
+    Attributes:
+        record: What the emulated stores and list service recorded.
+        list: The emulated list service.
+        stores: The emulated stores, by shard.
+        ended: The ends of attempts, in order.
+        events: All posted events, in order.
+        gateway: The gateway under test.
+        group: The task group of all components.
+    """
 
     def __init__(self) -> None:
         self.record, self.meter, self.rack = Record(), Meter(), Rack()
@@ -108,33 +118,36 @@
         self, method: str, path: str, body: bytes | None = None, peer: Peer | None = None, **headers: str
     ) -> Reply:
         """Send a request and return the response; ``_`` in a header name stands for ``-``."""
-        own = peer is None
+        is_own_peer = peer is None
         peer = peer or await self.connect()
         try:
-            fields = [("host", "t"), *((name.replace("_", "-"), value) for name, value in headers.items())]
-            if body is not None and "transfer-encoding" not in dict(fields):
-                fields.append(("content-length", str(len(body))))
+            header_fields = [
+                ("host", "t"),
+                *((name.replace("_", "-"), value) for name, value in headers.items()),
+            ]
+            if body is not None and "transfer-encoding" not in dict(header_fields):
+                header_fields.append(("content-length", str(len(body))))
             data = [h11.Data(data=body)] if body else []
             await peer.send(
-                h11.Request(method=method, target=path, headers=fields), *data, h11.EndOfMessage()
+                h11.Request(method=method, target=path, headers=header_fields), *data, h11.EndOfMessage()
             )
             return await reply(peer)
         finally:
-            if own:
+            if is_own_peer:
                 await anyio.aclose_forcefully(peer.stream)
 
     async def raw(self, data: bytes) -> bytes:
         """Send bytes, and return all bytes that the gateway sends until it closes the connection."""
         peer = await self.connect()
-        got = b""
+        received = b""
         with anyio.fail_after(5):
             try:
                 await peer.stream.send(data)
                 while True:
-                    got += await peer.stream.receive()
+                    received += await peer.stream.receive()
             except LOST:
                 await anyio.aclose_forcefully(peer.stream)
-        return got
+        return received
 
     def store_of(self, path: str) -> Store:
         """Return the store that holds an object."""
@@ -157,18 +170,18 @@
 async def reply(peer: Peer) -> Reply:
     """Read one response; raises EndOfStream if it is cut short."""
     head: h11.Response | None = None
-    got = bytearray()
+    received = bytearray()
     while True:
         event = await peer.event()
         if isinstance(event, h11.Response):
             head = event
         elif isinstance(event, h11.Data):
-            got += event.data
+            received += event.data
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             if peer.h11.our_state is h11.DONE and peer.h11.their_state is h11.DONE:
                 peer.h11.start_next_cycle()
-            return Reply(head.status_code, {n.decode(): v.decode() for n, v in head.headers}, bytes(got))
+            return Reply(head.status_code, {n.decode(): v.decode() for n, v in head.headers}, bytes(received))
         elif isinstance(event, h11.ConnectionClosed):
             raise anyio.EndOfStream
 
@@ -192,30 +205,35 @@
         make_scheduler_loop: Creates the scheduler loop; None: the gateway's own.
         spec: Further parameters of the stores.
     """
-    made = Rig()
+    running = Rig()
     config = config or settings()
     async with anyio.create_task_group() as group:
-        made.group = group
-        await made.list.start(group)
+        running.group = group
+        await running.list.start(group)
         for shard in range(stores):
             store = Store(
-                Spec(shard, unit_ms=unit_ms, **spec), Shelf(), made.rack, made.meter, made.record, seed=shard
+                Spec(shard, unit_ms=unit_ms, **spec),
+                Shelf(),
+                running.rack,
+                running.meter,
+                running.record,
+                seed=shard,
             )
-            made.stores.append(store)
+            running.stores.append(store)
             await store.start(group)
-            await made.list.set(store.name, "ready", shard, "hall-a")
+            await running.list.set(store.name, "ready", shard, "hall-a")
         if not listing:
-            made.list.kill()
-        config = dataclasses.replace(config, nodes=dataclasses.replace(config.nodes, port=made.list.port))
-        made.gateway = Gateway(config, make_scheduler_loop(config) if make_scheduler_loop else None)
-        made.record_events()
+            running.list.kill()
+        config = dataclasses.replace(config, nodes=dataclasses.replace(config.nodes, port=running.list.port))
+        running.gateway = Gateway(config, make_scheduler_loop(config) if make_scheduler_loop else None)
+        running.record_events()
         ready = anyio.Event()
-        group.start_soon(made.gateway.run, ready.set)
+        group.start_soon(running.gateway.run, ready.set)
         await ready.wait()
         if listing:
-            await made.until(lambda: len(made.gateway.scheduler_loop.endpoints) == stores)
+            await running.until(lambda: len(running.gateway.scheduler_loop.endpoints) == stores)
         try:
-            yield made
+            yield running
         finally:
             group.cancel_scope.cancel()
 
--- a/winchdyke/durable_files.py
+++ b/winchdyke/durable_files.py
@@ -76,7 +76,7 @@
 
 
 class WatchedFile(Generic[T]):
-    """A value that is read from a file, again whenever the file changes; no old value is returned if that fails."""
+    """A value read from a file and reread when the file changes; if that fails, no earlier value is returned."""
 
     def __init__(self, path: Path, read: Callable[[Path], T]) -> None:
         self.path = path
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class OutgoingRequest:
-    """A request as it is written to a store."""
+    """A request in the form that is sent to a store."""
 
     method: str
     target: bytes
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """How an attempt ended.
+    """The result of an attempt.
 
     Attributes:
         outcome: Its outcome.
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -44,9 +44,9 @@
 
 __all__ = ["Gateway", "StartError", "serve"]
 
-# Wait at a shutdown for requests that are on their way, before idle connections are closed.
+# At shutdown, the wait for requests that are in transit before idle connections are closed.
 LAST_REQUEST_SECONDS = 0.1
-SHUTDOWN_MARGIN_SECONDS = 1.0  # beyond the longest deadline
+SHUTDOWN_MARGIN_SECONDS = 1.0  # added to the longest deadline
 SHUTDOWN_POLL_SECONDS = 0.01
 SWEEP_INTERVAL_SECONDS = 0.1
 QUEUE_REPORT_INTERVAL_MS = 500.0
--- a/winchdyke/gateway/final_response.py
+++ b/winchdyke/gateway/final_response.py
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class FinalResponse:
-    """The one final response to a request.
+    """The final response to a request.
 
     Attributes:
         status: Its HTTP status; 0: the client has disconnected.
--- a/winchdyke/gateway/request_context.py
+++ b/winchdyke/gateway/request_context.py
@@ -1,4 +1,4 @@
-"""The data of one request while the gateway processes it, and the originators that a request can have."""
+"""The context of one request in the gateway, and the kinds of callers that requests originate from."""
 
 from __future__ import annotations
 
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -47,7 +47,7 @@
 from winchdyke.quotas.byte_metering import ByteMeter
 
 OPERATIONS_WITH_BODY = ("put", "post", "put-part", "complete-upload")
-INTERNAL_ID_PREFIX = "own-"  # of the ids of requests that originate from the gateway itself
+INTERNAL_ID_PREFIX = "own-"  # marks the ids of the gateway's internal requests
 KEY_IN_USE_RETRY_AFTER_MS = 1000.0
 
 
@@ -97,7 +97,7 @@
         self._write_back_path: WriteBackPath | None = None
         self._request_classes = {kind.rules.name: kind.rules for kind in config.kinds}
         self._idempotency_keys_in_use: set[tuple[str, str]] = set()
-        self._id_prefix = uuid.uuid4().hex[:20]  # unique to this process
+        self._id_prefix = uuid.uuid4().hex[:20]  # makes request ids unique to this process
         self._requests_handled = 0
         self._access_log = AccessLog()
 
--- a/winchdyke/gateway/sharded_listing.py
+++ b/winchdyke/gateway/sharded_listing.py
@@ -19,16 +19,11 @@
 from winchdyke.object_api import listing, routes
 
 LIST_OPERATIONS = ("list", "list-uploads")
-MERGE_PRECEDENCE = (
-    "gone",
-    "failed",
-    "refused",
-    "served",
-)  # worst first: a listing gets the worst outcome of its shards
-
-HeadersOf = Callable[
-    [api.Request, int, int], Headers
-]  # from the request to the shard, the shard, the attempt's index
+# From the worst to the best outcome: a listing gets the worst outcome of its shards.
+MERGE_PRECEDENCE = ("gone", "failed", "refused", "served")
+
+# Returns headers from the request to a shard, the shard and the index of the attempt.
+HeadersOf = Callable[[api.Request, int, int], Headers]
 
 
 def request_for_shard(request: api.Request, shard: int, request_id: str) -> api.Request:
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -1,5 +1,4 @@
-"""The step of a request at the write-back log: acknowledges writes from the log, and delays other requests for an object
-until the object's writes are stored."""
+"""Acknowledges writes from the write-back log, and delays other requests for an object until its writes are stored."""
 
 from __future__ import annotations
 
