--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -428,9 +428,8 @@
             async with anyio.create_task_group() as group:
                 for number in range(200):
                     group.start_soon(ask, number)
-                await it.until(
-                    lambda: it.gateway.service.active_requests + len(got) == 200
-                )  # all have been accepted
+                # All requests have been accepted.
+                await it.until(lambda: it.gateway.service.active_requests + len(got) == 200)
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
                 with pytest.raises((OSError, *LOST)):
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -194,7 +194,7 @@
     # Requests of clients
 
     def accepts(self, operation: routes.Operation, class_name: str, length: int | None) -> bool:
-        """Whether a write may be acknowledged from the log: its class allows it, it fits a record and it is unconditional."""
+        """Whether a write may be acknowledged from the log: its class allows it, it is unconditional and fits a record."""
         if operation.name != "put" or class_name not in self.settings.classes:
             return False
         if length is None or length > self.settings.record_bytes:
