--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A gateway with stand-ins in one event loop: what the tests on sockets share."""
+"""A gateway with emulated stores and an emulated list service in one event loop, for tests over sockets."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def settings(extra: str = "", **changes: str) -> Config:
-    """The embedded settings with other values (``section__key``) and more classes."""
+    """Return the default settings with changed values (``section__key``) and additional request classes."""
     text = INI + ONCE + extra
     for name, value in changes.items():
         section, key = name.split("__")
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass
 class Reply:
-    """An answer as a client read it."""
+    """A response as received by a client."""
 
     status: int
     headers: dict[str, str]
@@ -69,7 +69,17 @@
 
 
 class Rig:
-    """What runs, and what the gateway told its scheduler of attempts."""
+    """The running components, and the events that the gateway passed to its scheduler.
+
+    Attributes:
+        record: What the emulated stores and list service recorded.
+        list: The emulated list service.
+        stores: The emulated stores, by shard.
+        ended: The ends of attempts, in order.
+        events: All posted events, in order.
+        gateway: The gateway under test.
+        group: The task group of all components.
+    """
 
     def __init__(self) -> None:
         self.record, self.meter, self.rack = Record(), Meter(), Rack()
@@ -82,93 +92,96 @@
 
     @property
     def outcomes(self) -> list[str]:
-        """How the attempts ended, in order."""
+        """The outcomes of the attempts that have ended, in order."""
         return [event.outcome.name for event in self.ended]
 
-    def watch(self) -> None:
-        """Keep what the engine is told."""
-        engine = self.gateway.scheduler_loop
-        told, posted = engine.attempt_ended, engine.post
+    def record_events(self) -> None:
+        """Record the events that are passed to the scheduler loop."""
+        loop = self.gateway.scheduler_loop
+        attempt_ended, post = loop.attempt_ended, loop.post
 
-        def ended(ticket: Any, event: api.AttemptEnded) -> None:
+        def record_attempt_ended(handle: Any, event: api.AttemptEnded) -> None:
             self.ended.append(event)
-            told(ticket, event)
+            attempt_ended(handle, event)
 
-        def post(event: api.Event) -> None:
+        def record_post(event: api.Event) -> None:
             self.events.append(event)
-            posted(event)
+            post(event)
 
-        engine.attempt_ended, engine.post = ended, post  # type: ignore[method-assign]
+        loop.attempt_ended, loop.post = record_attempt_ended, record_post  # type: ignore[method-assign]
 
     async def connect(self) -> Peer:
-        """A client's connection to the gateway."""
+        """Open a client connection to the gateway."""
         return Peer(await anyio.connect_tcp(*self.gateway.address), h11.CLIENT)
 
     async def ask(
         self, method: str, path: str, body: bytes | None = None, peer: Peer | None = None, **headers: str
     ) -> Reply:
-        """One request and its answer; header names take _ for -."""
-        own = peer is None
+        """Send a request and return the response; ``_`` in a header name stands for ``-``."""
+        is_own_peer = peer is None
         peer = peer or await self.connect()
         try:
-            fields = [("host", "t"), *((name.replace("_", "-"), value) for name, value in headers.items())]
-            if body is not None and "transfer-encoding" not in dict(fields):
-                fields.append(("content-length", str(len(body))))
+            header_fields = [
+                ("host", "t"),
+                *((name.replace("_", "-"), value) for name, value in headers.items()),
+            ]
+            if body is not None and "transfer-encoding" not in dict(header_fields):
+                header_fields.append(("content-length", str(len(body))))
             data = [h11.Data(data=body)] if body else []
             await peer.send(
-                h11.Request(method=method, target=path, headers=fields), *data, h11.EndOfMessage()
+                h11.Request(method=method, target=path, headers=header_fields), *data, h11.EndOfMessage()
             )
             return await reply(peer)
         finally:
-            if own:
+            if is_own_peer:
                 await anyio.aclose_forcefully(peer.stream)
 
     async def raw(self, data: bytes) -> bytes:
-        """Send bytes, and read until the gateway closes."""
+        """Send bytes, and return all bytes that the gateway sends until it closes the connection."""
         peer = await self.connect()
-        got = b""
+        received = b""
         with anyio.fail_after(5):
             try:
                 await peer.stream.send(data)
                 while True:
-                    got += await peer.stream.receive()
+                    received += await peer.stream.receive()
             except LOST:
                 await anyio.aclose_forcefully(peer.stream)
-        return got
+        return received
 
-    def where(self, path: str) -> Store:
-        """The store that holds an object."""
+    def store_of(self, path: str) -> Store:
+        """Return the store that holds an object."""
         from winchdyke.placement import shard_of
 
         volume, _, key = path[1:].partition("/")
         return self.stores[shard_of(volume, key, range(len(self.stores)))]
 
     def gateway_streams(self) -> list[Any]:
-        """The streams of the clients' connections, at the gateway's side."""
+        """Return the gateway's streams of the client connections."""
         return [connection._stream for connection in self.gateway.clients.connections]
 
     async def until(self, done: Callable[[], bool], seconds: float = 5.0) -> None:
-        """Wait for something to be so."""
+        """Wait until a condition holds; TimeoutError after ``seconds``."""
         with anyio.fail_after(seconds):
             while not done():
                 await anyio.sleep(0.005)
 
 
 async def reply(peer: Peer) -> Reply:
-    """Read one answer; EndOfStream where it is cut short."""
+    """Read one response; raises EndOfStream if it is cut short."""
     head: h11.Response | None = None
-    got = bytearray()
+    received = bytearray()
     while True:
         event = await peer.event()
         if isinstance(event, h11.Response):
             head = event
         elif isinstance(event, h11.Data):
-            got += event.data
+            received += event.data
         elif isinstance(event, h11.EndOfMessage):
             assert head is not None
             if peer.h11.our_state is h11.DONE and peer.h11.their_state is h11.DONE:
                 peer.h11.start_next_cycle()
-            return Reply(head.status_code, {n.decode(): v.decode() for n, v in head.headers}, bytes(got))
+            return Reply(head.status_code, {n.decode(): v.decode() for n, v in head.headers}, bytes(received))
         elif isinstance(event, h11.ConnectionClosed):
             raise anyio.EndOfStream
 
@@ -179,40 +192,54 @@
     stores: int = 8,
     unit_ms: float = 2.0,
     listing: bool = True,
-    engine: Callable[[Config], SchedulerLoop] | None = None,
+    make_scheduler_loop: Callable[[Config], SchedulerLoop] | None = None,
     **spec: Any,
 ) -> AsyncIterator[Rig]:
-    """Start stores, list service and gateway; all end with the block."""
-    made = Rig()
+    """Start stores, list service and gateway; all of them are stopped at the end of the block.
+
+    Args:
+        config: The gateway's configuration; None: the test settings.
+        stores: Number of stores, each with a shard of its own.
+        unit_ms: Time that a store needs for one unit, in milliseconds.
+        listing: Whether the list service runs.
+        make_scheduler_loop: Creates the scheduler loop; None: the gateway's own.
+        spec: Further parameters of the stores.
+    """
+    running = Rig()
     config = config or settings()
     async with anyio.create_task_group() as group:
-        made.group = group
-        await made.list.start(group)
+        running.group = group
+        await running.list.start(group)
         for shard in range(stores):
             store = Store(
-                Spec(shard, unit_ms=unit_ms, **spec), Shelf(), made.rack, made.meter, made.record, seed=shard
+                Spec(shard, unit_ms=unit_ms, **spec),
+                Shelf(),
+                running.rack,
+                running.meter,
+                running.record,
+                seed=shard,
             )
-            made.stores.append(store)
+            running.stores.append(store)
             await store.start(group)
-            await made.list.set(store.name, "ready", shard, "hall-a")
+            await running.list.set(store.name, "ready", shard, "hall-a")
         if not listing:
-            made.list.kill()
-        config = dataclasses.replace(config, nodes=dataclasses.replace(config.nodes, port=made.list.port))
-        made.gateway = Gateway(config, engine(config) if engine else None)
-        made.watch()
+            running.list.kill()
+        config = dataclasses.replace(config, nodes=dataclasses.replace(config.nodes, port=running.list.port))
+        running.gateway = Gateway(config, make_scheduler_loop(config) if make_scheduler_loop else None)
+        running.record_events()
         ready = anyio.Event()
-        group.start_soon(made.gateway.run, ready.set)
+        group.start_soon(running.gateway.run, ready.set)
         await ready.wait()
         if listing:
-            await made.until(lambda: len(made.gateway.scheduler_loop.endpoints) == stores)
+            await running.until(lambda: len(running.gateway.scheduler_loop.endpoints) == stores)
         try:
-            yield made
+            yield running
         finally:
             group.cancel_scope.cancel()
 
 
-def played(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
-    """Run an asynchronous test, within half a minute."""
+def run_async(test: Callable[[], Coroutine[Any, Any, None]]) -> Callable[[], None]:
+    """Return a synchronous function that runs an asynchronous test, with a time limit of 30 s."""
 
     async def bounded() -> None:
         with anyio.fail_after(30):
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""The outcome of attempts: each row of the table in gateway/outcomes.py, brought about by an emulated store."""
+"""Outcomes of attempts: emulated stores produce each row of the table in gateway/outcomes.py."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import anyio
 import pytest
-from rig import played, rig, settings
+from rig import rig, run_async, settings
 
 from winchdyke import interface as api
 from winchdyke.gateway.pool import ConnectError, ConnectionPool
@@ -16,13 +16,13 @@
 from winchdyke.standins.wire import LOST
 
 READ = "/school-1/object"
-SLACK_S = 0.2  # for a host that stands still; the days' judge grants 0.25
+SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
 
 
-async def _first(trick: str, method: str = "GET", **headers: str):
-    """The outcomes of the attempts and the response, where the store misbehaves at its first request."""
+async def _run_with_trick(trick: str, method: str = "GET", **headers: str):
+    """Return the attempts' outcomes and the response if the store misbehaves at the first request."""
     async with rig() as it:
-        store = it.where(READ)
+        store = it.store_of(READ)
         await it.ask("PUT", READ, b"x" * 3000)
         it.ended.clear()
         store.tricks.append(trick)
@@ -43,7 +43,7 @@
     ],
 )
 def test_the_outcome_of_a_broken_response_is_reported_and_a_read_is_retried(trick, outcome):
-    outcomes, reply = anyio.run(_first, trick)
+    outcomes, reply = anyio.run(_run_with_trick, trick)
     assert outcomes == [outcome, "SERVED"]
     assert (reply.status, len(reply.body)) == (200, 3000)
 
@@ -51,23 +51,24 @@
 @pytest.mark.parametrize(
     ("trick", "class_name", "outcomes", "status"),
     [
-        ("reset-after-run", "once", ["CONNECTION_RESET"], 502),  # may have run: never again
+        ("reset-after-run", "once", ["CONNECTION_RESET"], 502),  # may have been executed: not retried
         ("error", "once", ["ERROR"], 502),
-        ("shed", "once", ["SHED", "SERVED"], 200),  # proven not to have run
+        ("shed", "once", ["SHED", "SERVED"], 200),  # certainly not executed: retried
         ("early-shed", "once", ["SHED", "SERVED"], 200),
-        ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),  # its store drops the repeat
+        # The store deduplicates the retry.
+        ("reset-after-run", "submit", ["CONNECTION_RESET", "SERVED"], 200),
     ],
 )
 def test_a_write_is_retried_only_where_its_class_allows(trick, class_name, outcomes, status):
-    got, reply = anyio.run(lambda: _first(trick, "PUT", winchdyke_class=class_name))
-    assert (got, reply.status) == (outcomes, status)
+    actual_outcomes, reply = anyio.run(lambda: _run_with_trick(trick, "PUT", winchdyke_class=class_name))
+    assert (actual_outcomes, reply.status) == (outcomes, status)
 
 
 def test_a_refused_connection_is_connect_failed():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            it.where(READ).kill()
+            it.store_of(READ).kill()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms")
             assert set(it.outcomes) == {"CONNECT_FAILED"}
             assert (reply.status, reply.headers["winchdyke-outcome"]) == (503, "refused")
@@ -76,17 +77,17 @@
 
 
 def test_without_file_descriptors_an_attempt_is_not_sent(monkeypatch):
-    async def none_left(host, port):
+    async def fail_connect(host, port):
         raise OSError("All connection attempts failed") from OSError(errno.EMFILE, "Too many open files")
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            real = anyio.connect_tcp
+            connect_tcp = anyio.connect_tcp
             peer = await it.connect()
-            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", none_left)
+            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", fail_connect)
             reply = await it.ask("GET", READ, peer=peer)
-            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", real)
+            monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", connect_tcp)
             assert set(it.outcomes) == {"NOT_SENT"}
             assert (reply.status, reply.reason) == (503, "unsent")
             assert (await it.ask("GET", READ, peer=peer)).status == 404
@@ -95,28 +96,28 @@
 
 
 def test_a_silent_store_times_out_at_the_clients_deadline():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("silence")
-            began = anyio.current_time()
+            it.store_of(READ).tricks.append("silence")
+            started_at = anyio.current_time()
             reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="300ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert (reply.status, reply.reason) == (504, "timed-out")
-            assert anyio.current_time() - began < 0.3 + SLACK_S
+            assert anyio.current_time() - started_at < 0.3 + SLACK_S
 
     run()
 
 
 def test_an_idle_connection_closed_as_it_is_reused_is_a_reset_never_not_sent(monkeypatch):
-    """The store closes while the request is on its way, after the idle check."""
+    """The store closes the connection after the idle check, while the request is in transit."""
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
             monkeypatch.setattr("winchdyke.gateway.pool.Connection.is_readable_or_closed", lambda self: False)
-            store = it.where(READ)
+            store = it.store_of(READ)
             store.kill()
             await anyio.sleep(0.05)
             await store.start(it.group)
@@ -129,10 +130,10 @@
 
 
 def test_an_idle_connection_that_the_store_has_closed_is_not_used():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            store = it.where(READ)
+            store = it.store_of(READ)
             store.tricks.append("close-idle")
             await it.ask("PUT", READ, b"x", winchdyke_class="once")
             await anyio.sleep(0.05)
@@ -143,10 +144,10 @@
 
 
 def test_a_store_that_dies_between_accept_and_read():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("die-on-accept")
+            it.store_of(READ).tricks.append("die-on-accept")
             assert (await it.ask("GET", READ)).status == 404
             assert it.outcomes[0] in ("CONNECTION_RESET", "NOT_SENT", "CONNECT_FAILED")
             assert it.outcomes[-1] == "SERVED"
@@ -155,25 +156,25 @@
 
 
 def test_a_store_that_dies_in_the_middle_of_a_request():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("die-mid-request")
+            it.store_of(READ).tricks.append("die-mid-request")
             reply = await it.ask("PUT", READ, b"x" * 900_000)
             assert it.outcomes == ["CONNECTION_RESET", "SERVED"]
             assert reply.status == 201
-            assert len(it.where(READ).shelf.objects["school-1", "object"][0]) == 900_000
+            assert len(it.store_of(READ).shelf.objects["school-1", "object"][0]) == 900_000
 
     run()
 
 
 def test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 900_000)
             it.ended.clear()
-            it.where(READ).tricks.append("die-mid-answer")
+            it.store_of(READ).tricks.append("die-mid-answer")
             with pytest.raises(LOST):
                 await it.ask("GET", READ)
             await it.until(lambda: bool(it.ended))
@@ -185,26 +186,26 @@
 
 
 def test_a_response_longer_than_declared_is_cut_and_its_connection_is_not_reused():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 300)
-            it.where(READ).tricks.append("long-answer")
+            it.store_of(READ).tricks.append("long-answer")
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            dialled = it.gateway.pool.connections_opened
+            opened_before = it.gateway.pool.connections_opened
             assert (await it.ask("GET", READ)).body == b"x" * 300
-            assert it.gateway.pool.connections_opened == dialled + 1
+            assert it.gateway.pool.connections_opened == opened_before + 1
 
     run()
 
 
 def test_a_response_that_trickles_past_the_clients_deadline_is_timed_out():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             await it.ask("PUT", READ, b"x" * 3000)
             it.ended.clear()
-            it.where(READ).tricks.append("trickle")
+            it.store_of(READ).tricks.append("trickle")
             reply = await it.ask("GET", READ, winchdyke_time_left="250ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert reply.status in (503, 504)
@@ -213,13 +214,13 @@
 
 
 def test_a_range_other_than_the_requested_one_is_not_passed_on():
-    outcomes, reply = anyio.run(lambda: _first("wrong-range", range="bytes=5-9"))
+    outcomes, reply = anyio.run(lambda: _run_with_trick("wrong-range", range="bytes=5-9"))
     assert outcomes == ["CONNECTION_RESET", "SERVED"]
     assert (reply.status, reply.headers["content-range"]) == (206, "bytes 5-9/3000")
 
 
 def test_latency_excludes_time_spent_waiting_for_the_clients_body():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
             peer = await it.connect()
@@ -236,14 +237,14 @@
 
 
 def test_load_reports_and_volume_usage_reach_the_scheduler():
-    @played
+    @run_async
     async def run():
         async with rig(settings()) as it:
             await it.ask("PUT", READ, b"x")
             event = it.ended[0]
             assert event.volume_usage_percent is not None
             assert len(event.load_report) == 2
-            it.where(READ)._others["school-1"]["dev"] = 5.0
+            it.store_of(READ)._others["school-1"]["dev"] = 5.0
             await it.ask("GET", READ)
             assert it.ended[1].units_via_other_gateways == 5.0
 
@@ -251,9 +252,9 @@
 
 
 def test_a_connect_timeout_is_connect_failed():
-    """A listener whose backlog is full accepts nothing: the connect hangs."""
+    """A listener with a full backlog accepts no connection, so that the connect hangs."""
 
-    @played
+    @run_async
     async def run():
         blocker = socket.socket()
         blocker.bind(("127.0.0.1", 0))
@@ -278,17 +279,17 @@
 
 
 def test_the_scheduler_cancels_an_attempt():
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            it.where(READ).tricks.append("silence")
+            it.store_of(READ).tricks.append("silence")
 
             async def cancel():
                 await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
-                ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
-                await it.until(lambda: ticket.on_cancel is not None)
+                request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
+                await it.until(lambda: request_handle.on_cancel is not None)
                 await anyio.sleep(0.05)
-                it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(ticket.request_id, 0))
+                it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(request_handle.request_id, 0))
 
             it.group.start_soon(cancel)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
@@ -300,41 +301,41 @@
 
 @pytest.mark.parametrize("order", ["it is called off", "its time to be written ends"])
 def test_nothing_is_written_on_a_connection_that_is_ready_too_late(monkeypatch, order):
-    """Otherwise a store that has begun to drain would get the request."""
-    get, handle = ConnectionPool.acquire, Scheduler.handle
+    """Otherwise a store that has begun draining would receive the request."""
+    acquire, handle = ConnectionPool.acquire, Scheduler.handle
 
-    @played
+    @run_async
     async def run():
         async with rig() as it:
-            begun, up = anyio.Event(), anyio.Event()
+            connected, released = anyio.Event(), anyio.Event()
 
-            async def late(pool, node):
-                connection = await get(pool, node)
-                begun.set()
-                await up.wait()
+            async def acquire_late(pool, endpoint):
+                connection = await acquire(pool, endpoint)
+                connected.set()
+                await released.wait()
                 return connection
 
-            def bounded(scheduler, now, events):
+            def handle_with_write_timeout(scheduler, now, events):
                 return [
                     replace(action, write_timeout_ms=1.0) if isinstance(action, api.StartAttempt) else action
                     for action in handle(scheduler, now, events)
                 ]
 
-            async def later():
-                await begun.wait()
+            async def release_connection():
+                await connected.wait()
                 if order == "it is called off":
-                    ticket = next(iter(it.gateway.scheduler_loop.open_requests.values()))
-                    it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(ticket.request_id, 0))
+                    request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
+                    it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(request_handle.request_id, 0))
                     await it.until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
                 monkeypatch.setattr(Scheduler, "handle", handle)
-                up.set()
+                released.set()
 
-            monkeypatch.setattr(ConnectionPool, "acquire", late)
+            monkeypatch.setattr(ConnectionPool, "acquire", acquire_late)
             if order != "it is called off":
-                monkeypatch.setattr(Scheduler, "handle", bounded)
-            it.group.start_soon(later)
+                monkeypatch.setattr(Scheduler, "handle", handle_with_write_timeout)
+            it.group.start_soon(release_connection)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
             assert it.outcomes == ["NOT_SENT", "SERVED"] and reply.status == 201
             assert len([seen for seen in it.record.seen if seen["what"] == "whole"]) == 1
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -1,4 +1,4 @@
-"""The way of a request past the write-back log: writes are acknowledged from it, others wait for it."""
+"""Acknowledges writes from the write-back log, and delays other requests for an object until its writes are stored."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from winchdyke.gateway.final_response import FinalResponse
 from winchdyke.gateway.request_context import RequestContext
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, tag_of
+from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, etag_of
 from winchdyke.http1 import Headers, ProtocolError, ResponseHead
 from winchdyke.writeback.log import Full, LogError
 
 
 class WriteBackPath:
-    """Acknowledges writes from the log of one gateway.
+    """Acknowledges writes from the write-back log of one gateway.
 
     Args:
-        write_back: The log.
-        scheduler_loop: Has the settings for retries.
+        write_back: The write-back log.
+        scheduler_loop: Provides the setting for Retry-After.
         clock: Monotonic time in milliseconds.
     """
 
@@ -33,10 +33,10 @@
         self._clock = clock
 
     async def handle(self, context: RequestContext) -> FinalResponse | None:
-        """Acknowledge a write, or wait until the log holds nothing of the request's object.
+        """Acknowledge a write, or wait until the log holds no write of the request's object.
 
         Returns:
-            The final response; None where the request is for the scheduler.
+            The final response; None: the request has to be submitted to the scheduler.
         """
         write_back = self._write_back
         accepted = write_back.accepts(context.operation, context.kind.rules.name, context.source.length)
@@ -66,7 +66,7 @@
         except ClientDisconnectedError:
             return final_response.client_disconnected()
         if etag is None:
-            etag = tag_of(bytes(body))
+            etag = etag_of(bytes(body))
             failure = await self._append(context, etag, bytes(body))
             if failure is not None:
                 return failure
