--- a/winchdyke/membership/addresses.py
+++ b/winchdyke/membership/addresses.py
@@ -1,4 +1,4 @@
-"""``HOST:PORT`` texts, with brackets around IPv6 addresses."""
+"""Formatting and parsing of ``HOST:PORT`` addresses, with brackets around IPv6 hosts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def format_listen(listen: Listen) -> str:
-    """Return the address of a setting."""
+    """Return the ``HOST:PORT`` of a listen setting."""
     return format_address(listen.host, listen.port)
 
 
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -1,7 +1,7 @@
 """The task that runs a gateway's membership: it feeds the protocol with events and carries out its actions.
 
-What is decided stands in :class:`~winchdyke.membership.swim.SwimProtocol`. Sockets are read before timers run, so that what has
-arrived is known before a member is judged silent.
+All decisions are made by :class:`~winchdyke.membership.swim.SwimProtocol`. Sockets are read before timers run, so that
+messages that have already arrived are processed before a member is considered silent.
 """
 
 from __future__ import annotations
@@ -42,11 +42,11 @@
 KEY_RELOAD_SECONDS = 1.0
 CACHE_WRITE_SECONDS = 2.0
 MIN_TURN_MS = 1.0
-MAX_HISTORY = 500  # events kept for operators
+MAX_HISTORY = 500  # events listed in the status
 
 
 class MembershipAgent:
-    """This gateway's membership."""
+    """Runs one gateway's membership: the protocol, its sockets, key reloads and the member cache."""
 
     def __init__(self, config: Config, clock: Callable[[], float]) -> None:
         assert config.fleet.listen is not None
@@ -59,10 +59,10 @@
         self.transport = Transport(self.keys, clock, self.counts)
         self._settings = config.fleet
         self._log = structlog.get_logger("membership")
-        self._cached_seeds: tuple[str, ...] = ()  # from the disk
+        self._cached_seeds: tuple[str, ...] = ()  # from the member cache
         self._listed_seeds: tuple[str, ...] = ()  # from a list service
 
-    # Start and end.
+    # Lifecycle.
 
     async def open(self) -> None:
         """Read the keys and bind the sockets. Raises MembershipError."""
@@ -76,7 +76,7 @@
             raise
 
     async def run(self) -> None:
-        """Take part until cancelled; call :meth:`leave` before that to tell the other members."""
+        """Run the protocol until cancelled; call :meth:`leave` first to notify the other members."""
         assert self.protocol is not None and self.transport.is_open
         async with anyio.create_task_group() as group:
             self.transport.start(group, self._answer_state_exchange)
@@ -88,7 +88,7 @@
             await anyio.sleep_forever()
 
     def leave(self) -> None:
-        """Tell other members that this one leaves, and stop taking part."""
+        """Notify other members that this one leaves, and stop the protocol."""
         if self.protocol is not None and self.transport.is_open:
             self._execute(self.protocol.leave(self.clock()))
             self.transport.is_stopped = True
@@ -100,7 +100,7 @@
     # Addresses.
 
     def update_config(self, config: Config) -> None:
-        """Use other peers and seeds from now on; members stay known until they are gone."""
+        """Replace the peers and seeds. Known members stay in the table until they are removed as dead or left."""
         if self.protocol is None:
             return
         if (config.peers, config.fleet.seeds) == (self.config.peers, self._settings.seeds):
@@ -111,7 +111,7 @@
         self.transport.wake()
 
     def set_listed_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Use the gateways that a list service names as seeds, beside all others."""
+        """Set the seeds named by a list service, in addition to all other seeds."""
         self._listed_seeds = addresses
         if self.protocol is not None:
             self.protocol.update_addresses(self._seeds(), self._address_overrides(), soon=False)
@@ -126,24 +126,24 @@
 
     @property
     def stopped(self) -> bool:
-        """Whether this member left, or a later process has its name."""
+        """Whether this member left, or a later process of the same name replaced it."""
         return self.transport.is_stopped
 
     @property
     def view(self) -> MembershipView:
-        """The present view."""
+        """The current view."""
         assert self.protocol is not None
         return self.protocol.view(self.clock())
 
     def status(self) -> dict[str, Any]:
-        """Return the status as plain data, for the admin API. Times are ms ago."""
+        """Return the status as plain data, for the admin API. Times are in ms before now."""
         assert self.protocol is not None
         status = membership_status(self.protocol, self.view, self.stopped, self.clock())
         status["counts"] = {**self.protocol.counts, **self.counts}
         status["history"] = list(self.history)
         return status
 
-    # Inside.
+    # Internals.
 
     def _create_protocol(self) -> SwimProtocol:
         startup.check_settings(self.config)
@@ -163,7 +163,7 @@
         return SwimProtocol(local, startup.swim_config(self._settings), seed, self.clock())
 
     def _load_cache(self) -> member_cache.KnownMembers | None:
-        """Read the members on disk, whose addresses are seeds."""
+        """Read the member cache, and use its addresses as seeds."""
         if not self._settings.keep:
             return None
         known, problem = member_cache.load(Path(self._settings.keep))
@@ -178,7 +178,7 @@
         return {name: format_listen(address) for name, address in self.config.peers}
 
     def _seeds(self) -> tuple[str, ...]:
-        """All seeds once: of the settings, peers, the disk, a list service."""
+        """Return all seeds without duplicates: from the settings, the peers, the member cache and a list service."""
         configured = [*map(format_listen, self._settings.seeds), *self._address_overrides().values()]
         return tuple(dict.fromkeys([*configured, *self._cached_seeds, *self._listed_seeds]))
 
--- a/winchdyke/membership/datagrams.py
+++ b/winchdyke/membership/datagrams.py
@@ -2,11 +2,11 @@
 
 A sealed message is ``WF``, a version byte, a reserved byte (0), 16 bytes of BLAKE2b keyed with the gateways' shared secret over
 everything else, then the msgpack of a :class:`SwimMessage`. Structs are encoded as arrays, so that the position of a field is
-part of the format and its name is not; a later version may append fields, which this one skips. A message that can't be used raises
-:class:`MessageRejectedError` and is never answered: a sender without the key learns nothing, not even that somebody listens.
+part of the format and its name is not; a later version may append fields, which this one skips. An invalid message raises
+:class:`MessageRejectedError` and is never answered: a sender without the key can't even detect that a process is listening.
 
 Replays are rejected without a clock: each generation of a sender numbers its messages, and :class:`ReplayWindow` accepts each
-number once (the scheme of RFC 4303, section 3.4.3).
+number once (the anti-replay window of RFC 4303, section 3.4.3).
 """
 
 from __future__ import annotations
@@ -48,20 +48,20 @@
 
 
 class MessageKind(IntEnum):
-    """What a message is for."""
+    """The type of a message."""
 
     PING = 1  # answered by an ACK with its request id
     ACK = 2
-    PING_REQ = 3  # asks for a ping of ``target``: ACK if that answers, NACK if it has not after a part of the timeout
+    PING_REQ = 3  # requests a ping of ``target``: ACK if that answers, NACK if it has not after a fraction of the timeout
     NACK = 4
     STATE_EXCHANGE = 5  # over TCP: all records of the sender, answered with all records of the receiver
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
-    """One member as some member reports it.
+    """The state of one member as reported by a member.
 
-    ``generation`` tells the processes of one name apart; ``incarnation`` counts the refutations of one process, and is raised by
-    that process only; ``reported_by`` is who set the state ("": the member itself).
+    ``generation`` distinguishes the successive processes of one name; ``incarnation`` counts the refutations of one process,
+    and is raised by that process only; ``reported_by`` is the member that set the state ("": the member itself).
     """
 
     name: Name
@@ -82,8 +82,8 @@
 class SwimMessage(msgspec.Struct, array_like=True, frozen=True):
     """One message.
 
-    ``recipient`` is whom it is meant for ("": whoever is at the address). ``target_silence_ms`` is the time since the answering
-    member directly received a message from the member that the ping names (-1: never).
+    ``recipient`` is the name of the intended member ("": any process at the address). ``target_silence_ms`` is the time since
+    the answering member directly received a message from the member that the ping names (-1: never).
     """
 
     sender: Name
@@ -103,7 +103,7 @@
 
 
 def encoded_size(record: MemberRecord) -> int:
-    """Return the bytes that a record takes in a message."""
+    """Return the size in bytes of a record in a message."""
     return len(_encoder.encode(record))
 
 
@@ -146,12 +146,12 @@
     if any(_is_oversized(record) for record in message.records):
         raise MessageRejectedError("fields")
     if message.kind not in _KNOWN_KINDS:
-        raise MessageRejectedError("kind")  # of a later version, whose records may mean something else
+        raise MessageRejectedError("kind")  # from a later version, whose records may have another meaning
     return message
 
 
 def _is_oversized(record: MemberRecord) -> bool:
-    """Whether a text exceeds its bound in bytes; the decoder's bounds count characters."""
+    """Return whether a text exceeds its bound in bytes; the decoder's bounds count characters."""
     texts = (record.name, record.address, record.zone, record.reported_by)
     return any(len(text.encode()) > MAX_NAME_BYTES for text in texts)
 
--- a/winchdyke/membership/dissemination.py
+++ b/winchdyke/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: merges received records into the table, passes changes on, and reports them to operators. Pure."""
+"""Dissemination: merges records into the table, gossips the changes, and reports them to operators. Pure."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Dissemination:
-    """Every record passes through here once, whether received or made by this member."""
+    """Applies every record once, whether it was received or created by this member."""
 
     def __init__(
         self, context: SwimContext, refutation: Refutation, on_member_dead: Callable[[], None]
@@ -28,7 +28,7 @@
         self._on_member_dead = on_member_dead
 
     def apply(self, record: MemberRecord, reporter: str) -> None:
-        """Merge a record that a member reported; pass it on where it is new."""
+        """Merge a record received from ``reporter``, and queue it for gossip if it changed the table."""
         context = self._context
         if record.name == context.local.name:
             self._refutation.handle_record(record, reporter)
@@ -50,7 +50,7 @@
         context = self._context
         record = member.record
         if member.is_active:
-            context.report("found", member.name, f"at {record.address}, told by {reporter}")
+            context.report("found", member.name, f"at {record.address}, received from {reporter}")
         if record.index >= context.local.gateway_count > 0:
             context.report(
                 "index-unknown", member.name, f"index {record.index}, of {context.local.gateway_count}"
@@ -64,5 +64,5 @@
         if record.address != before.address:
             context.report("moved", member.name, f"from {before.address} to {record.address}")
         if record.state != before.state:
-            text = f"by {record.reported_by or member.name}, told by {reporter}"
+            text = f"by {record.reported_by or member.name}, received from {reporter}"
             context.report(_STATE_CODES[member.state], member.name, text)
--- a/winchdyke/membership/errors.py
+++ b/winchdyke/membership/errors.py
@@ -1,14 +1,14 @@
-"""The package's errors."""
+"""The errors of membership."""
 
 from __future__ import annotations
 
 
 class MembershipError(Exception):
-    """Membership can't start or go on; the text says what is wrong, where, and what to do."""
+    """Membership can't start or continue. The text states the problem, its place and the remedy."""
 
 
 class MessageRejectedError(MembershipError):
-    """A received message that is not used; ``reason`` is the name it is counted under."""
+    """A received message is rejected; ``reason`` is the name of its counter."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
--- a/winchdyke/membership/events.py
+++ b/winchdyke/membership/events.py
@@ -1,4 +1,4 @@
-"""The inputs and outputs of :class:`~winchdyke.membership.swim.SwimProtocol`: events that happen, actions to carry out."""
+"""The inputs (events) and outputs (actions) of :class:`~winchdyke.membership.swim.SwimProtocol`."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LocalMember:
-    """This member at its start.
+    """The identity and addresses of this member at startup.
 
-    ``generation`` is higher than that of any earlier process of this name, as far as this one can know. ``address_overrides``
-    maps members' names to the addresses that reach them from here; these win over the addresses that members advertise.
+    ``generation`` is higher than that of every earlier process of this name that this one knows of. ``address_overrides``
+    maps members' names to the addresses at which this host reaches them; they replace the addresses that members advertise.
     """
 
     name: str
@@ -20,7 +20,7 @@
     zone: str
     index: int
     generation: int
-    gateway_count: int = 0  # in the settings; 0: unknown
+    gateway_count: int = 0  # from the settings; 0: unknown
     seeds: tuple[str, ...] = ()  # addresses
     address_overrides: tuple[tuple[str, str], ...] = ()
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartStateExchange:
-    """Connect over TCP, send the message, and hand back the answer as :class:`StateExchangeFinished`."""
+    """Connect over TCP, send the message, and return the answer as a :class:`StateExchangeFinished` event."""
 
     address: str
     message: SwimMessage
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyToStateExchange:
-    """Answer the state exchange whose request is being handled."""
+    """Answer the state exchange request that is being handled."""
 
     message: SwimMessage
 
 
 @dataclass(frozen=True, slots=True)
 class ReportEvent:
-    """Report a change to operators. ``code`` names it, ``member`` is whom it is about."""
+    """Report a change to operators. ``code`` is the type of the change, ``member`` the member concerned."""
 
     code: str
     member: str = ""
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopMembership:
-    """Stop taking part: a later process has this name."""
+    """Stop the protocol: a later process uses this name."""
 
     reason: str
 
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateExchangeFinished:
-    """The end of a state exchange that this member started; ``message`` is None where it failed."""
+    """The end of a state exchange that this member started; ``message`` is the answer, or None if it failed."""
 
     address: str
     request_id: int
--- a/winchdyke/membership/gossip_queue.py
+++ b/winchdyke/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of member records that ride on outgoing messages. Pure."""
+"""The queue of member records to piggyback on outgoing messages. Pure."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class GossipQueue:
-    """Records that are still to be sent, at most one per member."""
+    """Records to be sent, at most one per member."""
 
     def __init__(self) -> None:
         self._updates: dict[str, _QueuedUpdate] = {}
@@ -25,11 +25,11 @@
         return len(self._updates)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Send this record from now on, in place of an earlier one of the same member."""
+        """Add a record; it replaces an earlier record of the same member."""
         self._updates[record.name] = _QueuedUpdate(record, 0, datagrams.encoded_size(record))
 
     def discard(self, name: str) -> None:
-        """Send nothing more about a member."""
+        """Remove the record of a member."""
         self._updates.pop(name, None)
 
     def select(
@@ -37,8 +37,8 @@
     ) -> list[MemberRecord]:
         """Return the least often sent records that fit into ``capacity_bytes``, and count them as sent.
 
-        A record is dropped from the queue after ``retransmit_limit`` transmissions. ``first`` is sent in any case: a suspect
-        is told of its own suspicion first, so that it can refute in time (Lifeguard's buddy system).
+        A record is dropped from the queue after ``retransmit_limit`` transmissions. ``first`` is always included: a suspect
+        receives its own suspicion first, so that it can refute it in time (Lifeguard's buddy system).
         """
         selected: list[MemberRecord] = []
         if first is not None:
--- a/winchdyke/membership/local_health.py
+++ b/winchdyke/membership/local_health.py
@@ -1,10 +1,10 @@
-"""Lifeguard's local health: how reliable this process's own observations are. Pure."""
+"""Lifeguard's local health score: an estimate of how reliable this process's observations are. Pure."""
 
 from __future__ import annotations
 
 
 class LocalHealth:
-    """A score from 0 (healthy) to ``max_score``. It lengthens this process's own probe interval and timeouts only."""
+    """A score from 0 (healthy) to ``max_score``. It lengthens only this process's probe interval and timeouts."""
 
     def __init__(self, max_score: int) -> None:
         self.max_score = max_score
@@ -15,7 +15,7 @@
         self.score = min(self.max_score, self.score + by)
 
     def improve(self) -> None:
-        """Count an ack that came in time."""
+        """Count an ack that arrived in time."""
         self.score = max(0, self.score - 1)
 
     @property
--- a/winchdyke/membership/log_events.py
+++ b/winchdyke/membership/log_events.py
@@ -1,8 +1,8 @@
-"""The names under which protocol events are logged."""
+"""The log event names of protocol events."""
 
 from __future__ import annotations
 
-# By the code that `winchdyke fleet history` shows.
+# Keys: the event codes that `winchdyke fleet history` shows.
 LOG_EVENTS = {
     "found": "membership_member_found",
     "joined": "membership_joined",
@@ -26,7 +26,7 @@
 
 
 def log_event(code: str, member: str) -> str:
-    """Return the log event of a protocol event."""
+    """Return the log event name of a protocol event."""
     if code == "left" and not member:
         return LOCAL_MEMBER_LEFT
     return LOG_EVENTS[code]
--- a/winchdyke/membership/member.py
+++ b/winchdyke/membership/member.py
@@ -1,4 +1,4 @@
-"""What this member knows of one other member: its record, the evidence for it, and the link to it. Pure."""
+"""The local state of one other member: its record, direct evidence, suspicion and link state. Pure."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 from winchdyke.membership.datagrams import MemberRecord, MemberState, ReplayWindow
 
-NEVER_MS = -1e18  # the time of an event that has not happened; earlier than any clock minus any timeout
-MAX_MESSAGES_PER_SECOND = 500.0  # from one member, and in one burst; some fifty times what SWIM needs
+NEVER_MS = -1e18  # the time of an event that never happened; earlier than any clock value minus any timeout
+MAX_MESSAGES_PER_SECOND = 500.0  # rate and burst for one member; about fifty times what SWIM needs
 
 
 class LinkState(Enum):
-    """Which directions of the link to a member work, by the last direct probe. Values are shown to operators."""
+    """The directions of the link to a member that work, according to the last direct probe. Operators see the values."""
 
     UNTRIED = "untried"
     BIDIRECTIONAL = "both"
-    OUTBOUND_DOWN = "deaf"  # the member is received here, and does not receive this one
-    INBOUND_DOWN = "mute"  # the member receives this one, and is not received here
+    OUTBOUND_DOWN = "deaf"  # messages from the member arrive, messages to it do not
+    INBOUND_DOWN = "mute"  # messages to the member arrive, messages from it do not
     UNREACHABLE = "cut"  # neither direction works, though other members reach it
 
 
@@ -31,7 +31,7 @@
 
     @property
     def confirmation_count(self) -> int:
-        """How many members confirmed it beside the one that raised it."""
+        """The number of members that confirmed it, without the one that raised it."""
         return max(0, len(self.suspected_by) - 1)
 
 
@@ -41,24 +41,24 @@
 
     record: MemberRecord
     state_since_ms: float
-    unreachable_since_ms: float = 0.0  # since when it has not been alive
-    last_received_ms: float = NEVER_MS  # last message directly from its present generation
+    unreachable_since_ms: float = 0.0  # when it stopped being alive
+    last_received_ms: float = NEVER_MS  # last message received directly from its current generation
     last_ack_ms: float = NEVER_MS  # last ack of a direct probe
     link_state: LinkState = LinkState.UNTRIED
     link_since_ms: float = 0.0
     suspicion: Suspicion | None = None
     replay_window: ReplayWindow | None = None
-    message_tokens: float = MAX_MESSAGES_PER_SECOND  # of the token bucket that bounds its messages
+    message_tokens: float = MAX_MESSAGES_PER_SECOND  # tokens left in the bucket that limits its message rate
     tokens_updated_at_ms: float = NEVER_MS
 
     @property
     def name(self) -> str:
-        """Its name."""
+        """The member's name."""
         return self.record.name
 
     @property
     def state(self) -> MemberState:
-        """Its state."""
+        """The member's state."""
         return MemberState(self.record.state)
 
     @property
@@ -68,11 +68,11 @@
 
     @property
     def was_received(self) -> bool:
-        """Whether a message ever came directly from its present generation."""
+        """Whether a message was ever received directly from its current generation."""
         return self.last_received_ms >= NEVER_MS / 10
 
     def take_message_token(self, now: float) -> bool:
-        """Take a token for one received message; return False where the member sends too many."""
+        """Take a token for one received message; return False if the member exceeds its message rate."""
         refill = MAX_MESSAGES_PER_SECOND * max(0.0, now - self.tokens_updated_at_ms) / 1000
         self.message_tokens = min(MAX_MESSAGES_PER_SECOND, self.message_tokens + refill)
         self.tokens_updated_at_ms = now
@@ -82,7 +82,7 @@
         return True
 
     def reset_for_generation(self) -> None:
-        """Forget the evidence that belongs to an earlier process of this name."""
+        """Clear the evidence, which belongs to an earlier process of this name."""
         self.last_received_ms = NEVER_MS
         self.last_ack_ms = NEVER_MS
         self.link_state = LinkState.UNTRIED
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -1,4 +1,4 @@
-"""Known members on disk, for a start at which no seed answers. Holds names and addresses, not who is alive."""
+"""The member cache on disk, for a start without a reachable seed. Holds names and addresses, not states."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class KnownMember(msgspec.Struct):
-    """A member that was active, and its address."""
+    """The name and address of a member that had not left."""
 
     name: Name
     address: Address
 
 
 class KnownMembers(msgspec.Struct):
-    """The file's content.
+    """The content of the file.
 
     The last generation of this gateway is stored so that the next one is later even if the system clock was set back.
     """
@@ -33,7 +33,7 @@
 
 
 def load(folder: Path) -> tuple[KnownMembers | None, str]:
-    """Return the stored members, or None, and what is wrong with the file ("": nothing, or there is none yet)."""
+    """Return the cached members, or None, and the problem with the file ("" if there is none, or no file yet)."""
     path = folder / FILE_NAME
     try:
         with path.open("rb") as file:
@@ -41,9 +41,12 @@
     except FileNotFoundError:
         return None, ""
     except OSError as error:
-        return None, f"{path} can't be read: {error.strerror}; members are asked for at the seeds alone"
+        return None, f"{path} can't be read: {error.strerror}; starting without cached members"
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
-        return None, f"{path} is no list of members ({error}); it is written anew, and seeds are asked alone"
+        return (
+            None,
+            f"{path} is not a valid member list ({error}); starting without cached members, and rewriting it",
+        )
 
 
 def save(folder: Path, known: KnownMembers) -> None:
--- a/winchdyke/membership/member_table.py
+++ b/winchdyke/membership/member_table.py
@@ -1,9 +1,9 @@
-"""All other members, and the rules by which records of them are merged. Pure.
+"""The table of all other members, and the rules for merging their records. Pure.
 
 Records of one member are ordered by (generation, incarnation, state): a later generation wins, then a higher incarnation, then the
-worse state, so that members that received the same records agree in whatever order they came. Two rules stand above gossip: only a
-member itself raises its incarnation; and a member that was directly received a moment ago is at most suspected on gossip of its
-death, so that it can refute.
+worse state, so that members that received the same records agree regardless of the order of arrival. Two rules take precedence
+over gossip: only a member itself raises its incarnation; and a member from which a message was received directly a moment ago
+becomes at most suspect on gossip of its death, so that it can refute it.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 
 class MemberTable:
-    """All members but the local one. ``version`` is raised by each change that readers can see."""
+    """All members except the local one. Each change that is visible in a view raises ``version``."""
 
     def __init__(self, local_name: str, config: SwimConfig) -> None:
         self.local_name = local_name
         self.config = config
         self.members: dict[str, Member] = {}
         self.version = 0
-        self.rejected_when_full = 0  # records of unknown members that were dropped since the table was full
+        self.rejected_when_full = 0  # records of unknown members dropped because the table was full
 
     @property
     def active_count(self) -> int:
@@ -39,7 +39,7 @@
         return [member for member in self.members.values() if member.state is MemberState.DEAD]
 
     def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
-        """Merge a record of another member; return the member if that changed it, else None.
+        """Merge a record of another member; return the member if the record changed it, else None.
 
         ``reporter`` is the sender of the record, or the local member.
         """
@@ -52,7 +52,7 @@
         if record.generation > member.record.generation:
             member.reset_for_generation()
         elif self._contradicts_direct_evidence(member, record, now, reporter):
-            # The reporter may be cut off from the member, or lie.
+            # The reporter may have lost its link to the member, or be faulty.
             if member.state is MemberState.SUSPECT:
                 self._confirm_suspicion(member, record, reporter)
                 return None
@@ -63,9 +63,9 @@
         return member
 
     def accept_message(self, name: str, generation: int, message_counter: int, now: float) -> str:
-        """Count a message that came directly from a member.
+        """Check and record a message received directly from a member.
 
-        Returns "" where it is to be used, else the reason why not: ``earlier-life``, ``replay`` or ``flood``.
+        Returns "" if it is accepted, else the reason for its rejection: ``earlier-life``, ``replay`` or ``flood``.
         """
         member = self.members.get(name)
         if member is None:
@@ -85,7 +85,7 @@
         return ""
 
     def update_link(self, member: Member, link_state: LinkState, now: float) -> bool:
-        """Note the link's state by the last probe; return whether it changed."""
+        """Store the link state found by the last probe; return whether it changed."""
         if member.link_state is link_state:
             return False
         member.link_state = link_state
@@ -94,19 +94,19 @@
         return True
 
     def expired_suspects(self, now: float) -> list[Member]:
-        """Return the suspects whose time to refute is over."""
+        """Return the suspects whose suspicion timeout has expired."""
         active_count = self.active_count
         return [member for member in self.members.values() if self._is_expired(member, active_count, now)]
 
     def mark_alive(self, member: Member, reporter: str, now: float) -> None:
-        """Set a member alive under its present incarnation, in this table only."""
+        """Set a member alive under its current incarnation, in this table only."""
         member.record = with_state(member.record, MemberState.ALIVE, reporter)
         member.suspicion = None
         member.state_since_ms = now
         self.version += 1
 
     def discount_pause(self, paused_ms: float) -> None:
-        """Move evidence and suspicions on by a pause of this process, in which it could receive nothing."""
+        """Shift the times of evidence and suspicions by a pause of this process, during which it received nothing."""
         for member in self.members.values():
             member.last_received_ms += paused_ms
             if member.suspicion is not None:
@@ -151,7 +151,7 @@
     def _contradicts_direct_evidence(
         self, member: Member, record: MemberRecord, now: float, reporter: str
     ) -> bool:
-        """Whether another member reports a death of one that was directly received a moment ago."""
+        """Return whether another member reports the death of a member that was received directly a moment ago."""
         if record.state != MemberState.DEAD or reporter == self.local_name:
             return False
         valid_ms = self.config.direct_evidence_intervals * self.config.probe_interval_ms
--- a/winchdyke/membership/pause_detector.py
+++ b/winchdyke/membership/pause_detector.py
@@ -1,4 +1,4 @@
-"""Detects that this process was not running (stopped, throttled, or its event loop blocked) by its own clock. Pure."""
+"""Detects pauses of this process (stopped, throttled, or its event loop blocked) by its own clock. Pure."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
         self._expected_by_ms = now
 
     def expect_turn_by(self, due_ms: float) -> None:
-        """Note when the next turn starts at the latest.
+        """Set the latest time at which the next turn is expected to start.
 
-        Called at the end of a turn, since a deadline that the turn itself moves must not make the next one look late.
+        Called at the end of a turn: the turn itself may move the deadline, which must not make the next turn look late.
         """
         self._expected_by_ms = due_ms
 
     def check(self, now: float) -> float:
-        """Return how late the turn that starts now is in ms, or 0 where that is shorter than a pause."""
+        """Return the delay in ms of the turn that starts now, or 0 if it is shorter than the minimum pause."""
         late_ms = now - self._expected_by_ms
         if late_ms < self.min_pause_ms:
             return 0.0
--- a/winchdyke/membership/probing.py
+++ b/winchdyke/membership/probing.py
@@ -1,8 +1,8 @@
 """Probing: SWIM's failure detector with Lifeguard's local health and nacks. Pure.
 
-One member is probed per interval, in a shuffled round. Where no direct ack comes in time, other members are asked to probe it
-(ping-req), and it is contacted over TCP as well; either keeps it alive, and the way the answers came tells which directions of the
-link work.
+One member is probed per interval, in a shuffled round. If no direct ack arrives in time, other members are asked to probe it
+(ping-req), and it is also contacted over TCP. An answer by either path keeps it alive, and the paths that worked show which
+directions of the link work.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass
 class Probe:
-    """A probe under way, for this member or on another's ping-req. Times are ms."""
+    """A probe in progress, started by this member or on another member's ping-req. Times are ms."""
 
     target: str
     request_id: int
@@ -32,14 +32,13 @@
     requester_request_id: int = 0
     nack_senders: set[str] = field(default_factory=set)
     reached_indirectly: bool = False
-    target_silence_ms: int = (
-        -1
-    )  # since the target received a message from here, as it told a helper; -1: unknown
+    # Time since the target received a message from this member, as reported to a helper; -1: unknown.
+    target_silence_ms: int = -1
     ack_timed_out: bool = False
 
 
 class Prober:
-    """The probes of one member."""
+    """Runs the probes of one member."""
 
     def __init__(
         self,
@@ -56,12 +55,12 @@
         self._probes: dict[int, Probe] = {}
 
     def restart_after_pause(self) -> None:
-        """Drop the probes under way, whose acks may have been missed, and probe at once at the earliest."""
+        """Cancel the probes in progress, whose acks may have been lost, and start the next one no earlier than now."""
         self._probes.clear()
         self.next_probe_ms = max(self.next_probe_ms, self._context.now)
 
     def advance_probes(self) -> None:
-        """Move the probes under way on where their times are over."""
+        """Handle the expired timeouts of the probes in progress."""
         for probe in list(self._probes.values()):
             if probe.requester:
                 self._advance_requested(probe)
@@ -69,7 +68,7 @@
                 self._advance(probe)
 
     def run_timers(self) -> None:
-        """Start the next probe where it is due."""
+        """Start the next probe if it is due."""
         context = self._context
         if context.now >= self.next_probe_ms:
             interval_ms = context.config.probe_interval_ms * context.local_health.multiplier
@@ -77,7 +76,7 @@
             self._probe_next_member()
 
     def handle_ping_req(self, message: SwimMessage) -> None:
-        """Probe a member for another one."""
+        """Probe a member on behalf of the sender."""
         context = self._context
         member = context.table.members.get(message.target)
         if member is None:
@@ -89,7 +88,7 @@
         context.send(member.name, MessageKind.PING, probe.request_id, target=message.sender)
 
     def handle_answer(self, message: SwimMessage) -> None:
-        """Take an ack or a nack, from a probe's target or from a helper."""
+        """Handle an ack or a nack from a probe's target or from a helper."""
         probe = self._probes.get(message.request_id)
         if probe is None:
             self._context.counts["unasked"] += 1
@@ -103,7 +102,7 @@
             self._handle_indirect_ack(probe, message)
 
     def handle_state_exchange(self, request_id: int, sender: str) -> None:
-        """Note that a probe's target answered over TCP."""
+        """Record that a probe's target answered over TCP."""
         probe = self._probes.get(request_id)
         if probe is not None and probe.target == sender:
             probe.reached_indirectly = True
@@ -124,7 +123,7 @@
         context.send(member.name, MessageKind.PING, probe.request_id, first=_suspect_record(member))
 
     def _next_in_round(self) -> Member | None:
-        """Return the next active member of the shuffled round, or of a new one once it is used up."""
+        """Return the next active member of the shuffled round; start a new round once it is used up."""
         table = self._context.table
         while self._round:
             member = table.members.get(self._round.pop())
@@ -202,7 +201,7 @@
             self.request_indirect_probes(probe)
 
     def request_indirect_probes(self, probe: Probe) -> None:
-        """Ask other members to probe the target, and contact it over TCP, which may pass where datagrams are lost."""
+        """Ask other members to probe the target, and contact it over TCP, which may work where datagrams are lost."""
         context = self._context
         self.send_ping_reqs(probe, self._helper_candidates(probe))
         member = context.table.members.get(probe.target)
@@ -226,7 +225,7 @@
         ]
 
     def _conclude(self, probe: Probe) -> None:
-        """Conclude a probe without a direct ack."""
+        """Evaluate a probe that ended without a direct ack."""
         context = self._context
         member = context.table.members.get(probe.target)
         if member is None or not member.is_active:
@@ -241,7 +240,7 @@
             context.report_link(member)
 
     def _degrade_local_health(self, probe: Probe) -> None:
-        """Helpers that sent not even a nack show that this process receives nothing (Lifeguard)."""
+        """Raise the local health score: missing nacks suggest that this process receives nothing (Lifeguard)."""
         health = self._context.local_health
         if not probe.helpers:
             health.degrade(1)
--- a/winchdyke/membership/refutation.py
+++ b/winchdyke/membership/refutation.py
@@ -1,7 +1,7 @@
-"""Refutation: how this member answers records of itself, and processes that use its name. Pure.
+"""Refutation: handles records about this member, and other processes that use its name. Pure.
 
 A suspicion of this process is refuted by a higher incarnation. A record of a later generation under this name comes from an
-earlier process whose clock was ahead, or from another process that runs now; a ping to its address tells the two apart.
+earlier process whose clock was ahead, or from another process that is running; a ping to its address distinguishes the two.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _NameConflict:
-    """A process with a later generation under this name, until it answers or the time is over."""
+    """A process with a later generation under this name, until it answers or the ping times out."""
 
     request_id: int
     generation: int
@@ -24,25 +24,25 @@
 
 
 class Refutation:
-    """Defends this process's name and state."""
+    """Refutes suspicions of this process, and resolves conflicts about its name."""
 
     def __init__(self, context: SwimContext) -> None:
         self._context = context
         self._conflict: _NameConflict | None = None
 
     def is_conflict_ping(self, request_id: int) -> bool:
-        """Return whether a request id is that of the ping that settles a name conflict."""
+        """Return whether a request id belongs to the ping that resolves a name conflict."""
         return self._conflict is not None and self._conflict.request_id == request_id
 
     def run_timers(self) -> None:
-        """Take a later generation where the other process of this name did not answer."""
+        """Start a later generation if the other process of this name did not answer in time."""
         conflict = self._conflict
         if conflict is not None and self._context.now >= conflict.expires_at_ms:
             self._conflict = None
             self._context.start_generation_after(conflict.generation)
 
     def handle_record(self, record: MemberRecord, reporter: str) -> None:
-        """Answer a record of this member."""
+        """Handle a record about this member."""
         context = self._context
         if record.generation < context.generation:
             context.counts["accused-earlier-life"] += 1
@@ -55,7 +55,7 @@
         self._refute(record, reporter)
 
     def handle_message_under_own_name(self, event: MessageReceived) -> None:
-        """Answer a message whose sender has this member's name: another process, or a reflected message."""
+        """Handle a message whose sender has this member's name: another process, or a reflected message."""
         context = self._context
         message = event.message
         if message.generation == context.generation:
@@ -69,7 +69,7 @@
         context.counts["namesake"] += 1
 
     def stop_in_favour_of(self, address: str) -> None:
-        """Leave: a later process of this name runs at an address."""
+        """Stop this process's membership: a later process of this name runs at ``address``."""
         context = self._context
         name = context.local.name
         context.report(
@@ -113,7 +113,7 @@
         context.actions.append(SendDatagram(record.address, message))
 
     def _answer_earlier_process(self, event: MessageReceived) -> None:
-        """Answer an earlier process of this name; the answer's later generation makes it leave."""
+        """Answer an earlier process of this name; the later generation in the answer makes it leave."""
         context = self._context
         reply: SwimMessage = context.build_message(
             context.local.name, MessageKind.ACK, event.message.request_id
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -1,7 +1,7 @@
-"""The addresses of host names, looked up in the background. Pure.
+"""A cache of the addresses of host names, which the caller looks up in the background. Pure.
 
-A datagram sent to a host name makes the system look it up within the call, and a name server that does not answer blocks the whole
-event loop for seconds. Names are therefore looked up beside the loop, and datagrams are sent to known addresses only.
+Sending a datagram to a host name makes the system look it up within the call, and a name server that does not answer blocks the
+event loop for seconds. Names are therefore looked up in a background task, and datagrams are sent to known addresses only.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-ADDRESS_TTL_MS = 30_000.0  # then it is looked up again, and used meanwhile
+ADDRESS_TTL_MS = 30_000.0  # after which it is looked up again; the old address is used meanwhile
 RETRY_DELAY_MS = 2_000.0  # after a failed lookup
 MAX_QUEUED_DATAGRAMS = 4  # per name without an address; more are dropped
 MAX_HOST_NAMES = 1024
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resolution:
-    """Where to send now ("": nowhere, the datagram is queued or dropped), and whether the caller is to look the name up."""
+    """The address to send to now ("" if the datagram was queued or dropped), and whether the caller has to start a lookup."""
 
     address: str
     needs_lookup: bool
@@ -56,7 +56,7 @@
         self._hosts: OrderedDict[str, _HostName] = OrderedDict()
 
     def resolve(self, host: str, port: str, data: bytes, now: float) -> Resolution:
-        """Return where to send a datagram now; queue it where the host's address is not known yet."""
+        """Return the address to send a datagram to; queue the datagram if the address is not known yet."""
         if is_ip_address(host):
             return Resolution(host, needs_lookup=False)
         name = self._hosts.setdefault(host, _HostName())
@@ -70,13 +70,13 @@
         return Resolution(name.address, needs_lookup)
 
     def lookup_finished(self, host: str, address: str, now: float) -> list[QueuedDatagram]:
-        """Note the result of a lookup ("": it failed); return the queued datagrams, to be sent now."""
+        """Store the result of a lookup ("": it failed); return the queued datagrams, to be sent now."""
         name = self._hosts.get(host)
         if name is None:
             return []
         queued = name.queued
         name.queued = []
         name.lookup_in_progress = False
-        name.address = address or name.address  # the last one known stays in use while no name server answers
+        name.address = address or name.address  # after a failed lookup the last known address stays in use
         name.next_lookup_ms = now + (ADDRESS_TTL_MS if address else RETRY_DELAY_MS)
         return queued if name.address else []
--- a/winchdyke/membership/shared_keys.py
+++ b/winchdyke/membership/shared_keys.py
@@ -1,4 +1,4 @@
-"""The shared secrets that authenticate messages, reloaded as their file changes."""
+"""The shared secrets that authenticate messages, with reloads of their file."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from winchdyke.admin.keys import KeyFileError, KeyRing
 from winchdyke.membership.errors import MembershipError
 
-MAX_SECRET_BYTES = 64  # of BLAKE2b's key
+MAX_SECRET_BYTES = 64  # the longest key that BLAKE2b accepts
 
 
 class SharedKeys:
-    """The secrets in use: the first seals, all of them open."""
+    """The secrets in use: the first one seals outgoing messages, and all of them unseal received ones."""
 
     def __init__(self, path: str) -> None:
         self.ring = KeyRing(Path(path))
@@ -28,17 +28,17 @@
         return self.secrets[0]
 
     def load(self) -> None:
-        """Read the file at the start. Raises MembershipError where it holds no valid key."""
+        """Read the file at startup. Raises MembershipError if it contains no valid key."""
         try:
             keys = self.ring.valid_keys(_unix_ms())
         except KeyFileError as error:
             raise MembershipError(f"{error}; see fleet, keys") from error
         if not keys:
-            raise MembershipError(f"{self._path} holds no key that counts now; see fleet, keys")
+            raise MembershipError(f"{self._path} contains no key that is valid now; see fleet, keys")
         self.secrets = [key.secret_bytes()[:MAX_SECRET_BYTES] for key in keys]
 
     def reload(self) -> None:
-        """Read the file again; the secrets in use stay where it holds no valid key."""
+        """Read the file again; if it contains no valid key, the secrets in use stay."""
         try:
             keys = self.ring.valid_keys(_unix_ms())
         except KeyFileError as error:
--- a/winchdyke/membership/startup.py
+++ b/winchdyke/membership/startup.py
@@ -1,4 +1,4 @@
-"""What a gateway's membership starts from: checked settings, the protocol's parameters, and the generation."""
+"""Startup of a gateway's membership: checks of settings, the protocol's parameters, and the generation."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def check_settings(config: Config) -> None:
-    """Raise MembershipError where other gateways would reject what this one says of itself."""
+    """Raise MembershipError if other gateways would reject the record of this one."""
     gateway = config.gateway
     advertise = config.fleet.advertise
     texts = {
@@ -28,12 +28,12 @@
     for key, text in texts.items():
         if len(text.encode()) > datagrams.MAX_NAME_BYTES:
             raise MembershipError(
-                f"{key} is {text!r}: other gateways take {datagrams.MAX_NAME_BYTES} bytes; make it shorter"
+                f"{key} is {text!r}: other gateways accept at most {datagrams.MAX_NAME_BYTES} bytes; shorten it"
             )
     if advertise and not re.fullmatch(r".+:[0-9]{1,5}", advertise):
         raise MembershipError(f"fleet, advertise is {advertise!r}: give HOST:PORT")
     if not 0 <= gateway.index <= MAX_INDEX:
-        raise MembershipError(f"gateway, index is {gateway.index}: other gateways take 0 to {MAX_INDEX}")
+        raise MembershipError(f"gateway, index is {gateway.index}: other gateways accept 0 to {MAX_INDEX}")
 
 
 def swim_config(settings: Fleet) -> SwimConfig:
@@ -50,7 +50,7 @@
 
 
 def new_generation(name: str, address: tuple[str, int], known: KnownMembers | None) -> int:
-    """Return a generation later than any that this name is known to have had: Unix ms with random low bits."""
+    """Return a generation later than every known one of this name: Unix ms with random low bits."""
     generation = int(time.time() * 1000) * GENERATION_STEP
     if known is not None and known.local_name == name:
         generation = max(generation, (known.generation // GENERATION_STEP + 1) * GENERATION_STEP)
--- a/winchdyke/membership/state_exchange.py
+++ b/winchdyke/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""State exchange: anti-entropy by push-pull over TCP with active members, dead members and seeds. Pure."""
+"""State exchange: push/pull anti-entropy over TCP with active members, dead members and seeds. Pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ReconnectSchedule:
-    """When to contact seeds and dead members. Times are ms."""
+    """The times at which seeds and dead members are contacted, in ms."""
 
     def __init__(self, context: SwimContext) -> None:
         self._context = context
@@ -22,7 +22,7 @@
         self._dead_backoff_ms = config.min_reconnect_backoff_ms
 
     def expedite_seed(self) -> None:
-        """Contact a seed soon, spread over the first backoff since all gateways learn of new addresses at one time."""
+        """Contact a seed soon, at a random time within the minimum backoff: all gateways get new addresses at once."""
         context = self._context
         self._seed_backoff_ms = context.config.min_reconnect_backoff_ms
         due_ms = context.now + context.random.random() * self._seed_backoff_ms
@@ -36,7 +36,7 @@
         self.dead_due_ms = min(self.dead_due_ms, due_ms)
 
     def defer_seed(self, has_active_members: bool) -> None:
-        """Set when the next seed is contacted: with exponential backoff where no member is active."""
+        """Schedule the next contact with a seed, with exponential backoff while no member is active."""
         context = self._context
         config = context.config
         if has_active_members:
@@ -46,14 +46,14 @@
         self.seed_due_ms = context.now + self._seed_backoff_ms * (0.5 + context.random.random())
 
     def defer_dead(self) -> None:
-        """Set when the next dead member is contacted, with exponential backoff."""
+        """Schedule the next contact with a dead member, with exponential backoff."""
         context = self._context
         self._dead_backoff_ms = min(context.config.max_reconnect_backoff_ms, 2 * self._dead_backoff_ms)
         self.dead_due_ms = context.now + self._dead_backoff_ms * (0.5 + context.random.random())
 
 
 class StateExchanges:
-    """Starts state exchanges and merges what they bring."""
+    """Starts state exchanges and merges the records that they return."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
             self.contact_seed()
 
     def contact_seed(self) -> None:
-        """Exchange state with the next seed that is no active member, so that parts of a partition find each other."""
+        """Exchange state with the next seed that is not an active member, so that separated groups rejoin."""
         context = self._context
         active_members = context.table.active_members()
         self.reconnect.defer_seed(bool(active_members))
@@ -101,7 +101,7 @@
             self.start(candidates[self._seed_index % len(candidates)])
 
     def start(self, address: str, request_id: int = 0) -> None:
-        """Start an exchange unless one with this address is under way; request id 0: a new one."""
+        """Start an exchange unless one with this address is in progress; request id 0 allocates a new one."""
         context = self._context
         request_id = request_id or context.new_request_id()
         if address in self._in_progress.values():
@@ -113,7 +113,7 @@
         context.actions.append(StartStateExchange(address, message))
 
     def finish(self, event: StateExchangeFinished) -> str:
-        """Merge an exchange's answer; return the name of the member that answered, or ""."""
+        """Merge the answer of an exchange; return the name of the member that answered, or ""."""
         context = self._context
         if self._in_progress.pop(event.request_id, None) is None:
             return ""
--- a/winchdyke/membership/suspicion.py
+++ b/winchdyke/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: members that did not answer are suspect, and dead unless they refute it in time. Pure."""
+"""Suspicion: a member that does not answer becomes suspect, and dead unless it refutes in time. Pure."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
         self._dissemination = dissemination
 
     def suspect(self, member: Member) -> None:
-        """Suspect a member whose probe failed, or confirm others' suspicion of it."""
+        """Suspect a member whose probe failed, or confirm an existing suspicion of it."""
         if member.state is MemberState.ALIVE:
             self._set_state(member, MemberState.SUSPECT)
         elif member.suspicion is not None:
             member.suspicion.suspected_by.add(self._context.local.name)
 
     def record_direct_evidence(self, member: Member) -> None:
-        """Note that a member answered a request id made here: its present generation runs, whatever others report."""
+        """Record that a member answered a request of this member: its current generation runs, whatever others report."""
         if member.state is MemberState.SUSPECT and member.suspicion is not None:
-            # Its refutation, once it has received the suspicion, clears it at all members.
+            # The member clears the suspicion at all members by refuting it once it has received it.
             member.suspicion.started_at_ms = self._context.now
         elif member.state is MemberState.DEAD:
-            # The ping's first record tells it of its death.
+            # The first record of the ping informs the member that it is considered dead.
             request_id = self._context.new_request_id()
             self._context.send(member.name, MessageKind.PING, request_id, first=member.record)
 
     def run_timers(self) -> None:
-        """Declare the suspects dead whose time to refute is over."""
+        """Expire the suspicions whose timeout has passed."""
         for member in self._context.table.expired_suspects(self._context.now):
             self.expire(member)
 
     def expire(self, member: Member) -> None:
-        """End a suspicion: the member is dead unless it was received or acked since the suspicion began."""
+        """End a suspicion: the member is dead unless a message or an ack of it arrived since the suspicion began."""
         suspicion = member.suspicion
         assert suspicion is not None
         started_at_ms = suspicion.started_at_ms
@@ -53,8 +53,8 @@
         self._dissemination.apply(with_state(member.record, state, local_name), local_name)
 
     def _clear(self, member: Member) -> None:
-        """Set a member alive here only: for other members it has to refute the suspicion itself."""
+        """Set a member alive in the local table only: it has to refute the suspicion itself for other members."""
         context = self._context
         context.table.mark_alive(member, context.local.name, context.now)
         context.gossip.discard(member.name)
-        context.report("alive", member.name, "heard here while others suspect it")
+        context.report("alive", member.name, "received here while other members suspect it")
--- a/winchdyke/membership/swim.py
+++ b/winchdyke/membership/swim.py
@@ -1,8 +1,8 @@
 """The SWIM membership protocol with Lifeguard's extensions, as a pure state machine.
 
-:class:`SwimProtocol` takes events with the time (ms, monotonic) and returns actions. It owns the order in which its parts run; what
-each part decides stands in :mod:`probing`, :mod:`suspicion`, :mod:`refutation`, :mod:`dissemination` and
-:mod:`state_exchange`. What it guarantees, and within which time, is in ``docs/fleet.md``.
+:class:`SwimProtocol` takes events with the time (ms, monotonic) and returns actions. It runs its parts in a fixed order; the
+decisions are made in :mod:`probing`, :mod:`suspicion`, :mod:`refutation`, :mod:`dissemination` and :mod:`state_exchange`.
+``docs/fleet.md`` states its guarantees and their time bounds.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 from winchdyke.membership.swim_context import SwimContext
 from winchdyke.membership.view import MembershipView, detect_outage, member_view
 
-MAX_TURN_GAP_MS = 100.0  # between turns, for what only the time changes
-LEAVE_FANOUT = 3  # members that a leave is sent to
+MAX_TURN_GAP_MS = 100.0  # the longest time between turns, so that timers run
+LEAVE_FANOUT = 3  # members to which a leave is sent directly
 
 
 class SwimProtocol:
-    """The membership of one process."""
+    """The membership protocol of one process."""
 
-    # Comparisons and tests replace single parts by variants.
+    # Benchmarks and tests replace these by variants.
     refutation_type: ClassVar[type[Refutation]] = Refutation
     dissemination_type: ClassVar[type[Dissemination]] = Dissemination
     suspicion_type: ClassVar[type[SuspicionMonitor]] = SuspicionMonitor
@@ -61,7 +61,7 @@
 
     @property
     def local(self) -> LocalMember:
-        """This member as it started."""
+        """The identity and addresses of this member at startup."""
         return self.context.local
 
     @property
@@ -71,7 +71,7 @@
 
     @property
     def counts(self) -> Counter[str]:
-        """What happened how often, by name."""
+        """Event counters by name."""
         return self.context.counts
 
     @property
@@ -91,7 +91,7 @@
 
     @property
     def has_left(self) -> bool:
-        """Whether this member left; no event has an effect any more."""
+        """Whether this member left; events have no effect any more."""
         return self.context.has_left
 
     @property
@@ -101,16 +101,16 @@
 
     @property
     def address_overrides(self) -> dict[str, str]:
-        """The addresses that reach members from here, by name."""
+        """The addresses, by member name, that replace the advertised ones."""
         return self.context.address_overrides
 
     @property
     def next_turn_ms(self) -> float:
-        """When to call :meth:`handle` again at the latest."""
+        """The latest time for the next call of :meth:`handle`."""
         return min(self.context.now + MAX_TURN_GAP_MS, self.prober.next_probe_ms)
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Take events and the time; return the actions to carry out, none after :meth:`leave`."""
+        """Handle events and expired timers; return the actions to carry out, none after :meth:`leave`."""
         actions = self.context.begin_turn(now)
         paused_ms = self.pause_detector.check(now)
         if paused_ms:
@@ -123,7 +123,7 @@
         return actions
 
     def leave(self, now: float) -> list[Action]:
-        """Tell some members that this one leaves; they pass it on."""
+        """Notify some members that this one leaves; they gossip it."""
         context = self.context
         actions = context.begin_turn(now)
         if context.has_left:
@@ -141,7 +141,7 @@
     ) -> None:
         """Replace the seeds and the address overrides.
 
-        A seed is contacted soon where ``soon`` is set or no member is active, else when one is due anyway.
+        A seed is contacted soon if ``soon`` is set or no member is active, else at the next scheduled time.
         """
         self.exchanges.seeds = seeds
         self.context.address_overrides = dict(address_overrides)
@@ -149,7 +149,7 @@
             self.exchanges.reconnect.expedite_seed()
 
     def view(self, now: float) -> MembershipView:
-        """Return the snapshot; the same object until a member changes."""
+        """Return a snapshot of the membership; the same object until a member changes."""
         context = self.context
         table = context.table
         if self._view is None or self._view.version != table.version:
@@ -179,7 +179,7 @@
         message = event.message
         context.counts["arrived"] += 1
         if message.recipient not in ("", context.local.name):
-            # Its sender knows another member at this address, and learns by the silence that it is not there.
+            # The sender expects another member at this address; without an answer it detects that the member is gone.
             context.counts["misaddressed"] += 1
             return
         if message.sender == context.local.name:
@@ -194,7 +194,7 @@
         self._dispatch(event)
 
     def _accept(self, message: SwimMessage) -> bool:
-        """Return whether a message is to be used; the sender's own record is merged first, so that it is known."""
+        """Return whether a message is accepted; the sender's own record is merged first, which adds it to the table."""
         context = self.context
         for record in message.records:
             if record.name == message.sender:
@@ -246,14 +246,14 @@
         context.actions.append(SendDatagram(address or event.address, ack))
 
     def _silence_ms(self, name: str) -> int:
-        """Return the time since a message came directly from a member; -1: never."""
+        """Return the ms since the last message received directly from a member; -1: never."""
         member = self.context.table.members.get(name)
         if member is None or not member.was_received:
             return -1
         return max(0, int(self.context.now - member.last_received_ms))
 
     def _handle_pause(self, paused_ms: float) -> None:
-        """After a pause of this process: judge no member by what was missed in it, and ask for the present state."""
+        """Recover from a pause of this process: discount messages missed during it, and request the current state."""
         context = self.context
         context.local_health.degrade()
         context.table.discount_pause(paused_ms)
--- a/winchdyke/membership/swim_context.py
+++ b/winchdyke/membership/swim_context.py
@@ -1,4 +1,4 @@
-"""What the parts of the SWIM protocol share: the local identity, the member table, the clock, and outgoing messages. Pure."""
+"""State shared by the parts of the SWIM protocol: local identity, member table, clock, outgoing messages. Pure."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from winchdyke.membership.member_table import MemberTable
 from winchdyke.membership.swim_config import SwimConfig
 
-GENERATION_STEP = 1 << 16  # between generations that the clock does not tell apart; the low bits are random
-# What a datagram leaves to records beside all other fields at their largest: three names and four integers with their
-# msgpack headers, and the heads of the arrays.
+GENERATION_STEP = 1 << 16  # generations per millisecond of the clock; the low bits are random
+# Bytes left for records in a datagram whose other fields have their maximum size: three names and four integers with
+# their msgpack headers, and the array headers.
 _RECORDS_CAPACITY_BYTES = (
     datagrams.MAX_DATAGRAM_BYTES - datagrams.HEADER_BYTES - 3 * (datagrams.MAX_NAME_BYTES + 2) - 4 * 9 - 12
 )
 
 
 class SwimContext:
-    """State with one owner for all parts of one member's protocol. Times are ms on the local monotonic clock."""
+    """The shared state of one member's protocol. Times are ms on the local monotonic clock."""
 
     def __init__(self, local: LocalMember, config: SwimConfig, seed: int, now: float) -> None:
         self.local = local
@@ -34,7 +34,7 @@
         self.incarnation = 0
         self.message_counter = 0
         self.has_left = False
-        self.is_isolated = True  # until any other member is heard of
+        self.is_isolated = True  # until the first contact with another member
         self.address_overrides = dict(local.address_overrides)
         self.table = MemberTable(local.name, config)
         self.gossip = GossipQueue()
@@ -45,7 +45,7 @@
         self._last_request_id = self.random.getrandbits(48) << 8
 
     def begin_turn(self, now: float) -> list[Action]:
-        """Set the time and return the empty list that this turn's actions are added to."""
+        """Set the time; return the empty list to which this turn's actions are added."""
         self.now = now
         self.actions = []
         return self.actions
@@ -66,7 +66,7 @@
         )
 
     def all_records(self) -> list[MemberRecord]:
-        """Return the own record and those of all other members."""
+        """Return the local record and those of all other members."""
         return [self.local_record(), *(member.record for member in self.table.members.values())]
 
     def start_generation_after(self, generation: int) -> None:
@@ -76,7 +76,9 @@
         self.incarnation = 0
         self.message_counter = 0
         self.report(
-            "renewed", self.local.name, "a process of this name had a later life: this one is later now"
+            "renewed",
+            self.local.name,
+            "an earlier process of this name had a later generation; this one has a later one now",
         )
         self.gossip.enqueue(self.local_record())
 
@@ -88,7 +90,7 @@
         return self._last_request_id & datagrams.MAX_INTEGER
 
     def address_of(self, member: Member) -> str:
-        """Return the address that reaches a member from here."""
+        """Return the address at which this host reaches a member."""
         return self.address_overrides.get(member.name, member.record.address)
 
     def build_message(
@@ -102,7 +104,7 @@
         records: list[MemberRecord] | None = None,
         first: MemberRecord | None = None,
     ) -> SwimMessage:
-        """Return the next message; without ``records`` it carries the own record and gossip, ``first`` before all other."""
+        """Return the next message; without ``records`` it carries the local record and gossip, ``first`` ahead of other gossip."""
         if self.message_counter >= datagrams.MAX_INTEGER:
             self.start_generation_after(self.generation)
         self.message_counter += 1
@@ -131,7 +133,7 @@
         records: list[MemberRecord] | None = None,
         first: MemberRecord | None = None,
     ) -> None:
-        """Send a message to a member; nothing where it is not in the table."""
+        """Send a message to a member; do nothing if it is not in the table."""
         member = self.table.members.get(name)
         if member is None:
             return
@@ -160,15 +162,15 @@
         self.actions.append(ReportEvent(code, member, text))
 
     def update_link(self, member: Member, link_state: LinkState) -> bool:
-        """Note a link's state by the last probe; return whether it changed."""
+        """Store the link state found by the last probe; return whether it changed."""
         return self.table.update_link(member, link_state, self.now)
 
     def report_link(self, member: Member) -> None:
-        """Report a link's state."""
+        """Report the link state of a member."""
         self.report(f"link-{member.link_state.value}", member.name)
 
     def report_first_contact(self, name: str) -> None:
-        """Report the first member that this one is in contact with."""
+        """Report the first contact with another member."""
         if self.is_isolated:
             self.is_isolated = False
             self.report("joined", name)
--- a/winchdyke/membership/transport.py
+++ b/winchdyke/membership/transport.py
@@ -1,6 +1,6 @@
-"""The sockets of membership: datagrams over UDP, state exchanges over TCP. Decides nothing.
+"""The sockets of membership: datagrams over UDP, state exchanges over TCP. Contains no protocol logic.
 
-Messages are sealed and opened here; rejected ones are counted, and logged at a bounded rate.
+Messages are sealed and unsealed here; rejected ones are counted, and logged at a bounded rate.
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 from winchdyke.membership.shared_keys import SharedKeys
 
 LENGTH_PREFIX = struct.Struct(">I")
-MAX_STATE_EXCHANGES = 8  # under way at once, in each direction
+MAX_STATE_EXCHANGES = 8  # concurrent, in each direction
 STATE_EXCHANGE_TIMEOUT_SECONDS = 2.0
 MAX_DATAGRAMS_PER_TURN = 256
 MAX_PENDING_EVENTS = 1024
-RECEIVE_BUFFER_BYTES = 1 << 18  # asked of the system for the UDP socket
+RECEIVE_BUFFER_BYTES = 1 << 18  # requested for the UDP socket
 LOOKUP_TIMEOUT_SECONDS = 5.0
 MIN_REJECTION_LOG_GAP_SECONDS = 10.0
 ACCEPT_RETRY_SECONDS = 0.05
@@ -96,7 +96,7 @@
     # Events.
 
     def take_events(self) -> list[Event]:
-        """Return what has arrived until now."""
+        """Return the events since the last call."""
         self._read_datagrams()
         events = self._events
         self._events = []
@@ -104,7 +104,7 @@
         return events
 
     async def wait_for_event(self) -> None:
-        """Wait until something arrives after :meth:`take_events`, or :meth:`wake` is called."""
+        """Wait until an event arrives after :meth:`take_events`, or :meth:`wake` is called."""
         await self._event_arrived.wait()
 
     def wake(self) -> None:
@@ -114,7 +114,7 @@
     # Datagrams.
 
     def send(self, action: SendDatagram) -> None:
-        """Send a datagram now, or once its host's address is known. Errors are counted; the datagram is lost."""
+        """Send a datagram now, or once the address of its host is known. On an error it is counted and lost."""
         host, port = split_address(action.address)
         data = datagrams.seal(action.message, self._keys.sealing_secret)
         self.counts["sent"] += 1
@@ -155,7 +155,7 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                self.counts["udp-error"] += 1  # an ICMP error for a datagram that was sent earlier
+                self.counts["udp-error"] += 1  # an ICMP error caused by an earlier datagram
                 continue
             self._handle_datagram(data, sender)
 
@@ -197,7 +197,7 @@
             self._send_to(address, queued.port, queued.data)
 
     async def _look_up_address(self, host: str) -> str:
-        """Return a host's address, or "" where no name server gives one in time."""
+        """Return the address of a host, or "" if the lookup fails or times out."""
         assert self._udp is not None
         try:
             with anyio.move_on_after(LOOKUP_TIMEOUT_SECONDS):
@@ -210,7 +210,7 @@
     # State exchanges.
 
     def start_state_exchange(self, action: StartStateExchange) -> None:
-        """Exchange state in the background; its end is an event."""
+        """Start a state exchange in the background; it ends with a :class:`StateExchangeFinished` event."""
         assert self._group is not None
         self._group.start_soon(self._exchange_state, action)
 
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -1,4 +1,4 @@
-"""Immutable snapshots of membership for readers, and the detection of outages that concern many members. Pure."""
+"""Immutable snapshots of membership for readers, and the detection of outages of many members. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from winchdyke.membership.datagrams import MemberState
 from winchdyke.membership.member import LinkState, Member
 
-OUTAGE_GAP_MS = 20_000.0  # between two members of one outage
+OUTAGE_GAP_MS = 20_000.0  # the longest time between two members' failures in one outage
 MIN_OUTAGE_FRACTION = 0.3  # of all members
 MIN_OUTAGE_MEMBERS = 3
 
@@ -25,7 +25,7 @@
     incarnation: int
     state: str
     state_since_ms: float
-    reported_by: str  # who set the state; the member itself where it is alive
+    reported_by: str  # the member that set the state; the member itself if it is alive
     link: str
     link_since_ms: float
     last_received_ms: float
@@ -38,7 +38,7 @@
 
     @property
     def display_state(self) -> str:
-        """The state as shown to operators: ``cut`` where it is alive and the link is not bidirectional."""
+        """The state as shown to operators: ``cut`` if it is alive but the link is not bidirectional."""
         link_is_broken = self.link in ("deaf", "mute", "cut")
         return "cut" if self.state == "alive" and link_is_broken else self.state
 
@@ -50,11 +50,11 @@
     started_at_ms: float
     members: tuple[str, ...]
     total_members: int  # at that time, the local one included
-    zone: str  # where the members are all of one other zone, else ""
+    zone: str  # the zone that is unreachable as a whole, else ""
 
     @property
     def description(self) -> str:
-        """One phrase for operators."""
+        """A short description for operators."""
         if self.zone:
             return f"zone {self.zone} unreachable"
         return f"{len(self.members)} of {self.total_members} members unreachable"
@@ -68,10 +68,10 @@
     version: int
     created_at_ms: float
     zone: str
-    members: tuple[MemberView, ...]  # by name, without the local one
+    members: tuple[MemberView, ...]  # sorted by name, without the local one
     outage: Outage | None
     local_health_score: int
-    is_isolated: bool  # no other member was ever heard of
+    is_isolated: bool  # no contact with another member yet
 
     @property
     def active_count(self) -> int:
@@ -84,7 +84,7 @@
 
 
 def member_view(member: Member, gateway_count: int) -> MemberView:
-    """Return the view of one member; ``gateway_count`` is that of the settings, 0: unknown."""
+    """Return the view of one member; ``gateway_count`` is from the settings, 0: unknown."""
     record = member.record
     return MemberView(
         name=record.name,
@@ -104,7 +104,7 @@
 
 
 def detect_outage(members: Iterable[Member], local_zone: str) -> Outage | None:
-    """Return the outage under way: enough members that became unreachable shortly after one another."""
+    """Return the current outage: enough members that became unreachable shortly after one another."""
     present = [member for member in members if member.state is not MemberState.LEFT]
     affected = _largest_cluster(present)
     total_members = 1 + len(present)
@@ -116,7 +116,7 @@
 
 
 def _largest_cluster(members: list[Member]) -> list[Member]:
-    """Return the longest run of unreachable members without a gap over ``OUTAGE_GAP_MS``, the earliest of equal ones."""
+    """Return the largest run of unreachable members without a gap over ``OUTAGE_GAP_MS``; of equal ones the earliest."""
     unreachable = sorted((member for member in members if _is_unreachable(member)), key=_unreachable_since_ms)
     largest: list[Member] = []
     cluster: list[Member] = []
