--- a/winchdyke/discovery/bounds.py
+++ b/winchdyke/discovery/bounds.py
@@ -1,4 +1,4 @@
-"""Limits and time spans by which the endpoint view decides."""
+"""Limits and timeouts of the endpoint view."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryBounds:
-    """Limits of the endpoint view.
+    """Limits and timeouts of the endpoint view.
 
     Attributes:
-        warmup_ms: Time after its start for which an endpoint counts as warming up.
-        min_health_check_interval_ms: Least time between two health checks of unconfirmed endpoints.
-        initial_backoff_ms: Pause after a failed health check; it doubles with each further failure.
-        max_backoff_ms: The longest such pause.
-        max_vanished_fraction: Fraction of the endpoints in service that a list may omit at once and still be trusted.
-        omission_grace_ms: Time for which omitted endpoints stay in service while they respond, and for which
-            a list with an older version is not trusted.
-        start_time_tolerance_ms: Difference up to which two start times mean the same start.
-        response_freshness_ms: Time for which a response shows that an endpoint is reachable.
+        warmup_ms: Time after its start during which an endpoint is warming up.
+        min_health_check_interval_ms: Minimum time between two health checks of unconfirmed endpoints.
+        initial_backoff_ms: Backoff after a failed health check; it doubles with each further failure.
+        max_backoff_ms: Maximum backoff.
+        max_vanished_fraction: Largest fraction of the endpoints in service that a trusted list may omit at once.
+        omission_grace_ms: Time for which endpoints omitted by an untrusted list stay in service while they respond,
+            and for which a list with an older version is not trusted.
+        start_time_tolerance_ms: Largest difference between two reported times of the same start.
+        response_freshness_ms: Time for which an endpoint counts as reachable after a response.
     """
 
     warmup_ms: float = 10_000.0
--- a/winchdyke/discovery/cache.py
+++ b/winchdyke/discovery/cache.py
@@ -1,8 +1,8 @@
 """The endpoint cache: endpoint views in files, written atomically, verified when read, in several generations.
 
-``nodes.0`` is the present view; ``nodes.1`` and ``nodes.2`` are the ones before its endpoints last changed. Each file is a
-header (``WDNODES``, the format's version, the payload's length, its xxh3-64; little-endian, 20 bytes) and the payload:
-msgpack of :class:`CachedEndpointList`. A file that is truncated, corrupt, of a newer format, or writable by others is
+``nodes.0`` is the current view; ``nodes.1`` and ``nodes.2`` are the views before the last two changes of its endpoints. Each
+file is a header (``WDNODES``, the format's version, the payload's length, its xxh3-64; little-endian, 20 bytes) and the payload:
+msgpack of :class:`CachedEndpointList`. A file that is truncated, corrupt, of a newer format, or writable by other users is
 skipped with a warning.
 """
 
@@ -31,7 +31,7 @@
 
 
 class CachedEndpointList(msgspec.Struct):
-    """The stored view: when it was saved, by which gateway, and its endpoints. Explicit names are the stored ones."""
+    """The stored view: the time at which it was saved, the gateway, and its endpoints. Explicit names are the stored ones."""
 
     saved_unix_ms: float = msgspec.field(name="unix_ms")
     gateway: str
@@ -39,22 +39,22 @@
 
 
 class LoadedCache(NamedTuple):
-    """The newest usable generation, if any, and a warning for each one skipped."""
+    """The newest usable generation, if any, and a warning for each generation skipped."""
 
     cached: CachedEndpointList | None
     warnings: list[str]
 
 
 def generation_path(directory: Path, generation: int) -> Path:
-    """The file of a generation; 0 is the present one."""
+    """Returns the path of a generation's file; generation 0 is the current one."""
     return directory / f"nodes.{generation}"
 
 
 def save(directory: Path, cached: CachedEndpointList, rotate: bool) -> None:
-    """Write the present generation; with ``rotate`` the one before is retained.
+    """Write the current generation; with ``rotate`` the previous one is retained.
 
     Raises:
-        OSError: It can't be written. The generations before are intact.
+        OSError: The file can't be written. Earlier generations are intact.
     """
     payload = msgspec.msgpack.encode(cached)
     header = HEADER.pack(MAGIC, VERSION, len(payload), xxhash.xxh3_64_intdigest(payload))
@@ -94,7 +94,7 @@
 
 
 def load(directory: Path) -> LoadedCache:
-    """Read the newest generation that can be used."""
+    """Read the newest usable generation."""
     warnings: list[str] = []
     for generation in range(GENERATIONS):
         path = generation_path(directory, generation)
@@ -106,7 +106,7 @@
             warnings.append(str(error))
             continue
         if generation:
-            warnings.append(f"the list before is used instead ({path.name})")
+            warnings.append(f"an earlier list is used instead ({path.name})")
         return LoadedCache(cached, warnings)
     return LoadedCache(None, warnings)
 
@@ -115,8 +115,8 @@
     """Read and verify one file.
 
     Raises:
-        EndpointCacheError: It can't be used.
-        FileNotFoundError: There is none.
+        EndpointCacheError: The file can't be used.
+        FileNotFoundError: The file does not exist.
     """
     _check_permissions(path.parent, "folder")
     _check_permissions(path, "file")
@@ -130,29 +130,29 @@
     try:
         return msgspec.msgpack.decode(payload, type=CachedEndpointList)
     except msgspec.DecodeError as error:
-        raise EndpointCacheError(f"{path} is of another form: {error}") from error
+        raise EndpointCacheError(f"{path} does not match the stored format: {error}") from error
 
 
 def _verified_payload(path: Path, data: bytes) -> bytes:
     if len(data) < HEADER.size:
-        raise EndpointCacheError(f"{path} is cut short: {len(data)} bytes")
+        raise EndpointCacheError(f"{path} is truncated: {len(data)} bytes")
     magic, version, payload_bytes, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise EndpointCacheError(f"{path} is no node list")
+        raise EndpointCacheError(f"{path} is not a node list")
     if version > VERSION:
         raise EndpointCacheError(
-            f"{path} is of format {version}, and this release reads up to {VERSION}; a newer one wrote it"
+            f"{path} has format {version}, and this release reads formats up to {VERSION}; a newer release wrote it"
         )
     payload = data[HEADER.size :]
     if len(payload) != payload_bytes or payload_bytes > MAX_PAYLOAD_BYTES:
-        raise EndpointCacheError(f"{path} is cut short: {len(payload)} of {payload_bytes} bytes")
+        raise EndpointCacheError(f"{path} is truncated: {len(payload)} of {payload_bytes} bytes")
     if xxhash.xxh3_64_intdigest(payload) != checksum:
-        raise EndpointCacheError(f"{path} is damaged: its checksum does not fit")
+        raise EndpointCacheError(f"{path} is corrupt: its checksum does not match")
     return payload
 
 
 def _check_permissions(path: Path, kind: str) -> None:
-    """Refuse a file or folder that others may write to: they could direct this host's requests anywhere."""
+    """Reject a file or folder that other users may write to: they could redirect this host's requests."""
     try:
         status = path.stat()
     except FileNotFoundError:
@@ -161,18 +161,18 @@
         raise EndpointCacheError(f"{path} can't be read: {error.strerror}") from error
     if status.st_uid not in (os.geteuid(), 0):
         raise EndpointCacheError(
-            f"{path} belongs to user {status.st_uid}, not to the gateway's; its list is not believed"
+            f"{path} is owned by user {status.st_uid}, not by the gateway's user or root; its list is ignored"
         )
     is_sticky_folder = kind == "folder" and status.st_mode & stat.S_ISVTX
     if status.st_mode & WRITABLE_BY_OTHERS and not is_sticky_folder:
         mode = stat.S_IMODE(status.st_mode)
         raise EndpointCacheError(
-            f"others may write to the {kind} {path} (mode {mode:o}); chmod go-w it, and check what is in it"
+            f"others may write to the {kind} {path} (mode {mode:o}); run chmod go-w on it and check its contents"
         )
 
 
 def membership_key(endpoints: Iterable[CachedEndpoint]) -> frozenset[tuple[str, int, str, str]]:
-    """Differs between two views where the earlier one is to be retained as a generation of its own."""
+    """Returns a key that differs between views that are stored as separate generations."""
     return frozenset(
         (endpoint.name, endpoint.shard, endpoint.status.value, endpoint.identity) for endpoint in endpoints
     )
--- a/winchdyke/discovery/endpoint_transitions.py
+++ b/winchdyke/discovery/endpoint_transitions.py
@@ -1,9 +1,9 @@
 """The transitions of one endpoint's status, from list entries, responses, connection failures and time. Without I/O.
 
-:class:`~winchdyke.discovery.endpoint_view.EndpointView` decides which lists count; this module decides what an entry or a
-response means for its endpoint. ``docs/discovery.md`` has the table of transitions.
+:class:`~winchdyke.discovery.endpoint_view.EndpointView` decides which lists are trusted; this module applies entries and
+responses to their endpoints. ``docs/discovery.md`` has the table of transitions.
 
-Times are milliseconds on the gateway's monotonic clock; ``unix_ms`` is wall time, stored only to display and to order by.
+Times are milliseconds on the gateway's monotonic clock; ``unix_ms`` is wall time, stored only for display and ordering.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def restored_from_cache(cached: CachedEndpoint, now_ms: float) -> CachedEndpoint:
-    """A cached endpoint after a restart: unconfirmed, unless it drained, was removed, or its address was reused."""
+    """Returns a cached endpoint after a restart: unconfirmed unless it was draining, removed, or its address was reused."""
     status = DiscoveryStatus.DRAINING if cached.drain_announced else DiscoveryStatus.UNCONFIRMED
     if cached.status in (DiscoveryStatus.REMOVED, DiscoveryStatus.ADDRESS_REUSED):
         status = cached.status
@@ -46,7 +46,7 @@
 
 
 class EndpointTransitions:
-    """Applies events to the records of endpoints."""
+    """Applies list entries, responses, failures and time to the records of endpoints."""
 
     def __init__(self, bounds: DiscoveryBounds) -> None:
         self.bounds = bounds
@@ -62,7 +62,7 @@
         unix_ms: float,
         is_older: bool,
     ) -> None:
-        """The authoritative source names the endpoint; ``is_older``: in a list older than one received."""
+        """Applies an entry of the authoritative source; ``is_older``: the list is older than one already received."""
         if entry.status is EndpointStatus.REMOVED:
             endpoint.listed = False
             endpoint.omitted_since_ms = None
@@ -87,14 +87,14 @@
             self.mark_draining(endpoint, f"drains, by {source_name}", now_ms)
             return
         if self._drains_by_own_report(endpoint) and not is_later_start:
-            return  # the endpoint knows it earlier than the list
+            return  # the endpoint itself reports a drain before the list does
         if endpoint.status is DiscoveryStatus.ADDRESS_REUSED and not is_other_store:
-            return  # the list still names the previous store; a health check will show who is there
+            return  # the list still names the previous store; a health check identifies the current one
         endpoint.drain_announced = False
         self._confirm(endpoint, f"named by {source_name}", now_ms)
 
     def apply_suspect_omission(self, endpoint: CachedEndpoint, source_name: str, now_ms: float) -> None:
-        """A list that is not trusted omits an endpoint in service: it stays while it responds."""
+        """Handles an endpoint in service that an untrusted list omits: it stays in service while it responds."""
         endpoint.listed = False
         endpoint.omitted_since_ms = now_ms
         endpoint.next_attempt_at_ms = now_ms
@@ -103,7 +103,7 @@
     def apply_omission(
         self, endpoint: CachedEndpoint, source_name: str, now_ms: float, is_evidence: bool
     ) -> None:
-        """A list omits the endpoint; an empty or older one is no evidence against one that is being checked."""
+        """Removes an omitted endpoint; an unconfirmed one only with ``is_evidence``: the list is neither empty nor older."""
         endpoint.listed = False
         if endpoint.status in (DiscoveryStatus.ADDRESS_REUSED, DiscoveryStatus.REMOVED):
             return
@@ -116,7 +116,7 @@
     def apply_response(
         self, endpoint: CachedEndpoint, evidence: EndpointEvidence, now_ms: float, unix_ms: float
     ) -> None:
-        """The endpoint responded under its identity."""
+        """Records a response of the endpoint under its expected identity."""
         endpoint.identity = endpoint.identity or evidence.identity
         restarted = bool(endpoint.boot_id and evidence.boot_id and evidence.boot_id != endpoint.boot_id)
         if restarted or not endpoint.uptime_reported:
@@ -127,14 +127,14 @@
         endpoint.confirmed_by = "its answer"
         endpoint.confirmed_unix_ms = unix_ms
         if restarted and not evidence.draining:
-            endpoint.drain_announced = False  # the announcement was the previous process's
+            endpoint.drain_announced = False  # the previous process announced it
         if evidence.draining:
             self.mark_draining(endpoint, DRAINING_BY_OWN_REPORT, now_ms)
         else:
             self._update_after_response(endpoint, now_ms)
 
     def apply_connect_failure(self, endpoint: CachedEndpoint, now_ms: float) -> None:
-        """The endpoint could not be reached; it stays in service only where a trusted list names it."""
+        """Records a failed connection; the endpoint stays in service only if a trusted list names it."""
         endpoint.last_response_at_ms = NEVER_MS
         endpoint.failed_attempts += 1
         endpoint.next_attempt_at_ms = now_ms + self._backoff_ms(endpoint.failed_attempts)
@@ -147,13 +147,13 @@
             self.set_status(endpoint, DiscoveryStatus.UNCONFIRMED, "does not answer", now_ms)
 
     def mark_address_reused(self, endpoint: CachedEndpoint, identity: str, now_ms: float) -> None:
-        """Another store responded at the endpoint's address."""
+        """Records that another store responded at the endpoint's address."""
         reason = f"{identity} answers at its address"
         self.set_status(endpoint, DiscoveryStatus.ADDRESS_REUSED, reason, now_ms)
         endpoint.last_response_at_ms = NEVER_MS
 
     def mark_draining(self, endpoint: CachedEndpoint, reason: str, now_ms: float) -> None:
-        """A list or the endpoint itself announced that it drains."""
+        """Records that a list or the endpoint itself announced a drain."""
         endpoint.drain_announced = True
         if endpoint.status not in (DiscoveryStatus.REMOVED, DiscoveryStatus.ADDRESS_REUSED):
             self.set_status(endpoint, DiscoveryStatus.DRAINING, reason, now_ms)
@@ -161,7 +161,7 @@
     # Time
 
     def tick(self, endpoint: CachedEndpoint, now_ms: float) -> None:
-        """Apply what time alone changes: warmup ends, and an omission counts after its grace period."""
+        """Apply timeouts: the end of the warmup and of the grace period of an omission."""
         if endpoint.status is DiscoveryStatus.WARMING_UP:
             self._update_warmup(endpoint, now_ms)
         omitted_since_ms = endpoint.omitted_since_ms
@@ -170,7 +170,7 @@
             self.set_status(endpoint, DiscoveryStatus.REMOVED, "left out by the list for long", now_ms)
 
     def is_health_check_due(self, endpoint: CachedEndpoint, now_ms: float) -> bool:
-        """Whether the endpoint is unconfirmed, or omitted and without a recent response, and its backoff is over."""
+        """Whether the endpoint is unconfirmed, or omitted without a recent response, and its backoff has ended."""
         if endpoint.next_attempt_at_ms > now_ms:
             return False
         if endpoint.status in (DiscoveryStatus.UNCONFIRMED, DiscoveryStatus.ADDRESS_REUSED):
@@ -182,7 +182,7 @@
     def set_status(
         self, endpoint: CachedEndpoint, status: DiscoveryStatus, reason: str, now_ms: float
     ) -> None:
-        """Set a status and its reason; an endpoint that needs a health check may have it at once."""
+        """Set the status and its reason; a health check that the status requires is due now unless a backoff applies."""
         if status is not endpoint.status:
             endpoint.status_since_ms = now_ms
         endpoint.status = status
@@ -190,12 +190,12 @@
         if status in (DiscoveryStatus.UNCONFIRMED, DiscoveryStatus.ADDRESS_REUSED):
             endpoint.next_attempt_at_ms = max(endpoint.next_attempt_at_ms, now_ms)
 
-    # Parts of these
+    # Internals
 
     def _apply_older_entry(
         self, endpoint: CachedEndpoint, entry: ListedEndpoint, source_name: str, now_ms: float
     ) -> None:
-        """An older list undoes nothing that a later one, or the endpoint itself, reported."""
+        """Apply an entry of an older list, which overrides neither a later list nor the endpoint's own report."""
         endpoint.listed = True
         endpoint.identity = endpoint.identity or entry.identity
         if endpoint.status in (DiscoveryStatus.REMOVED, DiscoveryStatus.ADDRESS_REUSED):
@@ -210,13 +210,13 @@
         self, endpoint: CachedEndpoint, entry: ListedEndpoint, is_later_start: bool
     ) -> None:
         if not entry.started_at_ms:
-            endpoint.start_time_known = True  # a trusted list without a start time means no recent start
+            endpoint.start_time_known = True  # no start time in a trusted list means that it started long ago
         elif is_later_start or not endpoint.start_time_known:
             endpoint.started_at_ms = entry.started_at_ms
             endpoint.start_time_known = True
 
     def _forget_process(self, endpoint: CachedEndpoint) -> None:
-        """Drop what was known of the previous process at the address."""
+        """Clear the state of the previous process at the address."""
         endpoint.boot_id = ""
         endpoint.drain_announced = False
         endpoint.start_time_known = False
@@ -229,7 +229,7 @@
     def _record_uptime(
         self, endpoint: CachedEndpoint, evidence: EndpointEvidence, restarted: bool, now_ms: float
     ) -> None:
-        """Take the endpoint's own uptime; a list's start time counts only where it is later."""
+        """Set the start time from the endpoint's uptime; a start time from a list stays if it is later."""
         endpoint.uptime_reported = evidence.uptime_ms is not None
         if evidence.uptime_ms is None:
             if restarted:
--- a/winchdyke/discovery/endpoint_view.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -1,10 +1,10 @@
-"""One gateway's view of all endpoints: which source counts, which lists are trusted, and what is published. Without I/O.
+"""One gateway's view of all endpoints: the authoritative source, trust in lists, and published endpoints. Without I/O.
 
-What an entry or a response means for one endpoint is decided in :mod:`winchdyke.discovery.endpoint_transitions`;
-``winchdyke.model.discovery`` explores both exhaustively.
+:mod:`winchdyke.discovery.endpoint_transitions` decides the status of a single endpoint; ``winchdyke.model.discovery``
+explores both modules exhaustively.
 
-Times are milliseconds on the gateway's monotonic clock. Wall time (``unix_ms``) is only stored, to display and to order by,
-and never compared with a bound, so that a wrong wall clock changes no decision.
+Times are milliseconds on the gateway's monotonic clock. Wall time (``unix_ms``) is stored for display and ordering
+only, and is never compared with a bound, so that a wrong wall clock changes no decision.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 )
 from winchdyke.interface import Endpoint, EndpointStatus
 
-MIN_MASS_OMISSION = 2  # endpoints; a single omitted one is no sign of a list that lost its data
+MIN_MASS_OMISSION = 2  # endpoints; a list that omits a single one has probably not lost its data
 
 
 @dataclass(slots=True)
 class SourceState:
-    """The last list of one source. ``regressed_since_ms``: since when its versions are older than one received."""
+    """The last list of one source. ``regressed_since_ms``: when its version first went back; None if it did not."""
 
     name: str
     entries: dict[str, ListedEndpoint] = field(default_factory=dict)
@@ -42,14 +42,14 @@
 
     Attributes:
         sources: The sources by name, in order of precedence.
-        endpoints: What is known of each endpoint, by name.
-        warnings: Texts for the log; the caller takes them and clears the list.
+        endpoints: The record of each endpoint, by name.
+        warnings: Texts for the log; the caller logs them and clears the list.
     """
 
     transitions_type: type[EndpointTransitions] = EndpointTransitions
 
     def __init__(self, bounds: DiscoveryBounds, sources: Iterable[str] = ("list",)) -> None:
-        """``sources``: their names in order of precedence."""
+        """``sources``: the names of the sources in order of precedence."""
         self.bounds = bounds
         self.sources = {name: SourceState(name) for name in sources}
         self.endpoints: dict[str, CachedEndpoint] = {}
@@ -61,7 +61,7 @@
     # Inputs
 
     def restore_cached(self, cached: Iterable[CachedEndpoint], now_ms: float) -> None:
-        """Add endpoints from the cache: not used before they are confirmed; drains and identities are retained."""
+        """Add endpoints from the cache: unused until confirmed; drains and identities are retained."""
         for endpoint in cached:
             if endpoint.name not in self.endpoints:
                 self.endpoints[endpoint.name] = restored_from_cache(endpoint, now_ms)
@@ -76,9 +76,9 @@
         version: int = 0,
         is_cached_copy: bool = False,
     ) -> None:
-        """Take a source's list, or changes of it where not ``complete``.
+        """Apply a source's list, or changes to it if not ``complete``.
 
-        ``version`` is 0 where the source has none; ``is_cached_copy``: the source itself says that its list is old.
+        ``version`` is 0 if the source has none; ``is_cached_copy``: the source itself marks its list as old.
         """
         source = self.sources[source_name]
         received = list(entries)
@@ -94,14 +94,14 @@
         if self._authoritative_source() is source:
             changed = None if complete else received
             self._apply_source(source, changed, now_ms, unix_ms, is_older or is_cached_copy)
-        # Drains count from every source, not only from the authoritative one.
+        # A drain is accepted from every source, not only from the authoritative one.
         for entry in received:
             if entry.status is EndpointStatus.DRAINING and entry.name in self.endpoints:
                 endpoint = self.endpoints[entry.name]
                 self._transitions.mark_draining(endpoint, f"drains, by {source_name}", now_ms)
 
     def mark_source_failed(self, source_name: str, now_ms: float, unix_ms: float = 0.0) -> None:
-        """A source could not be reached: the next healthy one in order becomes authoritative."""
+        """Mark a source as failed: the next healthy source in order becomes authoritative."""
         previous = self._authoritative_source()
         self.sources[source_name].healthy = False
         current = self._authoritative_source()
@@ -111,14 +111,14 @@
     def record_response(
         self, name: str, evidence: EndpointEvidence, now_ms: float, unix_ms: float = 0.0
     ) -> bool:
-        """An endpoint responded. Returns whether requests may be sent on this connection."""
+        """Record an endpoint's response. Returns whether requests may be sent on its connection."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return True
         if endpoint.identity and evidence.identity and evidence.identity != endpoint.identity:
             if endpoint.status is not DiscoveryStatus.ADDRESS_REUSED:
                 self.warnings.append(
-                    f"{name}: {evidence.identity} answers where {endpoint.identity} was; it is sent nothing"
+                    f"{name}: store {evidence.identity} answers in place of {endpoint.identity}; no request is sent to it"
                 )
             self._transitions.mark_address_reused(endpoint, evidence.identity, now_ms)
             return False
@@ -126,13 +126,13 @@
         return not endpoint.drain_announced and endpoint.status is not DiscoveryStatus.REMOVED
 
     def record_connect_failure(self, name: str, now_ms: float) -> None:
-        """An endpoint could not be reached."""
+        """Record a failed connection to an endpoint."""
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
             self._transitions.apply_connect_failure(endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Apply what time alone changes."""
+        """Apply timeouts to all endpoints."""
         for endpoint in self.endpoints.values():
             if endpoint.status is DiscoveryStatus.WARMING_UP or endpoint.omitted_since_ms is not None:
                 self._transitions.tick(endpoint, now_ms)
@@ -140,7 +140,7 @@
     # Outputs
 
     def next_health_check(self, now_ms: float) -> str | None:
-        """The name of the endpoint to check next; None where no check is due. Most recently confirmed first."""
+        """Returns the endpoint to check next, the most recently confirmed first; None if no check is due."""
         if now_ms < self._next_health_check_at_ms:
             return None
         is_due = self._transitions.is_health_check_due
@@ -153,7 +153,7 @@
         return first.name
 
     def take_changes(self) -> list[Endpoint]:
-        """All endpoints whose published form changed since the last call."""
+        """Returns all endpoints whose published form changed since the last call."""
         changes = []
         for endpoint in self.endpoints.values():
             current = _published_form(endpoint)
@@ -168,18 +168,18 @@
         return changes
 
     def snapshot(self) -> list[Endpoint]:
-        """All published endpoints, as of the last :meth:`take_changes`."""
+        """Returns all published endpoints as of the last :meth:`take_changes`."""
         return list(self._published.values())
 
     def is_usable(self, name: str) -> bool:
-        """Whether requests may go to an endpoint."""
+        """Whether requests may be sent to an endpoint."""
         endpoint = self.endpoints.get(name)
         return endpoint is not None and endpoint.is_in_service
 
     # Lists
 
     def _authoritative_source(self) -> SourceState | None:
-        """The first healthy source; where none is healthy, the first that ever reported."""
+        """Returns the first healthy source; if none is healthy, the first one that ever reported a list."""
         reporting = [source for source in self.sources.values() if source.has_reported]
         for source in reporting:
             if source.healthy:
@@ -187,18 +187,20 @@
         return reporting[0] if reporting else None
 
     def _is_older_version(self, source: SourceState, version: int, now_ms: float) -> bool:
-        """Whether a list's version is lower than one received; after a grace period the lower one is accepted."""
+        """Whether a list's version is lower than one already received; after a grace period it is accepted."""
         if not 0 < version < source.version:
             return False
         if source.regressed_since_ms is None:
             source.regressed_since_ms = now_ms
             self.warnings.append(
                 f"{source.name}: its list went back from version {source.version} to {version}; "
-                "what came since is kept"
+                "changes of later versions are kept"
             )
         if now_ms - source.regressed_since_ms < self.bounds.omission_grace_ms:
             return True
-        self.warnings.append(f"{source.name}: version {version} has stood for long; it counts from now on")
+        self.warnings.append(
+            f"{source.name}: version {version} outlasted the grace period and is accepted now"
+        )
         source.version = version
         return False
 
@@ -210,7 +212,7 @@
         unix_ms: float,
         is_older: bool,
     ) -> None:
-        """Apply changed entries, or the complete list where ``changed`` is None."""
+        """Apply changed entries, or the complete list if ``changed`` is None."""
         entries = list(source.entries.values()) if changed is None else changed
         for entry in entries:
             endpoint = self.endpoints.get(entry.name)
@@ -224,7 +226,7 @@
             self._apply_omissions(source, now_ms, is_older)
 
     def _apply_omissions(self, source: SourceState, now_ms: float, is_older: bool) -> None:
-        """Remove endpoints that a complete list omits; where it omits many at once they stay while they respond."""
+        """Remove endpoints that a complete list omits; if it omits many at once, they stay while they respond."""
         omitted = [
             endpoint
             for endpoint in self.endpoints.values()
@@ -247,14 +249,14 @@
         if omitted_in_service <= self.bounds.max_vanished_fraction * in_service:
             return False
         self.warnings.append(
-            f"{source.name}: its list leaves out {omitted_in_service} of {in_service} nodes; "
-            "those that answer are used on"
+            f"{source.name}: its list omits {omitted_in_service} of {in_service} nodes in service; "
+            "nodes that answer stay in service"
         )
         return True
 
 
 def _published_form(endpoint: CachedEndpoint) -> Endpoint | None:
-    """An endpoint as the scheduler gets it; None where it is not to be used."""
+    """Returns an endpoint in the form published to the scheduler; None if it is not published."""
     name = endpoint.name
     shard = endpoint.shard
     zone = endpoint.zone
--- a/winchdyke/discovery/errors.py
+++ b/winchdyke/discovery/errors.py
@@ -2,12 +2,12 @@
 
 
 class DiscoveryError(Exception):
-    """Endpoint data that can't be used; the text says what is wrong, where, and what to do."""
+    """Endpoint data can't be used. The text states the problem, its place and the remedy."""
 
 
 class EndpointListError(DiscoveryError):
-    """A source's answer that is no valid endpoint list."""
+    """A source's answer is not a valid endpoint list."""
 
 
 class EndpointCacheError(DiscoveryError):
-    """A file of the endpoint cache that can't be used."""
+    """A file of the endpoint cache can't be used."""
--- a/winchdyke/discovery/file_source.py
+++ b/winchdyke/discovery/file_source.py
@@ -1,4 +1,4 @@
-"""A source of endpoint lists: a file in the form of the list service's answer, watched for changes."""
+"""A source of endpoint lists: a file in the format of the list service's answer, watched for changes."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class FileSource:
-    """Watches a file; a partly written one is a failure."""
+    """Watches a file; a partially written file is a failure."""
 
     name = "file"
 
@@ -28,10 +28,10 @@
         self._read_version: tuple[int, int, int] | None = None
 
     def request_poll(self) -> None:
-        """Nothing to do: the file is checked at fixed intervals."""
+        """Does nothing: the file is checked at fixed intervals."""
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Watch until cancelled; of several failures in a row the first one is passed on."""
+        """Watch until cancelled; of consecutive failures only the first is reported."""
         failed = False
         while True:
             try:
--- a/winchdyke/discovery/follower.py
+++ b/winchdyke/discovery/follower.py
@@ -40,7 +40,7 @@
         check_health: Callable[[str], Awaitable[bool]],
         cache_directory: Path | None = None,
     ) -> None:
-        """``clock``: monotonic ms; ``publish`` takes lists for the scheduler; ``check_health`` connects to an endpoint."""
+        """``clock``: monotonic ms; ``publish`` sends lists to the scheduler; ``check_health`` connects to an endpoint."""
         self.view = EndpointView(bounds, [source.name for source in sources])
         self.sources = sources
         self._clock = clock
@@ -53,7 +53,7 @@
         self._wakeup = anyio.Event()
 
     def request_poll(self) -> None:
-        """Poll the sources now; the scheduler asks for it."""
+        """Poll all sources now, at the scheduler's request."""
         for source in self.sources:
             source.request_poll()
 
@@ -83,16 +83,16 @@
                     await self._wakeup.wait()
 
     def record_response(self, name: str, evidence: EndpointEvidence) -> bool:
-        """An endpoint responded. Returns whether requests may be sent on this connection."""
+        """Record an endpoint's response. Returns whether requests may be sent on its connection."""
         endpoint = self.view.endpoints.get(name)
         status_before = endpoint.status if endpoint is not None else None
         accepted = self.view.record_response(name, evidence, self._clock(), time.time() * 1000)
         if endpoint is not None and endpoint.status is not status_before:
-            self._wakeup.set()  # publishes a drain or a reused address without waiting for the next tick
+            self._wakeup.set()  # publish a drain or a reused address without waiting for the next tick
         return accepted
 
     def record_connect_failure(self, name: str) -> None:
-        """An endpoint could not be reached."""
+        """Record a failed connection to an endpoint."""
         self.view.record_connect_failure(name, self._clock())
 
     async def _run_health_check(self, name: str) -> None:
@@ -140,7 +140,7 @@
         if self.view.sources[self.sources[0].name].healthy:
             await self._publish(EndpointList(EndpointListKind.CHANGES, tuple(changes)))
         else:
-            # Changes would tell the scheduler that the first source is followed, and it would not ask for a poll.
+            # A CHANGES list would indicate that the first source works, and the scheduler would not request a poll.
             await self._publish(EndpointList(EndpointListKind.CACHED, tuple(self.view.snapshot())))
 
     def _log_changes(self) -> None:
--- a/winchdyke/discovery/history.py
+++ b/winchdyke/discovery/history.py
@@ -1,4 +1,4 @@
-"""The history of endpoint statuses: one line of JSON for each change, in two files of bounded size."""
+"""The history of endpoint statuses: one line of JSON per change, in two files of bounded size."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusChange:
-    """An endpoint's status changed."""
+    """A change of an endpoint's status."""
 
     unix_ms: int
     endpoint: str
@@ -26,7 +26,7 @@
     reason: str
 
     def to_json(self) -> str:
-        """The stored line, without its end."""
+        """Returns the stored line without its line break."""
         stored = {
             "unix_ms": self.unix_ms,
             "node": self.endpoint,
@@ -37,7 +37,7 @@
 
 
 def append(directory: Path, changes: Iterable[StatusChange]) -> None:
-    """Append changes; starts a new file where the current one has reached its size. Raises OSError."""
+    """Append changes; start a new file if the current one exceeds its size limit. Raises OSError."""
     current = directory / CURRENT_FILE
     if current.exists() and current.stat().st_size > MAX_FILE_BYTES:
         current.replace(directory / PREVIOUS_FILE)
@@ -46,7 +46,7 @@
 
 
 def read(directory: Path) -> list[dict[str, Any]]:
-    """All stored changes, the oldest first, with their stored keys.
+    """Returns all stored changes, the oldest first, with their stored keys.
 
     Raises:
         EndpointCacheError: A file can't be read.
--- a/winchdyke/discovery/list_protocol.py
+++ b/winchdyke/discovery/list_protocol.py
@@ -1,4 +1,4 @@
-"""The list service's answers: JSON in, endpoint lists out. Without I/O; the format is in ``docs/node-list.md``."""
+"""Parses the list service's JSON answers into endpoint lists. Without I/O; ``docs/node-list.md`` has the format."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     "cached": EndpointListKind.CACHED,
 }
 MAX_PORT = 65535
-EARLIEST_START_MS = 1e-3  # 0 would mean a start long ago
+EARLIEST_START_MS = 1e-3  # 0 stands for a start long ago
 
 
 class EndpointJson(msgspec.Struct):
-    """One endpoint as JSON; ``started_unix_ms`` is absent where it has been up for long."""
+    """One endpoint as JSON; ``started_unix_ms`` is absent if it started long ago."""
 
     name: str
     state: Literal["ready", "draining", "gone"]
@@ -37,7 +37,7 @@
 
 
 class EndpointListJson(msgspec.Struct):
-    """A list as JSON, or what changed since the token before. ``version`` grows with each change; 0 for none."""
+    """A list, or its changes since the previous token, as JSON. ``version`` grows with each change; 0 if there is none."""
 
     token: str
     form: Literal["full", "changes", "cached"]
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedList:
-    """A source's list, or changes of it: the token for the next call, the kind, the entries, the list's version."""
+    """A source's list or changes to it: token for the next call, kind, entries, and the list's version."""
 
     resume_token: str
     kind: EndpointListKind
@@ -58,18 +58,18 @@
 class ListParser:
     """Parses one source's lists, with start times on the gateway's clock.
 
-    A start's wall time is converted to monotonic time once and retained: converted anew for each list, the drift between
-    the clocks would look like restarts.
+    The wall time of a start is converted to monotonic time only once: if each list converted it again, drift between the
+    clocks would look like restarts.
     """
 
     def __init__(self) -> None:
         self._started_at_ms: dict[tuple[str, float], float] = {}
 
     def parse(self, data: bytes, now_ms: float, unix_ms: float) -> ReceivedList:
-        """The list in an answer.
+        """Returns the list in an answer.
 
         Raises:
-            EndpointListError: The bytes are no valid list.
+            EndpointListError: The bytes are not a valid list.
         """
         try:
             message = msgspec.json.decode(data, type=EndpointListJson)
@@ -87,7 +87,7 @@
     def _entry(self, entry: EndpointJson, now_ms: float, unix_ms: float) -> ListedEndpoint:
         started_at_ms = 0.0
         if entry.started_unix_ms > 0:
-            # A start in the future comes from a wrong clock and counts as a start now.
+            # A start in the future comes from a wrong clock and is treated as a start now.
             converted_ms = min(now_ms, now_ms - (unix_ms - entry.started_unix_ms))
             start = (entry.name, entry.started_unix_ms)
             started_at_ms = self._started_at_ms.setdefault(start, max(converted_ms, EARLIEST_START_MS))
@@ -97,8 +97,8 @@
 
 def _check_names(names: list[str]) -> None:
     if len(set(names)) != len(names):
-        raise EndpointListError("the list names a node twice")
+        raise EndpointListError("the list contains a node more than once")
     for name in names:
         host, _, port = name.rpartition(":")
         if not host or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
-            raise EndpointListError(f"the list names {name!r}, which is not HOST:PORT")
+            raise EndpointListError(f"the list contains {name!r}, which is not HOST:PORT")
--- a/winchdyke/discovery/list_service.py
+++ b/winchdyke/discovery/list_service.py
@@ -1,4 +1,4 @@
-"""A source of endpoint lists: the list service over HTTP, followed by long polls."""
+"""A source of endpoint lists: the list service, followed over HTTP with long polls."""
 
 from __future__ import annotations
 
@@ -34,13 +34,13 @@
     """Follows a list service; after a failure it waits for :meth:`request_poll`.
 
     Attributes:
-        poll_count: Calls so far.
+        poll_count: Number of calls so far.
     """
 
     name = "list"
 
     def __init__(self, settings: Discovery, gateway: str, clock: Callable[[], float]) -> None:
-        """``gateway``: the name given in each call; ``clock``: monotonic ms."""
+        """``gateway``: the name sent in each call; ``clock``: monotonic ms."""
         self.poll_count = 0
         self._settings = settings
         self._gateway = gateway
@@ -54,7 +54,7 @@
             self._poll_requested.set()
 
     def request_poll(self) -> None:
-        """Follow the list, where it is not followed already."""
+        """Start following the list unless it is followed already."""
         self._poll_requested.set()
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
@@ -79,7 +79,7 @@
             await anyio.sleep(max(MIN_POLL_INTERVAL_SECONDS, wait_seconds))
 
     async def _poll(self) -> ReceivedList | None:
-        """One call; None where nothing changed."""
+        """Make one call; returns None if the list has not changed."""
         wait_ms = self._settings.wait if self._resume_token else 0.0
         self.poll_count += 1
         with anyio.fail_after((wait_ms + self._settings.timeout) / 1000):
@@ -119,14 +119,14 @@
         return head, bytes(body)
 
     def _from_index(self, received: ReceivedList, head: AnswerHead) -> ReceivedList | None:
-        """The complete list at an index, as services with blocking queries answer; None where nothing changed.
+        """Returns the complete list of a service with blocking queries; None if its index has not changed.
 
-        After an index that went back the next call does not wait. The view takes the index as the list's version.
+        After an index went back the next call does not wait. The index serves as the version of the list.
         """
         text = (head.get(b"x-index") or "").strip()
         index = int(text) if text.isdigit() else 0
         if index == 0:
-            raise EndpointListError(f"the answer's X-Index is {text!r}; it must be a number from 1 on")
+            raise EndpointListError(f"the answer's X-Index is {text!r}; it must be a number of at least 1")
         is_unchanged = index == self._index
         went_back = index < self._index
         self._index = 0 if went_back else index
--- a/winchdyke/discovery/persistence.py
+++ b/winchdyke/discovery/persistence.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint cache and the status history of a running gateway; disk errors are logged and never fatal."""
+"""Writes the endpoint cache and the status history of a running gateway; disk errors are logged and never fatal."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from winchdyke.discovery.records import NEVER_MS, CachedEndpoint
 
 MIN_SAVE_INTERVAL_SECONDS = 1.0
-CONFIRMATION_SAVE_INTERVAL_SECONDS = 60.0  # where nothing but the times of confirmation changed
+CONFIRMATION_SAVE_INTERVAL_SECONDS = 60.0  # if only the times of confirmation changed
 
 
 class ViewPersistence:
@@ -29,13 +29,13 @@
         self._last_error = ""
 
     def load(self) -> cache.CachedEndpointList | None:
-        """Make the directory where needed, and read the cache; problems are logged."""
+        """Create the directory if needed, and read the cache; problems are logged."""
         if self._directory is None:
             return None
         try:
             self._directory.mkdir(parents=True, exist_ok=True, mode=0o700)
         except OSError as error:
-            reason = f"{self._directory}: {error.strerror}; no list is kept"
+            reason = f"{self._directory}: {error.strerror}; the endpoint list is not cached"
             self._log.warning("endpoint_cache_unavailable", reason=reason)
             self._directory = None
             return None
@@ -50,7 +50,7 @@
         return loaded.cached
 
     async def save_if_due(self, endpoints: Collection[CachedEndpoint], now_ms: float) -> None:
-        """Save the view where it changed and the last save is long enough ago."""
+        """Save the view if it changed and the minimum interval since the last save has passed."""
         if self._directory is None or not endpoints:
             return
         since_save_ms = now_ms - self._saved_at_ms
@@ -60,7 +60,7 @@
         changed = key != self._saved_key
         if not changed and since_save_ms < CONFIRMATION_SAVE_INTERVAL_SECONDS * 1000:
             return
-        copies = [replace(endpoint) for endpoint in endpoints]  # the view changes while a thread writes
+        copies = [replace(endpoint) for endpoint in endpoints]  # the view may change while the thread writes
         cached = cache.CachedEndpointList(time.time() * 1000, self._gateway, copies)
         rotate = changed and bool(self._saved_key)
         self._saved_at_ms = now_ms
@@ -73,7 +73,7 @@
         self._last_error = ""
 
     def append_history(self, changes: list[history.StatusChange]) -> None:
-        """Append changes of status to the history."""
+        """Append status changes to the history."""
         if self._directory is None or not changes:
             return
         try:
@@ -82,10 +82,10 @@
             self._log_write_error(error)
 
     def _log_write_error(self, error: OSError) -> None:
-        """Log an error once, not at each attempt to save."""
+        """Log an error once, not at every attempt to save."""
         text = error.strerror or str(error)
         if text == self._last_error:
             return
         self._last_error = text
-        reason = f"{self._directory}: {text}; the list on the disk is not kept up"
+        reason = f"{self._directory}: {text}; the cached endpoint list is out of date"
         self._log.warning("endpoint_cache_write_failed", reason=reason)
--- a/winchdyke/discovery/polling.py
+++ b/winchdyke/discovery/polling.py
@@ -1,4 +1,4 @@
-"""How often a source may be polled: a token bucket for calls, and a backoff with jitter after failures."""
+"""Poll rates of sources: a token bucket that limits calls, and a backoff with jitter after failures."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def jittered_backoff_seconds(failures: int, rng: random.Random) -> float:
-    """The pause after so many failures in a row: it doubles up to a bound, times a jitter of 0.5 to 1.5."""
+    """Returns the exponential backoff after consecutive failures, bounded, times a jitter of 0.5 to 1.5."""
     doublings = min(failures - 1, MAX_BACKOFF_DOUBLINGS)
     backoff_seconds = min(MAX_BACKOFF_SECONDS, INITIAL_BACKOFF_SECONDS * 2.0**doublings)
     return backoff_seconds * (MIN_JITTER_FACTOR + rng.random())
--- a/winchdyke/discovery/records.py
+++ b/winchdyke/discovery/records.py
@@ -1,4 +1,4 @@
-"""The records of endpoint discovery: list entries, evidence from endpoints, and what is known of each endpoint."""
+"""The records of endpoint discovery: list entries, evidence from endpoints, and the state of each endpoint."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 from winchdyke.interface import EndpointStatus
 
-NEVER_MS = -1e18  # a time before all others
+NEVER_MS = -1e18  # earlier than any clock value
 
 
 class DiscoveryStatus(StrEnum):
     """The status of an endpoint in the endpoint view; the values are stored in the cache and in the history.
 
     Attributes:
-        UNCONFIRMED: Known from an old list, or omitted by a list; checked before it is used.
+        UNCONFIRMED: Known from an old list, or unreachable and not listed; checked before it is used.
         USABLE: Named by a healthy source, or it has responded under the expected identity.
         WARMING_UP: Usable, but it started recently or its start time is not known.
-        DRAINING: A list or the endpoint announced it; kept until a later start or until a list withdraws it.
+        DRAINING: A list or the endpoint announced a drain; it ends with a later start or a list that withdraws it.
         REMOVED: A list omitted it, or it does not respond and no healthy list names it.
         ADDRESS_REUSED: Another store responds at its address; no request goes there.
     """
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEvidence:
-    """What a store reports of itself: its identity, an id of its present start, its uptime, whether it drains."""
+    """A store's report about itself: identity, an id of its current start, uptime, and whether it is draining."""
 
     identity: str = ""
     boot_id: str = ""
@@ -55,22 +55,22 @@
 
 
 class CachedEndpoint(msgspec.Struct):
-    """All that is known of an endpoint. The explicit names are those of the stored form.
+    """The state of an endpoint. Explicit names are the stored ones.
 
     Attributes:
-        reason: Why it has its status, for people.
-        status_since_ms: Since when it has its status.
+        reason: The reason for its status, for operators.
+        status_since_ms: When its status was set.
         started_at_ms: Its start on the gateway's clock, 0 for long ago.
         start_time_known: Whether anything reported its start time.
         uptime_reported: Whether the endpoint itself reported the uptime of its present start to this gateway.
-        drain_announced: Whether a list or the endpoint announced that it drains.
+        drain_announced: Whether a list or the endpoint announced a drain.
         listed: Whether the authoritative source names it.
-        confirmed_by: What confirmed it last.
-        confirmed_unix_ms: When that was, by the wall clock.
+        confirmed_by: The source of its last confirmation.
+        confirmed_unix_ms: The wall time of its last confirmation.
         last_response_at_ms: When it last responded.
-        omitted_since_ms: Since when a suspect list has omitted it while it stays in service.
-        failed_attempts: Connection attempts that failed since its last response.
-        next_attempt_at_ms: When the next health check may follow.
+        omitted_since_ms: When an untrusted list omitted it; it stays in service meanwhile.
+        failed_attempts: Failed connection attempts since its last response.
+        next_attempt_at_ms: The earliest time of its next health check.
     """
 
     name: str
@@ -95,5 +95,5 @@
 
     @property
     def is_in_service(self) -> bool:
-        """Whether requests may go to it."""
+        """Whether requests may be sent to it."""
         return self.status in (DiscoveryStatus.USABLE, DiscoveryStatus.WARMING_UP)
--- a/winchdyke/discovery/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -1,7 +1,7 @@
-"""Gateways named by a list service: addresses at which a gateway joins the others, beside the configured and cached seeds.
+"""Gateways named by a list service: seeds of membership in addition to the configured and cached ones.
 
-The list does not decide which gateways are alive: its addresses are contacted as any seed is. While the service fails, the
-last list stays valid and the service is polled with backoff.
+The list does not determine which gateways are alive: its addresses are contacted like all other seeds. While the service
+fails, the last list stays valid and the service is polled with backoff.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from winchdyke.discovery.polling import jittered_backoff_seconds
 from winchdyke.interface import EndpointListKind, EndpointStatus
 
-MAX_GATEWAYS = 1024  # the limit of members
+MAX_GATEWAYS = 1024  # as many as membership tracks
 
 
 class GatewaySeeds:
-    """Follows a list of gateways."""
+    """Follows a list of gateways and passes on the ready ones as seeds."""
 
     def __init__(
         self,
@@ -34,14 +34,14 @@
         clock: Callable[[], float],
         on_change: Callable[[tuple[str, ...]], None],
     ) -> None:
-        """Follow the list at an address, when :meth:`run` is called.
+        """Create a follower of the list at an address; :meth:`run` starts it.
 
         Args:
             address: Host, port and path of the list.
-            discovery: Settings whose timeouts and form are used.
-            gateway: The name given in each call.
+            discovery: Settings from which the timeouts and the list format are taken.
+            gateway: The name sent in each call.
             clock: Monotonic ms.
-            on_change: Called with the addresses of all ready gateways each time that they change.
+            on_change: Called with the addresses of all ready gateways whenever they change.
         """
         host, port, path = address
         settings = replace(discovery, host=host, port=port, path=path)
@@ -69,7 +69,7 @@
             return
         self._ready = ready
         if len(ready) > MAX_GATEWAYS:
-            reason = f"the list names {len(ready)} gateways: {MAX_GATEWAYS} are taken"
+            reason = f"the list contains {len(ready)} gateways; only {MAX_GATEWAYS} are used"
             self._log.warning("gateway_list_truncated", reason=reason)
         self._on_change(tuple(sorted(ready)[:MAX_GATEWAYS]))
 
--- a/winchdyke/discovery/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -1,4 +1,4 @@
-"""What a source of endpoint lists looks like to the follower."""
+"""The interface between sources of endpoint lists and the follower."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     name: str
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Follow the list until cancelled; pass each list and each failure on."""
+        """Follow the list until cancelled; report each list and each failure."""
 
     def request_poll(self) -> None:
-        """Poll now, where the source waits for this after a failure."""
+        """Poll now, if the source waits for a request after a failure."""
--- a/winchdyke/discovery/srv_source.py
+++ b/winchdyke/discovery/srv_source.py
@@ -1,4 +1,4 @@
-"""A source of endpoint lists: DNS SRV records (RFC 2782), one name for each shard."""
+"""A source of endpoint lists: DNS SRV records (RFC 2782), one name per shard."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class SrvSource:
-    """Queries ``SHARD.NAME`` for each shard; a target's address and port are an endpoint.
+    """Queries ``SHARD.DOMAIN`` for each shard; the address and port of a target are an endpoint.
 
-    Records have no start time, so an endpoint's own uptime shows whether it is warming up. A name without records is a
-    shard without endpoints.
+    Records have no start time, so only an endpoint's own uptime shows whether it is warming up. A name without records
+    is a shard without endpoints.
     """
 
     name = "srv"
@@ -38,7 +38,7 @@
         self._rng = random.Random()
 
     def request_poll(self) -> None:
-        """Nothing to do: the records are queried at intervals of its own."""
+        """Does nothing: the records are queried at regular intervals."""
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
         """Query until cancelled."""
