--- a/winchdyke/discovery/cache.py
+++ b/winchdyke/discovery/cache.py
@@ -51,7 +51,7 @@
 
 
 def save(directory: Path, cached: CachedEndpointList, rotate: bool) -> None:
-    """Write the current generation; with ``rotate`` the previous one is retained.
+    """Writes the current generation; with ``rotate`` the previous one is retained.
 
     Raises:
         OSError: The file can't be written. Earlier generations are intact.
@@ -80,7 +80,7 @@
 
 
 def _rotate_generations(directory: Path) -> None:
-    """Shift all generations up by one; generation 0 also stays in its place until the new file replaces it."""
+    """Shifts all generations up by one; generation 0 also stays in its place until the new file replaces it."""
     for generation in range(GENERATIONS - 1, 1, -1):
         previous = generation_path(directory, generation - 1)
         if previous.exists():
@@ -94,7 +94,7 @@
 
 
 def load(directory: Path) -> LoadedCache:
-    """Read the newest usable generation."""
+    """Reads the newest usable generation."""
     warnings: list[str] = []
     for generation in range(GENERATIONS):
         path = generation_path(directory, generation)
@@ -112,7 +112,7 @@
 
 
 def read_generation(path: Path) -> CachedEndpointList:
-    """Read and verify one file.
+    """Reads and verifies one file.
 
     Raises:
         EndpointCacheError: The file can't be used.
@@ -152,7 +152,7 @@
 
 
 def _check_permissions(path: Path, kind: str) -> None:
-    """Reject a file or folder that other users may write to: they could redirect this host's requests."""
+    """Rejects a file or folder that other users may write to: they could redirect this host's requests."""
     try:
         status = path.stat()
     except FileNotFoundError:
--- a/winchdyke/discovery/endpoint_transitions.py
+++ b/winchdyke/discovery/endpoint_transitions.py
@@ -161,7 +161,7 @@
     # Time
 
     def tick(self, endpoint: CachedEndpoint, now_ms: float) -> None:
-        """Apply timeouts: the end of the warmup and of the grace period of an omission."""
+        """Applies timeouts: the end of the warmup and of the grace period of an omission."""
         if endpoint.status is DiscoveryStatus.WARMING_UP:
             self._update_warmup(endpoint, now_ms)
         omitted_since_ms = endpoint.omitted_since_ms
@@ -182,7 +182,7 @@
     def set_status(
         self, endpoint: CachedEndpoint, status: DiscoveryStatus, reason: str, now_ms: float
     ) -> None:
-        """Set the status and its reason; a health check that the status requires is due now unless a backoff applies."""
+        """Sets the status and its reason; a health check that the status requires is due now unless a backoff applies."""
         if status is not endpoint.status:
             endpoint.status_since_ms = now_ms
         endpoint.status = status
@@ -195,7 +195,7 @@
     def _apply_older_entry(
         self, endpoint: CachedEndpoint, entry: ListedEndpoint, source_name: str, now_ms: float
     ) -> None:
-        """Apply an entry of an older list, which overrides neither a later list nor the endpoint's own report."""
+        """Applies an entry of an older list, which overrides neither a later list nor the endpoint's own report."""
         endpoint.listed = True
         endpoint.identity = endpoint.identity or entry.identity
         if endpoint.status in (DiscoveryStatus.REMOVED, DiscoveryStatus.ADDRESS_REUSED):
@@ -216,7 +216,7 @@
             endpoint.start_time_known = True
 
     def _forget_process(self, endpoint: CachedEndpoint) -> None:
-        """Clear the state of the previous process at the address."""
+        """Clears the state of the previous process at the address."""
         endpoint.boot_id = ""
         endpoint.drain_announced = False
         endpoint.start_time_known = False
@@ -229,7 +229,7 @@
     def _record_uptime(
         self, endpoint: CachedEndpoint, evidence: EndpointEvidence, restarted: bool, now_ms: float
     ) -> None:
-        """Set the start time from the endpoint's uptime; a start time from a list stays if it is later."""
+        """Sets the start time from the endpoint's uptime; a start time from a list stays if it is later."""
         endpoint.uptime_reported = evidence.uptime_ms is not None
         if evidence.uptime_ms is None:
             if restarted:
--- a/winchdyke/discovery/endpoint_view.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -61,7 +61,7 @@
     # Inputs
 
     def restore_cached(self, cached: Iterable[CachedEndpoint], now_ms: float) -> None:
-        """Add endpoints from the cache: unused until confirmed; drains and identities are retained."""
+        """Adds endpoints from the cache: unused until confirmed; drains and identities are retained."""
         for endpoint in cached:
             if endpoint.name not in self.endpoints:
                 self.endpoints[endpoint.name] = restored_from_cache(endpoint, now_ms)
@@ -76,7 +76,7 @@
         version: int = 0,
         is_cached_copy: bool = False,
     ) -> None:
-        """Apply a source's list, or changes to it if not ``complete``.
+        """Applies a source's list, or changes to it if not ``complete``.
 
         ``version`` is 0 if the source has none; ``is_cached_copy``: the source itself marks its list as old.
         """
@@ -101,7 +101,7 @@
                 self._transitions.mark_draining(endpoint, f"drains, by {source_name}", now_ms)
 
     def mark_source_failed(self, source_name: str, now_ms: float, unix_ms: float = 0.0) -> None:
-        """Mark a source as failed: the next healthy source in order becomes authoritative."""
+        """Marks a source as failed: the next healthy source in order becomes authoritative."""
         previous = self._authoritative_source()
         self.sources[source_name].healthy = False
         current = self._authoritative_source()
@@ -111,7 +111,7 @@
     def record_response(
         self, name: str, evidence: EndpointEvidence, now_ms: float, unix_ms: float = 0.0
     ) -> bool:
-        """Record an endpoint's response. Returns whether requests may be sent on its connection."""
+        """Records an endpoint's response. Returns whether requests may be sent on its connection."""
         endpoint = self.endpoints.get(name)
         if endpoint is None:
             return True
@@ -126,13 +126,13 @@
         return not endpoint.drain_announced and endpoint.status is not DiscoveryStatus.REMOVED
 
     def record_connect_failure(self, name: str, now_ms: float) -> None:
-        """Record a failed connection to an endpoint."""
+        """Records a failed connection to an endpoint."""
         endpoint = self.endpoints.get(name)
         if endpoint is not None:
             self._transitions.apply_connect_failure(endpoint, now_ms)
 
     def tick(self, now_ms: float) -> None:
-        """Apply timeouts to all endpoints."""
+        """Applies timeouts to all endpoints."""
         for endpoint in self.endpoints.values():
             if endpoint.status is DiscoveryStatus.WARMING_UP or endpoint.omitted_since_ms is not None:
                 self._transitions.tick(endpoint, now_ms)
@@ -212,7 +212,7 @@
         unix_ms: float,
         is_older: bool,
     ) -> None:
-        """Apply changed entries, or the complete list if ``changed`` is None."""
+        """Applies changed entries, or the complete list if ``changed`` is None."""
         entries = list(source.entries.values()) if changed is None else changed
         for entry in entries:
             endpoint = self.endpoints.get(entry.name)
@@ -226,7 +226,7 @@
             self._apply_omissions(source, now_ms, is_older)
 
     def _apply_omissions(self, source: SourceState, now_ms: float, is_older: bool) -> None:
-        """Remove endpoints that a complete list omits; if it omits many at once, they stay while they respond."""
+        """Removes endpoints that a complete list omits; if it omits many at once, they stay while they respond."""
         omitted = [
             endpoint
             for endpoint in self.endpoints.values()
--- a/winchdyke/discovery/file_source.py
+++ b/winchdyke/discovery/file_source.py
@@ -31,7 +31,7 @@
         """Does nothing: the file is checked at fixed intervals."""
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Watch until cancelled; of consecutive failures only the first is reported."""
+        """Watches until cancelled; of consecutive failures only the first is reported."""
         failed = False
         while True:
             try:
--- a/winchdyke/discovery/follower.py
+++ b/winchdyke/discovery/follower.py
@@ -53,18 +53,18 @@
         self._wakeup = anyio.Event()
 
     def request_poll(self) -> None:
-        """Poll all sources now, at the scheduler's request."""
+        """Polls all sources now, at the scheduler's request."""
         for source in self.sources:
             source.request_poll()
 
     def restore(self) -> None:
-        """Load the cache into the view."""
+        """Loads the cache into the view."""
         cached = self._persistence.load()
         if cached is not None:
             self.view.restore_cached(cached.endpoints, self._clock())
 
     async def run(self) -> None:
-        """Follow the sources until cancelled."""
+        """Follows the sources until cancelled."""
         self.restore()
         async with anyio.create_task_group() as group:
             for source in self.sources:
@@ -83,7 +83,7 @@
                     await self._wakeup.wait()
 
     def record_response(self, name: str, evidence: EndpointEvidence) -> bool:
-        """Record an endpoint's response. Returns whether requests may be sent on its connection."""
+        """Records an endpoint's response. Returns whether requests may be sent on its connection."""
         endpoint = self.view.endpoints.get(name)
         status_before = endpoint.status if endpoint is not None else None
         accepted = self.view.record_response(name, evidence, self._clock(), time.time() * 1000)
@@ -92,7 +92,7 @@
         return accepted
 
     def record_connect_failure(self, name: str) -> None:
-        """Record a failed connection to an endpoint."""
+        """Records a failed connection to an endpoint."""
         self.view.record_connect_failure(name, self._clock())
 
     async def _run_health_check(self, name: str) -> None:
@@ -144,7 +144,7 @@
             await self._publish(EndpointList(EndpointListKind.CACHED, tuple(self.view.snapshot())))
 
     def _log_changes(self) -> None:
-        """Log the view's warnings, and each endpoint whose status changed since the last call."""
+        """Logs the view's warnings, and each endpoint whose status changed since the last call."""
         warnings = self.view.warnings
         self.view.warnings = []
         for text in warnings:
--- a/winchdyke/discovery/history.py
+++ b/winchdyke/discovery/history.py
@@ -37,7 +37,7 @@
 
 
 def append(directory: Path, changes: Iterable[StatusChange]) -> None:
-    """Append changes; start a new file if the current one exceeds its size limit. Raises OSError."""
+    """Appends changes; starts a new file if the current one exceeds its size limit. Raises OSError."""
     current = directory / CURRENT_FILE
     if current.exists() and current.stat().st_size > MAX_FILE_BYTES:
         current.replace(directory / PREVIOUS_FILE)
--- a/winchdyke/discovery/list_service.py
+++ b/winchdyke/discovery/list_service.py
@@ -54,11 +54,11 @@
             self._poll_requested.set()
 
     def request_poll(self) -> None:
-        """Start following the list unless it is followed already."""
+        """Starts following the list unless it is followed already."""
         self._poll_requested.set()
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Follow the list until cancelled."""
+        """Follows the list until cancelled."""
         while True:
             await self._poll_requested.wait()
             try:
@@ -70,7 +70,7 @@
                 await on_failure(self.name, str(error) or type(error).__name__)
 
     async def _follow(self, on_list: OnList) -> None:
-        """Poll until a call fails."""
+        """Polls until a call fails."""
         while True:
             received = await self._poll()
             if received is not None:
@@ -79,7 +79,7 @@
             await anyio.sleep(max(MIN_POLL_INTERVAL_SECONDS, wait_seconds))
 
     async def _poll(self) -> ReceivedList | None:
-        """Make one call; returns None if the list has not changed."""
+        """Makes one call; returns None if the list has not changed."""
         wait_ms = self._settings.wait if self._resume_token else 0.0
         self.poll_count += 1
         with anyio.fail_after((wait_ms + self._settings.timeout) / 1000):
--- a/winchdyke/discovery/persistence.py
+++ b/winchdyke/discovery/persistence.py
@@ -29,7 +29,7 @@
         self._last_error = ""
 
     def load(self) -> cache.CachedEndpointList | None:
-        """Create the directory if needed, and read the cache; problems are logged."""
+        """Creates the directory if needed, and reads the cache; problems are logged."""
         if self._directory is None:
             return None
         try:
@@ -50,7 +50,7 @@
         return loaded.cached
 
     async def save_if_due(self, endpoints: Collection[CachedEndpoint], now_ms: float) -> None:
-        """Save the view if it changed and the minimum interval since the last save has passed."""
+        """Saves the view if it changed and the minimum interval since the last save has passed."""
         if self._directory is None or not endpoints:
             return
         since_save_ms = now_ms - self._saved_at_ms
@@ -73,7 +73,7 @@
         self._last_error = ""
 
     def append_history(self, changes: list[history.StatusChange]) -> None:
-        """Append status changes to the history."""
+        """Appends status changes to the history."""
         if self._directory is None or not changes:
             return
         try:
@@ -82,7 +82,7 @@
             self._log_write_error(error)
 
     def _log_write_error(self, error: OSError) -> None:
-        """Log an error once, not at every attempt to save."""
+        """Logs an error once, not at every attempt to save."""
         text = error.strerror or str(error)
         if text == self._last_error:
             return
--- a/winchdyke/discovery/polling.py
+++ b/winchdyke/discovery/polling.py
@@ -28,7 +28,7 @@
     refilled_at_seconds: float = 0.0
 
     def take_token(self, now_seconds: float) -> float:
-        """Take a token; returns the seconds to wait before the call."""
+        """Takes a token; returns the seconds to wait before the call."""
         if self.refilled_at_seconds:
             refill = (now_seconds - self.refilled_at_seconds) * POLLS_PER_SECOND
             self.tokens = min(POLL_BURST, self.tokens + refill)
--- a/winchdyke/discovery/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -34,7 +34,7 @@
         clock: Callable[[], float],
         on_change: Callable[[tuple[str, ...]], None],
     ) -> None:
-        """Create a follower of the list at an address; :meth:`run` starts it.
+        """Creates a follower of the list at an address; :meth:`run` starts it.
 
         Args:
             address: Host, port and path of the list.
@@ -53,7 +53,7 @@
         self._log = structlog.get_logger("discovery")
 
     async def run(self) -> None:
-        """Follow the list until cancelled."""
+        """Follows the list until cancelled."""
         self._source.request_poll()
         await self._source.run(self._on_list, self._on_failure)
 
--- a/winchdyke/discovery/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -19,7 +19,7 @@
     name: str
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Follow the list until cancelled; report each list and each failure."""
+        """Follows the list until cancelled; reports each list and each failure."""
 
     def request_poll(self) -> None:
-        """Poll now, if the source waits for a request after a failure."""
+        """Polls now, if the source waits for a request after a failure."""
--- a/winchdyke/discovery/srv_source.py
+++ b/winchdyke/discovery/srv_source.py
@@ -41,7 +41,7 @@
         """Does nothing: the records are queried at regular intervals."""
 
     async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
-        """Query until cancelled."""
+        """Queries until cancelled."""
         from dns.exception import DNSException
 
         failures = 0
--- a/winchdyke/membership/addresses.py
+++ b/winchdyke/membership/addresses.py
@@ -6,16 +6,16 @@
 
 
 def format_address(host: object, port: object) -> str:
-    """Return ``HOST:PORT``, or ``[HOST]:PORT`` for an IPv6 address."""
+    """Returns ``HOST:PORT``, or ``[HOST]:PORT`` for an IPv6 address."""
     return f"[{host}]:{port}" if ":" in str(host) else f"{host}:{port}"
 
 
 def format_listen(listen: Listen) -> str:
-    """Return the ``HOST:PORT`` of a listen setting."""
+    """Returns the ``HOST:PORT`` of a listen setting."""
     return format_address(listen.host, listen.port)
 
 
 def split_address(address: str) -> tuple[str, str]:
-    """Return the host, without brackets, and the port of a ``HOST:PORT``."""
+    """Returns the host, without brackets, and the port of a ``HOST:PORT``."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), port
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -65,7 +65,7 @@
     # Lifecycle.
 
     async def open(self) -> None:
-        """Read the keys and bind the sockets. Raises MembershipError."""
+        """Reads the keys and binds the sockets. Raises MembershipError."""
         assert self._settings.listen is not None
         self.keys.load()
         await self.transport.open(self._settings.listen)
@@ -76,7 +76,7 @@
             raise
 
     async def run(self) -> None:
-        """Run the protocol until cancelled; call :meth:`leave` first to notify the other members."""
+        """Runs the protocol until cancelled; call :meth:`leave` first to notify the other members."""
         assert self.protocol is not None and self.transport.is_open
         async with anyio.create_task_group() as group:
             self.transport.start(group, self._answer_state_exchange)
@@ -88,19 +88,19 @@
             await anyio.sleep_forever()
 
     def leave(self) -> None:
-        """Notify other members that this one leaves, and stop the protocol."""
+        """Notifies other members that this one leaves, and stops the protocol."""
         if self.protocol is not None and self.transport.is_open:
             self._execute(self.protocol.leave(self.clock()))
             self.transport.is_stopped = True
 
     async def close(self) -> None:
-        """Close the sockets."""
+        """Closes the sockets."""
         await self.transport.close()
 
     # Addresses.
 
     def update_config(self, config: Config) -> None:
-        """Replace the peers and seeds. Known members stay in the table until they are removed as dead or left."""
+        """Replaces the peers and seeds. Known members stay in the table until they are removed."""
         if self.protocol is None:
             return
         if (config.peers, config.fleet.seeds) == (self.config.peers, self._settings.seeds):
@@ -111,7 +111,7 @@
         self.transport.wake()
 
     def set_listed_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Set the seeds named by a list service, in addition to all other seeds."""
+        """Sets the seeds named by a list service, in addition to all other seeds."""
         self._listed_seeds = addresses
         if self.protocol is not None:
             self.protocol.update_addresses(self._seeds(), self._address_overrides(), soon=False)
@@ -136,7 +136,7 @@
         return self.protocol.view(self.clock())
 
     def status(self) -> dict[str, Any]:
-        """Return the status as plain data, for the admin API. Times are in ms before now."""
+        """Returns the status as plain data, for the admin API. Times are in ms before now."""
         assert self.protocol is not None
         status = membership_status(self.protocol, self.view, self.stopped, self.clock())
         status["counts"] = {**self.protocol.counts, **self.counts}
@@ -163,7 +163,7 @@
         return SwimProtocol(local, startup.swim_config(self._settings), seed, self.clock())
 
     def _load_cache(self) -> member_cache.KnownMembers | None:
-        """Read the member cache, and use its addresses as seeds."""
+        """Reads the member cache, and uses its addresses as seeds."""
         if not self._settings.keep:
             return None
         known, problem = member_cache.load(Path(self._settings.keep))
@@ -178,7 +178,7 @@
         return {name: format_listen(address) for name, address in self.config.peers}
 
     def _seeds(self) -> tuple[str, ...]:
-        """Return all seeds without duplicates: from the settings, the peers, the member cache and a list service."""
+        """Returns all seeds without duplicates: from the settings, the peers, the member cache and a list service."""
         configured = [*map(format_listen, self._settings.seeds), *self._address_overrides().values()]
         return tuple(dict.fromkeys([*configured, *self._cached_seeds, *self._listed_seeds]))
 
--- a/winchdyke/membership/datagrams.py
+++ b/winchdyke/membership/datagrams.py
@@ -103,24 +103,24 @@
 
 
 def encoded_size(record: MemberRecord) -> int:
-    """Return the size in bytes of a record in a message."""
+    """Returns the size in bytes of a record in a message."""
     return len(_encoder.encode(record))
 
 
 def message_mac(secret: bytes, header: bytes, body: bytes) -> bytes:
-    """Return the authentication code over the header's first bytes and the body."""
+    """Returns the authentication code over the header's first bytes and the body."""
     return blake2b(header + body, key=secret, digest_size=MAC_BYTES).digest()
 
 
 def seal(message: SwimMessage, secret: bytes) -> bytes:
-    """Encode and authenticate a message with a secret of 16 to 64 bytes."""
+    """Encodes and authenticates a message with a secret of 16 to 64 bytes."""
     header = MAGIC + bytes((VERSION, 0))
     body = _encoder.encode(message)
     return header + message_mac(secret, header, body) + body
 
 
 def unseal(data: bytes, secrets: Sequence[bytes], max_bytes: int = MAX_DATAGRAM_BYTES) -> SwimMessage:
-    """Return the message that was sealed with one of the secrets.
+    """Returns the message that was sealed with one of the secrets.
 
     Raises MessageRejectedError with the reason ``too-long``, ``not-ours``, ``version``, ``seal``, ``fields`` or ``kind``.
     """
@@ -151,7 +151,7 @@
 
 
 def _is_oversized(record: MemberRecord) -> bool:
-    """Return whether a text exceeds its bound in bytes; the decoder's bounds count characters."""
+    """Returns whether a text exceeds its bound in bytes; the decoder's bounds count characters."""
     texts = (record.name, record.address, record.zone, record.reported_by)
     return any(len(text.encode()) > MAX_NAME_BYTES for text in texts)
 
@@ -168,7 +168,7 @@
         self._bits = 0
 
     def accept(self, counter: int) -> bool:
-        """Return whether the counter is new, and mark it as received."""
+        """Returns whether the counter is new, and marks it as received."""
         ahead = counter - self.highest
         if ahead > 0:
             shifted = (self._bits << ahead) if ahead < self.SIZE else 0
--- a/winchdyke/membership/dissemination.py
+++ b/winchdyke/membership/dissemination.py
@@ -28,7 +28,7 @@
         self._on_member_dead = on_member_dead
 
     def apply(self, record: MemberRecord, reporter: str) -> None:
-        """Merge a record received from ``reporter``, and queue it for gossip if it changed the table."""
+        """Merges a record received from ``reporter``, and queues it for gossip if it changed the table."""
         context = self._context
         if record.name == context.local.name:
             self._refutation.handle_record(record, reporter)
--- a/winchdyke/membership/gossip_queue.py
+++ b/winchdyke/membership/gossip_queue.py
@@ -25,17 +25,17 @@
         return len(self._updates)
 
     def enqueue(self, record: MemberRecord) -> None:
-        """Add a record; it replaces an earlier record of the same member."""
+        """Adds a record; it replaces an earlier record of the same member."""
         self._updates[record.name] = _QueuedUpdate(record, 0, datagrams.encoded_size(record))
 
     def discard(self, name: str) -> None:
-        """Remove the record of a member."""
+        """Removes the record of a member."""
         self._updates.pop(name, None)
 
     def select(
         self, capacity_bytes: int, retransmit_limit: int, first: MemberRecord | None = None
     ) -> list[MemberRecord]:
-        """Return the least often sent records that fit into ``capacity_bytes``, and count them as sent.
+        """Returns the least often sent records that fit into ``capacity_bytes``, and counts them as sent.
 
         A record is dropped from the queue after ``retransmit_limit`` transmissions. ``first`` is always included: a suspect
         receives its own suspicion first, so that it can refute it in time (Lifeguard's buddy system).
--- a/winchdyke/membership/local_health.py
+++ b/winchdyke/membership/local_health.py
@@ -11,11 +11,11 @@
         self.score = 0
 
     def degrade(self, by: int = 1) -> None:
-        """Count a missed ack, a missing nack, or a suspicion of this process itself."""
+        """Counts a missed ack, a missing nack, or a suspicion of this process itself."""
         self.score = min(self.max_score, self.score + by)
 
     def improve(self) -> None:
-        """Count an ack that arrived in time."""
+        """Counts an ack that arrived in time."""
         self.score = max(0, self.score - 1)
 
     @property
--- a/winchdyke/membership/log_events.py
+++ b/winchdyke/membership/log_events.py
@@ -26,7 +26,7 @@
 
 
 def log_event(code: str, member: str) -> str:
-    """Return the log event name of a protocol event."""
+    """Returns the log event name of a protocol event."""
     if code == "left" and not member:
         return LOCAL_MEMBER_LEFT
     return LOG_EVENTS[code]
--- a/winchdyke/membership/member.py
+++ b/winchdyke/membership/member.py
@@ -72,7 +72,7 @@
         return self.last_received_ms >= NEVER_MS / 10
 
     def take_message_token(self, now: float) -> bool:
-        """Take a token for one received message; return False if the member exceeds its message rate."""
+        """Takes a token for one received message; returns False if the member exceeds its message rate."""
         refill = MAX_MESSAGES_PER_SECOND * max(0.0, now - self.tokens_updated_at_ms) / 1000
         self.message_tokens = min(MAX_MESSAGES_PER_SECOND, self.message_tokens + refill)
         self.tokens_updated_at_ms = now
@@ -82,7 +82,7 @@
         return True
 
     def reset_for_generation(self) -> None:
-        """Clear the evidence, which belongs to an earlier process of this name."""
+        """Clears the evidence, which belongs to an earlier process of this name."""
         self.last_received_ms = NEVER_MS
         self.last_ack_ms = NEVER_MS
         self.link_state = LinkState.UNTRIED
--- a/winchdyke/membership/member_cache.py
+++ b/winchdyke/membership/member_cache.py
@@ -33,7 +33,7 @@
 
 
 def load(folder: Path) -> tuple[KnownMembers | None, str]:
-    """Return the cached members, or None, and the problem with the file ("" if there is none, or no file yet)."""
+    """Returns the cached members, or None, and the problem with the file ("" if there is none, or no file yet)."""
     path = folder / FILE_NAME
     try:
         with path.open("rb") as file:
@@ -50,6 +50,6 @@
 
 
 def save(folder: Path, known: KnownMembers) -> None:
-    """Write the file atomically and durably. Raises OSError."""
+    """Writes the file atomically and durably. Raises OSError."""
     folder.mkdir(mode=0o700, parents=True, exist_ok=True)
     replace_file(folder / FILE_NAME, msgspec.json.encode(known), folder / f"{FILE_NAME}.{os.getpid()}.new")
--- a/winchdyke/membership/member_table.py
+++ b/winchdyke/membership/member_table.py
@@ -31,15 +31,15 @@
         return 1 + sum(member.is_active for member in self.members.values())
 
     def active_members(self) -> list[Member]:
-        """Return the members that are alive or suspect."""
+        """Returns the members that are alive or suspect."""
         return [member for member in self.members.values() if member.is_active]
 
     def dead_members(self) -> list[Member]:
-        """Return the members that are dead."""
+        """Returns the members that are dead."""
         return [member for member in self.members.values() if member.state is MemberState.DEAD]
 
     def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
-        """Merge a record of another member; return the member if the record changed it, else None.
+        """Merges a record of another member; returns the member if the record changed it, else None.
 
         ``reporter`` is the sender of the record, or the local member.
         """
@@ -63,7 +63,7 @@
         return member
 
     def accept_message(self, name: str, generation: int, message_counter: int, now: float) -> str:
-        """Check and record a message received directly from a member.
+        """Checks and records a message received directly from a member.
 
         Returns "" if it is accepted, else the reason for its rejection: ``earlier-life``, ``replay`` or ``flood``.
         """
@@ -85,7 +85,7 @@
         return ""
 
     def update_link(self, member: Member, link_state: LinkState, now: float) -> bool:
-        """Store the link state found by the last probe; return whether it changed."""
+        """Stores the link state found by the last probe; returns whether it changed."""
         if member.link_state is link_state:
             return False
         member.link_state = link_state
@@ -94,26 +94,26 @@
         return True
 
     def expired_suspects(self, now: float) -> list[Member]:
-        """Return the suspects whose suspicion timeout has expired."""
+        """Returns the suspects whose suspicion timeout has expired."""
         active_count = self.active_count
         return [member for member in self.members.values() if self._is_expired(member, active_count, now)]
 
     def mark_alive(self, member: Member, reporter: str, now: float) -> None:
-        """Set a member alive under its current incarnation, in this table only."""
+        """Sets a member alive under its current incarnation, in this table only."""
         member.record = with_state(member.record, MemberState.ALIVE, reporter)
         member.suspicion = None
         member.state_since_ms = now
         self.version += 1
 
     def discount_pause(self, paused_ms: float) -> None:
-        """Shift the times of evidence and suspicions by a pause of this process, during which it received nothing."""
+        """Shifts the times of evidence and suspicions by a pause of this process, during which it received nothing."""
         for member in self.members.values():
             member.last_received_ms += paused_ms
             if member.suspicion is not None:
                 member.suspicion.started_at_ms += paused_ms
 
     def remove_departed(self, now: float) -> list[str]:
-        """Remove the members that have been dead or left for the retention time; return their names."""
+        """Removes the members that have been dead or left for the retention time; returns their names."""
         departed = [
             name
             for name, member in self.members.items()
@@ -151,7 +151,7 @@
     def _contradicts_direct_evidence(
         self, member: Member, record: MemberRecord, now: float, reporter: str
     ) -> bool:
-        """Return whether another member reports the death of a member that was received directly a moment ago."""
+        """Returns whether another member reports the death of a member that was received directly a moment ago."""
         if record.state != MemberState.DEAD or reporter == self.local_name:
             return False
         valid_ms = self.config.direct_evidence_intervals * self.config.probe_interval_ms
@@ -175,5 +175,5 @@
 
 
 def with_state(record: MemberRecord, state: MemberState, reported_by: str) -> MemberRecord:
-    """Return the record with another state, as reported by a member."""
+    """Returns the record with another state, as reported by a member."""
     return msgspec.structs.replace(record, state=int(state), reported_by=reported_by)
--- a/winchdyke/membership/pause_detector.py
+++ b/winchdyke/membership/pause_detector.py
@@ -13,14 +13,14 @@
         self._expected_by_ms = now
 
     def expect_turn_by(self, due_ms: float) -> None:
-        """Set the latest time at which the next turn is expected to start.
+        """Sets the latest time at which the next turn is expected to start.
 
         Called at the end of a turn: the turn itself may move the deadline, which must not make the next turn look late.
         """
         self._expected_by_ms = due_ms
 
     def check(self, now: float) -> float:
-        """Return the delay in ms of the turn that starts now, or 0 if it is shorter than the minimum pause."""
+        """Returns the delay in ms of the turn that starts now, or 0 if it is shorter than the minimum pause."""
         late_ms = now - self._expected_by_ms
         if late_ms < self.min_pause_ms:
             return 0.0
--- a/winchdyke/membership/probing.py
+++ b/winchdyke/membership/probing.py
@@ -55,12 +55,12 @@
         self._probes: dict[int, Probe] = {}
 
     def restart_after_pause(self) -> None:
-        """Cancel the probes in progress, whose acks may have been lost, and start the next one no earlier than now."""
+        """Cancels the probes in progress, whose acks may have been lost, and starts the next one no earlier than now."""
         self._probes.clear()
         self.next_probe_ms = max(self.next_probe_ms, self._context.now)
 
     def advance_probes(self) -> None:
-        """Handle the expired timeouts of the probes in progress."""
+        """Handles the expired timeouts of the probes in progress."""
         for probe in list(self._probes.values()):
             if probe.requester:
                 self._advance_requested(probe)
@@ -68,7 +68,7 @@
                 self._advance(probe)
 
     def run_timers(self) -> None:
-        """Start the next probe if it is due."""
+        """Starts the next probe if it is due."""
         context = self._context
         if context.now >= self.next_probe_ms:
             interval_ms = context.config.probe_interval_ms * context.local_health.multiplier
@@ -76,7 +76,7 @@
             self._probe_next_member()
 
     def handle_ping_req(self, message: SwimMessage) -> None:
-        """Probe a member on behalf of the sender."""
+        """Probes a member on behalf of the sender."""
         context = self._context
         member = context.table.members.get(message.target)
         if member is None:
@@ -88,7 +88,7 @@
         context.send(member.name, MessageKind.PING, probe.request_id, target=message.sender)
 
     def handle_answer(self, message: SwimMessage) -> None:
-        """Handle an ack or a nack from a probe's target or from a helper."""
+        """Handles an ack or a nack from a probe's target or from a helper."""
         probe = self._probes.get(message.request_id)
         if probe is None:
             self._context.counts["unasked"] += 1
@@ -102,7 +102,7 @@
             self._handle_indirect_ack(probe, message)
 
     def handle_state_exchange(self, request_id: int, sender: str) -> None:
-        """Record that a probe's target answered over TCP."""
+        """Records that a probe's target answered over TCP."""
         probe = self._probes.get(request_id)
         if probe is not None and probe.target == sender:
             probe.reached_indirectly = True
@@ -123,7 +123,7 @@
         context.send(member.name, MessageKind.PING, probe.request_id, first=_suspect_record(member))
 
     def _next_in_round(self) -> Member | None:
-        """Return the next active member of the shuffled round; start a new round once it is used up."""
+        """Returns the next active member of the shuffled round; starts a new round once it is used up."""
         table = self._context.table
         while self._round:
             member = table.members.get(self._round.pop())
@@ -201,7 +201,7 @@
             self.request_indirect_probes(probe)
 
     def request_indirect_probes(self, probe: Probe) -> None:
-        """Ask other members to probe the target, and contact it over TCP, which may work where datagrams are lost."""
+        """Asks other members to probe the target, and contacts it over TCP, which may work where datagrams are lost."""
         context = self._context
         self.send_ping_reqs(probe, self._helper_candidates(probe))
         member = context.table.members.get(probe.target)
@@ -209,7 +209,7 @@
             self._exchanges.start(context.address_of(member), probe.request_id)
 
     def send_ping_reqs(self, probe: Probe, candidates: list[Member]) -> None:
-        """Send a ping-req to some of the candidates."""
+        """Sends a ping-req to some of the candidates."""
         context = self._context
         count = min(context.config.indirect_probe_count, len(candidates))
         helpers = context.random.sample(candidates, count)
@@ -225,7 +225,7 @@
         ]
 
     def _conclude(self, probe: Probe) -> None:
-        """Evaluate a probe that ended without a direct ack."""
+        """Evaluates a probe that ended without a direct ack."""
         context = self._context
         member = context.table.members.get(probe.target)
         if member is None or not member.is_active:
@@ -240,7 +240,7 @@
             context.report_link(member)
 
     def _degrade_local_health(self, probe: Probe) -> None:
-        """Raise the local health score: missing nacks suggest that this process receives nothing (Lifeguard)."""
+        """Raises the local health score: missing nacks suggest that this process receives nothing (Lifeguard)."""
         health = self._context.local_health
         if not probe.helpers:
             health.degrade(1)
--- a/winchdyke/membership/refutation.py
+++ b/winchdyke/membership/refutation.py
@@ -31,18 +31,18 @@
         self._conflict: _NameConflict | None = None
 
     def is_conflict_ping(self, request_id: int) -> bool:
-        """Return whether a request id belongs to the ping that resolves a name conflict."""
+        """Returns whether a request id belongs to the ping that resolves a name conflict."""
         return self._conflict is not None and self._conflict.request_id == request_id
 
     def run_timers(self) -> None:
-        """Start a later generation if the other process of this name did not answer in time."""
+        """Starts a later generation if the other process of this name did not answer in time."""
         conflict = self._conflict
         if conflict is not None and self._context.now >= conflict.expires_at_ms:
             self._conflict = None
             self._context.start_generation_after(conflict.generation)
 
     def handle_record(self, record: MemberRecord, reporter: str) -> None:
-        """Handle a record about this member."""
+        """Handles a record about this member."""
         context = self._context
         if record.generation < context.generation:
             context.counts["accused-earlier-life"] += 1
@@ -55,7 +55,7 @@
         self._refute(record, reporter)
 
     def handle_message_under_own_name(self, event: MessageReceived) -> None:
-        """Handle a message whose sender has this member's name: another process, or a reflected message."""
+        """Handles a message whose sender has this member's name: another process, or a reflected message."""
         context = self._context
         message = event.message
         if message.generation == context.generation:
@@ -69,7 +69,7 @@
         context.counts["namesake"] += 1
 
     def stop_in_favour_of(self, address: str) -> None:
-        """Stop this process's membership: a later process of this name runs at ``address``."""
+        """Stops this process's membership: a later process of this name runs at ``address``."""
         context = self._context
         name = context.local.name
         context.report(
@@ -113,7 +113,7 @@
         context.actions.append(SendDatagram(record.address, message))
 
     def _answer_earlier_process(self, event: MessageReceived) -> None:
-        """Answer an earlier process of this name; the later generation in the answer makes it leave."""
+        """Answers an earlier process of this name; the later generation in the answer makes it leave."""
         context = self._context
         reply: SwimMessage = context.build_message(
             context.local.name, MessageKind.ACK, event.message.request_id
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -41,7 +41,7 @@
 
 
 def is_ip_address(host: str) -> bool:
-    """Return whether a host is an IP address, with or without a scope."""
+    """Returns whether a host is an IP address, with or without a scope."""
     try:
         ipaddress.ip_address(host.partition("%")[0])
     except ValueError:
@@ -56,7 +56,7 @@
         self._hosts: OrderedDict[str, _HostName] = OrderedDict()
 
     def resolve(self, host: str, port: str, data: bytes, now: float) -> Resolution:
-        """Return the address to send a datagram to; queue the datagram if the address is not known yet."""
+        """Returns the address to send a datagram to; queues the datagram if the address is not known yet."""
         if is_ip_address(host):
             return Resolution(host, needs_lookup=False)
         name = self._hosts.setdefault(host, _HostName())
@@ -70,7 +70,7 @@
         return Resolution(name.address, needs_lookup)
 
     def lookup_finished(self, host: str, address: str, now: float) -> list[QueuedDatagram]:
-        """Store the result of a lookup ("": it failed); return the queued datagrams, to be sent now."""
+        """Stores the result of a lookup ("": it failed); returns the queued datagrams, to be sent now."""
         name = self._hosts.get(host)
         if name is None:
             return []
--- a/winchdyke/membership/shared_keys.py
+++ b/winchdyke/membership/shared_keys.py
@@ -28,7 +28,7 @@
         return self.secrets[0]
 
     def load(self) -> None:
-        """Read the file at startup. Raises MembershipError if it contains no valid key."""
+        """Reads the file at startup. Raises MembershipError if it contains no valid key."""
         try:
             keys = self.ring.valid_keys(_unix_ms())
         except KeyFileError as error:
@@ -38,7 +38,7 @@
         self.secrets = [key.secret_bytes()[:MAX_SECRET_BYTES] for key in keys]
 
     def reload(self) -> None:
-        """Read the file again; if it contains no valid key, the secrets in use stay."""
+        """Reads the file again; if it contains no valid key, the secrets in use stay."""
         try:
             keys = self.ring.valid_keys(_unix_ms())
         except KeyFileError as error:
--- a/winchdyke/membership/startup.py
+++ b/winchdyke/membership/startup.py
@@ -17,7 +17,7 @@
 
 
 def check_settings(config: Config) -> None:
-    """Raise MembershipError if other gateways would reject the record of this one."""
+    """Raises MembershipError if other gateways would reject the record of this one."""
     gateway = config.gateway
     advertise = config.fleet.advertise
     texts = {
@@ -37,7 +37,7 @@
 
 
 def swim_config(settings: Fleet) -> SwimConfig:
-    """Return the protocol's parameters."""
+    """Returns the protocol's parameters."""
     return SwimConfig(
         probe_interval_ms=settings.interval,
         probe_timeout_ms=settings.timeout,
@@ -50,7 +50,7 @@
 
 
 def new_generation(name: str, address: tuple[str, int], known: KnownMembers | None) -> int:
-    """Return a generation later than every known one of this name: Unix ms with random low bits."""
+    """Returns a generation later than every known one of this name: Unix ms with random low bits."""
     generation = int(time.time() * 1000) * GENERATION_STEP
     if known is not None and known.local_name == name:
         generation = max(generation, (known.generation // GENERATION_STEP + 1) * GENERATION_STEP)
--- a/winchdyke/membership/state_exchange.py
+++ b/winchdyke/membership/state_exchange.py
@@ -22,21 +22,21 @@
         self._dead_backoff_ms = config.min_reconnect_backoff_ms
 
     def expedite_seed(self) -> None:
-        """Contact a seed soon, at a random time within the minimum backoff: all gateways get new addresses at once."""
+        """Contacts a seed soon, at a random time within the minimum backoff: all gateways get new addresses at once."""
         context = self._context
         self._seed_backoff_ms = context.config.min_reconnect_backoff_ms
         due_ms = context.now + context.random.random() * self._seed_backoff_ms
         self.seed_due_ms = min(self.seed_due_ms, due_ms)
 
     def expedite_dead(self) -> None:
-        """Contact a dead member soon."""
+        """Contacts a dead member soon."""
         context = self._context
         self._dead_backoff_ms = context.config.min_reconnect_backoff_ms
         due_ms = context.now + self._dead_backoff_ms * (0.5 + context.random.random())
         self.dead_due_ms = min(self.dead_due_ms, due_ms)
 
     def defer_seed(self, has_active_members: bool) -> None:
-        """Schedule the next contact with a seed, with exponential backoff while no member is active."""
+        """Schedules the next contact with a seed, with exponential backoff while no member is active."""
         context = self._context
         config = context.config
         if has_active_members:
@@ -46,7 +46,7 @@
         self.seed_due_ms = context.now + self._seed_backoff_ms * (0.5 + context.random.random())
 
     def defer_dead(self) -> None:
-        """Schedule the next contact with a dead member, with exponential backoff."""
+        """Schedules the next contact with a dead member, with exponential backoff."""
         context = self._context
         self._dead_backoff_ms = min(context.config.max_reconnect_backoff_ms, 2 * self._dead_backoff_ms)
         self.dead_due_ms = context.now + self._dead_backoff_ms * (0.5 + context.random.random())
@@ -74,11 +74,11 @@
         self._in_progress: dict[int, str] = {}  # address by request id
 
     def expedite(self) -> None:
-        """Exchange state with an active member at once."""
+        """Exchanges state with an active member at once."""
         self._due_ms = min(self._due_ms, self._context.now)
 
     def run_timers(self) -> None:
-        """Start the exchanges that are due."""
+        """Starts the exchanges that are due."""
         now = self._context.now
         if now >= self._due_ms:
             self._due_ms = self._next_due_ms()
@@ -90,7 +90,7 @@
             self.contact_seed()
 
     def contact_seed(self) -> None:
-        """Exchange state with the next seed that is not an active member, so that separated groups rejoin."""
+        """Exchanges state with the next seed that is not an active member, so that separated groups rejoin."""
         context = self._context
         active_members = context.table.active_members()
         self.reconnect.defer_seed(bool(active_members))
@@ -101,7 +101,7 @@
             self.start(candidates[self._seed_index % len(candidates)])
 
     def start(self, address: str, request_id: int = 0) -> None:
-        """Start an exchange unless one with this address is in progress; request id 0 allocates a new one."""
+        """Starts an exchange unless one with this address is in progress; request id 0 allocates a new one."""
         context = self._context
         request_id = request_id or context.new_request_id()
         if address in self._in_progress.values():
@@ -113,7 +113,7 @@
         context.actions.append(StartStateExchange(address, message))
 
     def finish(self, event: StateExchangeFinished) -> str:
-        """Merge the answer of an exchange; return the name of the member that answered, or ""."""
+        """Merges the answer of an exchange; returns the name of the member that answered, or ""."""
         context = self._context
         if self._in_progress.pop(event.request_id, None) is None:
             return ""
--- a/winchdyke/membership/status.py
+++ b/winchdyke/membership/status.py
@@ -11,7 +11,7 @@
 def membership_status(
     protocol: SwimProtocol, view: MembershipView, stopped: bool, now: float
 ) -> dict[str, Any]:
-    """Return the protocol's status. Times are in ms before ``now``."""
+    """Returns the protocol's status. Times are in ms before ``now``."""
     return {
         "own": view.local_name,
         "address": protocol.local.address,
@@ -55,7 +55,7 @@
 
 
 def _last_received_ms_ago(protocol: SwimProtocol, name: str, now: float) -> float | None:
-    """Return the ms since the last message from a member; taken from the table, since the view may be older."""
+    """Returns the ms since the last message from a member; taken from the table, since the view may be older."""
     member = protocol.table.members.get(name)
     if member is None or not member.was_received:
         return None
--- a/winchdyke/membership/suspicion.py
+++ b/winchdyke/membership/suspicion.py
@@ -17,14 +17,14 @@
         self._dissemination = dissemination
 
     def suspect(self, member: Member) -> None:
-        """Suspect a member whose probe failed, or confirm an existing suspicion of it."""
+        """Suspects a member whose probe failed, or confirms an existing suspicion of it."""
         if member.state is MemberState.ALIVE:
             self._set_state(member, MemberState.SUSPECT)
         elif member.suspicion is not None:
             member.suspicion.suspected_by.add(self._context.local.name)
 
     def record_direct_evidence(self, member: Member) -> None:
-        """Record that a member answered a request of this member: its current generation runs, whatever others report."""
+        """Records that a member answered a request of this member: its current generation runs, whatever others report."""
         if member.state is MemberState.SUSPECT and member.suspicion is not None:
             # The member clears the suspicion at all members by refuting it once it has received it.
             member.suspicion.started_at_ms = self._context.now
@@ -34,12 +34,12 @@
             self._context.send(member.name, MessageKind.PING, request_id, first=member.record)
 
     def run_timers(self) -> None:
-        """Expire the suspicions whose timeout has passed."""
+        """Expires the suspicions whose timeout has passed."""
         for member in self._context.table.expired_suspects(self._context.now):
             self.expire(member)
 
     def expire(self, member: Member) -> None:
-        """End a suspicion: the member is dead unless a message or an ack of it arrived since the suspicion began."""
+        """Ends a suspicion: the member is dead unless a message or an ack of it arrived since the suspicion began."""
         suspicion = member.suspicion
         assert suspicion is not None
         started_at_ms = suspicion.started_at_ms
@@ -53,7 +53,7 @@
         self._dissemination.apply(with_state(member.record, state, local_name), local_name)
 
     def _clear(self, member: Member) -> None:
-        """Set a member alive in the local table only: it has to refute the suspicion itself for other members."""
+        """Sets a member alive in the local table only: it has to refute the suspicion itself for other members."""
         context = self._context
         context.table.mark_alive(member, context.local.name, context.now)
         context.gossip.discard(member.name)
--- a/winchdyke/membership/swim.py
+++ b/winchdyke/membership/swim.py
@@ -110,7 +110,7 @@
         return min(self.context.now + MAX_TURN_GAP_MS, self.prober.next_probe_ms)
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Handle events and expired timers; return the actions to carry out, none after :meth:`leave`."""
+        """Handles events and expired timers; returns the actions to carry out, none after :meth:`leave`."""
         actions = self.context.begin_turn(now)
         paused_ms = self.pause_detector.check(now)
         if paused_ms:
@@ -123,7 +123,7 @@
         return actions
 
     def leave(self, now: float) -> list[Action]:
-        """Notify some members that this one leaves; they gossip it."""
+        """Notifies some members that this one leaves; they gossip it."""
         context = self.context
         actions = context.begin_turn(now)
         if context.has_left:
@@ -139,7 +139,7 @@
     def update_addresses(
         self, seeds: tuple[str, ...], address_overrides: dict[str, str], soon: bool = True
     ) -> None:
-        """Replace the seeds and the address overrides.
+        """Replaces the seeds and the address overrides.
 
         A seed is contacted soon if ``soon`` is set or no member is active, else at the next scheduled time.
         """
@@ -149,7 +149,7 @@
             self.exchanges.reconnect.expedite_seed()
 
     def view(self, now: float) -> MembershipView:
-        """Return a snapshot of the membership; the same object until a member changes."""
+        """Returns a snapshot of the membership; the same object until a member changes."""
         context = self.context
         table = context.table
         if self._view is None or self._view.version != table.version:
@@ -194,7 +194,7 @@
         self._dispatch(event)
 
     def _accept(self, message: SwimMessage) -> bool:
-        """Return whether a message is accepted; the sender's own record is merged first, which adds it to the table."""
+        """Returns whether a message is accepted; the sender's own record is merged first, which adds it to the table."""
         context = self.context
         for record in message.records:
             if record.name == message.sender:
@@ -246,14 +246,14 @@
         context.actions.append(SendDatagram(address or event.address, ack))
 
     def _silence_ms(self, name: str) -> int:
-        """Return the ms since the last message received directly from a member; -1: never."""
+        """Returns the ms since the last message received directly from a member; -1: never."""
         member = self.context.table.members.get(name)
         if member is None or not member.was_received:
             return -1
         return max(0, int(self.context.now - member.last_received_ms))
 
     def _handle_pause(self, paused_ms: float) -> None:
-        """Recover from a pause of this process: discount messages missed during it, and request the current state."""
+        """Recovers from a pause of this process: discounts messages missed during it, and requests the current state."""
         context = self.context
         context.local_health.degrade()
         context.table.discount_pause(paused_ms)
--- a/winchdyke/membership/swim_config.py
+++ b/winchdyke/membership/swim_config.py
@@ -33,19 +33,19 @@
     )
 
     def log10_members(self, members: int) -> float:
-        """Return log10 of the number of members, at least 1."""
+        """Returns log10 of the number of members, at least 1."""
         return max(1.0, math.log10(max(1, members)))
 
     def min_suspicion_ms(self, members: int) -> float:
-        """Return the timeout of a suspicion that enough members have confirmed."""
+        """Returns the timeout of a suspicion that enough members have confirmed."""
         return self.min_suspicion_intervals * self.log10_members(members) * self.probe_interval_ms
 
     def max_suspicion_ms(self, members: int) -> float:
-        """Return the timeout of an unconfirmed suspicion."""
+        """Returns the timeout of an unconfirmed suspicion."""
         return self.max_suspicion_factor * self.min_suspicion_ms(members)
 
     def suspicion_timeout_ms(self, members: int, confirmations: int) -> float:
-        """Return the suspicion timeout after a number of confirmations (Lifeguard, section IV-B)."""
+        """Returns the suspicion timeout after a number of confirmations (Lifeguard, section IV-B)."""
         shortest_ms = self.min_suspicion_ms(members)
         longest_ms = self.max_suspicion_ms(members)
         # With two members there is no third one that could confirm.
@@ -56,11 +56,11 @@
         return max(shortest_ms, longest_ms - (longest_ms - shortest_ms) * fraction)
 
     def retransmit_limit(self, members: int) -> int:
-        """Return the number of transmissions of one update."""
+        """Returns the number of transmissions of one update."""
         return math.ceil(self.retransmit_factor * self.log10_members(members))
 
     def detection_bound_ms(self, members: int, rounds: float = 5.0) -> float:
-        """Return the ms within which every reachable member declares a killed one dead, except in e^-``rounds`` of the cases.
+        """Returns the ms within which every reachable member declares a killed one dead, except in e^-``rounds`` of the cases.
 
         The bound is the sum of three times. Until the first probe: each of n members draws one of n - 1 per round, so that the
         probability that no probe has reached the member after r rounds is at most e^-r. A round and its probe take up to
@@ -72,7 +72,7 @@
         return (slow_rounds + spread_rounds + 2) * self.probe_interval_ms + self.max_suspicion_ms(members)
 
     def convergence_bound_ms(self, members: int) -> float:
-        """Return the ms after the last fault within which all views are equal, with the probability of the detection bound.
+        """Returns the ms after the last fault within which all views are equal, with the probability of the detection bound.
 
         In this time dead members are contacted again, their refutations spread, and pending suspicions expire.
         """
--- a/winchdyke/membership/swim_context.py
+++ b/winchdyke/membership/swim_context.py
@@ -45,7 +45,7 @@
         self._last_request_id = self.random.getrandbits(48) << 8
 
     def begin_turn(self, now: float) -> list[Action]:
-        """Set the time; return the empty list to which this turn's actions are added."""
+        """Sets the time; returns the empty list to which this turn's actions are added."""
         self.now = now
         self.actions = []
         return self.actions
@@ -53,7 +53,7 @@
     # Identity.
 
     def local_record(self) -> MemberRecord:
-        """Return this member's own record."""
+        """Returns this member's own record."""
         local = self.local
         return MemberRecord(
             local.name,
@@ -66,11 +66,11 @@
         )
 
     def all_records(self) -> list[MemberRecord]:
-        """Return the local record and those of all other members."""
+        """Returns the local record and those of all other members."""
         return [self.local_record(), *(member.record for member in self.table.members.values())]
 
     def start_generation_after(self, generation: int) -> None:
-        """Give this process a generation later than the given one, as if it had just started."""
+        """Gives this process a generation later than the given one, as if it had just started."""
         next_step = (generation // GENERATION_STEP + 1) * GENERATION_STEP
         self.generation = min(datagrams.MAX_INTEGER, next_step + self.random.getrandbits(16))
         self.incarnation = 0
@@ -85,12 +85,12 @@
     # Outgoing messages.
 
     def new_request_id(self) -> int:
-        """Return a request id that was not used before."""
+        """Returns a request id that was not used before."""
         self._last_request_id += 1 + self.random.getrandbits(8)
         return self._last_request_id & datagrams.MAX_INTEGER
 
     def address_of(self, member: Member) -> str:
-        """Return the address at which this host reaches a member."""
+        """Returns the address at which this host reaches a member."""
         return self.address_overrides.get(member.name, member.record.address)
 
     def build_message(
@@ -104,7 +104,7 @@
         records: list[MemberRecord] | None = None,
         first: MemberRecord | None = None,
     ) -> SwimMessage:
-        """Return the next message; without ``records`` it carries the local record and gossip, ``first`` ahead of other gossip."""
+        """Returns the next message; without ``records`` it carries the local record and gossip, ``first`` ahead of other gossip."""
         if self.message_counter >= datagrams.MAX_INTEGER:
             self.start_generation_after(self.generation)
         self.message_counter += 1
@@ -133,7 +133,7 @@
         records: list[MemberRecord] | None = None,
         first: MemberRecord | None = None,
     ) -> None:
-        """Send a message to a member; do nothing if it is not in the table."""
+        """Sends a message to a member; does nothing if it is not in the table."""
         member = self.table.members.get(name)
         if member is None:
             return
@@ -157,20 +157,20 @@
     # Reports to operators.
 
     def report(self, code: str, member: str = "", text: str = "") -> None:
-        """Count an event and report it to operators."""
+        """Counts an event and reports it to operators."""
         self.counts[f"note:{code}"] += 1
         self.actions.append(ReportEvent(code, member, text))
 
     def update_link(self, member: Member, link_state: LinkState) -> bool:
-        """Store the link state found by the last probe; return whether it changed."""
+        """Stores the link state found by the last probe; returns whether it changed."""
         return self.table.update_link(member, link_state, self.now)
 
     def report_link(self, member: Member) -> None:
-        """Report the link state of a member."""
+        """Reports the link state of a member."""
         self.report(f"link-{member.link_state.value}", member.name)
 
     def report_first_contact(self, name: str) -> None:
-        """Report the first contact with another member."""
+        """Reports the first contact with another member."""
         if self.is_isolated:
             self.is_isolated = False
             self.report("joined", name)
--- a/winchdyke/membership/transport.py
+++ b/winchdyke/membership/transport.py
@@ -68,7 +68,7 @@
         return self._udp is not None
 
     async def open(self, listen: Listen) -> None:
-        """Bind the sockets. Raises MembershipError."""
+        """Binds the sockets. Raises MembershipError."""
         try:
             await self._bind(listen)
         except OSError as error:
@@ -78,7 +78,7 @@
             ) from error
 
     async def close(self) -> None:
-        """Close the sockets."""
+        """Closes the sockets."""
         if self._udp is not None:
             self._udp.close()
             self._udp = None
@@ -87,7 +87,7 @@
         self._listeners = []
 
     def start(self, group: TaskGroup, answer: Callable[[MessageReceived], SwimMessage | None]) -> None:
-        """Receive in a task group; ``answer`` returns the reply to a state exchange's request, or None."""
+        """Receives in a task group; ``answer`` returns the reply to a state exchange's request, or None."""
         self._group = group
         group.start_soon(self._receive_datagrams)
         for listener in self._listeners:
@@ -96,7 +96,7 @@
     # Events.
 
     def take_events(self) -> list[Event]:
-        """Return the events since the last call."""
+        """Returns the events since the last call."""
         self._read_datagrams()
         events = self._events
         self._events = []
@@ -104,17 +104,17 @@
         return events
 
     async def wait_for_event(self) -> None:
-        """Wait until an event arrives after :meth:`take_events`, or :meth:`wake` is called."""
+        """Waits until an event arrives after :meth:`take_events`, or :meth:`wake` is called."""
         await self._event_arrived.wait()
 
     def wake(self) -> None:
-        """End :meth:`wait_for_event`."""
+        """Ends :meth:`wait_for_event`."""
         self._event_arrived.set()
 
     # Datagrams.
 
     def send(self, action: SendDatagram) -> None:
-        """Send a datagram now, or once the address of its host is known. On an error it is counted and lost."""
+        """Sends a datagram now, or once the address of its host is known. On an error it is counted and lost."""
         host, port = split_address(action.address)
         data = datagrams.seal(action.message, self._keys.sealing_secret)
         self.counts["sent"] += 1
@@ -197,7 +197,7 @@
             self._send_to(address, queued.port, queued.data)
 
     async def _look_up_address(self, host: str) -> str:
-        """Return the address of a host, or "" if the lookup fails or times out."""
+        """Returns the address of a host, or "" if the lookup fails or times out."""
         assert self._udp is not None
         try:
             with anyio.move_on_after(LOOKUP_TIMEOUT_SECONDS):
@@ -210,7 +210,7 @@
     # State exchanges.
 
     def start_state_exchange(self, action: StartStateExchange) -> None:
-        """Start a state exchange in the background; it ends with a :class:`StateExchangeFinished` event."""
+        """Starts a state exchange in the background; it ends with a :class:`StateExchangeFinished` event."""
         assert self._group is not None
         self._group.start_soon(self._exchange_state, action)
 
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -79,12 +79,12 @@
         return 1 + sum(member.is_active for member in self.members)
 
     def active_generations(self) -> tuple[tuple[str, int], ...]:
-        """Return the names and generations of active members without the local one: equal once two views converge."""
+        """Returns the names and generations of active members without the local one: equal once two views converge."""
         return tuple((member.name, member.generation) for member in self.members if member.is_active)
 
 
 def member_view(member: Member, gateway_count: int) -> MemberView:
-    """Return the view of one member; ``gateway_count`` is from the settings, 0: unknown."""
+    """Returns the view of one member; ``gateway_count`` is from the settings, 0: unknown."""
     record = member.record
     return MemberView(
         name=record.name,
@@ -104,7 +104,7 @@
 
 
 def detect_outage(members: Iterable[Member], local_zone: str) -> Outage | None:
-    """Return the current outage: enough members that became unreachable shortly after one another."""
+    """Returns the current outage: enough members that became unreachable shortly after one another."""
     present = [member for member in members if member.state is not MemberState.LEFT]
     affected = _largest_cluster(present)
     total_members = 1 + len(present)
@@ -116,7 +116,7 @@
 
 
 def _largest_cluster(members: list[Member]) -> list[Member]:
-    """Return the largest run of unreachable members without a gap over ``OUTAGE_GAP_MS``; of equal ones the earliest."""
+    """Returns the largest run of unreachable members without a gap over ``OUTAGE_GAP_MS``; of equal ones the earliest."""
     unreachable = sorted((member for member in members if _is_unreachable(member)), key=_unreachable_since_ms)
     largest: list[Member] = []
     cluster: list[Member] = []
@@ -130,7 +130,7 @@
 
 
 def _unreachable_zone(affected: list[Member], present: list[Member], local_zone: str) -> str:
-    """Return the zone that is unreachable as a whole, or ""."""
+    """Returns the zone that is unreachable as a whole, or ""."""
     zones = {member.record.zone for member in affected}
     if len(zones) != 1:
         return ""
