--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -38,47 +38,47 @@
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
-BASE = Path(__file__).resolve().parent.parent / "winchdyke" / "config" / "defaults.conf"
+DEFAULTS_FILE = Path(__file__).resolve().parent.parent / "winchdyke" / "config" / "defaults.conf"
 
 
-def secret(number: int) -> str:
+def encoded_secret(number: int) -> str:
     return base64.b64encode(bytes([number]) * 32).decode()
 
 
-def ring(path: Path, *numbers: int) -> None:
-    keys.write_keys(path, [keys.Key(f"k{number}", secret(number), "fleet") for number in numbers])
+def write_key_file(path: Path, *numbers: int) -> None:
+    keys.write_keys(path, [keys.Key(f"k{number}", encoded_secret(number), "fleet") for number in numbers])
 
 
-def config(where: Path, name: str, **more: Any) -> Config:
-    if not (where / "keys").exists():
-        ring(where / "keys", 1)
-    base = load_file(BASE).config
+def config(directory: Path, name: str, **changes: Any) -> Config:
+    if not (directory / "keys").exists():
+        write_key_file(directory / "keys", 1)
+    base = load_file(DEFAULTS_FILE).config
     fleet = Fleet(
-        Listen("127.0.0.1", 0), keys=str(where / "keys"), interval=100.0, timeout=40.0, exchange=1000.0
+        Listen("127.0.0.1", 0), keys=str(directory / "keys"), interval=100.0, timeout=40.0, exchange=1000.0
     )
     gateway = replace(base.gateway, name=name, gateways=3)
-    peers = more.pop("peers", ())
-    return replace(base, gateway=gateway, fleet=replace(fleet, **more), peers=peers)
+    peers = changes.pop("peers", ())
+    return replace(base, gateway=gateway, fleet=replace(fleet, **changes), peers=peers)
 
 
 @asynccontextmanager
-async def running(*nodes: MembershipAgent) -> AsyncIterator[None]:
+async def running_agents(*agents: MembershipAgent) -> AsyncIterator[None]:
     async with anyio.create_task_group() as group:
-        for node in nodes:
-            if node.protocol is None:
-                await node.open()
-            group.start_soon(node.run)
+        for agent in agents:
+            if agent.protocol is None:
+                await agent.open()
+            group.start_soon(agent.run)
         try:
             yield
         finally:
             group.cancel_scope.cancel()
-    for node in nodes:
-        await node.close()
+    for agent in agents:
+        await agent.close()
 
 
-async def until(what: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     with anyio.fail_after(15):
-        while not what():
+        while not condition():
             await anyio.sleep(0.02)
 
 
@@ -86,80 +86,84 @@
     return time.monotonic() * 1000
 
 
-def states(node: MembershipAgent) -> dict[str, str]:
-    return {row["name"]: row["state"] for row in node.status()["members"]}
+def member_states(agent: MembershipAgent) -> dict[str, str]:
+    return {row["name"]: row["state"] for row in agent.status()["members"]}
 
 
 def test_two_gateways_join_through_one_seed_and_a_leave_is_received(tmp_path):
-    async def play() -> None:
+    async def scenario() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),)), clock)
-        async with running(one, two):
-            await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
-            await until(lambda: one.status()["members"][0]["link"] == "both")
+        async with running_agents(one, two):
+            await wait_until(
+                lambda: member_states(one) == {"two": "alive"} and member_states(two) == {"one": "alive"}
+            )
+            await wait_until(lambda: one.status()["members"][0]["link"] == "both")
             assert one.status()["members"][0]["heard_ms"] < 5000
             two.leave()
-            await until(lambda: states(one) == {"two": "left"})
+            await wait_until(lambda: member_states(one) == {"two": "left"})
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_seeds_from_a_list_service_are_joined_though_it_fails_at_first_and_for_good_later(
-    tmp_path,
-):
-    """One is named while two is alone; then three is, in service; then the service is down and the fleet stays."""
+def test_seeds_from_a_list_service_are_joined_despite_failures_of_the_service(tmp_path):
+    """The service fails first, then lists "one", then only "three" as ready, then stops; the members stay joined."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with anyio.create_task_group() as group:
             service = ListService(Record())
             await service.start(group)
             service.failing = "error"
-            nodes = [MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two", "three")]
-            one, two, three = nodes
-            async with running(one, two):
-                for node in (one, two):
-                    group.start_soon(follows(node, service).run)
-                await until(lambda: service.refused >= 2)
-                assert states(one) == states(two) == {} and two.status()["alone"]
+            agents = [MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two", "three")]
+            one, two, three = agents
+            async with running_agents(one, two):
+                for agent in (one, two):
+                    group.start_soon(gateway_seeds(agent, service).run)
+                await wait_until(lambda: service.refused >= 2)
+                assert member_states(one) == member_states(two) == {} and two.status()["alone"]
                 service.failing = ""
-                await service.set(shown(one), "ready", 0, "")
-                await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
-                async with running(three):
-                    third = follows(three, service)
-                    group.start_soon(third.run)
-                    await until(lambda: states(three) == {"one": "alive", "two": "alive"})
-                    await service.set(shown(one), "draining", 0, "")
-                    await service.set(shown(three), "ready", 0, "")
-                    await until(lambda: two.protocol.seeds == three.protocol.seeds == (shown(three),))
+                await service.set(address_text(one), "ready", 0, "")
+                await wait_until(
+                    lambda: member_states(one) == {"two": "alive"} and member_states(two) == {"one": "alive"}
+                )
+                async with running_agents(three):
+                    seeds_of_three = gateway_seeds(three, service)
+                    group.start_soon(seeds_of_three.run)
+                    await wait_until(lambda: member_states(three) == {"one": "alive", "two": "alive"})
+                    await service.set(address_text(one), "draining", 0, "")
+                    await service.set(address_text(three), "ready", 0, "")
+                    await wait_until(
+                        lambda: two.protocol.seeds == three.protocol.seeds == (address_text(three),)
+                    )
                     service.kill()
-                    await until(lambda: third._failures >= 1)
-                    assert three.protocol.seeds == (shown(three),), "what was said last goes on counting"
-                    await until(lambda: states(two) == {"one": "alive", "three": "alive"})
+                    await wait_until(lambda: seeds_of_three._failures >= 1)
+                    assert three.protocol.seeds == (address_text(three),), "the last list stays valid"
+                    await wait_until(lambda: member_states(two) == {"one": "alive", "three": "alive"})
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_a_serving_gateway_takes_seeds_from_the_list_of_its_settings(tmp_path):
-    async def play() -> None:
+def test_a_running_gateway_joins_seeds_from_its_configured_gateway_list(tmp_path):
+    async def scenario() -> None:
         async with anyio.create_task_group() as group:
             service = ListService(Record())
             await service.start(group)
-            where = ("127.0.0.1", service.port, "/gateways")
-            serving = replace(rigs.settings(), fleet=config(tmp_path, "-", list=where).fleet)
+            address = ("127.0.0.1", service.port, "/gateways")
+            settings = replace(rigs.settings(), fleet=config(tmp_path, "-", list=address).fleet)
             one = MembershipAgent(config(tmp_path, "one"), clock)
-            async with running(one), rigs.rig(serving) as it:
+            async with running_agents(one), rigs.rig(settings) as it:
                 assert it.gateway.membership_agent is not None
-                await service.set(shown(one), "ready", 0, "")
-                await until(lambda: states(it.gateway.membership_agent) == {"one": "alive"})
+                await service.set(address_text(one), "ready", 0, "")
+                await wait_until(lambda: member_states(it.gateway.membership_agent) == {"one": "alive"})
             group.cancel_scope.cancel()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_seeds_of_settings_peers_disk_and_list_add_up(tmp_path):
-    async def play() -> None:
+def test_seeds_from_settings_peers_cache_and_list_are_combined(tmp_path):
+    async def scenario() -> None:
         member_cache.save(
             tmp_path / "keep",
             member_cache.KnownMembers("one", 1, [member_cache.KnownMember("two", "10.0.0.2:1")]),
@@ -169,10 +173,10 @@
             config(tmp_path, "one", seeds=seeds, keep=str(tmp_path / "keep"), peers=(peer,)), clock
         )
         await one.open()
-        given = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.2:1"]
-        assert list(one.protocol.seeds) == given
+        expected = ["10.0.0.3:1", "10.0.0.4:1", "10.0.0.2:1"]
+        assert list(one.protocol.seeds) == expected
         one.set_listed_seeds(("10.0.0.5:1", "10.0.0.3:1"))
-        assert list(one.protocol.seeds) == [*given, "10.0.0.5:1"]
+        assert list(one.protocol.seeds) == [*expected, "10.0.0.5:1"]
         one.update_config(replace(one.config, peers=()))
         assert (
             list(one.protocol.seeds) == ["10.0.0.3:1", "10.0.0.2:1", "10.0.0.5:1"]
@@ -180,119 +184,125 @@
         )
         await one.close()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def follows(node: MembershipAgent, service: ListService) -> GatewaySeeds:
-    where = ("127.0.0.1", service.port, "/gateways")
-    return GatewaySeeds(where, node.config.nodes, node.config.gateway.name, clock, node.set_listed_seeds)
+def gateway_seeds(agent: MembershipAgent, service: ListService) -> GatewaySeeds:
+    address = ("127.0.0.1", service.port, "/gateways")
+    return GatewaySeeds(address, agent.config.nodes, agent.config.gateway.name, clock, agent.set_listed_seeds)
 
 
-def shown(node: MembershipAgent) -> str:
-    return f"{node.address[0]}:{node.address[1]}"
+def address_text(agent: MembershipAgent) -> str:
+    return f"{agent.address[0]}:{agent.address[1]}"
 
 
-class Sends:
-    """A socket that keeps which hosts were sent to."""
+class RecordingSocket:
+    """A socket that records the hosts to which datagrams are sent."""
 
     def __init__(self, inner: socket.socket) -> None:
         self.inner, self.hosts = inner, set[str]()
 
-    def sendto(self, data: bytes, where: tuple[str, int]) -> int:
-        self.hosts.add(where[0])
-        return self.inner.sendto(data, where)
+    def sendto(self, data: bytes, address: tuple[str, int]) -> int:
+        self.hosts.add(address[0])
+        return self.inner.sendto(data, address)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.inner, name)
 
 
 def test_a_peer_with_a_host_name_is_joined_and_no_send_blocks_on_a_name_server(tmp_path, monkeypatch):
-    """The system looks a name up within sendto: with a name server that is silent, no request is served meanwhile."""
-    asked = list[str]()
-    answers = anyio.Event()
-    real = anyio.getaddrinfo
+    """With a host name, sendto would look the name up itself: a silent name server would block the event loop."""
+    lookups = list[str]()
+    name_server_answers = anyio.Event()
+    real_getaddrinfo = anyio.getaddrinfo
 
-    async def looked_up(host, port, **more):
+    async def fake_getaddrinfo(host, port, **options):
         if host != "gateway-one.example":
-            return await real(host, port, **more)
-        asked.append(host)
-        await answers.wait()
-        return await real("127.0.0.1", port, **more)
+            return await real_getaddrinfo(host, port, **options)
+        lookups.append(host)
+        await name_server_answers.wait()
+        return await real_getaddrinfo("127.0.0.1", port, **options)
 
-    monkeypatch.setattr(anyio, "getaddrinfo", looked_up)
-    monkeypatch.setattr("anyio._core._sockets.getaddrinfo", looked_up)  # what its connections use
+    monkeypatch.setattr(anyio, "getaddrinfo", fake_getaddrinfo)
+    monkeypatch.setattr("anyio._core._sockets.getaddrinfo", fake_getaddrinfo)  # used by anyio's connect_tcp
 
-    async def play() -> None:
+    async def scenario() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
         peer = ("one", Listen("gateway-one.example", one.address[1]))
         two = MembershipAgent(config(tmp_path, "two", seeds=(Listen(*one.address),), peers=(peer,)), clock)
         await two.open()
-        sends = Sends(two.transport._udp)
-        two.transport._udp = sends  # type: ignore[assignment]
-        async with running(one, two):
-            await until(lambda: states(two) == {"one": "alive"} and bool(asked))
-            assert not sends.hosts, "held, or lost as on the way, while nobody knows the address"
-            answers.set()
-            await until(lambda: "127.0.0.1" in sends.hosts)
-            await until(lambda: two.status()["members"][0]["link"] == "both")
-            assert sends.hosts == {"127.0.0.1"}
+        sending = RecordingSocket(two.transport._udp)
+        two.transport._udp = sending  # type: ignore[assignment]
+        async with running_agents(one, two):
+            await wait_until(lambda: member_states(two) == {"one": "alive"} and bool(lookups))
+            assert not sending.hosts, "datagrams are queued or dropped until the address is known"
+            name_server_answers.set()
+            await wait_until(lambda: "127.0.0.1" in sending.hosts)
+            await wait_until(lambda: two.status()["members"][0]["link"] == "both")
+            assert sending.hosts == {"127.0.0.1"}
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_host_names_are_looked_up_once_at_a_time_and_stay_known_while_lookups_fail():
-    names = AddressResolver()
-    assert names.resolve("10.0.0.1", "1", b"a", 0.0) == Resolution("10.0.0.1", False)
-    assert names.resolve("::1", "1", b"a", 0.0) == Resolution("::1", False)
-    assert names.resolve("gw", "1", b"a", 0.0) == Resolution("", True)
-    assert names.resolve("gw", "2", b"b", 0.0) == Resolution("", False), "under way already"
+    resolver = AddressResolver()
+    assert resolver.resolve("10.0.0.1", "1", b"a", 0.0) == Resolution("10.0.0.1", False)
+    assert resolver.resolve("::1", "1", b"a", 0.0) == Resolution("::1", False)
+    assert resolver.resolve("gw", "1", b"a", 0.0) == Resolution("", True)
+    assert resolver.resolve("gw", "2", b"b", 0.0) == Resolution("", False), (
+        "the lookup is already in progress"
+    )
     for _ in range(10):
-        names.resolve("gw", "2", b"c", 0.0)
-    assert names.lookup_finished("gw", "10.0.0.2", 1.0) == [
+        resolver.resolve("gw", "2", b"c", 0.0)
+    assert resolver.lookup_finished("gw", "10.0.0.2", 1.0) == [
         QueuedDatagram("1", b"a"),
         QueuedDatagram("2", b"b"),
         QueuedDatagram("2", b"c"),
         QueuedDatagram("2", b"c"),
     ]
-    assert names.resolve("gw", "1", b"d", 2.0) == Resolution("10.0.0.2", False)
-    assert names.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == Resolution("10.0.0.2", True), (
-        "used while it is looked up anew"
+    assert resolver.resolve("gw", "1", b"d", 2.0) == Resolution("10.0.0.2", False)
+    assert resolver.resolve("gw", "1", b"d", 1.0 + ADDRESS_TTL_MS) == Resolution("10.0.0.2", True), (
+        "the old address is used during the new lookup"
     )
-    assert names.lookup_finished("gw", "", 40_000.0) == []
-    assert names.resolve("gw", "1", b"d", 40_001.0) == Resolution("10.0.0.2", False), (
-        "no name server: as it was"
+    assert resolver.lookup_finished("gw", "", 40_000.0) == []
+    assert resolver.resolve("gw", "1", b"d", 40_001.0) == Resolution("10.0.0.2", False), (
+        "a failed lookup keeps the old address"
     )
-    assert names.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == Resolution("10.0.0.2", True)
-    assert names.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
-    assert names.resolve("gw", "1", b"d", 43_001.0) == Resolution("10.0.0.3", False), "it has moved"
-    assert names.resolve("lost", "1", b"e", 0.0) == Resolution("", True)
-    assert names.lookup_finished("lost", "", 1.0) == [] and names.resolve(
+    assert resolver.resolve("gw", "1", b"d", 40_000.0 + RETRY_DELAY_MS) == Resolution("10.0.0.2", True)
+    assert resolver.lookup_finished("gw", "10.0.0.3", 43_000.0) == []
+    assert resolver.resolve("gw", "1", b"d", 43_001.0) == Resolution("10.0.0.3", False), (
+        "the host has a new address"
+    )
+    assert resolver.resolve("lost", "1", b"e", 0.0) == Resolution("", True)
+    assert resolver.lookup_finished("lost", "", 1.0) == [] and resolver.resolve(
         "lost", "1", b"e", 2.0
     ) == Resolution("", False)
     for number in range(2 * MAX_HOST_NAMES):
-        names.resolve(f"host-{number}", "1", b"", 0.0)
-    assert len(names._hosts) == MAX_HOST_NAMES
+        resolver.resolve(f"host-{number}", "1", b"", 0.0)
+    assert len(resolver._hosts) == MAX_HOST_NAMES
 
 
-def test_a_peer_added_in_service_is_joined(tmp_path):
-    async def play() -> None:
+def test_a_peer_added_at_runtime_is_joined(tmp_path):
+    async def scenario() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
-        async with running(one, two):
+        async with running_agents(one, two):
             await anyio.sleep(0.3)
-            assert states(one) == {} and one.status()["alone"]
+            assert member_states(one) == {} and one.status()["alone"]
             one.update_config(replace(one.config, peers=(("two", Listen(*two.address)),)))
-            await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
+            await wait_until(
+                lambda: member_states(one) == {"two": "alive"} and member_states(two) == {"one": "alive"}
+            )
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_seeds_added_in_service_are_contacted_and_other_keys_of_the_block_need_a_restart(tmp_path):
-    async def play() -> None:
+def test_seeds_added_at_runtime_are_contacted_and_other_fleet_keys_need_a_restart(tmp_path):
+    async def scenario() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
-        async with running(one, two):
-            await until(lambda: one.protocol is not None and two.protocol is not None)
-            assert states(one) == {} and one.status()["alone"]
+        async with running_agents(one, two):
+            await wait_until(lambda: one.protocol is not None and two.protocol is not None)
+            assert member_states(one) == {} and one.status()["alone"]
             fleet = replace(one.config.fleet, seeds=(Listen(*two.address),))
             after = replace(one.config, fleet=fleet)
             assert requiring_restart(diff(one.config, after)) == []
@@ -300,40 +310,42 @@
                 diff(one.config, replace(after, fleet=replace(fleet, interval=300.0)))
             ) == ["fleet interval"]
             one.update_config(after)
-            await until(lambda: states(one) == {"two": "alive"} and states(two) == {"one": "alive"})
+            await wait_until(
+                lambda: member_states(one) == {"two": "alive"} and member_states(two) == {"one": "alive"}
+            )
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_keys_rotate_in_service_and_a_withdrawn_key_opens_nothing(tmp_path):
-    async def play() -> None:
+def test_keys_rotate_at_runtime_and_a_withdrawn_key_is_rejected(tmp_path):
+    async def scenario() -> None:
         one, two = (MembershipAgent(config(tmp_path, name), clock) for name in ("one", "two"))
         await one.open()
         two.config = replace(two.config, peers=(("one", Listen(*one.address)),))
-        async with running(one, two):
-            await until(lambda: bool(states(one)) and bool(states(two)))
+        async with running_agents(one, two):
+            await wait_until(lambda: bool(member_states(one)) and bool(member_states(two)))
             for numbers in ((1, 2), (2, 1), (2,)):
-                ring(tmp_path / "keys", *numbers)
+                write_key_file(tmp_path / "keys", *numbers)
                 await anyio.sleep(1.3)
             sealed = [key.id for key in one.keys.ring.valid_keys(time.time() * 1000)]
             assert sealed == ["k2"]
             await anyio.sleep(0.5)
-            assert states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
+            assert member_states(one) == {"two": "alive"} and one.status()["members"][0]["heard_ms"] < 1000
             message = datagrams.SwimMessage("two", 1, 1, "one", int(datagrams.MessageKind.PING))
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.sendto(datagrams.seal(message, base64.b64decode(secret(1))), one.address)
-                await until(lambda: one.counts["dropped:seal"] == 1)
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                sender.sendto(datagrams.seal(message, base64.b64decode(encoded_secret(1))), one.address)
+                await wait_until(lambda: one.counts["dropped:seal"] == 1)
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
 def test_unauthenticated_datagrams_are_counted_and_not_answered(tmp_path):
-    async def play() -> None:
+    async def scenario() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
-        async with running(one):
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
-                stranger.bind(("127.0.0.1", 0))
-                stranger.setblocking(False)
+        async with running_agents(one):
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
+                sender.bind(("127.0.0.1", 0))
+                sender.setblocking(False)
                 for data in (
                     b"",
                     b"hello",
@@ -341,24 +353,27 @@
                     b"WF\x01\x00" + b"y" * 60,
                     b"WF\x09\x00" + b"y" * 60,
                 ):
-                    stranger.sendto(data, one.address)
-                await until(
-                    lambda: sum(n for what, n in one.counts.items() if what.startswith("dropped")) == 5
+                    sender.sendto(data, one.address)
+                await wait_until(
+                    lambda: (
+                        sum(count for counter, count in one.counts.items() if counter.startswith("dropped"))
+                        == 5
+                    )
                 )
                 await anyio.sleep(0.2)
                 with pytest.raises(BlockingIOError):
-                    stranger.recv(100)
+                    sender.recv(100)
             async with await anyio.connect_tcp(*one.address) as stream:
-                await stream.send(b"\xff\xff\xff\xff" + b"z" * 100)  # an exchange of 4 GiB
+                await stream.send(b"\xff\xff\xff\xff" + b"z" * 100)  # the length prefix of a message of 4 GiB
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
                     await stream.receive()
-            assert one.counts["dropped:too-long"] == 2 and set(states(one)) == set()
+            assert one.counts["dropped:too-long"] == 2 and set(member_states(one)) == set()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_a_failed_start_says_why_and_what_to_do(tmp_path):
-    async def play() -> None:
+def test_a_failed_start_reports_the_cause_and_the_remedy(tmp_path):
+    async def scenario() -> None:
         with pytest.raises(MembershipError, match="see fleet, keys"):
             await MembershipAgent(config(tmp_path, "one", keys=str(tmp_path / "none")), clock).open()
         (tmp_path / "open").write_text("{}")
@@ -375,39 +390,42 @@
             await MembershipAgent(config(tmp_path, "two", listen=Listen(*one.address)), clock).open()
         await one.close()
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-def test_cached_members_are_joined_without_seeds_and_generations_only_rise(tmp_path):
-    async def play() -> None:
+def test_cached_members_are_joined_without_seeds_and_generations_only_increase(tmp_path):
+    async def scenario() -> None:
         one = MembershipAgent(config(tmp_path, "one"), clock)
         await one.open()
         two = MembershipAgent(
             config(tmp_path, "two", seeds=(Listen(*one.address),), keep=str(tmp_path / "kept")), clock
         )
-        async with running(one, two):
-            await until(lambda: (tmp_path / "kept" / member_cache.FILE_NAME).exists() and bool(states(two)))
-            await until(
+        async with running_agents(one, two):
+            await wait_until(
+                lambda: (tmp_path / "kept" / member_cache.FILE_NAME).exists() and bool(member_states(two))
+            )
+            await wait_until(
                 lambda: bool(
                     (member_cache.load(tmp_path / "kept")[0] or member_cache.KnownMembers("x", 0)).members
                 )
             )
-            kept, wrong = member_cache.load(tmp_path / "kept")
-            assert kept is not None and not wrong and [each.name for each in kept.members] == ["one"]
-        far = member_cache.KnownMembers("two", (1 << 60), kept.members)  # a clock that was years ahead
-        member_cache.save(tmp_path / "kept", far)
-        again = MembershipAgent(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
-        await again.open()
-        assert again.protocol is not None and again.protocol.generation > 1 << 60
-        assert again.protocol.seeds == (f"127.0.0.1:{one.address[1]}",)
-        await again.close()
+            cached, problem = member_cache.load(tmp_path / "kept")
+            assert cached is not None and not problem and [each.name for each in cached.members] == ["one"]
+        # The stored generation comes from a clock that was years ahead.
+        future = member_cache.KnownMembers("two", (1 << 60), cached.members)
+        member_cache.save(tmp_path / "kept", future)
+        restarted = MembershipAgent(config(tmp_path, "two", keep=str(tmp_path / "kept")), clock)
+        await restarted.open()
+        assert restarted.protocol is not None and restarted.protocol.generation > 1 << 60
+        assert restarted.protocol.seeds == (f"127.0.0.1:{one.address[1]}",)
+        await restarted.close()
         (tmp_path / "kept" / member_cache.FILE_NAME).write_bytes(b"{cut")
         assert member_cache.load(tmp_path / "kept")[1].startswith(str(tmp_path))
 
-    anyio.run(play)
+    anyio.run(scenario)
 
 
-STANDING = {
+STATUS = {
     "own": "one", "address": "10.0.0.1:7", "zone": "a", "life": 5, "incarnation": 0, "version": 3, "alive": 2, "alone": False,
     "left": False, "health": 2, "slept_ms": 0, "event": {"text": "zone b unreachable", "since_ms": 4000.0}, "counts": {},
     "members": [
@@ -418,26 +436,31 @@
 }  # fmt: skip
 
 
-def test_the_command_shows_explains_and_watches(monkeypatch):
-    monkeypatch.setattr(command, "_fetch_status", lambda where, key: STANDING)
+def test_the_fleet_command_shows_explains_and_watches(monkeypatch):
+    monkeypatch.setattr(command, "_fetch_status", lambda where, key: STATUS)
 
-    def said(*words: str) -> str:
+    def run_command(*words: str) -> str:
         done = CliRunner().invoke(command.command, list(words))
         assert done.exit_code == 0, done.output
         return done.output
 
-    shown = said("show", "unix:x")
-    assert "2 of 2 there" in shown and "zone b unreachable since 4.0 s ago" in shown and "health 2" in shown
-    assert "never" in shown and "(index 9 is not in the settings)" in shown and "3 min" in shown
-    assert json.loads(said("show", "unix:x", "--json"))["own"] == "one"
-    explained = said("explain", "two", "unix:x")
-    assert "it does not hear this gateway" in explained and "found" in explained
-    assert "found" in said("history", "unix:x") and said("history", "unix:x", "--member", "none") == ""
-    assert said("watch", "unix:x", "--times", "2", "--every", "0.2").count("found") == 1
+    output = run_command("show", "unix:x")
+    assert (
+        "2 of 2 there" in output and "zone b unreachable since 4.0 s ago" in output and "health 2" in output
+    )
+    assert "never" in output and "(index 9 is not in the settings)" in output and "3 min" in output
+    assert json.loads(run_command("show", "unix:x", "--json"))["own"] == "one"
+    explanation = run_command("explain", "two", "unix:x")
+    assert "it does not hear this gateway" in explanation and "found" in explanation
+    assert (
+        "found" in run_command("history", "unix:x")
+        and run_command("history", "unix:x", "--member", "none") == ""
+    )
+    assert run_command("watch", "unix:x", "--times", "2", "--every", "0.2").count("found") == 1
     failed = CliRunner().invoke(command.command, ["explain", "none", "unix:x"])
     assert failed.exit_code == 1 and "knows no none; it knows two" in failed.output
 
 
-def test_the_command_reports_a_gateway_that_does_not_answer(tmp_path):
+def test_the_fleet_command_reports_an_unreachable_gateway(tmp_path):
     done = CliRunner().invoke(command.command, ["show", f"unix:{tmp_path}/none"])
     assert done.exit_code == 1 and "no gateway answers" in done.output and "Traceback" not in done.output
