--- a/tests/test_membership_logs.py
+++ b/tests/test_membership_logs.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def default_logging() -> Iterator[None]:
-    """Logging as structlog sets it up: other tests of the process switch all lines off."""
+    """Restores structlog's defaults, since other tests of the same process disable logging."""
     configuration = structlog.get_config()
     structlog.reset_defaults()
     yield
@@ -31,13 +31,13 @@
 
 def test_each_code_that_the_protocol_reports_has_a_log_event_of_its_own():
     sources = "\n".join(path.read_text() for path in PACKAGE.glob("*.py"))
-    written = set(re.findall(r'\.report\(\s*"([a-z-]+)"', sources))
-    assert len(written) >= 8 and written <= set(log_events.LOG_EVENTS)
-    names = [*log_events.LOG_EVENTS.values(), log_events.LOCAL_MEMBER_LEFT]
-    assert len(set(names)) == len(names)
+    codes_in_source = set(re.findall(r'\.report\(\s*"([a-z-]+)"', sources))
+    assert len(codes_in_source) >= 8 and codes_in_source <= set(log_events.LOG_EVENTS)
+    event_names = [*log_events.LOG_EVENTS.values(), log_events.LOCAL_MEMBER_LEFT]
+    assert len(set(event_names)) == len(event_names)
 
 
-def test_the_events_of_a_troubled_run_all_have_log_events():
+def test_all_events_of_a_run_with_faults_have_log_events():
     fleet = Fleet(5, 1)
     fleet.run(10_000.0)
     fleet.pause("g2", 6000.0)
@@ -47,9 +47,9 @@
     fleet.start("g3", clock=-900_000.0)
     fleet.leave("g4")
     fleet.run(90_000.0)
-    codes = {note.code for _, _, note in fleet.notes}
+    codes = {event.code for _, _, event in fleet.notes}
     assert {"found", "suspect", "dead", "left", "slept", "renewed", "link-deaf"} <= codes
-    assert all(log_events.log_event(note.code, note.member) for _, _, note in fleet.notes)
+    assert all(log_events.log_event(event.code, event.member) for _, _, event in fleet.notes)
 
 
 def test_the_page_for_operators_names_every_log_event():
@@ -59,15 +59,15 @@
     assert len(names) > 20 and not {name for name in names if f"`{name}`" not in page}
 
 
-def test_a_broken_file_of_keys_is_logged_by_name_and_the_earlier_keys_stay_in_use(tmp_path, default_logging):
+def test_an_invalid_key_file_is_logged_and_the_earlier_keys_stay_in_use(tmp_path, default_logging):
     path = tmp_path / "keys"
     keys.write_keys(path, [keys.Key("k1", base64.b64encode(b"1" * 32).decode(), "fleet")])
     shared = SharedKeys(str(path))
     shared.load()
     before = list(shared.secrets)
     path.write_text("{broken")
-    with capture_logs() as lines:
+    with capture_logs() as log_lines:
         shared.reload()
     assert shared.secrets == before
-    assert [line["event"] for line in lines] == ["membership_key_reload_failed"]
-    assert "the earlier keys stay in use" in lines[0]["error"]
+    assert [log_line["event"] for log_line in log_lines] == ["membership_key_reload_failed"]
+    assert "the earlier keys stay in use" in log_lines[0]["error"]
--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -1,4 +1,4 @@
-"""The merging of member records, over all states of a small model; and mutants of it, each detected."""
+"""Model checking of the merging of member records, and of mutants of it that the checker must detect."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 def test_two_members_are_explored_completely_without_a_violation():
-    found = explore(Words(2, 3))
-    assert found.complete and not found.violation, found.trace
-    assert found.states > 1000
+    result = explore(Words(2, 3))
+    assert result.complete and not result.violation, result.trace
+    assert result.states > 1000
 
 
 def test_three_members_are_explored_to_a_depth_without_a_violation():
-    found = explore(Words(3, 2), max_states=4000)
-    assert not found.violation, found.trace
+    result = explore(Words(3, 2), max_states=4000)
+    assert not result.violation, result.trace
 
 
 class LastRecordWins(MemberTable):
-    """Takes whatever record came last."""
+    """Accepts the last received record, whatever its precedence."""
 
     def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
         self.members.pop(record.name, None)
@@ -40,7 +40,7 @@
 
 
 class DeathIsFinal(MemberTable):
-    """Lets no refutation clear a death."""
+    """Ignores refutations of a death."""
 
     def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
         member = self.members.get(record.name)
@@ -54,7 +54,7 @@
 
 
 class FirstRecordWins(MemberTable):
-    """Of equal generation and incarnation keeps the record that came first."""
+    """Keeps the first received of records with equal generation and incarnation."""
 
     def apply(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
         member = self.members.get(record.name)
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    "mutant, told",
+    "mutant, violation",
     [
         (LastRecordWins, "heard is one"),
         (IgnoresGenerations, "no way back"),
@@ -84,6 +84,6 @@
         (RaisesIncarnations, "own voice"),
     ],
 )
-def test_each_mutant_of_the_merge_is_detected(mutant, told):
-    found = explore(Words(3, 3, mutant), max_states=60_000)
-    assert found.violation.startswith(told), found
+def test_each_mutant_of_the_merge_is_detected(mutant, violation):
+    result = explore(Words(3, 3, mutant), max_states=60_000)
+    assert result.violation.startswith(violation), result
