--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -111,7 +111,7 @@
     Mutant("a store's own drain not heard", TRANSITIONS, "self.mark_draining(endpoint, DRAINING_BY_OWN_REPORT, now_ms)", "pass", "blind-day"),
     Mutant("a list's drain not heard", TRANSITIONS, "if entry.status is EndpointStatus.DRAINING:\n            self.mark_draining(endpoint,", "if False:\n            self.mark_draining(endpoint,"),
     Mutant("a store's age not heard", TRANSITIONS, "if restarted or not endpoint.uptime_reported:", "if False:", "blind-day"),
-    Mutant("what is not known counts as warm", TRANSITIONS, "endpoint.started_at_ms = now_ms  # an unknown start time", "endpoint.started_at_ms = 0.0  # an unknown start time", "blind-day", test="test_what_is_restored_is_tried_singly_the_one_confirmed_last_first_and_counts_as_cold"),
+    Mutant("what is not known counts as warm", TRANSITIONS, "endpoint.started_at_ms = now_ms  # an unknown start time", "endpoint.started_at_ms = 0.0  # an unknown start time", "blind-day", test="test_restored_endpoints_are_checked_singly_latest_confirmed_first_and_warm_up"),
     # Changes
     Mutant("a lowered limit leaves accounts as they were", "config_rollout/hot_reload.py", "quota.plan = plan\n    quota.settings = settings", "pass", "change-day"),
     Mutant("harm not undone", "config_rollout/controller.py", "if verdict.harmful:", "if False:", "change-day"),
