--- a/benchmarks/merging.py
+++ b/benchmarks/merging.py
@@ -1,10 +1,10 @@
-"""Blame from merged ledgers against one that sees all, in the model (simulated), by gateways and by clocks that are off.
+"""Error of latency attribution by merged ledgers, by number of gateways and clock offset, simulated in the model.
 
 python benchmarks/merging.py [--gateways 1,5,20,60,120,250] [--seeds 2] [--plot FILE.png]
 
-A fleet of 40 stores; courses of fetches, each through a few gateways; a burst of exports through many at one store; another
-store that becomes slow by itself halfway. The figure is the share of all waiting that is put on another holder than one that
-sees all puts it on (half the sum of differences, cell by cell).
+The scene has 40 stores, fetches of many volumes through a few gateways each, a burst of exports through many gateways at one
+store, and another store that becomes slow by itself halfway. The figure is the share of all waiting time that is attributed to
+another holder than the model's complete knowledge attributes it to (half the sum of the differences over all cells).
 """
 
 from __future__ import annotations
@@ -19,31 +19,33 @@
 from winchdyke.latency_attribution.records import Account
 from winchdyke.model.world import Course, Scene, World, accounts
 
-OFFS = (0.0, 50.0, 250.0, 1000.0)
+CLOCK_OFFSETS_MS = (0.0, 50.0, 250.0, 1000.0)
 Matrix = Counter[tuple[str, tuple[str, str, str]]]
 
 
-def matrix(found: list[Account]) -> Matrix:
-    """Milliseconds by waiter and holder."""
+def blame_matrix(accounts_: list[Account]) -> Matrix:
+    """Returns the waiting time in ms by volume and holder."""
     cells: Matrix = Counter()
-    for account in found:
+    for account in accounts_:
         for kind, name, what, share in account.blame:
             cells[account.volume, (kind, name, what)] += share / 1e6  # type: ignore[assignment]
     return cells
 
 
-def apart(a: Matrix, b: Matrix) -> float:
-    """The share of the waiting that is put on another holder."""
-    return sum(abs(a[cell] - b[cell]) for cell in {*a, *b}) / 2 / sum(b.values())
+def misattributed_share(actual: Matrix, expected: Matrix) -> float:
+    """Returns the share of the waiting time that is attributed to another holder than expected."""
+    return (
+        sum(abs(actual[cell] - expected[cell]) for cell in {*actual, *expected}) / 2 / sum(expected.values())
+    )
 
 
-def of(cells: Matrix, kind: str, name: str) -> float:
-    """Seconds put on a holder."""
+def seconds_attributed(cells: Matrix, kind: str, name: str) -> float:
+    """Returns the seconds attributed to a holder."""
     return sum(ms for (_, holder), ms in cells.items() if holder[:2] == (kind, name)) / 1000
 
 
 def scene(gateways: int, seed: int) -> Scene:
-    """The same load, however many gateways it comes through."""
+    """Returns a scene whose load does not depend on the number of gateways."""
     courses = [
         Course(
             f"course-{n}", 5.0, "fetch", 2.0, shards=(n % 40, (n + 11) % 40),
@@ -62,65 +64,78 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--gateways", default="1,5,20,60,120,250")
-    words.add_argument("--seeds", type=int, default=2)
-    words.add_argument("--plot", type=Path)
-    chosen = words.parse_args()
-    fleet = [int(number) for number in chosen.gateways.split(",")]
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--gateways", default="1,5,20,60,120,250")
+    parser.add_argument("--seeds", type=int, default=2)
+    parser.add_argument("--plot", type=Path)
+    arguments = parser.parse_args()
+    gateway_counts = [int(number) for number in arguments.gateways.split(",")]
     rows: dict[int, list[float]] = {}
-    heads = ["alone", *(f"off {off:g} ms" for off in OFFS)]
+    columns = ["alone", *(f"off {offset_ms:g} ms" for offset_ms in CLOCK_OFFSETS_MS)]
     print(
-        f"{'gateways':>9}" + "".join(f"{head:>13}" for head in heads) + "   slow node, s: alone, merged, all"
+        f"{'gateways':>9}"
+        + "".join(f"{column_name:>13}" for column_name in columns)
+        + "   slow node, s: alone, merged, all"
     )
-    for gateways in fleet:
-        found: list[list[float]] = []
-        node: list[tuple[float, float, float]] = []
-        for seed in range(1, chosen.seeds + 1):
+    for gateways in gateway_counts:
+        seed_rows: list[list[float]] = []
+        slow_node_seconds: list[tuple[float, float, float]] = []
+        for seed in range(1, arguments.seeds + 1):
             world = World(scene(gateways, seed), seeing=True)
-            done = world.run()
-            truth: Matrix = Counter()
-            for each in done:
-                for holder, ms in each.seen.items():
-                    truth[each.course, holder] += ms  # type: ignore[assignment]
-            draw = random.Random(seed)
-            alone = matrix(accounts(done))
-            line = [apart(alone, truth)]
-            for off in OFFS:
-                clocks = {gateway: draw.uniform(-off, off) for gateway in range(gateways)}
-                both = matrix(merge_accounts(accounts(done, clocks), off))
-                line.append(apart(both, truth))
-                if not off:
-                    node.append((of(alone, "node", "n2"), of(both, "node", "n2"), of(truth, "node", "n2")))
-            found.append(line)
-        rows[gateways] = [statistics.median(column) for column in zip(*found, strict=True)]
-        at = ", ".join(f"{statistics.median(column):.1f}" for column in zip(*node, strict=True))
+            requests = world.run()
+            expected: Matrix = Counter()
+            for request in requests:
+                for holder, ms in request.seen.items():
+                    expected[request.course, holder] += ms  # type: ignore[assignment]
+            rng = random.Random(seed)
+            unmerged = blame_matrix(accounts(requests))
+            row = [misattributed_share(unmerged, expected)]
+            for offset_ms in CLOCK_OFFSETS_MS:
+                clocks = {gateway: rng.uniform(-offset_ms, offset_ms) for gateway in range(gateways)}
+                merged = blame_matrix(merge_accounts(accounts(requests, clocks), offset_ms))
+                row.append(misattributed_share(merged, expected))
+                if not offset_ms:
+                    slow_node_seconds.append(
+                        (
+                            seconds_attributed(unmerged, "node", "n2"),
+                            seconds_attributed(merged, "node", "n2"),
+                            seconds_attributed(expected, "node", "n2"),
+                        )
+                    )
+            seed_rows.append(row)
+        rows[gateways] = [statistics.median(column) for column in zip(*seed_rows, strict=True)]
+        slow_node_text = ", ".join(
+            f"{statistics.median(column):.1f}" for column in zip(*slow_node_seconds, strict=True)
+        )
         print(
-            f"{gateways:9}" + "".join(f"{value:13.3f}" for value in rows[gateways]) + f"   {at}", flush=True
+            f"{gateways:9}" + "".join(f"{value:13.3f}" for value in rows[gateways]) + f"   {slow_node_text}",
+            flush=True,
         )
-    if chosen.plot:
-        plot(rows, heads, chosen.plot)
+    if arguments.plot:
+        plot(rows, columns, arguments.plot)
 
 
-def plot(rows: dict[int, list[float]], heads: list[str], path: Path) -> None:
-    """The table as a picture."""
+def plot(rows: dict[int, list[float]], columns: list[str], path: Path) -> None:
+    """Plots the table."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for at, head in enumerate(heads):
+    for index, column_name in enumerate(columns):
         axes.plot(
             list(rows),
-            [line[at] for line in rows.values()],
+            [row[index] for row in rows.values()],
             "o-",
-            label="each gateway alone" if not at else f"merged, clocks {head}",
+            label="each gateway alone" if not index else f"merged, clocks {column_name}",
         )
     axes.set(
         xlabel="gateways",
-        ylabel="share of the waiting put elsewhere",
-        title="Blame against one that sees all (simulated)",
+        ylabel="share of waiting time misattributed",
+        title="Error of latency attribution (simulated)",
     )
     axes.set_ylim(bottom=0)
     axes.grid(True, alpha=0.3)
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -1,6 +1,6 @@
-"""Other gateways' places in the fleet, without the gateways: for measuring what the fleet costs one.
+"""Runs only the membership agents of many gateways, to measure the cost of membership for one real gateway.
 
-python benchmarks/peers.py FOLDER COUNT SEED_PORT   writes FOLDER/peers.ready once all have joined
+python benchmarks/peers.py FOLDER COUNT SEED_PORT   writes FOLDER/peers.ready once all agents have joined
 """
 
 from __future__ import annotations
@@ -17,27 +17,29 @@
 from winchdyke.gateway import logs
 from winchdyke.membership.agent import MembershipAgent
 
-BASE = Path(__file__).resolve().parent.parent / "winchdyke" / "config" / "defaults.conf"
+DEFAULTS_FILE = Path(__file__).resolve().parent.parent / "winchdyke" / "config" / "defaults.conf"
 
 
-async def run(folder: Path, count: int, seed: int) -> None:
-    """Take part until killed."""
+async def run(folder: Path, count: int, seed_port: int) -> None:
+    """Runs the agents until killed."""
     logs.configure("none")
-    base = load_file(BASE).config
+    base = load_file(DEFAULTS_FILE).config
     async with anyio.create_task_group() as group:
-        nodes = []
+        agents = []
         for number in range(count):
             gateway = replace(base.gateway, name=f"peer-{number}", index=number + 1, gateways=count + 1)
             fleet = Fleet(
-                Listen("127.0.0.1", 0), seeds=(Listen("127.0.0.1", seed),), keys=str(folder / "fleet.keys")
+                Listen("127.0.0.1", 0),
+                seeds=(Listen("127.0.0.1", seed_port),),
+                keys=str(folder / "fleet.keys"),
             )
-            node = MembershipAgent(
+            agent = MembershipAgent(
                 replace(base, gateway=gateway, fleet=fleet), lambda: time.monotonic() * 1000
             )
-            await node.open()
-            group.start_soon(node.run)
-            nodes.append(node)
-        while any(node.view.active_count < count + 1 for node in nodes):
+            await agent.open()
+            group.start_soon(agent.run)
+            agents.append(agent)
+        while any(agent.view.active_count < count + 1 for agent in agents):
             await anyio.sleep(0.1)
         (folder / "peers.ready").touch()
         await anyio.sleep_forever()
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -1,4 +1,4 @@
-"""Fleets that start without discovery, in the model (simulated): worth served, first answer, stores pushed over, list calls.
+"""Starts of many gateways without discovery, simulated in the model: value served, first answer, overloads, list calls.
 
 python benchmarks/starts.py [--gateways 12] [--stores 12,40] [--seeds 3] [--plot FILE.png] [--herd]
 """
@@ -14,89 +14,105 @@
 POLICIES = ("belief", "outright", "wait")
 
 
-def figures(
+def simulate(
     gateways: int, stores: int, seed: int, start: Start, length_ms: float
 ) -> tuple[float, float, int, int, int]:
-    """Worth in time, first answer, stores pushed over, requests to strangers, most list calls in a second."""
+    """Returns value served in time, first answer in ms, stores overloaded, misdirected requests, peak list calls per second."""
     world = Starting(fleet(gateways, stores, seed, length_ms), start)
     world.run()
-    fallen = sum(machine.fallen for machine in world.machines.values())
-    misled = sum(machine.misled for machine in world.machines.values())
-    return world.worth(length_ms), world.first_ms(), fallen, misled, max(world.calls.values(), default=0)
+    overloaded = sum(machine.fallen for machine in world.machines.values())
+    misdirected = sum(machine.misled for machine in world.machines.values())
+    return (
+        world.worth(length_ms),
+        world.first_ms(),
+        overloaded,
+        misdirected,
+        max(world.calls.values(), default=0),
+    )
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--gateways", type=int, default=12)
-    words.add_argument("--stores", default="12,40")
-    words.add_argument("--seeds", type=int, default=3)
-    words.add_argument("--seconds", type=float, default=30.0)
-    words.add_argument(
-        "--gone", default="0,0.05,0.2,0.6", help="parts of the kept list that are elsewhere by now"
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--gateways", type=int, default=12)
+    parser.add_argument("--stores", default="12,40")
+    parser.add_argument("--seeds", type=int, default=3)
+    parser.add_argument("--seconds", type=float, default=30.0)
+    parser.add_argument(
+        "--gone", default="0,0.05,0.2,0.6", help="fractions of the cached endpoints that have moved"
     )
-    words.add_argument("--down", default="10,600", help="seconds for which discovery is down")
-    words.add_argument("--plot", type=Path)
-    words.add_argument(
-        "--herd", action="store_true", help="only the calls at a list service that comes back to 250 gateways"
+    parser.add_argument("--down", default="10,600", help="seconds for which discovery is down")
+    parser.add_argument("--plot", type=Path)
+    parser.add_argument(
+        "--herd", action="store_true", help="only the calls at a list service that recovers, by 250 gateways"
     )
-    chosen = words.parse_args()
-    if chosen.herd:
-        herd(chosen.seeds)
+    arguments = parser.parse_args()
+    if arguments.herd:
+        print_call_peaks(arguments.seeds)
         return
-    length = chosen.seconds * 1000
+    length_ms = arguments.seconds * 1000
     series: dict[str, list[float]] = {}
     print(
-        "worth served in time, of that with discovery up; first answer; stores pushed over; requests to strangers"
+        "value served in time, relative to discovery up; first answer; stores overloaded; requests to wrong stores"
     )
-    for stores in [int(number) for number in chosen.stores.split(",")]:
-        seeds = range(1, chosen.seeds + 1)
-        best = {
-            seed: figures(chosen.gateways, stores, seed, Start("wait", 0.0, 0.05), length) for seed in seeds
+    for stores in [int(number) for number in arguments.stores.split(",")]:
+        seeds = range(1, arguments.seeds + 1)
+        with_discovery = {
+            seed: simulate(arguments.gateways, stores, seed, Start("wait", 0.0, 0.05), length_ms)
+            for seed in seeds
         }
         print(
-            f"{stores} stores, with discovery: first answer {statistics.median(b[1] for b in best.values()):.0f} ms"
+            f"{stores} stores, with discovery: first answer {statistics.median(run[1] for run in with_discovery.values()):.0f} ms"
         )
         for policy in POLICIES:
-            line = []
-            for gone in [float(part) for part in chosen.gone.split(",")]:
-                for down in [1000 * float(part) for part in chosen.down.split(",")]:
+            plotted_values = []
+            for moved_fraction in [float(part) for part in arguments.gone.split(",")]:
+                for outage_ms in [1000 * float(part) for part in arguments.down.split(",")]:
                     runs = [
-                        figures(chosen.gateways, stores, seed, Start(policy, down, gone), length)
+                        simulate(
+                            arguments.gateways,
+                            stores,
+                            seed,
+                            Start(policy, outage_ms, moved_fraction),
+                            length_ms,
+                        )
                         for seed in seeds
                     ]
-                    worth = statistics.median(
-                        run[0] / best[seed][0] for seed, run in zip(seeds, runs, strict=True)
+                    relative_value = statistics.median(
+                        run[0] / with_discovery[seed][0] for seed, run in zip(seeds, runs, strict=True)
                     )
-                    first = statistics.median(run[1] for run in runs)
-                    fallen, misled = sum(run[2] for run in runs), sum(run[3] for run in runs)
+                    first_answer_ms = statistics.median(run[1] for run in runs)
+                    overloaded, misdirected = sum(run[2] for run in runs), sum(run[3] for run in runs)
                     print(
-                        f"  {policy:9} {gone:4.0%} elsewhere, down {down / 1000:3.0f} s: {worth:.3f}"
-                        f"  {first:7.0f} ms  {fallen:3}  {misled:5}",
+                        f"  {policy:9} {moved_fraction:4.0%} moved, down {outage_ms / 1000:3.0f} s: {relative_value:.3f}"
+                        f"  {first_answer_ms:7.0f} ms  {overloaded:3}  {misdirected:5}",
                         flush=True,
                     )
-                    if down > 60_000:
-                        line.append(worth)
-            series[f"{policy}, {stores} stores"] = line
-    if chosen.plot:
-        plot(series, chosen.gone.split(","), chosen.plot)
+                    if outage_ms > 60_000:
+                        plotted_values.append(relative_value)
+            series[f"{policy}, {stores} stores"] = plotted_values
+    if arguments.plot:
+        plot(series, arguments.gone.split(","), arguments.plot)
 
 
-def herd(seeds: int) -> None:
-    """250 gateways, discovery down for 20 s: calls in the second in which it is back."""
+def print_call_peaks(seeds: int) -> None:
+    """Prints the peak list calls per second of 250 gateways while discovery is down for 20 s, and after its recovery."""
     for policy in ("belief", "plain"):
-        peaks, back = [], []
+        peaks_while_down, peaks_after_recovery = [], []
         for seed in range(1, seeds + 1):
             world = Starting(fleet(250, 40, seed, 24_000.0, 0.05), Start(policy, 20_000.0, 0.05))
             world.run()
-            peaks.append(max(calls for second, calls in world.calls.items() if second >= 2))
-            back.append(max(calls for second, calls in world.calls.items() if second >= 20))
+            peaks_while_down.append(max(calls for second, calls in world.calls.items() if second >= 2))
+            peaks_after_recovery.append(max(calls for second, calls in world.calls.items() if second >= 20))
         print(
-            f"{policy:9} most calls in a second, down: {statistics.median(peaks):.0f}; back: {statistics.median(back):.0f}"
+            f"{policy:9} peak calls per second, down: {statistics.median(peaks_while_down):.0f}; "
+            f"recovered: {statistics.median(peaks_after_recovery):.0f}"
         )
 
 
-def plot(series: dict[str, list[float]], gone: list[str], path: Path) -> None:
-    """Worth by how much of the list is elsewhere, discovery down throughout."""
+def plot(series: dict[str, list[float]], moved_fractions: list[str], path: Path) -> None:
+    """Plots the value served against the fraction of moved endpoints, with discovery down throughout."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -104,9 +120,11 @@
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
     for name, values in series.items():
-        axes.plot([100 * float(part) for part in gone], values, "o-", label=name)
+        axes.plot([100 * float(part) for part in moved_fractions], values, "o-", label=name)
     axes.set(
-        xlabel="% of the kept list that is elsewhere", ylabel="worth, of that with discovery", ylim=(0, 1.05)
+        xlabel="% of the cached endpoints that have moved",
+        ylabel="value served, relative to discovery up",
+        ylim=(0, 1.05),
     )
     axes.set_title("30 s from a start without discovery (simulated)")
     axes.grid(True, alpha=0.3)
--- a/fuzz/datagrams.py
+++ b/fuzz/datagrams.py
@@ -1,9 +1,10 @@
-"""Fuzzing what comes in from other gateways: the opener of sealed messages, and the machine behind it, with a good seal.
+"""Fuzzes the input from other gateways: the unsealing of messages, and the protocol with validly sealed messages.
 
 python fuzz/datagrams.py CORPUS_FOLDER [libFuzzer options]
 
-Whatever comes is dropped with a reason or taken; any exception is a fault, and so is a book past its bound, an answer that is too
-long, or a message without the key that is taken. The first byte says whether the seal is good; each further message is cut at 0xFF.
+Each message is accepted, or rejected with a reason. Any other exception is a fault, and so is a member table past its limit, a
+datagram that is too long, or an accepted message that was sealed without the key. The first byte of an input selects an invalid
+or a valid seal; messages are separated by two bytes 0xFF.
 """
 
 from __future__ import annotations
@@ -19,49 +20,49 @@
     from winchdyke.membership.swim_config import SwimConfig
 
 SECRET = b"a secret that no input knows...."
-HEAD = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
+HEADER = datagrams.MAGIC + bytes((datagrams.VERSION, 0))
 CONFIG = SwimConfig(max_members=50)
 
 
-def one(data: bytes) -> None:
-    """One input."""
+def fuzz_one_input(data: bytes) -> None:
+    """Runs one input."""
     if not data:
         return
     if data[0] % 4 == 0:
         try:
             datagrams.unseal(data[1:], [SECRET])
-        except MessageRejectedError as dropped:
-            assert dropped.reason
+        except MessageRejectedError as rejection:
+            assert rejection.reason
         else:
-            raise AssertionError("taken without the key")
+            raise AssertionError("accepted without the key")
         return
-    machine = SwimProtocol(events.LocalMember("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), CONFIG, 1, 0.0)
+    protocol = SwimProtocol(events.LocalMember("a", "127.0.0.1:1", "z", 0, 5 << 16, 3), CONFIG, 1, 0.0)
     now = 0.0
     for body in data[1:].split(b"\xff\xff")[:16]:
         now += 100.0 * (1 + data[0] % 7)
         try:
-            message = datagrams.unseal(HEAD + datagrams.message_mac(SECRET, HEAD, body) + body, [SECRET])
+            message = datagrams.unseal(HEADER + datagrams.message_mac(SECRET, HEADER, body) + body, [SECRET])
         except MessageRejectedError:
             message = None
-        happened: list[events.MessageReceived | events.StateExchangeFinished] = []
+        received: list[events.MessageReceived | events.StateExchangeFinished] = []
         if message is not None:
-            happened.append(
+            received.append(
                 events.MessageReceived(
                     message,
                     "127.0.0.1:2",
                     is_state_exchange=message.kind == datagrams.MessageKind.STATE_EXCHANGE,
                 )
             )
-        for action in machine.handle(now, happened):
+        for action in protocol.handle(now, received):
             if isinstance(action, events.SendDatagram):
                 assert len(datagrams.seal(action.message, SECRET)) <= datagrams.MAX_DATAGRAM_BYTES
-        machine.view(now)
-        assert len(machine.table.members) <= CONFIG.max_members
+        protocol.view(now)
+        assert len(protocol.table.members) <= CONFIG.max_members
 
 
 def main() -> None:
-    """Fuzz until told otherwise."""
-    atheris.Setup(sys.argv, one)
+    """Fuzzes until libFuzzer ends."""
+    atheris.Setup(sys.argv, fuzz_one_input)
     atheris.Fuzz()
 
 
