--- a/benchmarks/membership_mutants.py
+++ b/benchmarks/membership_mutants.py
@@ -1,10 +1,10 @@
-"""Membership on processes with one defence taken out at a time: what tells, on a day that needs the defence.
+"""Membership of gateway processes with one defence removed at a time, on a day with the faults that need this defence.
 
     python benchmarks/membership_mutants.py [NAME ...] [--seed 1] [--jobs 2] [--gateways 8]
 
-Each day is played twice, with the gateways as they are and with all of them mutants. Told: the judge's verdict, and by the
-gateways' own lines how often one that ran and could be reached was dead in a view, how often one was suspected by a gateway on its own
-word, and how often a gateway that had slept did so within an interval of its return. Gateways are real processes.
+Each day is played twice, with unmodified gateways and with the defence removed from all of them. Printed are the verdict on
+the views, the number of deaths of members that ran and were reachable, the number of suspicions that a gateway raised itself,
+and how many of these a gateway raised within a probe interval of the end of its own pause. Gateways are real processes.
 """
 
 from __future__ import annotations
@@ -31,17 +31,17 @@
 from winchdyke.membership.refutation import Refutation
 from winchdyke.membership.swim import SwimProtocol
 
-FAULTS_MS, CALM_MS = 12_000.0, 15_000.0  # of trouble, and after it for views to agree
+FAULTS_MS, RECOVERY_MS = 12_000.0, 15_000.0  # with faults, and without, for views to converge
 
 
 def without_refutation() -> None:
-    """A suspected process says nothing."""
+    """A suspected process does not refute."""
     Refutation.handle_record = lambda self, record, reporter: None  # type: ignore[method-assign,assignment]
 
 
 def without_incarnations() -> None:
-    """A suspected process answers under the incarnation that is suspected."""
-    before = Refutation.handle_record
+    """A suspected process answers without raising its incarnation."""
+    original = Refutation.handle_record
 
     def handle_record(self: Refutation, record: MemberRecord, reporter: str) -> None:
         context = self._context
@@ -50,7 +50,7 @@
             or record.state == MemberState.ALIVE
             or record.incarnation < context.incarnation
         ):
-            before(self, record, reporter)
+            original(self, record, reporter)
             return
         context.gossip.enqueue(context.local_record())
         context.send(reporter, MessageKind.PING, context.new_request_id())
@@ -59,7 +59,7 @@
 
 
 def without_indirect_probes() -> None:
-    """No other member is asked to probe, and TCP is not used."""
+    """Other members are not asked to probe, and targets are not contacted over TCP."""
     Prober.request_indirect_probes = lambda self, probe: None  # type: ignore[method-assign,assignment]
 
 
@@ -69,34 +69,34 @@
 
 
 def without_pause_detection() -> None:
-    """A process that was paused takes what it missed for silence."""
+    """A process that was paused treats messages missed meanwhile as silence."""
     SwimProtocol._handle_pause = lambda self, paused_ms: None  # type: ignore[method-assign,assignment]
 
 
 def _day(seed: int, gateways: int, events: list[Event]) -> script.Day:
-    day = script.fleet_day(seed, FAULTS_MS + CALM_MS, gateways)
+    day = script.fleet_day(seed, FAULTS_MS + RECOVERY_MS, gateways)
     return msgspec.structs.replace(day, events=events, zones=1)
 
 
-def stopped(seed: int, gateways: int) -> script.Day:
-    """Two stand still for longer than any suspicion, and go on."""
+def long_pauses(seed: int, gateways: int) -> script.Day:
+    """Two gateways are paused for longer than any suspicion timeout, and continue."""
     return _day(seed, gateways, [Event("gateway-stop", 1000.0, 6000.0, [n]) for n in (0, 1)])
 
 
-def deaf(seed: int, gateways: int) -> script.Day:
-    """One and half of the others do not hear each other; the rest hear all."""
-    some = list(range(1 + gateways // 2))
-    return _day(seed, gateways, [Event("link", 500.0, FAULTS_MS - 500.0, some, 0.0, "apart")])
+def partial_partition(seed: int, gateways: int) -> script.Day:
+    """One gateway and half of the others can't reach each other; the rest reach all."""
+    group = list(range(1 + gateways // 2))
+    return _day(seed, gateways, [Event("link", 500.0, FAULTS_MS - 500.0, group, 0.0, "apart")])
 
 
-def hears_nothing(seed: int, gateways: int) -> script.Day:
-    """One hears nobody for 3 s, three times: its own ears fail, and not the others."""
-    times = [Event("link", 500.0 + 4500.0 * n, 3000.0, [0], 0.0, "deaf") for n in range(3)]
-    return _day(seed, gateways, times)
+def receives_nothing(seed: int, gateways: int) -> script.Day:
+    """One gateway receives nothing for 3 s, three times: the fault is its own, not that of the others."""
+    events = [Event("link", 500.0 + 4500.0 * n, 3000.0, [0], 0.0, "deaf") for n in range(3)]
+    return _day(seed, gateways, events)
 
 
-def naps(seed: int, gateways: int) -> script.Day:
-    """Two are stopped for 0.9 s again and again, while a fifth of all datagrams is lost."""
+def short_pauses(seed: int, gateways: int) -> script.Day:
+    """Two gateways are paused for 0.9 s repeatedly, while a fifth of all datagrams is lost."""
     loss = Event("link", 500.0, FAULTS_MS - 500.0, [], 0.2, "loss")
     return _day(
         seed,
@@ -107,61 +107,64 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """A defence taken out, and a day that needs it."""
+    """The removal of a defence, and a day that needs the defence."""
 
     remove: Callable[[], None]
     day: Callable[[int, int], script.Day]
 
 
 MUTANTS = {
-    "refutation": Mutant(without_refutation, stopped),
-    "incarnations": Mutant(without_incarnations, stopped),
-    "indirect": Mutant(without_indirect_probes, deaf),
-    "health": Mutant(without_local_health, hears_nothing),
-    "sleep": Mutant(without_pause_detection, naps),
+    "refutation": Mutant(without_refutation, long_pauses),
+    "incarnations": Mutant(without_incarnations, long_pauses),
+    "indirect": Mutant(without_indirect_probes, partial_partition),
+    "health": Mutant(without_local_health, receives_nothing),
+    "sleep": Mutant(without_pause_detection, short_pauses),
 }
 
 
 @dataclass(frozen=True)
-class Told:
-    """What a play shows."""
+class PlayResult:
+    """The result of one day."""
 
     kept: bool
     why: str
-    dead: int  # turns to dead, in any view, of members that could be reached
-    suspected: int  # by a gateway, on its own word
-    on_waking: int  # of these, within an interval of the end of a stop of the gateway that says so
+    dead: int  # transitions to dead, in any view, of reachable members
+    suspected: int  # raised by the viewing gateway itself
+    suspected_after_pause: int  # of these, within a probe interval after a pause of that gateway
 
     def __str__(self) -> str:
-        word = "kept" if self.kept else "BROKEN"
-        return f"{word:6} dead {self.dead:3}  suspected {self.suspected:3}  on waking {self.on_waking:2}  {self.why}"
+        verdict_text = "kept" if self.kept else "BROKEN"
+        return (
+            f"{verdict_text:6} dead {self.dead:3}  suspected {self.suspected:3}"
+            f"  after a pause {self.suspected_after_pause:2}  {self.why}"
+        )
 
 
-def play(name: str, taken_out: bool, seed: int, gateways: int) -> Told:
-    """One day, as it is or with the defence out."""
+def play_day(name: str, removed: bool, seed: int, gateways: int) -> PlayResult:
+    """Plays one day, with or without the defence."""
     from winchdyke.days.run import PROGRAM, run_day
 
     day = MUTANTS[name].day(seed, gateways)
-    program = (str(Path(__file__).resolve()), "--as", name) if taken_out else PROGRAM
+    program = (str(Path(__file__).resolve()), "--as", name) if removed else PROGRAM
     with tempfile.TemporaryDirectory() as folder:
-        where = Path(folder) / "day"
-        verdict, seen, _ = run_day(day, where, program=program)
+        directory = Path(folder) / "day"
+        verdict, record, _ = run_day(day, directory, program=program)
         members = verdict.members
         assert members is not None
-        offset = next(each["unix_ms"] - each["t"] for each in seen if each["what"] == "clock")
-        interval, halts = bounds_of(day).probe_interval_ms, stops(seen)
-        suspected, waking = 0, 0
+        offset = next(entry["unix_ms"] - entry["t"] for entry in record if entry["what"] == "clock")
+        interval, pauses = bounds_of(day).probe_interval_ms, stops(record)
+        suspected, after_pause = 0, 0
         for gateway in (f"gateway-{n}" for n in range(gateways)):
-            for at, row in _suspicions(where / f"{gateway}.log", offset):
+            for at, row in _suspicions(directory / f"{gateway}.log", offset):
                 if str(row.get("text", "")).startswith(f"by {gateway},"):
                     suspected += 1
-                    waking += any(until <= at < until + interval for _, until in halts[gateway])
+                    after_pause += any(until <= at < until + interval for _, until in pauses[gateway])
         why = members.broken[0][1] if members.broken else ""
-        return Told(members.kept, why, members.tried[0], suspected, waking)
+        return PlayResult(members.kept, why, members.tried[0], suspected, after_pause)
 
 
-def _played(job: tuple[str, bool, int, int]) -> Told:
-    return play(*job)
+def _play_job(job: tuple[str, bool, int, int]) -> PlayResult:
+    return play_day(*job)
 
 
 def _suspicions(log: Path, offset: float) -> list[tuple[float, dict[str, Any]]]:
@@ -178,7 +181,7 @@
 
 
 def serve_as(name: str, arguments: list[str]) -> None:
-    """Be the gateway with a defence out."""
+    """Runs a gateway with a defence removed."""
     from winchdyke.cli.main import main as command
 
     MUTANTS[name].remove()
@@ -189,17 +192,21 @@
     if sys.argv[1:2] == ["--as"]:
         serve_as(sys.argv[2], sys.argv[3:])
         return
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("names", nargs="*", choices=[*MUTANTS, []], default=[])
-    words.add_argument("--seed", type=int, default=1)
-    words.add_argument("--gateways", type=int, default=8)
-    words.add_argument("--jobs", type=int, default=2)
-    chosen = words.parse_args()
-    names = chosen.names or list(MUTANTS)
-    jobs = [(name, out, chosen.seed, chosen.gateways) for name in names for out in (False, True)]
-    with ProcessPoolExecutor(chosen.jobs) as pool:
-        for (name, out, *_), told in zip(jobs, pool.map(_played, jobs), strict=True):
-            print(f"{name:13}{'taken out' if out else 'as it is':10} {told}", flush=True)
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("names", nargs="*", choices=[*MUTANTS, []], default=[])
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--gateways", type=int, default=8)
+    parser.add_argument("--jobs", type=int, default=2)
+    arguments = parser.parse_args()
+    names = arguments.names or list(MUTANTS)
+    jobs = [
+        (name, removed, arguments.seed, arguments.gateways) for name in names for removed in (False, True)
+    ]
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        for (name, removed, *_), result in zip(jobs, pool.map(_play_job, jobs), strict=True):
+            print(f"{name:13}{'removed' if removed else 'unchanged':10} {result}", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/membership_variants.py
+++ b/benchmarks/membership_variants.py
@@ -1,10 +1,10 @@
-"""Membership in virtual time: as it is, plain SWIM, heartbeats and phi accrual, under loss, pauses, one-sided cuts, a split, drift.
+"""Compares membership with plain SWIM, heartbeats and phi accrual in virtual time, under datagram loss, pauses, partitions, drift.
 
     python -m benchmarks.membership_variants [--members 24] [--seeds 3] [--large 250] [--plot docs/figures/members.png]
 
-Simulated figures, all of them: real machines on the model's network (winchdyke/model/fleet.py). For each way: ms until a killed
-member is dead in every view (median and most over seeds), deaths of members that ran (for each member and hour), bytes a second
-that a member sends at rest and in trouble, and ms until all views agree after a split.
+All figures are simulated: the real protocol on the model's network (winchdyke/model/fleet.py). For each variant: ms until a killed
+member is dead in every view (median and maximum over seeds), false deaths per member and hour, bytes per second that a member sends
+at rest and during faults, and ms until all views agree after a partition.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.fleet import Fleet, Links
 
-HOUR = 3_600_000.0
-LOSSES = (0.0, 0.1, 0.2, 0.3, 0.4)
-DRIFTS = (0.0, 0.01, 0.05)
+HOUR_MS = 3_600_000.0
+LOSS_FRACTIONS = (0.0, 0.1, 0.2, 0.3, 0.4)
+DRIFT_FRACTIONS = (0.0, 0.01, 0.05)
 MAX_MISSED_HEARTBEATS = 5.0  # intervals
-# Phi accrual: the threshold of Hayashibara et al. (2004) that later systems took over, their window and least deviation.
+# Phi accrual (Hayashibara et al., 2004): the threshold, window and minimum deviation that later systems adopted.
 PHI_DEAD = 8.0
 PHI_WINDOW = 200
 PHI_MIN_DEVIATION_FRACTION = 0.1  # of the probe interval
 
 
 class PlainProber(Prober):
-    """Plain SWIM: asks other members alone, suspects among them, and doesn't use TCP."""
+    """Plain SWIM: sends ping-reqs, also to suspects, and does not contact targets over TCP."""
 
     def request_indirect_probes(self, probe: Probe) -> None:
         members = self._context.table.active_members()
@@ -46,14 +46,14 @@
 
 
 class PlainSuspicion(SuspicionMonitor):
-    """Ends each suspicion in a death, whatever was received meanwhile."""
+    """Declares a suspect dead at the timeout, whatever was received meanwhile."""
 
     def expire(self, member: Member) -> None:
         self._set_state(member, MemberState.DEAD)
 
 
 class PlainSwim(SwimProtocol):
-    """SWIM with suspicion, without Lifeguard's parts, pause detection, direct evidence, and TCP beside probes."""
+    """SWIM with suspicion, but without Lifeguard, pause detection, direct evidence and probes over TCP."""
 
     suspicion_type = PlainSuspicion
     prober_type = PlainProber
@@ -63,7 +63,7 @@
 
 
 class AliveGossip(Dissemination):
-    """Believes others' reports of members that are alive only."""
+    """Accepts only reports of alive members from others."""
 
     def apply(self, record: MemberRecord, reporter: str) -> None:
         if reporter == self._context.local.name or record.state == MemberState.ALIVE:
@@ -71,7 +71,7 @@
 
 
 class Heartbeats(SwimProtocol):
-    """A heartbeat to every member each interval; one that is silent for five of them is dead, by direct evidence alone."""
+    """A heartbeat to every member per interval; a member is dead after five silent intervals, by direct evidence only."""
 
     dissemination_type = AliveGossip
 
@@ -113,7 +113,7 @@
 
 
 class PhiAccrual(Heartbeats):
-    """Heartbeats to every member, judged by each link's history: dead where one this late has a probability of 10^-8."""
+    """Heartbeats with a history per link: a member is dead when a heartbeat this late has a probability of 10^-8."""
 
     def __init__(self, local: events.LocalMember, config: SwimConfig, seed: int, now: float) -> None:
         super().__init__(local, config, seed, now)
@@ -136,15 +136,15 @@
         mean = statistics.fmean(gaps)
         min_deviation = PHI_MIN_DEVIATION_FRACTION * self.context.config.probe_interval_ms
         deviation = max(min_deviation, statistics.pstdev(gaps, mean))
-        passed = self.context.now - max(self._last_heartbeat_ms[member.name], member.state_since_ms)
-        later = 0.5 * math.erfc((passed - mean) / deviation / math.sqrt(2))
-        return later < 10.0**-PHI_DEAD
+        elapsed_ms = self.context.now - max(self._last_heartbeat_ms[member.name], member.state_since_ms)
+        probability = 0.5 * math.erfc((elapsed_ms - mean) / deviation / math.sqrt(2))
+        return probability < 10.0**-PHI_DEAD
 
 
 PLAIN_CONFIG = replace(
     SwimConfig(), max_local_health_score=0, max_suspicion_factor=1.0, direct_evidence_intervals=-1.0
 )
-WAYS: dict[str, tuple[type[SwimProtocol], SwimConfig]] = {
+VARIANTS: dict[str, tuple[type[SwimProtocol], SwimConfig]] = {
     "as it is": (SwimProtocol, SwimConfig()),
     "plain SWIM": (PlainSwim, PLAIN_CONFIG),
     "heartbeats": (Heartbeats, SwimConfig()),
@@ -152,63 +152,76 @@
 }
 
 
-def made(way: str, members: int, seed: int, zones: int = 1, drift: float = 0.0) -> Fleet:
-    """A fleet that has settled."""
-    make, bounds = WAYS[way]
-    fleet = Fleet(members, seed, bounds, zones=zones, make=make, drift=drift)
+def settled_fleet(variant: str, members: int, seed: int, zones: int = 1, drift: float = 0.0) -> Fleet:
+    """Returns a fleet whose views have converged and that has run for another 10 s."""
+    make, config = VARIANTS[variant]
+    fleet = Fleet(members, seed, config, zones=zones, make=make, drift=drift)
     fleet.run(3000.0)
     fleet.until_agreed(30_000.0)
     fleet.run(fleet.now + 10_000.0)
     return fleet
 
 
-def deaths(fleet: Fleet, since: float) -> int:
-    """Turns to dead, in any view, of members that ran."""
-    return sum(t.at >= since and t.state == "dead" and t.member in fleet.lives for t in fleet.told)
+def false_deaths(fleet: Fleet, since: float) -> int:
+    """Returns the number of transitions to dead of running members, in all views."""
+    return sum(
+        transition.at >= since and transition.state == "dead" and transition.member in fleet.lives
+        for transition in fleet.told
+    )
 
 
-def rate(fleet: Fleet, since: float) -> float:
-    """Bytes a second of the mean member."""
-    found = fleet.rate(since, fleet.now)
-    return sum(found) / len(found)
+def mean_bytes_per_second(fleet: Fleet, since: float) -> float:
+    """Returns the mean number of bytes per second that a member sent."""
+    rates = fleet.rate(since, fleet.now)
+    return sum(rates) / len(rates)
 
 
-def detection(
-    way: str, members: int, seeds: int, loss: float, drift: float = 0.0, length: float = 120_000.0
+def measure_detection(
+    variant: str, members: int, seeds: int, loss: float, drift: float = 0.0, length_ms: float = 120_000.0
 ) -> tuple[float, float, float]:
-    """ms to detect (median, most), and false deaths for each member and hour, at a loss, with clocks so far apart."""
-    took, wrong, hours = list[float](), 0, 0.0
+    """Returns ms to detect a kill (median, maximum) and false deaths per member and hour, at a loss and a clock drift."""
+    detection_ms, deaths, hours = list[float](), 0, 0.0
     for seed in range(seeds):
-        fleet = made(way, members, seed, drift=drift)
+        fleet = settled_fleet(variant, members, seed, drift=drift)
         fleet.links.loss = loss
         since = fleet.now
-        fleet.run(since + length)
-        wrong += deaths(fleet, since)
-        hours += members * length / HOUR
-        at = fleet.now
+        fleet.run(since + length_ms)
+        deaths += false_deaths(fleet, since)
+        hours += members * length_ms / HOUR_MS
+        killed_at_ms = fleet.now
         fleet.kill("g1")
-        while fleet.now < at + 60_000.0 and not _all_know(fleet, at, "g1"):
+        while fleet.now < killed_at_ms + 60_000.0 and not _death_is_known_to_all(fleet, killed_at_ms, "g1"):
             fleet.run(fleet.now + 500.0)
-        told = [t.at - at for t in fleet.told if t.at >= at and t.member == "g1" and t.state == "dead"]
-        took.append(max(told) if _all_know(fleet, at, "g1") else float("inf"))
-    return statistics.median(took), max(took), wrong / hours
+        times_ms = [
+            transition.at - killed_at_ms
+            for transition in fleet.told
+            if transition.at >= killed_at_ms and transition.member == "g1" and transition.state == "dead"
+        ]
+        detection_ms.append(
+            max(times_ms) if _death_is_known_to_all(fleet, killed_at_ms, "g1") else float("inf")
+        )
+    return statistics.median(detection_ms), max(detection_ms), deaths / hours
 
 
-def _all_know(fleet: Fleet, at: float, member: str) -> bool:
-    """Whether every view has called a member dead since a time."""
-    knows = {t.viewer for t in fleet.told if t.at >= at and t.member == member and t.state == "dead"}
-    return knows >= set(fleet.lives)
+def _death_is_known_to_all(fleet: Fleet, since: float, member: str) -> bool:
+    """Whether every view has declared a member dead since a time."""
+    viewers = {
+        transition.viewer
+        for transition in fleet.told
+        if transition.at >= since and transition.member == member and transition.state == "dead"
+    }
+    return viewers >= set(fleet.lives)
 
 
-def trouble(way: str, members: int, what: str) -> tuple[float, float, float]:
-    """False deaths for each member and hour, bytes a second meanwhile, ms until views agree after it."""
-    fleet = made(way, members, 5, zones=2)
+def measure_faults(variant: str, members: int, fault: str) -> tuple[float, float, float]:
+    """Returns false deaths per member and hour, bytes per second during faults, and ms until views agree afterwards."""
+    fleet = settled_fleet(variant, members, 5, zones=2)
     since = fleet.now
-    if what == "pauses":
+    if fault == "pauses":
         for n in range(12):
             for name in fleet.names[:3]:
                 fleet.at(since + 10_000.0 * n, lambda name=name: fleet.pause(name, 4000.0))
-    elif what == "one-sided":
+    elif fault == "one-sided":
         fleet.links.cut = {("g0", name) for name in fleet.names[1 : members // 2]}
     else:
         sides = [[n for n in fleet.names if fleet.zones[n] == zone] for zone in ("zone-0", "zone-1")]
@@ -216,90 +229,132 @@
             (b, a) for a in sides[0] for b in sides[1]
         }
     fleet.run(since + 120_000.0)
-    wrong, cost = deaths(fleet, since) / (members * 120_000.0 / HOUR), rate(fleet, since)
+    deaths, bytes_per_second = (
+        false_deaths(fleet, since) / (members * 120_000.0 / HOUR_MS),
+        mean_bytes_per_second(fleet, since),
+    )
     fleet.links = Links()
     agreed = fleet.until_agreed(120_000.0)
-    return wrong, cost, float("inf") if agreed is None else agreed
+    return deaths, bytes_per_second, float("inf") if agreed is None else agreed
 
 
-def _told(job: tuple[str, int, int, float, float, float]) -> tuple[float, float, float]:
-    return detection(*job)
+def _detection_job(job: tuple[str, int, int, float, float, float]) -> tuple[float, float, float]:
+    return measure_detection(*job)
 
 
-def _troubled(job: tuple[str, int, str]) -> tuple[float, float, float]:
-    return trouble(*job)
+def _faults_job(job: tuple[str, int, str]) -> tuple[float, float, float]:
+    return measure_faults(*job)
 
 
-def _at_rest(way: str, members: int) -> tuple[float, int]:
-    fleet = Fleet(members, 1, WAYS[way][1], make=WAYS[way][0])
+def _rate_at_rest(variant: str, members: int) -> tuple[float, int]:
+    fleet = Fleet(members, 1, VARIANTS[variant][1], make=VARIANTS[variant][0])
     fleet.run(14_000.0)
-    return rate(fleet, 9000.0), fleet.largest
+    return mean_bytes_per_second(fleet, 9000.0), fleet.largest
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--members", type=int, default=24)
-    words.add_argument("--seeds", type=int, default=3)
-    words.add_argument("--large", type=int, default=250)
-    words.add_argument("--length", type=float, default=120.0, help="seconds of loss before the kill")
-    words.add_argument("--jobs", type=int, default=1)
-    words.add_argument("--only", choices=("loss", "drift", "trouble", "rest"))
-    words.add_argument("--ways", nargs="+", choices=list(WAYS), default=list(WAYS))
-    words.add_argument("--plot")
-    chosen = words.parse_args()
-    members, seeds, length, ways = chosen.members, chosen.seeds, 1000 * chosen.length, chosen.ways
-    wanted = {chosen.only} if chosen.only else {"loss", "drift", "trouble", "rest"}
-    with ProcessPoolExecutor(chosen.jobs) as pool:
-        if "loss" in wanted:
-            jobs = [(way, members, seeds, loss, 0.0, length) for way in ways for loss in LOSSES]
-            rows = list(pool.map(_told, jobs))
-            found = {way: rows[len(LOSSES) * n : len(LOSSES) * (n + 1)] for n, way in enumerate(ways)}
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--members", type=int, default=24)
+    parser.add_argument("--seeds", type=int, default=3)
+    parser.add_argument("--large", type=int, default=250)
+    parser.add_argument("--length", type=float, default=120.0, help="seconds of loss before the kill")
+    parser.add_argument("--jobs", type=int, default=1)
+    parser.add_argument("--only", choices=("loss", "drift", "trouble", "rest"))
+    parser.add_argument("--ways", nargs="+", choices=list(VARIANTS), default=list(VARIANTS))
+    parser.add_argument("--plot")
+    arguments = parser.parse_args()
+    members, seeds, length_ms, variants = (
+        arguments.members,
+        arguments.seeds,
+        1000 * arguments.length,
+        arguments.ways,
+    )
+    selected = {arguments.only} if arguments.only else {"loss", "drift", "trouble", "rest"}
+    with ProcessPoolExecutor(arguments.jobs) as pool:
+        if "loss" in selected:
+            jobs = [
+                (variant, members, seeds, loss, 0.0, length_ms)
+                for variant in variants
+                for loss in LOSS_FRACTIONS
+            ]
+            results = list(pool.map(_detection_job, jobs))
+            results_by_variant = {
+                variant: results[len(LOSS_FRACTIONS) * n : len(LOSS_FRACTIONS) * (n + 1)]
+                for n, variant in enumerate(variants)
+            }
             print(
-                f"{members} members, {seeds} seeds, interval 1 s: ms to detect (median/most), false deaths a member and hour"
+                f"{members} members, {seeds} seeds, interval 1 s: ms to detect (median/max), false deaths per member and hour"
             )
-            for way, row in found.items():
-                cells = (f"{median:6.0f}/{most:6.0f} {wrong:7.2f}" for median, most, wrong in row)
+            for variant, variant_results in results_by_variant.items():
+                cells = (
+                    f"{median:6.0f}/{most:6.0f} {deaths:7.2f}" for median, most, deaths in variant_results
+                )
                 print(
-                    f"  {way:11}"
-                    + "  ".join(f"{loss:.0%}: {c}" for loss, c in zip(LOSSES, cells, strict=True)),
+                    f"  {variant:11}"
+                    + "  ".join(
+                        f"{loss:.0%}: {cell}" for loss, cell in zip(LOSS_FRACTIONS, cells, strict=True)
+                    ),
                     flush=True,
                 )
-        if "drift" in wanted:
-            print("clocks up to so far apart, a fifth of datagrams lost")
-            jobs = [("as it is", members, seeds, 0.2, drift, length) for drift in DRIFTS]
-            for drift, (median, most, wrong) in zip(DRIFTS, pool.map(_told, jobs), strict=True):
-                print(f"  {drift:.0%}: {median:6.0f}/{most:6.0f} {wrong:7.2f}", flush=True)
-        if "trouble" in wanted:
+        if "drift" in selected:
+            print("by clock drift, with a fifth of datagrams lost")
+            jobs = [("as it is", members, seeds, 0.2, drift, length_ms) for drift in DRIFT_FRACTIONS]
+            for drift, (median, most, deaths) in zip(
+                DRIFT_FRACTIONS, pool.map(_detection_job, jobs), strict=True
+            ):
+                print(f"  {drift:.0%}: {median:6.0f}/{most:6.0f} {deaths:7.2f}", flush=True)
+        if "trouble" in selected:
             print(
-                "trouble for 2 minutes: false deaths a member and hour, bytes/s for each member, ms until views agree after it"
+                "faults for 2 minutes: false deaths per member and hour, bytes/s per member, ms until views agree afterwards"
             )
-            troubles = [(way, members, what) for what in ("pauses", "one-sided", "split") for way in ways]
-            for (way, _, what), (wrong, cost, agreed) in zip(
-                troubles, pool.map(_troubled, troubles), strict=True
+            jobs_with_faults = [
+                (variant, members, fault)
+                for fault in ("pauses", "one-sided", "split")
+                for variant in variants
+            ]
+            for (variant, _, fault), (deaths, bytes_per_second, agreed) in zip(
+                jobs_with_faults, pool.map(_faults_job, jobs_with_faults), strict=True
             ):
-                print(f"  {what:9} {way:11} {wrong:8.2f} {cost:8.0f} {agreed:8.0f}", flush=True)
-        if "rest" in wanted:
-            print(f"bytes/s for each of {chosen.large} members at rest, over 5 s")
-            for way, (cost, largest) in zip(
-                ways, pool.map(_at_rest, ways, [chosen.large] * len(ways)), strict=True
+                print(
+                    f"  {fault:9} {variant:11} {deaths:8.2f} {bytes_per_second:8.0f} {agreed:8.0f}",
+                    flush=True,
+                )
+        if "rest" in selected:
+            print(f"bytes/s per member of {arguments.large} at rest, over 5 s")
+            for variant, (bytes_per_second, largest) in zip(
+                variants, pool.map(_rate_at_rest, variants, [arguments.large] * len(variants)), strict=True
             ):
-                print(f"  {way:11} {cost:8.0f}  largest datagram {largest}", flush=True)
-    if chosen.plot and "loss" in wanted:  # last: what it needs may not be there
-        plot(chosen.plot, LOSSES, found)
+                print(f"  {variant:11} {bytes_per_second:8.0f}  largest datagram {largest}", flush=True)
+    if arguments.plot and "loss" in selected:  # last, since matplotlib may not be installed
+        plot(arguments.plot, LOSS_FRACTIONS, results_by_variant)
 
 
-def plot(path: str, losses: tuple[float, ...], found: dict[str, list[tuple[float, float, float]]]) -> None:
-    """Detection and false deaths against loss."""
+def plot(
+    path: str,
+    loss_fractions: tuple[float, ...],
+    results_by_variant: dict[str, list[tuple[float, float, float]]],
+) -> None:
+    """Plots detection times and false deaths against datagram loss."""
     from matplotlib import pyplot
 
     figure, (left, right) = pyplot.subplots(1, 2, figsize=(9, 3.4))
-    for way, rows in found.items():
+    for variant, results in results_by_variant.items():
         left.plot(
-            [100 * loss for loss in losses], [median / 1000 for median, _, _ in rows], marker="o", label=way
+            [100 * loss for loss in loss_fractions],
+            [median / 1000 for median, _, _ in results],
+            marker="o",
+            label=variant,
+        )
+        right.plot(
+            [100 * loss for loss in loss_fractions],
+            [deaths for _, _, deaths in results],
+            marker="o",
+            label=variant,
         )
-        right.plot([100 * loss for loss in losses], [wrong for _, _, wrong in rows], marker="o", label=way)
-    left.set_ylabel("s until every view has a kill")
-    right.set_ylabel("false deaths, a member and hour")
+    left.set_ylabel("s until a kill is known in every view")
+    right.set_ylabel("false deaths per member and hour")
     right.set_yscale("symlog", linthresh=0.1)
     for axes in (left, right):
         axes.set_xlabel("datagrams lost, %")
