--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -17,7 +17,7 @@
 
 
 def converged_fleet(members: int, seed: int = 1, **options: object) -> Fleet:
-    """Return members whose views have converged."""
+    """Returns members whose views have converged."""
     fleet = Fleet(members, seed, **options)  # type: ignore[arg-type]
     fleet.run(1500.0)
     assert fleet.until_agreed(20_000.0) is not None, fleet.differ()
@@ -25,7 +25,7 @@
 
 
 def transitions(fleet: Fleet, since: float, state: str, member: str = "") -> set[tuple[str, str]]:
-    """Return the (viewer, member) pairs whose state changed to ``state``."""
+    """Returns the (viewer, member) pairs whose state changed to ``state``."""
     return {
         (transition.viewer, transition.member)
         for transition in fleet.told
@@ -34,13 +34,13 @@
 
 
 def link_state(fleet: Fleet, viewer: str, member: str) -> str:
-    """Return the state of the link to a member, as the viewer sees it."""
+    """Returns the state of the link to a member, as the viewer sees it."""
     view = fleet.lives[viewer].machine.view(fleet.now)
     return next(seen.link for seen in view.members if seen.name == member)
 
 
 def longest_false_death_ms(fleet: Fleet, since: float) -> float:
-    """Return the longest time for which a view held a running member dead."""
+    """Returns the longest time for which a view held a running member dead."""
     longest, dead_since = 0.0, dict[tuple[str, str], float]()
     for transition in [transition for transition in fleet.told if transition.at >= since]:
         viewer_and_member = transition.viewer, transition.member
@@ -278,7 +278,7 @@
 
 
 def new_protocol(config: SwimConfig | None = None, **fields: object) -> SwimProtocol:
-    """Return the protocol of member "a"."""
+    """Returns the protocol of member "a"."""
     local = LocalMember(
         **{
             "name": "a",
--- a/winchdyke/membership/datagrams.py
+++ b/winchdyke/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""The wire format between gateways: authenticated msgpack with a bound on every field. Pure.
+"""The wire format between gateways: authenticated msgpack with a bound on every field. Without I/O.
 
 A sealed message is ``WF``, a version byte, a reserved byte (0), 16 bytes of BLAKE2b keyed with the gateways' shared secret over
 everything else, then the msgpack of a :class:`SwimMessage`. Structs are encoded as arrays, so that the position of a field is
--- a/winchdyke/membership/dissemination.py
+++ b/winchdyke/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Dissemination: merges records into the table, gossips the changes, and reports them to operators. Pure."""
+"""Dissemination: merges records into the table, gossips the changes, and reports them to operators. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/gossip_queue.py
+++ b/winchdyke/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The queue of member records to piggyback on outgoing messages. Pure."""
+"""The queue of member records to piggyback on outgoing messages. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/local_health.py
+++ b/winchdyke/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health score: an estimate of how reliable this process's observations are. Pure."""
+"""Lifeguard's local health score: an estimate of how reliable this process's observations are. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/member.py
+++ b/winchdyke/membership/member.py
@@ -1,4 +1,4 @@
-"""The local state of one other member: its record, direct evidence, suspicion and link state. Pure."""
+"""The local state of one other member: its record, direct evidence, suspicion and link state. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/member_table.py
+++ b/winchdyke/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of all other members, and the rules for merging their records. Pure.
+"""The table of all other members, and the rules for merging their records. Without I/O.
 
 Records of one member are ordered by (generation, incarnation, state): a later generation wins, then a higher incarnation, then the
 worse state, so that members that received the same records agree regardless of the order of arrival. Two rules take precedence
--- a/winchdyke/membership/pause_detector.py
+++ b/winchdyke/membership/pause_detector.py
@@ -1,4 +1,4 @@
-"""Detects pauses of this process (stopped, throttled, or its event loop blocked) by its own clock. Pure."""
+"""Detects pauses of this process (stopped, throttled, or its event loop blocked) by its own clock. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/probing.py
+++ b/winchdyke/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probing: SWIM's failure detector with Lifeguard's local health and nacks. Pure.
+"""Probing: SWIM's failure detector with Lifeguard's local health and nacks. Without I/O.
 
 One member is probed per interval, in a shuffled round. If no direct ack arrives in time, other members are asked to probe it
 (ping-req), and it is also contacted over TCP. An answer by either path keeps it alive, and the paths that worked show which
--- a/winchdyke/membership/refutation.py
+++ b/winchdyke/membership/refutation.py
@@ -1,4 +1,4 @@
-"""Refutation: handles records about this member, and other processes that use its name. Pure.
+"""Refutation: handles records about this member, and other processes that use its name. Without I/O.
 
 A suspicion of this process is refuted by a higher incarnation. A record of a later generation under this name comes from an
 earlier process whose clock was ahead, or from another process that is running; a ping to its address distinguishes the two.
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -1,4 +1,4 @@
-"""A cache of the addresses of host names, which the caller looks up in the background. Pure.
+"""A cache of the addresses of host names, which the caller looks up in the background. Without I/O.
 
 Sending a datagram to a host name makes the system look it up within the call, and a name server that does not answer blocks the
 event loop for seconds. Names are therefore looked up in a background task, and datagrams are sent to known addresses only.
--- a/winchdyke/membership/state_exchange.py
+++ b/winchdyke/membership/state_exchange.py
@@ -1,4 +1,4 @@
-"""State exchange: push/pull anti-entropy over TCP with active members, dead members and seeds. Pure."""
+"""State exchange: push/pull anti-entropy over TCP with active members, dead members and seeds. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/suspicion.py
+++ b/winchdyke/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: a member that does not answer becomes suspect, and dead unless it refutes in time. Pure."""
+"""Suspicion: a member that does not answer becomes suspect, and dead unless it refutes in time. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/swim_config.py
+++ b/winchdyke/membership/swim_config.py
@@ -1,4 +1,4 @@
-"""The parameters of the SWIM protocol, and the time bounds that follow from them. Pure.
+"""The parameters of the SWIM protocol, and the time bounds that follow from them. Without I/O.
 
 Sources: Das, Gupta, Motivala, *SWIM* (2002); Dadgar, Phillips, Currey, *Lifeguard* (2018), for the suspicion timeout and the
 local health. The derivations are in ``docs/fleet.md``.
@@ -28,9 +28,7 @@
     departed_retention_ms: float = 600_000.0  # after which dead members and those that left are removed
     min_pause_ms: float = 250.0  # a turn that starts this late is evidence of a pause of the process
     max_members: int = 1024
-    direct_evidence_intervals: float = (
-        2.0  # probe intervals for which a directly received message overrides gossip of a death
-    )
+    direct_evidence_intervals: float = 2.0  # probe intervals: a received message overrides gossip of a death
 
     def log10_members(self, members: int) -> float:
         """Returns log10 of the number of members, at least 1."""
--- a/winchdyke/membership/swim_context.py
+++ b/winchdyke/membership/swim_context.py
@@ -1,4 +1,4 @@
-"""State shared by the parts of the SWIM protocol: local identity, member table, clock, outgoing messages. Pure."""
+"""State shared by the parts of the SWIM protocol: local identity, member table, clock, outgoing messages. Without I/O."""
 
 from __future__ import annotations
 
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -1,4 +1,4 @@
-"""Immutable snapshots of membership for readers, and the detection of outages of many members. Pure."""
+"""Immutable snapshots of membership for readers, and the detection of outages of many members. Without I/O."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from winchdyke.membership.datagrams import MemberState
 from winchdyke.membership.member import LinkState, Member
 
-OUTAGE_GAP_MS = 20_000.0  # the longest time between two members' failures in one outage
+OUTAGE_GAP_MS = 20_000.0  # the longest time between consecutive failures of one outage
 MIN_OUTAGE_FRACTION = 0.3  # of all members
 MIN_OUTAGE_MEMBERS = 3
 
