--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -238,12 +238,12 @@
 def test_steps_that_do_not_follow_and_races_are_refused_and_nothing_is_written(tmp_path):
     change_log = make_change_log(tmp_path)
     before = change_log.entries()
-    with pytest.raises(ChangeLogError, match="without being begun"):
+    with pytest.raises(ChangeLogError, match="is not being applied"):
         change_log.append(Step("applied", 9), "x")
     with pytest.raises(ChangeLogError, match="meanwhile"):
         change_log.append(Step("staged", 2), "x", expected=RolloutState())
     assert change_log.entries() == before
-    assert "is not there" in said("log", str(tmp_path / "none"), ends=1)
+    assert "does not exist" in said("log", str(tmp_path / "none"), ends=1)
 
 
 def test_a_damaged_file_is_an_error_that_names_it(tmp_path):
@@ -418,7 +418,7 @@
             await it.until(lambda: protocol.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
             assert protocol.address_overrides == {"east": "127.0.0.1:7"}
             wrong = await cli("set", folder, "fleet", "interval=2s", ends=1)
-            assert "interval of a fleet can't change in service; what can is seeds" in wrong
+            assert "interval of a fleet can't change in service; these can: seeds" in wrong
             await cli("set", folder, "peer", "east", "--remove")
             await cli("apply", folder, "4")
             await it.until(lambda: protocol.seeds == ("127.0.0.1:8",) and protocol.address_overrides == {})
@@ -435,7 +435,7 @@
                 return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
 
             folder = str(tmp_path)
-            assert "there is no plan shcool; there is school" in await cli(
+            assert "there is no plan shcool; existing: school" in await cli(
                 "set", folder, "plan", "shcool", "weight=2", ends=1
             )
             assert "the keys are" in await cli("set", folder, "plan", "school", "colour=2", ends=1)
@@ -617,7 +617,7 @@
     assert said("export", str(tmp_path / "b")) == text
     assert "is not empty" in said("import", folder, str(file), ends=1)
     file.write_text(text.replace("ann", "eva"))
-    assert "does not fit" in said("import", str(tmp_path / "c"), str(file), ends=1)
+    assert "does not verify" in said("import", str(tmp_path / "c"), str(file), ends=1)
     file.write_text("no json\n")
     assert "line 1" in said("import", str(tmp_path / "d"), str(file), ends=1)
     assert ChangeLog(tmp_path / "c").last_seq() == 0, "nothing of it was kept"
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -293,7 +293,7 @@
             left[0] = 1000
             if writes:
                 await it.until(lambda: ("undone", 1) in steps_of(it))
-                assert "could not be kept" in other.change_log.entries()[-1].note
+                assert "could not be recorded" in other.change_log.entries()[-1].note
             else:
                 await serves(it, 2)
             assert other.change_log.verify() == []
--- a/winchdyke/config_rollout/canary_analysis.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -1,13 +1,13 @@
-"""Tells whether an applied change does harm, by comparing requests that it affects with earlier and unaffected ones. Pure.
+"""Decides whether an applied change does harm, by comparing affected requests with earlier and with unaffected ones. Pure.
 
 Finished requests are counted by group (affected by the change or not), by shard, and by second. For each shard, the failure
 ratio of the affected group (refused or failed requests) is compared with the ratio expected without the change: the group's own
-ratio before, plus the rise of the unaffected group at the same shard (an endpoint that died, a busy hour), or what more load
-explains (the same goodput, of more requests). A change is harmful where the excess is large, statistically significant, and
-seen in enough requests.
+ratio before, plus the rise of the unaffected group at the same shard (an endpoint that died, a busy hour), or, if higher,
+the ratio that a higher load alone explains (the same goodput out of more requests). A change is harmful if the excess is large,
+statistically significant, and based on enough requests.
 
-Assumptions: more load leaves the goodput unchanged, and the unaffected group shows a shard's own faults. Where no unaffected
-volume uses a shard, only the endpoint list (``shards_without_endpoint``) tells that its endpoints are gone.
+Assumptions: a higher load leaves the goodput unchanged, and the unaffected group shows faults of a shard itself. For a shard that
+no unaffected volume uses, only the endpoint list (``shards_without_endpoint``) shows that its endpoints are gone.
 """
 
 from __future__ import annotations
@@ -26,17 +26,13 @@
 Sample = tuple[str, int, str]  # volume, shard and outcome of finished requests
 
 LISTING_SHARD = -1
-MIN_GROUP_REQUESTS = 5  # of a group at a shard, below which its latency and its rise are not used
-SHARD_FAULT_LATENCY_RATIO = (
-    2.0  # a rise of the unaffected group's latency that shows a fault of the shard's own
-)
-SHARD_FAULT_FAILURE_RISE = 0.05  # a rise of the unaffected group's failure ratio that shows one
-MOVED_LOAD_RATIO = (
-    1.5  # a shard's load, relative to before, from which on the change itself or more load is the cause
-)
-MIN_SHARD_STANDARD_ERRORS = 2.0  # from which on a shard's excess counts
-MIN_VARIANCE = 0.01
-MAX_VARIANCE = 0.25  # of a yes-or-no outcome
+MIN_GROUP_REQUESTS = 5  # with fewer at a shard, a group's latency and failure rise there are not used
+SHARD_FAULT_LATENCY_RATIO = 2.0  # the unaffected group's latency rises by more: the shard itself is at fault
+SHARD_FAULT_FAILURE_RISE = 0.05  # the same for a rise of the unaffected group's failure ratio
+MOVED_LOAD_RATIO = 1.5  # a shard's load grew by more: the change moved requests to it, or the load rose
+MIN_SHARD_STANDARD_ERRORS = 2.0  # a smaller excess at a shard is not counted
+MIN_VARIANCE = 0.01  # of an outcome, so that a ratio near 0 still has a standard error
+MAX_VARIANCE = 0.25  # of a Bernoulli outcome, at a ratio of 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +41,10 @@
 
     Attributes:
         watch_ms: How long a change is observed.
-        baseline_ms: The time before it with which it is compared.
-        min_requests: How many affected requests have to finish before there is a verdict.
-        max_excess_ratio: How large a part of them may be refused or failed beyond what is expected.
-        min_standard_errors: How many standard errors the excess has to be above none.
+        baseline_ms: The time before the change with which it is compared.
+        min_requests: The number of affected requests that have to finish before a verdict is given.
+        max_excess_ratio: The fraction of them that may be refused or fail beyond the expected ratio.
+        min_standard_errors: The number of standard errors by which the excess has to differ from zero.
     """
 
     watch_ms: float = 10_000.0
@@ -60,23 +56,23 @@
 
 @dataclass
 class ShardCounts:
-    """Finished requests of one group, by shard: how many, how many of them refused or failed, and the latency of the others."""
+    """Finished requests of one group by shard: all, the refused or failed ones, and the summed latency of the served ones."""
 
     ended: Counter[int] = field(default_factory=Counter)
     failed: Counter[int] = field(default_factory=Counter)
     served_ms: Counter[int] = field(default_factory=Counter)
 
     def served(self, shard: int) -> int:
-        """Return how many requests were not refused or failed at a shard."""
+        """Return the number of requests at a shard that were neither refused nor failed."""
         return self.ended[shard] - self.failed[shard]
 
     def mean_latency_ms(self, shard: int) -> float:
-        """Return the mean latency at a shard; 0 where too few requests were served."""
+        """Return the mean latency at a shard; 0 if too few requests were served."""
         served = self.served(shard)
         return self.served_ms[shard] / served if served >= MIN_GROUP_REQUESTS else 0.0
 
     def failure_ratio(self, shard: int) -> float:
-        """Return the failure ratio at a shard, smoothed so that few requests give no extreme; 0 where there were none."""
+        """Return the failure ratio at a shard, smoothed so that few requests give no extreme value; 0 without requests."""
         if not self.ended[shard]:
             return 0.0
         return (self.failed[shard] + 0.5) / (self.ended[shard] + 1.0)
@@ -88,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """The counts of both groups before and after a change, and the seconds that were counted."""
+    """The counts of both groups before and after a change, and the length of both periods in seconds."""
 
     affected_before: ShardCounts = field(default_factory=ShardCounts)
     affected_after: ShardCounts = field(default_factory=ShardCounts)
@@ -104,13 +100,13 @@
         return self.unaffected_after if after else self.unaffected_before
 
     def load_ratio(self) -> float:
-        """Return the affected group's requests a second over all shards, relative to before."""
+        """Return the affected group's request rate over all shards, relative to the rate before the change."""
         rate_after = sum(self.affected_after.ended.values()) / self.after_seconds
         rate_before = sum(self.affected_before.ended.values()) / self.before_seconds
         return rate_after / max(1e-9, rate_before)
 
     def shard_load_ratio(self, shard: int) -> float:
-        """Return the same for one shard; 1 where the group did not use it before."""
+        """Return the affected group's request rate at one shard, relative to before; 1 if the group did not use it before."""
         ended_before = self.affected_before.ended[shard]
         if not ended_before:
             return 1.0
@@ -120,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CanaryVerdict:
-    """What is known so far. ``harmful``: the change is to be undone; ``reason``: for operators."""
+    """The verdict so far. ``harmful``: the change is to be rolled back; ``reason``: an explanation for operators."""
 
     harmful: bool
     reason: str
@@ -162,7 +158,7 @@
         shards_without_endpoint: Iterable[int] = (),
         has_lowered_limit: VolumePredicate = lambda _: False,
     ) -> CanaryVerdict:
-        """Return the verdict, now, on a change that was applied at a time."""
+        """Return the verdict at ``now_ms`` on a change that was applied at ``applied_at_ms``."""
         applied_second = int(applied_at_ms // 1000)
         first_second = applied_second - int(self.criteria.baseline_ms // 1000)
         seconds_before = [second for second in self._counts if first_second <= second < applied_second]
@@ -171,10 +167,11 @@
             after_seconds=max(1.0, now_ms / 1000 - applied_second - 1),
         )
         for second, counts in self._counts.items():
-            if second < first_second or second == applied_second:  # that second belongs to neither side
+            # The second of the change has requests under both versions.
+            if second < first_second or second == applied_second:
                 continue
             for (volume, shard, outcome), count in counts.items():
-                # Where a limit was lowered, refusals are intended.
+                # After a limit was lowered, refusals are intended.
                 expected = outcome == "served" or (outcome == "refused" and has_lowered_limit(volume))
                 group = comparison.group(is_affected(volume), second > applied_second)
                 group.ended[shard] += count
@@ -207,7 +204,7 @@
         expected += ratio * count
         shard_excess = shard_failed - ratio * count
         shard_variance = _excess_variance(ratio, count, comparison.affected_before.ended[shard])
-        # A shard that does better than expected makes up for no other.
+        # A shard with fewer failures than expected does not offset the excess of another one.
         if shard_excess > MIN_SHARD_STANDARD_ERRORS * math.sqrt(shard_variance):
             excess += shard_excess
             variance += shard_variance
@@ -225,16 +222,16 @@
 def _expected_failure_ratio(
     comparison: Comparison, shard: int, growth: float, overall_ratio: float
 ) -> float | None:
-    """Return the affected group's failure ratio at a shard without the change; None where the shard tells nothing.
+    """Return the affected group's expected failure ratio at a shard without the change; None if the shard allows no comparison.
 
     ``growth`` and ``overall_ratio``: the group's load relative to before, and its failure ratio before, over all shards.
     """
     affected_before = comparison.affected_before
     unaffected_before = comparison.unaffected_before
     unaffected_after = comparison.unaffected_after
-    had_witnesses = unaffected_before.served(shard) >= MIN_GROUP_REQUESTS
-    if had_witnesses and unaffected_after.served(shard) < MIN_GROUP_REQUESTS:
-        return None  # the requests that would show a fault of the shard's own have not finished yet
+    has_reference = unaffected_before.served(shard) >= MIN_GROUP_REQUESTS
+    if has_reference and unaffected_after.served(shard) < MIN_GROUP_REQUESTS:
+        return None  # too few unaffected requests have finished to tell whether the shard itself is at fault
     ratio_before = affected_before.failure_ratio(shard)
     rise = 0.0
     if unaffected_after.ended[shard] >= MIN_GROUP_REQUESTS:
@@ -242,15 +239,16 @@
     load_ratio = comparison.shard_load_ratio(shard)
     moved_ratio = load_ratio / growth if growth > 0 else 1.0
     if moved_ratio > MOVED_LOAD_RATIO and affected_before.ended[shard]:
-        # Requests that were moved to a shard with many failures are compared with how all of the group did before.
-        stayed = 1 / moved_ratio
-        ratio_before = stayed * ratio_before + (1 - stayed) * overall_ratio
+        # For requests that the change moved here, the group's overall failure ratio is expected: the shard may have had
+        # many failures before, and moving requests to it is then harmful.
+        stayed_fraction = 1 / moved_ratio
+        ratio_before = stayed_fraction * ratio_before + (1 - stayed_fraction) * overall_ratio
         load_ratio = growth
     latency_before_ms = unaffected_before.mean_latency_ms(shard)
-    slower = unaffected_after.mean_latency_ms(shard) > SHARD_FAULT_LATENCY_RATIO * latency_before_ms > 0
-    shard_fault = slower or rise > SHARD_FAULT_FAILURE_RISE
+    latency_rose = unaffected_after.mean_latency_ms(shard) > SHARD_FAULT_LATENCY_RATIO * latency_before_ms > 0
+    shard_fault = latency_rose or rise > SHARD_FAULT_FAILURE_RISE
     if shard_fault and affected_before.ended[shard] and load_ratio < MOVED_LOAD_RATIO:
-        return None  # as much is sent there as before, and unaffected requests suffer too
+        return None  # the load is as before, and unaffected requests fail or slow down too
     ratio_by_load = 1 - (1 - ratio_before) / load_ratio if load_ratio > 1 else 0.0
     return min(1.0, max(ratio_before + max(0.0, rise), ratio_by_load))
 
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -2,11 +2,11 @@
 
 Each step is one transaction, synced before it returns. A hash chain covers all entries: an entry's hash is SHA-256 over the
 hash before it and all its own columns, and a proposed version's text is part of its entry's hash. So an entry that is altered,
-removed or inserted is detected, unless all later ones are rewritten too.
+removed or inserted is detected unless all later ones are rewritten too.
 
 History is bounded: :meth:`ChangeLog.prune` moves the oldest entries, and versions that are not needed any more, to archives
 (:mod:`winchdyke.config_rollout.change_log_archive`) and records in an entry of its own where the chain continues. An archive
-that is missing or altered is detected as well, where archives are to be verified.
+that is missing or altered is detected by ``verify(archives=True)``.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
 
 DATABASE_FILE = "changes.db"
 BUSY_TIMEOUT_SECONDS = 5.0
-FORMAT_VERSION = 2  # 2: with at_ms
-MAX_NEWER_FORMATS = 16  # a number that is larger by more than this is damage, not a later format
+FORMAT_VERSION = 2  # format 2 added the column at_ms
+MAX_NEWER_FORMATS = 16  # a format number beyond this many newer ones is damage, not a later format
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS versions (id INTEGER PRIMARY KEY, parent INTEGER NOT NULL, text TEXT NOT NULL, difference TEXT NOT NULL);
 CREATE TABLE IF NOT EXISTS trail (
@@ -66,14 +66,14 @@
 class ChangeLog:
     """The change log of one gateway. Any process may append to it; each step is one synced transaction.
 
-    All methods raise ChangeLogError where the file can't be used.
+    All methods raise ChangeLogError if the file can't be used.
     """
 
     def __init__(self, folder: Path, create: bool = True) -> None:
-        """Open the change log in a folder. ``create``: begin it where it does not exist."""
+        """Open the change log in a folder. ``create``: create it if it does not exist."""
         self.path = folder / DATABASE_FILE
         if not create and not self.path.exists():
-            raise ChangeLogError(f"{self.path} is not there; 'winchdyke changes propose' begins it")
+            raise ChangeLogError(f"{self.path} does not exist; 'winchdyke changes propose' creates it")
         try:
             folder.mkdir(parents=True, exist_ok=True, mode=0o700)
             with self._connect() as db:
@@ -85,10 +85,10 @@
     def _check_format(self, db: sqlite3.Connection) -> None:
         found = _stored_format(db)
         if found < 0 or found > FORMAT_VERSION + MAX_NEWER_FORMATS:
-            raise ChangeLogError(f"{self.path} says it is of format {found}, which no trail is", True)
+            raise ChangeLogError(f"{self.path} is damaged: it has format {found}, which does not exist", True)
         if found > FORMAT_VERSION:
             raise ChangeLogError(
-                f"{self.path} is of format {found}; this version reads up to {FORMAT_VERSION}: use a newer one"
+                f"{self.path} has format {found}, and this version of winchdyke reads up to {FORMAT_VERSION}; use a newer one"
             )
         if found < FORMAT_VERSION:
             self._migrate(db, found)
@@ -96,7 +96,7 @@
     @staticmethod
     def _migrate(db: sqlite3.Connection, found: int) -> None:
         db.execute("BEGIN IMMEDIATE")
-        if _stored_format(db) == found:  # no other process has done so meanwhile
+        if _stored_format(db) == found:  # no other process has migrated it meanwhile
             for statement in SCHEMA.split(";"):
                 db.execute(statement)
             if found == 1:
@@ -120,7 +120,7 @@
 
     @contextmanager
     def _read_transaction(self) -> Iterator[sqlite3.Connection]:
-        # One transaction shows one moment: a concurrent prune is seen whole or not at all.
+        # All reads of one transaction see the same snapshot: a concurrent prune is seen completely or not at all.
         with self._connect() as db:
             db.execute("BEGIN")
             yield db
@@ -178,14 +178,14 @@
         """Take several steps, each with its note, all or none.
 
         Raises:
-            ConcurrentStepError: The present state is not the ``expected`` one.
-            ChangeLogError: A step does not follow.
+            ConcurrentStepError: The current state is not the ``expected`` one.
+            ChangeLogError: A step is not allowed in the state before it.
         """
         with self._write_transaction() as db:
             state = self._state(db)
             if expected is not None and state != expected:
                 raise ConcurrentStepError(
-                    "another step was taken meanwhile; look at 'winchdyke changes log', and try again"
+                    "another step was taken meanwhile; read 'winchdyke changes log', then try again"
                 )
             for step, note in steps:
                 try:
@@ -230,7 +230,7 @@
             return self._state(db)
 
     def last_seq(self) -> int:
-        """Return the number of the last entry; 0 where there is none."""
+        """Return the number of the last entry; 0 for an empty change log."""
         with self._read_transaction() as db:
             return _scalar(db, "SELECT COALESCE(MAX(seq), 0) FROM trail")
 
@@ -239,25 +239,25 @@
         return self.entries_after(0)
 
     def entries_after(self, seq: int) -> list[LogEntry]:
-        """Return the entries behind one, the oldest first."""
+        """Return the entries after ``seq``, the oldest first."""
         with self._read_transaction() as db:
             rows = db.execute(f"SELECT {ENTRY_COLUMNS} FROM trail WHERE seq > ? ORDER BY seq", (seq,))
             return [LogEntry(*row) for row in rows]
 
     def version(self, number: int) -> Version:
-        """Return a version. Raises ChangeLogError where there is none of that number."""
+        """Return a version. Raises ChangeLogError if it does not exist."""
         with self._read_transaction() as db:
             row = db.execute(f"SELECT {VERSION_COLUMNS} FROM versions WHERE id = ?", (number,)).fetchone()
         if row is None:
             raise ChangeLogError(
-                f"there is no version {number} here; see 'winchdyke changes log', and the archives beside {self.path}"
+                f"there is no version {number}; see 'winchdyke changes log' and the archives beside {self.path}"
             )
         return Version(*row)
 
     def blame(self) -> dict[str, LogEntry]:
         """Return, by path (``kind.name.key``), the entry that last changed each value that was ever applied.
 
-        It is the entry that proposed the change; for a value that an undo changed, the entry of the undo.
+        That is the entry that proposed the change, or the entry of the undo that changed the value.
         """
         entries = self.entries()
         proposals = {entry.version: entry for entry in entries if entry.action == "proposed"}
@@ -272,7 +272,7 @@
                 responsible = proposals.get(entry.version, entry)
                 versions: tuple[int, ...] = (entry.version,)
             else:
-                # An undo changes what either version changed: the one that is left and the one that is returned to.
+                # An undo changes the values that either of the two versions changed.
                 responsible = entry
                 versions = (serving, entry.version)
             for path in self._changed_paths(versions):
@@ -285,7 +285,7 @@
             try:
                 difference = self.version(number).difference
             except ChangeLogError:
-                continue  # it was archived
+                continue  # the version was archived
             for change in json.loads(difference):
                 yield change["path"]
 
@@ -305,7 +305,7 @@
         """
         with self._write_transaction() as db:
             if _scalar(db, "SELECT COUNT(*) FROM trail"):
-                raise ChangeLogError(f"{self.path} is not empty; take it in at a folder of its own")
+                raise ChangeLogError(f"{self.path} is not empty; import into a folder without a change log")
             for number, line in enumerate(lines, 1):
                 try:
                     record = json.loads(line)
@@ -314,9 +314,9 @@
                     else:
                         db.execute(INSERT_ENTRY, [*record["entry"], 0.0][:10])  # format 1 has no at_ms
                 except (ValueError, KeyError, TypeError, sqlite3.Error) as error:
-                    raise ChangeLogError(f"line {number} is no line of an export: {error}") from error
+                    raise ChangeLogError(f"line {number} is not a line of an export: {error}") from error
             if faults := _chain_faults(db):
-                raise ChangeLogError(f"the export does not fit together: {faults[0]}")
+                raise ChangeLogError(f"the hash chain of the export does not verify: {faults[0]}")
             return _scalar(db, "SELECT COUNT(*) FROM trail")
 
     # Archives
@@ -354,8 +354,8 @@
         version_rows = db.execute(
             f"SELECT {VERSION_COLUMNS} FROM versions WHERE id < ? ORDER BY id", (before_version,)
         ).fetchall()
-        needed = {state.serving, state.previous, state.staged, state.applying}
-        moved_versions = [row for row in version_rows if row[0] not in needed]
+        versions_in_use = {state.serving, state.previous, state.staged, state.applying}
+        moved_versions = [row for row in version_rows if row[0] not in versions_in_use]
         entries = [LogEntry(*row) for row in entry_rows]
         base = last_prune.state if last_prune else RolloutState()
         record = PruneRecord.create(
@@ -363,7 +363,7 @@
             last_hash=entries[-1].hash,
             state=replay((entry.step() for entry in entries), base),
             version_digests={
-                str(row[0]): version_digest(row[1:]) for row in version_rows if row[0] in needed
+                str(row[0]): version_digest(row[1:]) for row in version_rows if row[0] in versions_in_use
             },
         )
         change_log_archive.write_archive(self.path.parent, entry_rows, moved_versions)
@@ -377,7 +377,7 @@
         return change_log_archive.archive_paths(self.path.parent)
 
     def archived_entries(self) -> Iterator[LogEntry]:
-        """Yield the archived entries, the oldest first. Raises ChangeLogError where an archive can't be read."""
+        """Yield the archived entries, the oldest first. Raises ChangeLogError if an archive can't be read."""
         with self._read_transaction() as db:
             prune = _last_prune(db)
         yield from change_log_archive.read_entries(self.path.parent, prune.seq if prune else 0)
@@ -385,8 +385,8 @@
     def all_entries(self) -> list[LogEntry]:
         """Return all entries, archived ones first, the oldest first. Raises as :meth:`archived_entries` does.
 
-        The database is read before the archives: entries that a concurrent prune moves are then seen twice rather than never,
-        and taken once.
+        The database is read before the archives: an entry that a concurrent prune moves is then read twice rather than not at
+        all, and returned once.
         """
         entries = self.entries()
         first_seq = entries[0].seq if entries else math.inf
@@ -396,7 +396,7 @@
     # Verification
 
     def verify(self, archives: bool = False) -> list[str]:
-        """Return what does not fit in the hash chain, in words; nothing where all does. ``archives``: verify these as well."""
+        """Return a description of each fault in the hash chain; empty if it verifies. ``archives``: verify these as well."""
         faults = self._archive_faults() if archives else []
         with self._read_transaction() as db:
             return faults + _chain_faults(db)
@@ -420,7 +420,7 @@
         content = _proposed_content(db, entry.action, entry.version)
         if entry_hash(previous_hash, row[:HASHED_COLUMNS], content, entry.activate_at_ms) != entry.hash:
             faults.append(
-                f"entry {entry.seq} ({entry.action} {entry.version}) was altered, or one before it is not there"
+                f"entry {entry.seq} ({entry.action} {entry.version}) was altered, or the one before it is missing"
             )
         previous_hash = entry.hash
         previous_seq = entry.seq
@@ -428,7 +428,7 @@
 
 
 def _altered_versions(db: sqlite3.Connection, prune: PruneRecord | None) -> list[str]:
-    """Check the versions that stay although the entries that proposed them were archived."""
+    """Check the versions that are still in the database although the entries that proposed them were archived."""
     faults = []
     for number, digest in (prune.version_digests if prune else {}).items():
         row = _version_columns(db, number)
--- a/winchdyke/config_rollout/change_log_archive.py
+++ b/winchdyke/config_rollout/change_log_archive.py
@@ -1,8 +1,8 @@
 """The archives beside a change log: entries and versions that were pruned from it, one file for each prune.
 
 An archive is ``trail-SEQ.jsonl``, SEQ being its first entry. Each line is JSON, ``{"version": [...]}`` or ``{"entry": [...]}``,
-with the columns of the database. A prune that was interrupted leaves an archive with entries that are in the database still; readers
-ignore entries behind the last one that the change log says was moved.
+with the columns of the database. An interrupted prune leaves an archive with entries that are still in the database; readers ignore
+entries after the last one that the change log records as moved.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 )
 from winchdyke.durable_files import replace_file
 
-FindVersion = Callable[[int], Version]  # raises ChangeLogError where there is none of that number
+FindVersion = Callable[[int], Version]  # raises ChangeLogError if the version does not exist
 
 
 def archive_paths(folder: Path) -> list[Path]:
@@ -38,11 +38,11 @@
     try:
         replace_file(path, text.encode(), path.with_suffix(".new"))
     except OSError as error:
-        raise ChangeLogError(f"{path} can't be written: {error.strerror}; nothing was moved there") from error
+        raise ChangeLogError(f"{path} can't be written: {error.strerror}; no entries were moved") from error
 
 
 def read_entries(folder: Path, last_seq: int) -> Iterator[LogEntry]:
-    """Yield the archived entries up to ``last_seq``, the oldest first. Raises ChangeLogError where a line can't be read."""
+    """Yield the archived entries up to ``last_seq``, the oldest first. Raises ChangeLogError if a line can't be read."""
     for path in archive_paths(folder):
         for number, line in enumerate(path.read_text(encoding="utf-8").splitlines(), 1):
             try:
@@ -50,17 +50,19 @@
                 if "entry" in record and record["entry"][0] <= last_seq:
                     yield LogEntry(*record["entry"])
             except (ValueError, TypeError) as error:
-                raise ChangeLogError(f"{path}, line {number}: not an entry of a trail: {error}") from error
+                raise ChangeLogError(
+                    f"{path}, line {number}: not an entry of a change log: {error}"
+                ) from error
 
 
 class ArchiveVerifier:
-    """Follows the hash chain over all archives, and collects what does not fit, in words."""
+    """Follows the hash chain over all archives and collects a description of each fault."""
 
     def __init__(self, folder: Path, find_version: FindVersion) -> None:
         self.faults: list[str] = []
         self._find_version = find_version
         self._versions: dict[int, Row] = {}
-        self._entries: list[tuple[str, LogEntry]] = []  # with the archive's name
+        self._entries: list[tuple[str, LogEntry]] = []  # each with the file name of its archive
         for path in archive_paths(folder):
             self._read(path)
 
@@ -73,20 +75,24 @@
                 else:
                     self._entries.append((path.name, LogEntry(*record["entry"])))
             except (ValueError, TypeError, KeyError, IndexError) as error:
-                self.faults.append(f"{path.name}, line {number}: not a line of a trail: {error}")
+                self.faults.append(f"{path.name}, line {number}: not a line of an archive: {error}")
 
     def verify(self, prune: PruneRecord | None) -> list[str]:
         """Return the faults. ``prune``: the last prune that the change log records."""
         previous_hash = ""
         for archive, entry in self._entries:
             if prune is None or entry.seq > prune.seq:
-                continue  # of an interrupted prune
+                continue  # written by an interrupted prune, and still in the database
             content = self._proposed_content(archive, entry)
             if entry_hash(previous_hash, entry.hashed_values(), content, entry.activate_at_ms) != entry.hash:
-                self.faults.append(f"{archive}: entry {entry.seq} was altered, or one before it is not there")
+                self.faults.append(
+                    f"{archive}: entry {entry.seq} was altered, or the one before it is missing"
+                )
             previous_hash = entry.hash
         if prune is not None and prune.hash != previous_hash:
-            self.faults.append(f"the archives do not end at entry {prune.seq}, as the trail says")
+            self.faults.append(
+                f"the archives do not end at entry {prune.seq}, which the change log records as the last one moved"
+            )
         return self.faults
 
     def _proposed_content(self, archive: str, entry: LogEntry) -> str:
@@ -97,5 +103,5 @@
                 version = self._find_version(entry.version)
                 self._versions[entry.version] = [version.parent, version.text, version.difference]
             except ChangeLogError:
-                self.faults.append(f"{archive}: version {entry.version} is in none of the archives")
+                self.faults.append(f"{archive}: version {entry.version} is missing from the archives")
         return version_content(self._versions.get(entry.version))
--- a/winchdyke/config_rollout/change_log_records.py
+++ b/winchdyke/config_rollout/change_log_records.py
@@ -1,4 +1,4 @@
-"""The records of the change log: entries, versions, their hashes, and how their fields are named where they are stored. Pure.
+"""The records of the change log: entries, versions, their hashes, and the stored names of their fields. Pure.
 
 The stored names (columns of the database, keys of JSON) and the hashed texts never change; :data:`STORED_STATE_KEYS` maps them
 to the names used in the code.
@@ -17,12 +17,11 @@
 
 Row = Sequence[Any]
 
-ENTRY_COLUMNS = (
-    "seq, unix_ms, who, what, version, until_ms, note, origin, hash, at_ms"  # in the order of LogEntry
-)
-HASHED_COLUMNS = 8  # of them, from the first on; the activation time is hashed apart, where there is one
-STEP_COLUMNS = "what, version, unix_ms, until_ms, at_ms"  # in the order of Step
-VERSION_COLUMNS = "id, parent, text, difference"  # in the order of Version
+# The columns are in the order of the fields of LogEntry, Step and Version.
+ENTRY_COLUMNS = "seq, unix_ms, who, what, version, until_ms, note, origin, hash, at_ms"
+HASHED_COLUMNS = 8  # the first eight of an entry; at_ms is hashed separately, and only if it is not 0
+STEP_COLUMNS = "what, version, unix_ms, until_ms, at_ms"
+VERSION_COLUMNS = "id, parent, text, difference"
 STORED_STATE_KEYS = {
     "serving": "serving",
     "staged": "staged",
@@ -37,9 +36,9 @@
 
 
 class ChangeLogError(Exception):
-    """A change log that can't be used, or a step that can't be taken; its text tells what is wrong and what to do.
+    """A change log that can't be used, or a step that can't be taken; its text says what is wrong and what to do.
 
-    ``damaged``: the stored data is no longer what was written.
+    ``damaged``: the stored data is not what was written.
     """
 
     def __init__(self, text: str, damaged: bool = False) -> None:
@@ -48,7 +47,7 @@
 
 
 class ConcurrentStepError(ChangeLogError):
-    """A step was refused because another process has taken one meanwhile."""
+    """A step that was refused because another process has taken one meanwhile."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,13 +58,13 @@
         seq: The entry's number, from 1 on, without gaps.
         unix_ms: When the step was taken.
         actor: Who took it.
-        action: What was done (``rollout_state.ACTIONS``).
-        version: With which version.
+        action: The kind of step (one of ``rollout_state.ACTIONS``).
+        version: The version that the step concerns.
         confirm_by_ms: The Unix time by which the version has to be confirmed; 0: no confirmation is needed.
         note: The reason, or the result.
-        origin: From where the step was requested.
+        origin: Where the step was requested from.
         hash: The entry's link in the hash chain (:func:`entry_hash`).
-        activate_at_ms: The Unix time for which the version is staged; 0: at once.
+        activate_at_ms: The Unix time at which the staged version is applied; 0: at once.
     """
 
     seq: int
@@ -84,7 +83,7 @@
         return Step(self.action, self.version, self.unix_ms, self.confirm_by_ms, self.activate_at_ms)
 
     def hashed_values(self) -> tuple[object, ...]:
-        """Return the values that the entry's hash covers, but for the activation time."""
+        """Return the values that the entry's hash covers, without the activation time."""
         return dataclasses.astuple(self)[:HASHED_COLUMNS]
 
 
@@ -106,13 +105,13 @@
     ``version_content``: :func:`version_content` of a proposed version; "" for all other actions.
     """
     hashed = [previous_hash, *values, version_content]
-    if activate_at_ms:  # entries of format 1 have none, and keep their hashes
+    if activate_at_ms:  # entries of format 1 have none, so their hashes stay valid
         hashed.append(activate_at_ms)
     return hashlib.sha256(json.dumps(hashed, ensure_ascii=False).encode()).hexdigest()
 
 
 def version_content(columns: Row | None) -> str:
-    """Return parent, text and difference of a version as they are hashed; None: there is no such version."""
+    """Return the text that is hashed for a version: its parent, text and difference as JSON; ``null`` without a version."""
     return json.dumps(columns)
 
 
@@ -123,9 +122,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PruneRecord:
-    """What the entry on a prune records of the entries that were moved to an archive, as it is stored.
+    """The stored content of a ``pruned`` entry: which entries were moved to an archive, and the state after them.
 
-    Each value is read when it is asked for, and raises ChangeLogError where it is damaged: the rest stays usable.
+    Each property raises ChangeLogError if its own value is damaged, so that the other values stay usable.
     """
 
     stored: dict[str, Any]
@@ -134,13 +133,13 @@
     def create(
         cls, seq: int, last_hash: str, state: RolloutState, version_digests: dict[str, str]
     ) -> PruneRecord:
-        """Return a new record; the arguments are the properties of the same names, and ``hash``."""
+        """Return a new record; the arguments are the values of the properties, ``last_hash`` that of ``hash``."""
         stored_state = {key: getattr(state, field) for key, field in STORED_STATE_KEYS.items()}
         return cls({"seq": seq, "hash": last_hash, "standing": stored_state, "kept": version_digests})
 
     @classmethod
     def from_note(cls, note: str) -> PruneRecord:
-        """Read a record from the note of its entry. Raises ChangeLogError where it is no JSON."""
+        """Read a record from the note of its entry. Raises ChangeLogError if it is not JSON."""
         try:
             return cls(json.loads(note))
         except ValueError as error:
@@ -158,13 +157,13 @@
 
     @property
     def hash(self) -> str:
-        """Its hash, from which the chain continues."""
+        """The hash of that entry, from which the chain continues."""
         last_hash: str = self._value("hash")
         return last_hash
 
     @property
     def state(self) -> RolloutState:
-        """The state of the rollout after it."""
+        """The state of the rollout after that entry."""
         stored_state = self._value("standing")
         try:
             return RolloutState(**{STORED_STATE_KEYS[key]: value for key, value in stored_state.items()})
@@ -173,7 +172,7 @@
 
     @property
     def version_digests(self) -> dict[str, str]:
-        """By number (as text), the digests of versions that stay although their proposal was moved."""
+        """The digests of versions that stay although their proposal was moved, by version number (as text)."""
         digests: dict[str, str] = self._value("kept")
         return digests
 
@@ -185,4 +184,4 @@
 
 
 def _damaged_prune(error: Exception) -> ChangeLogError:
-    return ChangeLogError(f"the entry on what was moved out can't be read: {error}", damaged=True)
+    return ChangeLogError(f"the entry that records a prune can't be read: {error}", damaged=True)
--- a/winchdyke/config_rollout/controller.py
+++ b/winchdyke/config_rollout/controller.py
@@ -28,10 +28,10 @@
 from winchdyke.config_rollout.swap import PreparedSwap, prepare_swap
 
 POLL_SECONDS = 0.1
-PRECISE_WAIT_MS = 300.0  # before an instant, within which the controller sleeps until exactly then
+PRECISE_WAIT_MS = 300.0  # closer to an activation instant, the controller sleeps until exactly that instant
 ERROR_LOG_INTERVAL_SECONDS = 10.0
 REFILL_BATCH_VOLUMES = 100
-MAX_LISTED_KEYS = 5  # in a note that names what needs a restart
+MAX_LISTED_KEYS = 5  # in a note that lists the changes that need a restart
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,10 +58,10 @@
 
     Attributes:
         change_log: The change log.
-        canary: Has to be told of each finished request.
-        wall_clock_ms: The clock of stated instants, in Unix ms.
-        last_swap_ms: For how long the last swap occupied the event loop.
-        stopping: Set at a shutdown: nothing new is begun, and a staged version waits for the next start.
+        canary: Counts finished requests; its owner calls ``record_request`` for each.
+        wall_clock_ms: The clock for activation instants, in Unix ms.
+        last_swap_ms: How long the last swap occupied the event loop.
+        stopping: Set at shutdown: no step is begun any more, and a staged version waits for the next start.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         """Open the change log. Raises ChangeLogError.
 
         ``swap``: puts a configuration into service; runs in the event loop without waiting. ``volume_names``: the volumes that
-        the scheduler has quotas for, in the order of their arrival. ``clock_ms``: the scheduler's monotonic clock.
+        the scheduler has quotas for, in the order in which they were added. ``clock_ms``: the scheduler's monotonic clock.
         """
         self.folder = folder
         self._swap = swap
@@ -96,19 +96,18 @@
         self._log = structlog.get_logger("changes")
         self._effective = EffectiveConfig(config, config)
         self._version = 0
-        self._volumes_with_phase_plans = 0  # later ones have no plan of the present phase yet
+        self._volumes_with_phase_plans = 0  # volumes added later have no plan of the current phase yet
         self._swap_count = 0
         self._checked: CheckedVersion | None = None
         self._observed: ObservedChange | None = None
-        self._settling_instant_ms = (
-            0.0  # the instant after which the lower limits are still in effect; 0: none
-        )
+        # The activation instant after which the lower limits are still in effect; 0: they are not.
+        self._settling_instant_ms = 0.0
         self._last_read_seq = -1
         self._state = RolloutState()
         self._error_logged_at_ms = 0.0
 
     def start(self) -> None:
-        """Serve the version that the change log leaves the gateway at, after completing what a crash interrupted."""
+        """Serve the version that the change log records, after completing the steps that a crash interrupted."""
         state = self._journal.begin(self._effective.config)
         recovery = recover(state)
         for step in recovery.steps:
@@ -122,8 +121,8 @@
             phase = self._phase_at(state.activated_at_ms)
             self._settling_instant_ms = state.activated_at_ms if phase is Phase.NEW_LOWER else 0.0
         old = self._journal.read_config(state.previous) if self._settling_instant_ms else config
-        own = EffectiveConfig(self._effective.config, self._effective.config)
-        self._serve(prepare_swap(own, EffectiveConfig(old, config, phase), state.serving, []))
+        initial = EffectiveConfig(self._effective.config, self._effective.config)
+        self._serve(prepare_swap(initial, EffectiveConfig(old, config, phase), state.serving, []))
         self._journal.save_last_known_good(state)
         self._log.info("config_version_served", version=state.serving, reason=recovery.reason)
 
@@ -191,7 +190,7 @@
         self._serve(swap)
 
     async def _refill_ahead(self, swap: PreparedSwap) -> None:
-        """Refill the quotas of a swap in batches, between which other tasks run, so that the swap itself is short."""
+        """Refill the quotas of a swap in batches, and let other tasks run between them, so that the swap itself is short."""
         names = list(swap.plans)
         for first in range(0, len(names), REFILL_BATCH_VOLUMES):
             self._refill_quotas(names[first : first + REFILL_BATCH_VOLUMES])
@@ -203,7 +202,7 @@
         return phase_at(self.wall_clock_ms(), activate_at_ms, self._max_clock_skew_ms)
 
     async def _update_phase(self) -> None:
-        """Put the lower limits into effect before an instant, and out of effect after it."""
+        """Put the lower limits into effect shortly before an activation instant, and end them after it."""
         if self._settling_instant_ms:
             await self._settle()
             return
@@ -224,9 +223,8 @@
                 await self._change_to(lower, self._version)
             else:
                 await self._cover_new_volumes()
-        elif (
-            effective.phase is Phase.OLD_LOWER and phase is Phase.OLD
-        ):  # withdrawn, or staged for a later instant
+        elif effective.phase is Phase.OLD_LOWER and phase is Phase.OLD:
+            # The version was withdrawn, or staged for a later instant.
             await self._change_to(EffectiveConfig(effective.config, effective.config), self._version)
 
     async def _settle(self) -> None:
@@ -238,7 +236,10 @@
             await self._cover_new_volumes()
 
     async def _cover_new_volumes(self) -> None:
-        """Give volumes that came during a phase its plans: the scheduler knows plans by name alone, not by phase."""
+        """Give volumes that were added during a phase the plans of that phase.
+
+        The scheduler finds a new volume's plan by its name alone, which does not cover a volume that changes its plan.
+        """
         names = self._volume_names()
         if len(names) <= self._volumes_with_phase_plans:
             return
@@ -251,7 +252,7 @@
     # Checking
 
     async def _check_staged(self, state: RolloutState) -> bool:
-        """Return whether the staged version may be applied; where not, it is refused."""
+        """Return whether the staged version may be applied; refuse it otherwise."""
         if self._checked is not None and self._checked.state == state:
             return True
         self._checked = None
@@ -266,12 +267,12 @@
         except ConfigError as error:
             return await self._refuse(state, f"does not pass the check: {error}")
         if keys := requiring_restart(changes):
-            return await self._refuse(state, f"needs a start: {', '.join(keys[:MAX_LISTED_KEYS])}")
+            return await self._refuse(state, f"needs a restart: {', '.join(keys[:MAX_LISTED_KEYS])}")
         if parent != state.serving:
-            # It may contain a change that has been undone since it was made.
+            # It may contain a change that was undone after it was made.
             return await self._refuse(
                 state,
-                f"made from version {parent}, and {state.serving} is served; apply it again, which puts it on top",
+                f"made from version {parent}, but {state.serving} is served; apply it again to merge it with that one",
             )
         self._checked = CheckedVersion(state, config)
         if state.staged_activate_at_ms <= self.wall_clock_ms():
@@ -311,9 +312,8 @@
         await self._append(step, "", state)
         await self._refill_ahead(swap)
         self._checked = None
-        applied_at_ms = (
-            self._clock_ms()
-        )  # before the log is written: failures meanwhile are due to the change
+        # Taken before the log is written: failures during the write are due to the change.
+        applied_at_ms = self._clock_ms()
         self._serve(swap)
         await self._record_applied(step.version, state, old)
         self._settling_instant_ms = activate_at_ms if settles else 0.0
@@ -330,7 +330,7 @@
             # A version that is not in the log would be lost in a crash, so the old one is served again.
             await self._change_to(EffectiveConfig(old.config, old.config), state.serving)
             self._journal.defer(
-                Step("undone", state.serving), f"version {version} could not be kept: {error}"
+                Step("undone", state.serving), f"version {version} could not be recorded: {error}"
             )
             raise
 
@@ -350,7 +350,7 @@
             self._observed = None
 
     async def _undo(self, version: int, reason: str) -> None:
-        """Return to the version before, also where the change log can't be written: harm would go on otherwise."""
+        """Roll back to the previous version, even if the change log can't be written: otherwise the harm would continue."""
         self._observed = None
         self._checked = None
         self._settling_instant_ms = 0.0
--- a/winchdyke/config_rollout/cutover.py
+++ b/winchdyke/config_rollout/cutover.py
@@ -1,4 +1,4 @@
-"""Which version and which limits a gateway applies around the instant for which a version is staged. Pure.
+"""The version and the limits that a gateway applies around the instant for which a version is staged. Pure.
 
 Gateways apply a version independently, each when its own clock reaches the instant. Let any two clocks be less than
 ``max_clock_skew_ms`` apart, and the instant be T. By its own clock, a gateway applies
@@ -25,7 +25,7 @@
 
 
 class Phase(enum.Enum):
-    """The version in effect, and whose limits are."""
+    """The version in effect, and the limits in effect."""
 
     OLD = "the old version"
     OLD_LOWER = "the old version, the lower limits"
@@ -76,7 +76,7 @@
         self._other_plans = _plans_by_name(self._other_config)
 
     def plan(self, volume_name: str) -> api.Plan | None:
-        """Return a volume's plan; None where the version in effect has no such volume."""
+        """Return a volume's plan; None if the version in effect does not have the volume."""
         volume = self.config.volume(volume_name)
         plan = self._plans.get(volume.plan) if volume is not None else None
         if plan is None or not self._uses_lower_limits:
--- a/winchdyke/config_rollout/edit.py
+++ b/winchdyke/config_rollout/edit.py
@@ -18,7 +18,7 @@
 
 
 class EditError(Exception):
-    """An edit that can't be made; its text tells what is wrong and what to do."""
+    """An edit that can't be made; its text says what is wrong and what to do."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,10 +45,10 @@
     values = {block: dict(keys) for block, keys in table(config).items()}
     if kind not in RELOADABLE_BLOCKS and kind not in RELOADABLE_KEYS:
         reloadable = ", ".join(sorted([*RELOADABLE_BLOCKS, *RELOADABLE_KEYS]))
-        raise EditError(f"a {kind} can't change in service; what can is {reloadable}")
+        raise EditError(f"a {kind} can't change in service; these can: {reloadable}")
     if is_new:
         if (kind, name) in values:
-            raise EditError(f"there is a {kind} {name} already; set its values without --new")
+            raise EditError(f"the {kind} {name} exists already; set its values without --new")
         values[kind, name] = {}
     _require_block(values, kind, name)
     for assignment in assignments:
@@ -62,10 +62,12 @@
     key, separator, text = assignment.partition("=")
     key = key.strip()
     if not separator or key not in known_keys:
-        raise EditError(f"{assignment!r} is no KEY=VALUE of a {kind}; the keys are {', '.join(known_keys)}")
+        raise EditError(
+            f"{assignment!r} is not KEY=VALUE with a key of a {kind}; the keys are {', '.join(known_keys)}"
+        )
     if not is_reloadable(kind, key):
         reloadable = ", ".join(sorted(RELOADABLE_KEYS[kind]))
-        raise EditError(f"{key} of a {kind} can't change in service; what can is {reloadable}")
+        raise EditError(f"{key} of a {kind} can't change in service; these can: {reloadable}")
     span = Span(Source("the command line", assignment), 1)
     items = tuple(tuple(Word(word, False, span) for word in item.split()) for item in text.split(","))
     try:
@@ -75,7 +77,7 @@
 
 
 def remove_block(config: Config, kind: str, name: str) -> str:
-    """Return the text of a configuration without one block. Raises EditError where there is no such block."""
+    """Return the text of a configuration without one block. Raises EditError if the block does not exist."""
     values = table(config)
     _require_block(values, kind, name)
     return written({block: keys for block, keys in values.items() if block != (kind, name)})
@@ -86,7 +88,7 @@
         return
     names = sorted(block_name for block_kind, block_name in values if block_kind == kind)
     suggestions = difflib.get_close_matches(name, names, 1) or names[:5]
-    raise EditError(f"there is no {kind} {name}; there is {', '.join(suggestions)}")
+    raise EditError(f"there is no {kind} {name}; existing: {', '.join(suggestions)}")
 
 
 def rebase(base: Config, own: Config, other: Config) -> tuple[str, list[Conflict]]:
--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -1,10 +1,10 @@
 """Puts new settings into a running scheduler at one instant, between two of its batches.
 
-Only what is decided anew for each request can change: plans, volumes, routes and pools; and peers and the seeds of the fleet,
-which name where other gateways are. Concurrency limits, quota balances, slow-start credit, retry budgets and suspicions are
-kept. :func:`apply_settings` replaces the scheduler's settings and clips each quota to its new plan: a lowered limit takes
-effect at once; a raised one starts with the units that the quota had, so that it allows no burst. A queued request stays at
-the shard for which it was admitted, up to its last attempt.
+Only settings that are looked up for each request can change: plans, volumes, routes and pools; and peers and the seeds of the
+fleet, which are the addresses of other gateways. Concurrency limits, quota balances, slow-start credit, retry budgets and
+suspicions are kept. :func:`apply_settings` replaces the scheduler's settings and clips each quota to its new plan: a lowered
+limit takes effect at once; a raised one starts with the units that the quota had, so that it allows no burst. A queued request
+stays at the shard for which it was admitted, up to its last attempt.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 from winchdyke.scheduling.quota import VolumeQuota
 
 RELOADABLE_BLOCKS = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
-RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks that need a restart otherwise
-RECENT_REFILL_MS = 100.0  # a quota refilled within this time is not refilled again, which gives it less
+RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks whose other keys need a restart
+RECENT_REFILL_MS = 100.0  # a quota refilled within this time is not refilled again; it gets slightly less
 
 
 def is_reloadable(kind: str, key: str) -> bool:
@@ -36,7 +36,7 @@
 
 
 def refill_quotas(scheduler: Scheduler, volume_names: Iterable[str], now_ms: float) -> None:
-    """Refill some volumes' quotas under their present plans, ahead of :func:`apply_settings`, which is then shorter."""
+    """Refill some volumes' quotas under their current plans, so that a following :func:`apply_settings` takes less time."""
     for name in volume_names:
         if (quota := scheduler.quotas.get(name)) is not None:
             quota.refill(now_ms)
@@ -64,11 +64,11 @@
 
 def _change_plan(quota: VolumeQuota, plan: api.Plan, settings: api.Settings, now_ms: float) -> None:
     if now_ms - quota.refilled_at_ms > RECENT_REFILL_MS:
-        quota.refill(now_ms)  # by the old plan up to this instant
+        quota.refill(now_ms)  # under the old plan up to this instant
     else:
         quota.refilled_at_ms = now_ms
     if not quota.plan.limit_units_per_s:
-        # Without a limit the balance is only ever charged and never refilled: a limited volume must not begin with that debt.
+        # Without a limit the balance is charged but never refilled: a volume that gets a limit must not start with that debt.
         quota.limit_units = 0.0
     quota.plan = plan
     quota.settings = settings
--- a/winchdyke/config_rollout/journal.py
+++ b/winchdyke/config_rollout/journal.py
@@ -1,4 +1,4 @@
-"""A serving gateway's own entries in its change log: written, or deferred where the disk does not take them."""
+"""A serving gateway's own entries in its change log: written, or deferred while the disk can't be written."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from winchdyke.config_rollout.last_known_good import GATEWAY_ACTOR
 from winchdyke.config_rollout.rollout_state import RolloutState, Step
 
-PRUNE_EXCESS_RATIO = 1.25  # of stored to retained versions, about which a prune takes place
+PRUNE_EXCESS_RATIO = 1.25  # the ratio of stored to retained versions at about which the log is pruned
 
 
 class GatewayJournal:
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, folder: Path, retained_versions: int) -> None:
-        """Open the change log in a folder. Raises ChangeLogError where none can be kept there."""
+        """Open the change log in a folder. Raises ChangeLogError if the folder can't hold one."""
         self._log = structlog.get_logger("changes")
         self._folder = folder
         self._retained_versions = retained_versions
@@ -33,7 +33,7 @@
 
     @property
     def has_deferred_steps(self) -> bool:
-        """Whether steps were taken that could not be written yet."""
+        """Whether there are steps that could not be written yet."""
         return bool(self._deferred)
 
     def begin(self, config: Config) -> RolloutState:
@@ -59,11 +59,11 @@
         self.change_log.append(step, GATEWAY_ACTOR, note, "", expected)
 
     def defer(self, step: Step, note: str) -> None:
-        """Keep a step that could not be written, for the next :meth:`flush`."""
+        """Keep a step for the next :meth:`flush`."""
         self._deferred.append((step, note))
 
     def flush(self) -> None:
-        """Write all deferred steps in one transaction; they stay deferred where that fails."""
+        """Write all deferred steps in one transaction; they stay deferred if that fails."""
         if not self._deferred:
             return
         try:
@@ -74,7 +74,7 @@
             self._deferred.clear()
 
     def housekeep(self, swap_count: int) -> None:
-        """Save the served version where it is final, and prune now and then. Raises ChangeLogError."""
+        """Save the served version if it is final, and prune the change log after every few swaps. Raises ChangeLogError."""
         self.save_last_known_good(self.change_log.state())
         if swap_count % self._swaps_between_prunes:
             return
--- a/winchdyke/config_rollout/last_known_good.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -1,9 +1,9 @@
-"""Opens the change log at a gateway's start; a damaged one is set aside and begun anew from the last known good version.
+"""Opens the change log at a gateway's start; a damaged one is set aside, and a new one begins with the last known good version.
 
 ``served.json`` lies beside the change log and is replaced atomically after each version that is applied and needs no
 confirmation. It holds the version's number, its text, and a SHA-256 of both. A change log whose hash chain does not verify is
 renamed, never deleted; its successor begins with that version and records the reason. So a damaged file neither prevents a
-start nor leads to a version being served that nobody applied.
+start nor causes a version to be served that was never applied.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from winchdyke.durable_files import replace_file, sync_directory
 
 SERVED_FILE = "served.json"
-GATEWAY_ACTOR = "gateway"  # who took a step, where the gateway itself did
+GATEWAY_ACTOR = "gateway"  # the actor of steps that the gateway itself takes
 SQLITE_FILE_SUFFIXES = ("", "-wal", "-shm")
 
 
@@ -43,7 +43,7 @@
 
 
 def load(folder: Path) -> LastKnownGood | None:
-    """Return the last known good version; None where there is none, or it is damaged."""
+    """Return the last known good version; None if the file is missing or damaged."""
     try:
         found = msgspec.json.decode((folder / SERVED_FILE).read_bytes(), type=LastKnownGood)
     except (OSError, msgspec.MsgspecError, UnicodeDecodeError):
@@ -55,7 +55,7 @@
     """Open the change log in a folder; returns it with the damage of the one that was replaced, or "".
 
     Raises:
-        ChangeLogError: No change log can be kept in the folder.
+        ChangeLogError: The folder can't hold a change log.
     """
     try:
         change_log = ChangeLog(folder)
@@ -64,12 +64,12 @@
         if not error.damaged:
             raise
         faults = [str(error)]
-    except (ValueError, TypeError, KeyError) as error:  # values of other types than were written
-        faults = [f"{folder / DATABASE_FILE} holds what no trail does: {error}"]
+    except (ValueError, TypeError, KeyError) as error:  # damage changed the types of values
+        faults = [f"{folder / DATABASE_FILE} is damaged: {error}"]
     if not faults:
         return change_log, ""
     aside = _set_aside(folder)
-    reason = f"the trail was damaged ({faults[0]}); it is kept as {aside}"
+    reason = f"the change log was damaged ({faults[0]}); the damaged file is kept as {aside}"
     change_log = ChangeLog(folder)
     if good := load(folder):
         change_log.add_version(good.text, 0, "[]", GATEWAY_ACTOR, reason, "", good.version)
@@ -88,6 +88,6 @@
         sync_directory(folder)
     except OSError as error:
         raise ChangeLogError(
-            f"{folder / DATABASE_FILE} is damaged, and can't be put aside: {error.strerror}"
+            f"{folder / DATABASE_FILE} is damaged and can't be renamed: {error.strerror}"
         ) from error
     return aside
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -1,7 +1,7 @@
-"""The operations on a change log, the same from the command line and over the admin API. Each is a plain value.
+"""The operations on a change log, shared by the command line and the admin API. Each operation is a struct.
 
-:meth:`ChangeOperations.execute` carries one out and returns plain data for JSON. It waits for no gateway: what a gateway then
-does is read from the change log.
+:meth:`ChangeOperations.execute` carries one out and returns plain data for JSON. It does not wait for the gateway, whose steps
+appear in the change log.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 from winchdyke.config_rollout.hot_reload import requiring_restart
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, RolloutState, Step
 
-MAX_TEXT_CHARACTERS = 4096  # of a name, a path or a reason
-MAX_LISTED_KEYS = 5  # in an error that names what needs a restart
+MAX_TEXT_CHARACTERS = 4096  # in a name, a path or a reason
+MAX_LISTED_KEYS = 5  # in an error that lists the changes that need a restart
 
 
 class OperationError(Exception):
@@ -41,7 +41,7 @@
 
 
 class Status(msgspec.Struct, tag="standing", tag_field="op", forbid_unknown_fields=True):
-    """Report which versions are served and staged."""
+    """Return which versions are served and staged."""
 
 
 class Show(msgspec.Struct, tag="show", tag_field="op", forbid_unknown_fields=True):
@@ -51,14 +51,14 @@
 
 
 class Log(msgspec.Struct, tag="log", tag_field="op", forbid_unknown_fields=True):
-    """Return the entries behind one; ``archives``: archived ones as well."""
+    """Return the entries after one; ``archives``: archived ones as well."""
 
     after: int = 0
     archives: bool = False
 
 
 class Blame(msgspec.Struct, tag="blame", tag_field="op", forbid_unknown_fields=True):
-    """Return who last changed each value below a path."""
+    """Return the entry that last changed each value below a path."""
 
     path: str = ""
 
@@ -70,7 +70,7 @@
 
 
 class Propose(msgspec.Struct, tag="propose", tag_field="op", forbid_unknown_fields=True):
-    """Store a configuration as a version; ``check``: only report what it would change."""
+    """Store a configuration as a version; ``check``: only return the changes it would make."""
 
     text: str
     parent: int = 0
@@ -114,7 +114,7 @@
 
 
 class Undo(msgspec.Struct, tag="undo", tag_field="op", forbid_unknown_fields=True):
-    """Return to the version before."""
+    """Return to the previous version."""
 
     why: str = ""
 
@@ -130,12 +130,12 @@
 
 
 def operation_name(operation: Operation) -> str:
-    """Return the name of an operation as it stands in its JSON (``op``)."""
+    """Return the name of an operation, the value of ``op`` in its JSON."""
     return str(operation.__struct_config__.tag)
 
 
 def parse_operation(data: bytes | dict[str, Any]) -> Operation:
-    """Read an operation from JSON. Raises OperationError where it is none."""
+    """Read an operation from JSON. Raises OperationError if it is not a valid one."""
     try:
         operation: Operation = (
             msgspec.convert(data, type=Operation)
@@ -148,7 +148,7 @@
 
 
 class ChangeOperations:
-    """Carries out operations on a change log in one person's name. Reads and writes files: not for the event loop."""
+    """Carries out operations on a change log for one actor. Reads and writes files: not for the event loop."""
 
     def __init__(self, change_log: ChangeLog, actor: str, origin: str) -> None:
         self.change_log = change_log
@@ -159,7 +159,7 @@
         """Carry out an operation and return its result as plain data.
 
         Raises:
-            OperationError: With what is wrong and what to do.
+            OperationError: The operation can't be carried out.
         """
         for field in ("why", "name", "path"):
             if len(getattr(operation, field, "")) > MAX_TEXT_CHARACTERS:
@@ -258,12 +258,12 @@
         new = _parse_config(text, "the new version")
         changes = diff(old, new)
         if not changes:
-            raise OperationError("no-difference", f"nothing differs from version {parent}")
+            raise OperationError("no-difference", f"no value differs from version {parent}")
         if keys := requiring_restart(changes):
             raise OperationError(
                 "needs-start",
-                f"{', '.join(keys[:MAX_LISTED_KEYS])} can't change in service; put that into the gateway's file and"
-                " start it anew",
+                f"{', '.join(keys[:MAX_LISTED_KEYS])} can't change in service; change the gateway's"
+                " configuration file and restart it",
             )
         result: dict[str, Any] = {"parent": parent, "changes": [change.data() for change in changes]}
         if not check_only:
@@ -285,7 +285,7 @@
         if parent != state.serving:
             if version == state.previous:
                 raise OperationError(
-                    "undone", f"version {version} was served before; 'winchdyke changes undo' goes back to it"
+                    "undone", f"version {version} was served before; 'winchdyke changes undo' returns to it"
                 )
             merged_from = version
             version = self._merge(parent, version, state.serving, operation.why)
@@ -303,7 +303,7 @@
         origin: str,
         merged_from: int | None,
     ) -> dict[str, Any]:
-        """Stage a version in place of another one that may be staged, which is withdrawn."""
+        """Stage a version; if another one is staged, it is withdrawn."""
         steps = [(step, note)]
         withdrawn = state.staged if state.staged and state.staged != step.version else None
         if withdrawn is not None:
@@ -317,7 +317,7 @@
         }
 
     def _merge(self, base: int, own: int, serving: int, reason: str) -> int:
-        """Make a version that applies the changes from ``base`` to ``own`` to the served one; returns its number."""
+        """Make a version that applies the changes from ``base`` to ``own`` on top of the served one; returns its number."""
         served_config = self._config(serving)
         try:
             text, conflicts = rebase(self._config(base), self._config(own), served_config)
@@ -349,13 +349,13 @@
     def _undo(self, operation: Undo) -> dict[str, Any]:
         state = self.change_log.state()
         if not state.previous or state.previous == state.serving:
-            raise OperationError("nothing-before", "there is no version before the one that is served")
-        # The staged version was made from the one that is undone: staging it again merges it with what is then served.
+            raise OperationError("nothing-before", "there is no previous version to return to")
+        # The staged version was made from the one that is undone: staging it again merges it with the version then served.
         result = self._append_staged(
             state,
             Step("staged", state.previous),
             "undo",
-            "what it was made from is undone",
+            "the version that it was made from is undone",
             f"{self.origin} {operation.why}".strip(),
             None,
         )
@@ -382,7 +382,9 @@
     now_ms = time.time() * 1000
     activate_at_ms = ON_HOLD_MS if operation.hold else operation.at_ms
     if activate_at_ms and activate_at_ms < now_ms:
-        raise OperationError("past", f"the instant is {(now_ms - activate_at_ms) / 1000:.1f} s in the past")
+        raise OperationError(
+            "past", f"the instant is {(now_ms - activate_at_ms) / 1000:.1f} s in the past; give a later one"
+        )
     confirm_by_ms = 0.0
     if operation.confirm_within_ms and not operation.hold:
         confirm_by_ms = max(activate_at_ms, now_ms) + operation.confirm_within_ms
@@ -397,7 +399,7 @@
 
 
 def _entry_data(entry: LogEntry) -> dict[str, Any]:
-    """Return an entry under the names of the API."""
+    """Return an entry with the field names of the API."""
     data = {
         "seq": entry.seq,
         "unix_ms": entry.unix_ms,
@@ -417,9 +419,9 @@
 
 def _conflict_error(own: int, base: int, serving: int, conflicts: list[Conflict]) -> OperationError:
     lines = [
-        f"version {own} was made from {base}, and {serving} is served; both change the same:",
+        f"version {own} was made from {base}, and {serving} is served; both change the same values:",
         *(f"  yours: {conflict.own.text}\n  theirs: {conflict.other.text}" for conflict in conflicts),
-        "make a version from the one that is served",
+        "make a new version from the one that is served",
     ]
     edits = [{"yours": conflict.own.data(), "theirs": conflict.other.data()} for conflict in conflicts]
     return OperationError("conflict", "\n".join(lines), {"edits": edits})
--- a/winchdyke/config_rollout/rollout_state.py
+++ b/winchdyke/config_rollout/rollout_state.py
@@ -6,7 +6,7 @@
 A version is staged to be applied at once, at a stated instant, or on hold until it is staged again (:data:`ON_HOLD_MS`).
 
 Each step is written to the change log and synced before it takes effect. After a crash the log therefore ends with one of
-these steps, and :func:`recover` tells which complete version is served from then on: the earlier one, unless the new one was
+these steps, and :func:`recover` decides which complete version is served from then on: the earlier one, unless the new one was
 applied without a pending confirmation.
 """
 
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """What was done with which version.
+    """One step of a rollout.
 
     Attributes:
         action: One of :data:`ACTIONS`.
-        version: The number of the version.
-        unix_ms: When it was done; 0: not recorded yet.
+        version: The number of the version that the step concerns.
+        unix_ms: The Unix time at which it was taken; 0: not recorded yet.
         confirm_by_ms: The Unix time by which the version has to be confirmed; 0: no confirmation is needed.
         activate_at_ms: The Unix time, by the gateway's own clock, at which a staged version is applied; 0: at once.
     """
@@ -72,7 +72,7 @@
         """Return the state after a step.
 
         Raises:
-            ValueError: The step does not follow from this state, or its action is unknown.
+            ValueError: The step is not allowed in this state, or its action is unknown.
         """
         match step.action:
             case "staged":
@@ -95,14 +95,16 @@
             case action if action in ACTIONS:
                 return self
             case action:
-                raise ValueError(f"{action!r} is no step of a change")
+                raise ValueError(f"{action!r} is not an action of a change log")
 
     def _begin(self, step: Step) -> RolloutState:
         if self.applying:
-            raise ValueError(f"version {step.version} is applied while {self.applying} still is")
+            raise ValueError(
+                f"version {step.version} can't be applied while {self.applying} is being applied"
+            )
         undoing = step.action == "undoing"
         if undoing and step.version != self.previous:
-            raise ValueError(f"an undo goes back to version {self.previous}, not to {step.version}")
+            raise ValueError(f"an undo returns to version {self.previous}, not to {step.version}")
         is_staged = step.version == self.staged
         return replace(
             self,
@@ -115,7 +117,7 @@
 
     def _finish_apply(self, step: Step) -> RolloutState:
         if self.applying != step.version:
-            raise ValueError(f"version {step.version} was applied without being begun")
+            raise ValueError(f"version {step.version} is not being applied, and can't be recorded as applied")
         return replace(
             self,
             serving=step.version,
@@ -138,14 +140,14 @@
 
 
 class Recovery(NamedTuple):
-    """The steps that a start adds to an interrupted change log, and the reason in words."""
+    """The steps that a start appends to an interrupted change log, and the reason for operators."""
 
     steps: list[Step]
     reason: str
 
 
 def replay(steps: Iterable[Step], base: RolloutState = RolloutState()) -> RolloutState:
-    """Return the state after all steps, beginning with ``base``. Raises ValueError where a step does not follow."""
+    """Return the state after all steps, beginning with ``base``. Raises ValueError if a step is not allowed."""
     state = base
     for step in steps:
         state = state.advance(step)
@@ -153,7 +155,7 @@
 
 
 def recover(state: RolloutState) -> Recovery:
-    """Return the steps that complete or revert what was under way; none where nothing was."""
+    """Return the steps that complete or revert an interrupted apply or undo; none if nothing was interrupted."""
     if state.undoing:
         # An undo may be in response to harm, so an interrupted one is completed and never reverted.
         cause = f"ended while version {state.serving} was being undone"
--- a/winchdyke/config_rollout/swap.py
+++ b/winchdyke/config_rollout/swap.py
@@ -1,4 +1,4 @@
-"""The work that a change of configuration needs before the instant at which it takes effect."""
+"""The preparation of a configuration change, done before the instant at which the change takes effect."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @dataclass(frozen=True)
 class PreparedSwap:
-    """All that a swap of configurations needs, computed outside the event loop.
+    """The data for a swap of configurations, computed outside the event loop.
 
     Attributes:
-        old: What is in effect before.
-        new: What is in effect after.
-        version: The number of the version in effect after.
+        old: The configuration in effect before the swap.
+        new: The configuration in effect after it.
+        version: The number of the version in effect after it.
         settings: The scheduler's new settings.
         plans: The new plans of volumes whose plan changes.
-        volume_count: How many of the scheduler's volumes were looked at; later ones are not in ``plans`` yet.
+        volume_count: The number of the scheduler's volumes that were examined; ``plans`` does not cover volumes added later.
     """
 
     old: EffectiveConfig
