--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -24,7 +24,7 @@
 import gateway as plain
 from lean import Client
 
-from winchdyke.auth.keys import Right, made, new_master, write
+from winchdyke.auth.keys import Right, add_master_key, create_key, write_keys
 from winchdyke.auth.sigv4 import UNSIGNED, sign
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
@@ -114,9 +114,9 @@
         ports = [port for _, port in stores]
         passing, pass_port = plain.started(str(HERE / "passthrough.py"), *map(str, ports))
         processes.append(passing)
-        new_master(where / "master")
-        key, secret = made("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
-        write(where / "keys", [key])
+        add_master_key(where / "master")
+        key, secret = create_key("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
+        write_keys(where / "keys", [key])
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
             await listing.start(group)
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -198,20 +198,20 @@
     ]
     with fixed_clock(), patch("os.urandom", lambda size: b"test data for IV"[:size]):
         with patch.object(Fernet, "generate_key", lambda: older):
-            access_keys.new_master(master)
+            access_keys.add_master_key(master)
         with (
             patch("secrets.token_urlsafe", lambda _: "test-secret-1"),
             patch("secrets.token_hex", lambda _: "test1"),
         ):
-            first, _ = access_keys.made("alice", rights, master, START_MS)
+            first, _ = access_keys.create_key("alice", rights, master, START_MS)
         with patch.object(Fernet, "generate_key", lambda: newer):
-            access_keys.new_master(master)
+            access_keys.add_master_key(master)
         with (
             patch("secrets.token_urlsafe", lambda _: "test-secret-2"),
             patch("secrets.token_hex", lambda _: "test2"),
         ):
-            second, _ = access_keys.made("bob", [], master, START_MS, START_MS + 1000)
-    access_keys.write(folder / "access-keys.json", [first, second])
+            second, _ = access_keys.create_key("bob", [], master, START_MS, START_MS + 1000)
+    access_keys.write_keys(folder / "access-keys.json", [first, second])
 
 
 def write_log(folder: Path) -> None:
--- a/tests/test_auth.py
+++ b/tests/test_auth.py
@@ -18,17 +18,17 @@
 from hypothesis import strategies as st
 
 from winchdyke.auth.keys import (
-    Access,
     AccessKey,
-    KeysError,
+    AccessKeyFileError,
+    AccessKeyRing,
     Right,
-    made,
-    may,
-    new_master,
-    read,
-    resealed,
-    sees,
-    write,
+    add_master_key,
+    create_key,
+    has_rights_in,
+    is_allowed,
+    read_keys,
+    reseal_keys,
+    write_keys,
 )
 from winchdyke.auth.sigv4 import (
     STREAMED,
@@ -318,43 +318,47 @@
 
 def test_rights_by_volume_and_prefix():
     rights = [Right("school-*", "7b/", ["read", "list"]), Right("contest-1", "", ["write"])]
-    assert may(rights, "read", "school-1", "7b/ann") and not may(rights, "read", "school-1", "7c/ann")
-    assert not may(rights, "write", "school-1", "7b/ann") and may(rights, "write", "contest-1", "x")
-    assert not may(rights, "list", "school-1", "") and may(rights, "list", "school-1", "7b/")
-    assert sees(rights, "school-9") and not sees(rights, "other")
+    assert is_allowed(rights, "read", "school-1", "7b/ann") and not is_allowed(
+        rights, "read", "school-1", "7c/ann"
+    )
+    assert not is_allowed(rights, "write", "school-1", "7b/ann") and is_allowed(
+        rights, "write", "contest-1", "x"
+    )
+    assert not is_allowed(rights, "list", "school-1", "") and is_allowed(rights, "list", "school-1", "7b/")
+    assert has_rights_in(rights, "school-9") and not has_rights_in(rights, "other")
 
 
 def test_keys_are_sealed_rotated_and_withdrawn(tmp_path):
     master, path = tmp_path / "master", tmp_path / "keys"
-    new_master(master)
+    add_master_key(master)
     now = time.time() * 1000
-    first, word = made("ann", [Right("*", "", ["read"])], master, now)
-    write(path, [first])
+    first, word = create_key("ann", [Right("*", "", ["read"])], master, now)
+    write_keys(path, [first])
     assert word.encode() not in path.read_bytes()
-    access = Access(path, master)
+    access = AccessKeyRing(path, master)
     assert access.find(first.id, now + 1) == (first, word)
     assert access.find("none", now) is None
-    second, other = made("ann", first.rights, master, now, now + 1000)
-    write(path, [first, second])
+    second, other = create_key("ann", first.rights, master, now, now + 1000)
+    write_keys(path, [first, second])
     assert access.find(second.id, now + 1) == (second, other) and access.find(second.id, now + 1000) is None
-    new_master(master)  # keys sealed with the old one still open
+    add_master_key(master)  # keys sealed with the old one still open
     assert access.find(first.id, now + 1) == (first, word)
-    write(path, resealed(read(path), master))
+    write_keys(path, reseal_keys(read_keys(path), master))
     master.write_bytes(master.read_bytes().splitlines()[0] + b"\n")
     assert access.find(first.id, now + 1)[1] == word
-    write(path, read(path)[1:])
+    write_keys(path, read_keys(path)[1:])
     assert access.find(first.id, now + 1) is None
     path.chmod(0o644)
-    with pytest.raises(KeysError, match="chmod 600"):
+    with pytest.raises(AccessKeyFileError, match="chmod 600"):
         access.find(second.id, now)
     path.chmod(0o600)
     master.unlink()
-    new_master(master)
-    with pytest.raises(KeysError, match="another master key"):
+    add_master_key(master)
+    with pytest.raises(AccessKeyFileError, match="another master key"):
         access.find(second.id, now)
     path.write_bytes(
         b'{"keys": [{"id": "a", "sealed": "x", "who": "b", "rights": [{"volume": "*", "allow": ["fly"]}]}]}'
     )
-    with pytest.raises(KeysError, match="no action 'fly'"):
-        read(path)
-    assert AccessKey("a", "b", "c").good(0)
+    with pytest.raises(AccessKeyFileError, match="no action 'fly'"):
+        read_keys(path)
+    assert AccessKey("a", "b", "c").is_valid(0)
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -30,7 +30,7 @@
 from hypothesis import strategies as st
 from rig import Rig, played, rig, settings
 
-from winchdyke.auth.keys import Right, made, new_master, write
+from winchdyke.auth.keys import Right, add_master_key, create_key, write_keys
 from winchdyke.cli.main import main
 from winchdyke.config.model import S3, Listen
 from winchdyke.gateway.daemon import Gateway
@@ -46,9 +46,9 @@
     def __init__(self, folder, rights: list[Right] | None = None) -> None:
         self.master, self.path = folder / "master", folder / "keys"
         if not self.master.exists():
-            new_master(self.master)
-        self.key, self.secret = made("ann", rights or ALL, self.master, 0.0)
-        write(self.path, [self.key])
+            add_master_key(self.master)
+        self.key, self.secret = create_key("ann", rights or ALL, self.master, 0.0)
+        write_keys(self.path, [self.key])
 
 
 def with_s3(keys: Keys, **more: Any):
@@ -456,7 +456,7 @@
             region_name="us-east-1",
         )
         assert code(lambda: other.get_object(Bucket="school-1", Key="7b/ann")) == ("InvalidAccessKeyId", 403)
-        write(keys.path, [])
+        write_keys(keys.path, [])
         assert code(lambda: s3.get_object(Bucket="school-1", Key="7b/ann")) == ("InvalidAccessKeyId", 403), (
             "withdrawn"
         )
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -239,7 +239,7 @@
     """Keys sealed with an older and a newer master key, their rights, and their secrets."""
     folder = copied("keys", tmp_path)
     path, master = folder / "access-keys.json", folder / "test-master-keys"
-    first, second = access_keys.read(path)
+    first, second = access_keys.read_keys(path)
     assert (first.id, first.who, first.since_ms, first.until_ms) == ("WDTEST1", "alice", START_MS, 0.0)
     assert (second.id, second.who, second.since_ms) == ("WDTEST2", "bob", START_MS)
     assert second.until_ms == START_MS + 1000
@@ -248,12 +248,12 @@
         access_keys.Right("photos-*", "2023/", ["list", "read"]),
         access_keys.Right("logs", "", ["write"]),
     ]
-    assert access_keys.master_lines(master) == [
+    assert access_keys.read_master_keys(master) == [
         b"d2luY2hkeWtlLXRlc3QtZGF0YS1ub3QtYS1zZWNyZXQ=",
         b"d2luY2hkeWtlLXRlc3QtZGF0YS1vbGRlci1tYXN0ZXI=",
     ]
 
-    access = access_keys.Access(path, master)
+    access = access_keys.AccessKeyRing(path, master)
     assert access.find("WDTEST1", START_MS) == (first, "test-secret-1")
     assert access.find("WDTEST2", START_MS) == (second, "test-secret-2")
     assert access.find("WDTEST2", START_MS + 1000) is None
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -25,18 +25,18 @@
 
 
 def _do(call: Callable[..., T], *words: Any) -> T:
-    from winchdyke.auth.keys import KeysError
+    from winchdyke.auth.keys import AccessKeyFileError
 
     try:
         return call(*words)
-    except KeysError as error:
+    except AccessKeyFileError as error:
         raise click.ClickException(str(error)) from None
 
 
 def _keys(file: Path) -> list[Any]:
-    from winchdyke.auth.keys import read
+    from winchdyke.auth.keys import read_keys
 
-    return _do(read, file) if file.exists() else []
+    return _do(read_keys, file) if file.exists() else []
 
 
 def _right(text: str) -> Any:
@@ -56,9 +56,9 @@
 @FILE
 def master(file: Path) -> None:
     """Make a master key in FILE, or put a new one in front of those there; then seal all keys anew with 'access reseal'."""
-    from winchdyke.auth.keys import new_master
+    from winchdyke.auth.keys import add_master_key
 
-    _do(new_master, file)
+    _do(add_master_key, file)
     click.echo(f"{file}: a new master key")
 
 
@@ -79,13 +79,13 @@
 )
 def new(file: Path, master: Path, who: str, rights: tuple[str, ...], counts: str | None) -> None:
     """Make a key; its secret is shown once."""
-    from winchdyke.auth.keys import made, write
+    from winchdyke.auth.keys import create_key, write_keys
 
     now = time.time() * 1000
     until = now + span(counts, "--for") if counts else 0.0
     keys = _keys(file)
-    key, secret = _do(made, who, [_right(text) for text in rights], master, now, until)
-    _do(write, file, [*keys, key])
+    key, secret = _do(create_key, who, [_right(text) for text in rights], master, now, until)
+    _do(write_keys, file, [*keys, key])
     click.echo(f"access key  {key.id}\nsecret key  {secret}")
 
 
@@ -97,7 +97,7 @@
 )
 def withdraw(file: Path, name: str, within: str | None) -> None:
     """Take key ID away."""
-    from winchdyke.auth.keys import write
+    from winchdyke.auth.keys import write_keys
 
     keys = _keys(file)
     if name not in {key.id for key in keys}:
@@ -106,7 +106,7 @@
     for key in keys:
         if key.id == name and until:
             key.until_ms = min(key.until_ms, until) if key.until_ms else until
-    _do(write, file, [key for key in keys if key.id != name or until])
+    _do(write_keys, file, [key for key in keys if key.id != name or until])
     click.echo(f"{name} is withdrawn" + (f" in {within}" if until else ""))
 
 
@@ -115,10 +115,10 @@
 @MASTER
 def reseal(file: Path, master: Path) -> None:
     """Seal all secrets with the newest master key."""
-    from winchdyke.auth.keys import resealed, write
+    from winchdyke.auth.keys import reseal_keys, write_keys
 
-    keys = _do(resealed, _keys(file), master)
-    _do(write, file, keys)
+    keys = _do(reseal_keys, _keys(file), master)
+    _do(write_keys, file, keys)
     click.echo(f"{len(keys)} keys are sealed with the newest master key")
 
 
@@ -133,7 +133,7 @@
             f"{r.volume}{'/' + r.prefix if r.prefix else ''}:{','.join(r.allow)}" for r in key.rights
         )
         click.echo(
-            f"{key.id:22} {key.who:12} {'counts' if key.good(now) else 'does not count':14} until {until}  {rights}"
+            f"{key.id:22} {key.who:12} {'counts' if key.is_valid(now) else 'does not count':14} until {until}  {rights}"
         )
 
 
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -19,7 +19,7 @@
 import structlog
 
 from winchdyke.auth import sigv4
-from winchdyke.auth.keys import Access, KeysError, Right, may, sees
+from winchdyke.auth.keys import AccessKeyFileError, AccessKeyRing, Right, has_rights_in, is_allowed
 from winchdyke.config.model import S3 as Settings
 from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import ClientDisconnectedError
@@ -136,7 +136,7 @@
 
     def __init__(self, service: Service, settings: Settings, wall: Callable[[], float] = time.time) -> None:
         self.service, self.settings, self.wall = service, settings, wall
-        self.access = Access(Path(settings.keys), Path(settings.master)) if settings.keys else None
+        self.access = AccessKeyRing(Path(settings.keys), Path(settings.master)) if settings.keys else None
         self._born, self._count = uuid.uuid4().hex[:20], 0
         self.parts, self.ranges = Lanes(settings.parts_at_once), Lanes(settings.ranges_at_once)
         self._volumes: set[str] = set()  # that had uploads in parts since this gateway's start
@@ -287,7 +287,7 @@
                 return None
             try:
                 key = access.find(name, now * 1000)
-            except KeysError as error:
+            except AccessKeyFileError as error:
                 self.s3._log.error("keys", trouble=str(error))
                 raise S3Error(
                     "ServiceUnavailable", "keys can't be looked at now; see the gateway's log"
@@ -310,7 +310,11 @@
             bare = asked.spoken.level == "bucket" and asked.spoken.name.startswith(
                 ("Head", "Create", "GetBucket")
             )
-            allowed = sees(self.rights, asked.bucket) if bare else may(self.rights, right, asked.bucket, name)
+            allowed = (
+                has_rights_in(self.rights, asked.bucket)
+                if bare
+                else is_allowed(self.rights, right, asked.bucket, name)
+            )
             if not allowed:
                 raise S3Error("AccessDenied", f"this key has no right to {right} here")
 
@@ -492,7 +496,7 @@
     async def _ListBuckets(self, _: Asked) -> None:
         names = sorted(
             rule.pattern for rule in self.snapshot.config.volumes
-            if not set("*?[") & set(rule.pattern) and sees(self.rights, rule.pattern)
+            if not set("*?[") & set(rule.pattern) and has_rights_in(self.rights, rule.pattern)
         )  # fmt: skip
         buckets: list[xml.Value] = [
             {"Name": name, "CreationDate": "1970-01-01T00:00:00.000Z"} for name in names
@@ -605,7 +609,7 @@
         async def one(key: str) -> None:
             async with places:
                 try:
-                    if not may(self.rights, "delete", asked.bucket, key):
+                    if not is_allowed(self.rights, "delete", asked.bucket, key):
                         raise S3Error("AccessDenied", "this key has no right to delete here")
                     volume, read = routes.volume_and_key(f"/{asked.bucket}/{requests.spelled(key)}")
                     final = await self._do("delete", volume, read)
@@ -636,7 +640,7 @@
         bucket, key, part = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
             raise S3Error("NoSuchBucket", f"no volume {bucket!r} is set up here")
-        if not may(self.rights, "read", bucket, key):
+        if not is_allowed(self.rights, "read", bucket, key):
             raise S3Error("AccessDenied", "this key has no right to read what is copied")
         names = {
             b"x-amz-copy-source-if-match": b"if-match", b"x-amz-copy-source-if-none-match": b"if-none-match",
