--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -25,7 +25,7 @@
 from lean import Client
 
 from winchdyke.auth.keys import Right, add_master_key, create_key, write_keys
-from winchdyke.auth.sigv4 import UNSIGNED, sign
+from winchdyke.auth.sigv4 import UNSIGNED_PAYLOAD, sign
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -65,7 +65,7 @@
         if kind in ("pass", "unsigned"):
             lines.append(f"host: {host}")
         else:
-            payload = EMPTY if how != "put" else HASHED if kind == "signed, hashed" else UNSIGNED
+            payload = EMPTY if how != "put" else HASHED if kind == "signed, hashed" else UNSIGNED_PAYLOAD
             signed = sign(method, host, path, query, payload, *access, time.time())
             lines += [f"{name.decode()}: {value.decode()}" for name, value in signed]
         found.append(("\r\n".join(lines) + "\r\n\r\n", size))
--- a/fuzz/signatures.py
+++ b/fuzz/signatures.py
@@ -12,7 +12,14 @@
 import atheris
 
 with atheris.instrument_imports(include=["winchdyke.auth", "winchdyke.s3", "winchdyke.object_api"]):
-    from winchdyke.auth.sigv4 import AuthError, Signable, canonical_path, canonical_query, is_signed, verify
+    from winchdyke.auth.sigv4 import (
+        AuthError,
+        SignableRequest,
+        canonical_path,
+        canonical_query,
+        is_signed,
+        verify,
+    )
     from winchdyke.http1 import RequestHead
     from winchdyke.s3 import requests, xml
     from winchdyke.s3.body import Body, Wanted
@@ -42,7 +49,7 @@
         headers = tuple(
             (NAMES[line[0] % len(NAMES)], line[1:].replace(b"\r", b"")) for line in lines[1:8] if line
         )
-        request = Signable(METHODS[len(rest) % 5], "/" + path.lstrip("/"), query, headers)
+        request = SignableRequest(METHODS[len(rest) % 5], "/" + path.lstrip("/"), query, headers)
         is_signed(request)
         canonical_path(request.path), canonical_query(request.query)
         try:
--- a/winchdyke/auth/sigv4.py
+++ b/winchdyke/auth/sigv4.py
@@ -16,10 +16,10 @@
 from urllib.parse import quote, unquote_to_bytes
 
 ALGORITHM = "AWS4-HMAC-SHA256"
-UNSIGNED = "UNSIGNED-PAYLOAD"
-STREAMED = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
-STREAMED_TRAILER = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
-UNSIGNED_TRAILER = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
+UNSIGNED_PAYLOAD = "UNSIGNED-PAYLOAD"
+STREAMING_PAYLOAD = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD"
+STREAMING_PAYLOAD_TRAILER = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
+STREAMING_UNSIGNED_PAYLOAD_TRAILER = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
 EMPTY = hashlib.sha256(b"").hexdigest()
 SKEW_S = 900.0  # that a client's clock may be off, as S3 has it
 LONGEST_S = 7 * 24 * 3600  # for which a presigned URL may count
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Signable:
+class SignableRequest:
     """A request as the signature sees it: path and query as they were sent, header names in lower case."""
 
     method: str
@@ -64,17 +64,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Claim:
+class SignatureParameters:
     """What a request says of its signature."""
 
-    key: str
+    access_key_id: str
     date: str  # YYYYMMDD
     region: str
     service: str
-    signed: tuple[str, ...]
+    signed_headers: tuple[str, ...]
     signature: str
-    at: str  # YYYYMMDDTHHMMSSZ
-    payload: str
+    amz_date: str  # YYYYMMDDTHHMMSSZ
+    payload_hash: str
     expires_s: float | None = None  # of a presigned URL
 
     @property
@@ -84,12 +84,12 @@
 
 
 @dataclass
-class Signed:
-    """A request that was let in, and what its body has to fit: see :class:`Chunks`."""
+class VerifiedRequest:
+    """A request that was let in, and what its body has to fit: see :class:`ChunkSignatureChain`."""
 
-    key: str
-    payload: str
-    chunks: Chunks | None = field(default=None)
+    access_key_id: str
+    payload_hash: str
+    chunks: ChunkSignatureChain | None = field(default=None)
 
 
 def signing_key(secret: str, date: str, region: str, service: str) -> bytes:
@@ -128,27 +128,27 @@
     return "&".join(f"{name}={value}" for name, value in sorted(pairs))
 
 
-def canonical_request(request: Signable, claim: Claim, presigned: bool) -> str:
+def canonical_request(request: SignableRequest, claim: SignatureParameters, presigned: bool) -> str:
     """The canonical request, which the signature is made over."""
     lines = []
-    for name in claim.signed:
+    for name in claim.signed_headers:
         values = [value for key, value in request.headers if key == name.encode()]
         text = ",".join(" ".join(value.decode("latin-1").split()) for value in values)
         lines.append(f"{name}:{text}\n")
     query = canonical_query(request.query, b"X-Amz-Signature" if presigned else b"")
     return "\n".join(
         [
-            request.method, canonical_path(request.path), query, "".join(lines), ";".join(claim.signed), claim.payload,
+            request.method, canonical_path(request.path), query, "".join(lines), ";".join(claim.signed_headers), claim.payload_hash,
         ]
     )  # fmt: skip
 
 
-def string_to_sign(request: Signable, claim: Claim, presigned: bool) -> str:
+def string_to_sign(request: SignableRequest, claim: SignatureParameters, presigned: bool) -> str:
     """Algorithm, time, scope and the canonical request's hash."""
     made = hashlib.sha256(
         canonical_request(request, claim, presigned).encode("latin-1", "replace")
     ).hexdigest()
-    return f"{ALGORITHM}\n{claim.at}\n{claim.scope}\n{made}"
+    return f"{ALGORITHM}\n{claim.amz_date}\n{claim.scope}\n{made}"
 
 
 def _credential(text: str, code: str) -> tuple[str, str, str, str]:
@@ -160,7 +160,7 @@
     return parts[0], parts[1], parts[2], parts[3]
 
 
-def _in_headers(request: Signable, text: str) -> Claim:
+def _in_headers(request: SignableRequest, text: str) -> SignatureParameters:
     code = "AuthorizationHeaderMalformed"
     algorithm, _, rest = text.partition(" ")
     if algorithm != ALGORITHM:
@@ -180,18 +180,20 @@
     if payload is None:
         raise AuthError("InvalidRequest", "x-amz-content-sha256 is missing", 400)
     if not _HEX.fullmatch(payload) and payload not in (
-        UNSIGNED,
-        STREAMED,
-        STREAMED_TRAILER,
-        UNSIGNED_TRAILER,
+        UNSIGNED_PAYLOAD,
+        STREAMING_PAYLOAD,
+        STREAMING_PAYLOAD_TRAILER,
+        STREAMING_UNSIGNED_PAYLOAD_TRAILER,
     ):
         text = "x-amz-content-sha256 is a SHA-256 in lower-case hexadecimal, or a word for what is not hashed at once"
         raise AuthError("InvalidArgument", text, 400)
     signed = tuple(fields["SignedHeaders"].split(";"))
-    return Claim(*_credential(fields["Credential"], code), signed, fields["Signature"], at, payload)
+    return SignatureParameters(
+        *_credential(fields["Credential"], code), signed, fields["Signature"], at, payload
+    )
 
 
-def _in_query(request: Signable) -> Claim:
+def _in_query(request: SignableRequest) -> SignatureParameters:
     code = "AuthorizationQueryParametersError"
     found: dict[str, str] = {}
     for name, value in query_pairs(request.query):
@@ -208,35 +210,37 @@
     text = found["X-Amz-Expires"]
     if not re.fullmatch(r"[0-9]{1,6}", text) or not 1 <= int(text) <= LONGEST_S:
         raise AuthError(code, f"X-Amz-Expires is from 1 to {LONGEST_S} seconds", 400)
-    payload = found.get("X-Amz-Content-Sha256") or request.get(b"x-amz-content-sha256") or UNSIGNED
+    payload = found.get("X-Amz-Content-Sha256") or request.get(b"x-amz-content-sha256") or UNSIGNED_PAYLOAD
     signed = tuple(found["X-Amz-SignedHeaders"].split(";"))
     credential = _credential(found["X-Amz-Credential"], code)
-    return Claim(*credential, signed, found["X-Amz-Signature"], found["X-Amz-Date"], payload, float(text))
+    return SignatureParameters(
+        *credential, signed, found["X-Amz-Signature"], found["X-Amz-Date"], payload, float(text)
+    )
 
 
-def _fits(request: Signable, claim: Claim) -> None:
+def _fits(request: SignableRequest, claim: SignatureParameters) -> None:
     """Refuse what would leave a part of the request outside of its signature."""
     names = [name for name, _ in request.headers]
-    if list(claim.signed) != sorted(set(claim.signed)) or "" in claim.signed:
+    if list(claim.signed_headers) != sorted(set(claim.signed_headers)) or "" in claim.signed_headers:
         raise AuthError("SignatureDoesNotMatch", "the signed headers are named once each, in order")
     there = {name.decode("latin-1") for name in names}
-    if missing := [name for name in claim.signed if name not in there]:
+    if missing := [name for name in claim.signed_headers if name not in there]:
         raise AuthError("SignatureDoesNotMatch", f"the signed header {missing[0]} is not there")
     unsigned = [
         name for name in there
-        if (name == "host" or name.startswith("x-amz-")) and name not in claim.signed
+        if (name == "host" or name.startswith("x-amz-")) and name not in claim.signed_headers
         and not (claim.expires_s is not None and name == "x-amz-content-sha256")
     ]  # fmt: skip
     if unsigned:
         raise AuthError("AccessDenied", f"the header {sorted(unsigned)[0]} is there and not signed")
 
 
-def _in_time(claim: Claim, now_s: float) -> None:
+def _in_time(claim: SignatureParameters, now_s: float) -> None:
     try:
-        at = datetime.strptime(claim.at, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
+        at = datetime.strptime(claim.amz_date, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
     except ValueError as error:
         raise AuthError("AccessDenied", "x-amz-date is no time") from error
-    if claim.date != claim.at[:8]:
+    if claim.date != claim.amz_date[:8]:
         raise AuthError("SignatureDoesNotMatch", "the credential's date is not the request's")
     if claim.expires_s is None:
         if abs(now_s - at) > SKEW_S:
@@ -247,16 +251,16 @@
         raise AuthError("AccessDenied", "Request is not yet valid")
 
 
-def _presigned(request: Signable) -> bool:
+def _presigned(request: SignableRequest) -> bool:
     return any(name in (b"X-Amz-Signature", b"X-Amz-Algorithm") for name, _ in query_pairs(request.query))
 
 
-def is_signed(request: Signable) -> bool:
+def is_signed(request: SignableRequest) -> bool:
     """Whether a request claims a signature at all."""
     return _presigned(request) or request.get(b"authorization") is not None
 
 
-def verify(request: Signable, secret_of: Callable[[str], str | None], now_s: float) -> Signed:
+def verify(request: SignableRequest, secret_of: Callable[[str], str | None], now_s: float) -> VerifiedRequest:
     """Whose request it is. AuthError where it is not let in. ``secret_of`` gives a key's secret, None where it does not count."""
     names = [name for name, _ in request.headers]
     for name in _ONCE:
@@ -271,7 +275,7 @@
     claim = _in_query(request) if presigned else _in_headers(request, authorization or "")
     _fits(request, claim)
     _in_time(claim, now_s)
-    secret = secret_of(claim.key)
+    secret = secret_of(claim.access_key_id)
     # A key that is not known costs as much time as one that is.
     key = signing_key(secret or "none", claim.date, claim.region, claim.service)
     made = hmac.digest(key, string_to_sign(request, claim, presigned).encode(), "sha256").hex()
@@ -281,12 +285,12 @@
     if not same:
         raise AuthError("SignatureDoesNotMatch", "the signature does not fit the request and the key")
     chunks = None
-    if claim.payload in (STREAMED, STREAMED_TRAILER):
-        chunks = Chunks(key, claim.at, claim.scope, claim.signature)
-    return Signed(claim.key, claim.payload, chunks)
+    if claim.payload_hash in (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER):
+        chunks = ChunkSignatureChain(key, claim.amz_date, claim.scope, claim.signature)
+    return VerifiedRequest(claim.access_key_id, claim.payload_hash, chunks)
 
 
-class Chunks:
+class ChunkSignatureChain:
     """The chain of signatures over the chunks of a body; each is checked before its bytes go on."""
 
     def __init__(self, key: bytes, at: str, scope: str, seed: str) -> None:
@@ -296,14 +300,14 @@
         text = f"{ALGORITHM}-{kind}\n{self._at}\n{self._scope}\n{self._before}\n{rest}"
         return hmac.digest(self._key, text.encode(), "sha256").hex()
 
-    def check(self, digest: str, signature: str) -> None:
+    def verify_chunk(self, digest: str, signature: str) -> None:
         """A chunk's bytes, by their SHA-256; AuthError where the signature is another one."""
         made = self._next("PAYLOAD", f"{EMPTY}\n{digest}")
         if not hmac.compare_digest(made.encode(), signature.encode("latin-1", "replace")):
             raise AuthError("SignatureDoesNotMatch", "a chunk's signature does not fit its bytes")
         self._before = made
 
-    def check_trailer(self, lines: Iterable[tuple[str, str]], signature: str) -> None:
+    def verify_trailer(self, lines: Iterable[tuple[str, str]], signature: str) -> None:
         """The headers after the body."""
         text = "".join(f"{name}:{value}\n" for name, value in lines)
         made = self._next("TRAILER", hashlib.sha256(text.encode()).hexdigest())
@@ -318,13 +322,13 @@
     """The headers that sign a request, as a client puts them; ``payload``: the body's SHA-256, or a word for it."""
     at = datetime.fromtimestamp(now_s, UTC).strftime("%Y%m%dT%H%M%SZ")
     signed = ("host", "x-amz-content-sha256", "x-amz-date")
-    claim = Claim(key, at[:8], region, "s3", signed, "", at, payload)
+    claim = SignatureParameters(key, at[:8], region, "s3", signed, "", at, payload)
     headers = [
         (b"host", host.encode()),
         (b"x-amz-content-sha256", payload.encode()),
         (b"x-amz-date", at.encode()),
     ]
-    text = string_to_sign(Signable(method, path, query, tuple(headers)), claim, False)
+    text = string_to_sign(SignableRequest(method, path, query, tuple(headers)), claim, False)
     made = hmac.digest(signing_key(secret, claim.date, region, "s3"), text.encode(), "sha256").hex()
     told = f"{ALGORITHM} Credential={key}/{claim.scope},SignedHeaders={';'.join(signed)},Signature={made}"
     return [*headers, (b"authorization", told.encode())]
--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -11,7 +11,13 @@
 import re
 from dataclasses import dataclass, field
 
-from winchdyke.auth.sigv4 import STREAMED, STREAMED_TRAILER, UNSIGNED_TRAILER, AuthError, Chunks
+from winchdyke.auth.sigv4 import (
+    STREAMING_PAYLOAD,
+    STREAMING_PAYLOAD_TRAILER,
+    STREAMING_UNSIGNED_PAYLOAD_TRAILER,
+    AuthError,
+    ChunkSignatureChain,
+)
 from winchdyke.s3 import checksums
 from winchdyke.s3.errors import S3Error
 
@@ -27,7 +33,7 @@
     """What a client said of a body. ``length``: its bytes, unpacked; ``sums``: by name, None where a trailer tells it."""
 
     payload: str = ""  # x-amz-content-sha256
-    chunks: Chunks | None = None
+    chunks: ChunkSignatureChain | None = None
     length: int | None = None
     md5: bytes | None = None
     sums: dict[str, bytes | None] = field(default_factory=dict)
@@ -49,7 +55,7 @@
         self._md5 = hashlib.md5(usedforsecurity=False) if wanted.md5 is not None else None
         self.sums = {name: checksums.MADE[name]() for name in wanted.sums}
         self._trailer: list[tuple[str, str]] = []
-        self._signed = wanted.packed and wanted.payload in (STREAMED, STREAMED_TRAILER)
+        self._signed = wanted.packed and wanted.payload in (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER)
         if self._signed and wanted.chunks is None:
             raise S3Error("AccessDenied", "a body in signed chunks goes with a signed request")
 
@@ -147,7 +153,7 @@
 
     def _check(self, piece: bytes) -> None:
         assert self.wanted.chunks is not None
-        self.wanted.chunks.check(hashlib.sha256(piece).hexdigest(), self._signature)
+        self.wanted.chunks.verify_chunk(hashlib.sha256(piece).hexdigest(), self._signature)
 
     def finish(self) -> bytes:
         """The end has come: the last bytes, where all fits. S3Error where it does not."""
@@ -183,10 +189,10 @@
             sum_name = name.removeprefix(checksums.PREFIX)
             if name.startswith(checksums.PREFIX) and sum_name in self.wanted.sums:
                 self.wanted.sums[sum_name] = checksums.decoded(value) or b""
-        if self.wanted.payload == STREAMED_TRAILER:
+        if self.wanted.payload == STREAMING_PAYLOAD_TRAILER:
             assert self.wanted.chunks is not None
             try:
-                self.wanted.chunks.check_trailer(lines, signature)
+                self.wanted.chunks.verify_trailer(lines, signature)
             except AuthError as error:
                 raise S3Error(error.code, error.text, error.status) from error
 
@@ -195,4 +201,4 @@
     return S3Error("InvalidChunkSizeError" if "larger" in text else "MalformedTrailerError", text, 400)
 
 
-PACKED = (STREAMED, STREAMED_TRAILER, UNSIGNED_TRAILER)
+PACKED = (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER, STREAMING_UNSIGNED_PAYLOAD_TRAILER)
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -236,7 +236,7 @@
         self.began, self._steps = self.service.clock(), 0
         self.asked: Asked | None = None
         self.rights: list[Right] = []
-        self.signed = sigv4.Signed("", sigv4.UNSIGNED)
+        self.signed = sigv4.VerifiedRequest("", sigv4.UNSIGNED_PAYLOAD)
         self.record = AccessLogRecord(config_version=self.snapshot.version)
         self.outcome, self.code, self.who = "served", "", ""
         self.end = float("inf")
@@ -266,7 +266,7 @@
 
     def _let_in(self, asked: Asked) -> None:
         head, now = self.head, self.s3.wall()
-        request = sigv4.Signable(head.method, asked.path, asked.raw_query, tuple(head.headers))
+        request = sigv4.SignableRequest(head.method, asked.path, asked.raw_query, tuple(head.headers))
         if "AWSAccessKeyId" in asked.query or (head.get(b"authorization") or "").startswith("AWS "):
             raise S3Error(
                 "InvalidRequest", "signature version 2 is not spoken: set your client to version 4 (s3v4)"
@@ -276,7 +276,7 @@
             if word == "all" or (word == "read" and asked.spoken.right in ("read", "list")):
                 self.rights, self.who = ALL, "anyone"
                 if head.get(b"x-amz-content-sha256") in PACKED:
-                    self.signed.payload = sigv4.UNSIGNED_TRAILER
+                    self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
                 return
             raise S3Error("AccessDenied", "the request is not signed")
         access = self.s3.access
@@ -418,9 +418,9 @@
     def _source(self) -> tuple[BodySource, Body]:
         """The client's body, unpacked and checked."""
         head = self.head
-        payload = head.get(b"x-amz-content-sha256") or self.signed.payload
-        if self.signed.payload not in (sigv4.UNSIGNED, sigv4.UNSIGNED_TRAILER):
-            payload = self.signed.payload
+        payload = head.get(b"x-amz-content-sha256") or self.signed.payload_hash
+        if self.signed.payload_hash not in (sigv4.UNSIGNED_PAYLOAD, sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER):
+            payload = self.signed.payload_hash
         packed = payload in PACKED
         wanted = Wanted(payload, self.signed.chunks, head.length, packed=packed)
         if packed:
@@ -528,7 +528,7 @@
         overrides: Headers = []
         for name, header in requests.OVERRIDES.items():
             if name in asked.query:
-                if not self.signed.key and self.s3.settings.unsigned != "all":
+                if not self.signed.access_key_id and self.s3.settings.unsigned != "all":
                     raise S3Error("InvalidRequest", "response headers are set by signed requests alone")
                 value = asked.query[name]
                 if not value.isprintable() or not value.isascii():
