--- a/fuzz/signatures.py
+++ b/fuzz/signatures.py
@@ -1,8 +1,9 @@
-"""Fuzzing what strangers send to the S3 listener before they are let in: signatures, queries, bodies in chunks, documents.
+"""Fuzzes the parsing of unauthenticated requests to the S3 listener: signatures, queries, chunked bodies and XML documents.
 
 python fuzz/signatures.py CORPUS_FOLDER [libFuzzer options]
 
-Whatever comes, it is answered with words or read: any other exception is a fault, and so is a request that is let in without the key.
+Each input has to be parsed or rejected with an error text. Any other exception is a fault, and so is a request that verifies without
+the key.
 """
 
 from __future__ import annotations
@@ -25,43 +26,45 @@
     from winchdyke.s3.body import Body, Wanted
     from winchdyke.s3.errors import S3Error
 
-NOW = 1_369_353_600.0
+NOW_S = 1_369_353_600.0
 METHODS = ("GET", "PUT", "POST", "DELETE", "HEAD")
-NAMES = (
+HEADER_NAMES = (
     b"authorization", b"host", b"x-amz-date", b"x-amz-content-sha256", b"range", b"x-amz-copy-source", b"content-md5",
     b"x-amz-meta-a", b"x-amz-trailer", b"if-match",
 )  # fmt: skip
 
 
-def _line(data: bytes) -> str:
-    """As the parser lets it through: visible ASCII."""
+def _visible_ascii(data: bytes) -> str:
+    """Map bytes to visible ASCII, which is all that the HTTP parser passes on."""
     return "".join(chr(33 + byte % 94) for byte in data)
 
 
-def one(data: bytes) -> None:
-    """One input: its first byte says what it is."""
+def run_input(data: bytes) -> None:
+    """Run one input; its first byte selects the parser."""
     if not data:
         return
     kind, rest = data[0] % 4, data[1:]
     if kind == 0:
         lines = rest.split(b"\n")
-        path, _, query = _line(lines[0]).partition("?")
+        path, _, query = _visible_ascii(lines[0]).partition("?")
         headers = tuple(
-            (NAMES[line[0] % len(NAMES)], line[1:].replace(b"\r", b"")) for line in lines[1:8] if line
+            (HEADER_NAMES[line[0] % len(HEADER_NAMES)], line[1:].replace(b"\r", b""))
+            for line in lines[1:8]
+            if line
         )
         request = SignableRequest(METHODS[len(rest) % 5], "/" + path.lstrip("/"), query, headers)
         is_signed(request)
         canonical_path(request.path), canonical_query(request.query)
         try:
-            verify(request, lambda _: "secret that no input knows", NOW)
+            verify(request, lambda _: "secret that no input contains", NOW_S)
         except AuthError as error:
             assert error.text and 400 <= error.status < 500
         else:
-            raise AssertionError("let in without the key")
+            raise AssertionError("a request verified without the key")
     elif kind == 1:
         lines = rest.split(b"\n")
-        headers_list = [(NAMES[line[0] % len(NAMES)], line[1:]) for line in lines[1:8] if line]
-        head = RequestHead(METHODS[len(rest) % 5], ("/" + _line(lines[0])).encode(), headers_list, 0)
+        headers_list = [(HEADER_NAMES[line[0] % len(HEADER_NAMES)], line[1:]) for line in lines[1:8] if line]
+        head = RequestHead(METHODS[len(rest) % 5], ("/" + _visible_ascii(lines[0])).encode(), headers_list, 0)
         try:
             asked = requests.read(head, "s3.test")
             requests.kept(head)
@@ -93,8 +96,8 @@
 
 
 def main() -> None:
-    """Fuzz until told otherwise."""
-    atheris.Setup(sys.argv, one)
+    """Fuzz until libFuzzer's options end the run."""
+    atheris.Setup(sys.argv, run_input)
     atheris.Fuzz()
 
 
--- a/winchdyke/auth/__init__.py
+++ b/winchdyke/auth/__init__.py
@@ -1,1 +1,1 @@
-"""Who a client is: signatures of requests, keys and their rights. Verification is pure."""
+"""Authentication of S3 clients: access keys with their rights, and verification of signed requests (pure)."""
