--- a/winchdyke/quotas/__init__.py
+++ b/winchdyke/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""A volume's rate limit for every byte of its bodies, over both protocols.
+"""Applies a volume's rate limit to every byte of its bodies, over both protocols.
 
 Public names:
     ``token_bucket``: the accounting, pure: ``TransferDebt``, ``QuotaExceededError``, ``units_for_bytes``, ``charge_reservation``.
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -1,4 +1,4 @@
-"""Metering of bodies: waits for quota before a body begins, charges it as it is transferred, and refunds what was not used.
+"""Meters bodies: waits for quota before a body begins, charges it as it is transferred, and refunds what was not transferred.
 
 The accounting is in :mod:`winchdyke.quotas.token_bucket`.
 """
@@ -15,28 +15,28 @@
 from winchdyke.object_api.sinks import Sink
 from winchdyke.quotas.token_bucket import QuotaBalance, QuotaExceededError, TransferDebt, units_for_bytes
 
-MIN_WAIT_MS = 2.0  # between two looks at a debt
-STREAM_STEP_UNITS = 16.0  # of a body of unknown length, charged at once
-MAX_OBJECT_SIZES = 10_000
+MIN_WAIT_MS = 2.0  # between two checks of a debt
+STREAM_STEP_UNITS = 16.0  # a body of unknown length is charged in steps of at least this size
+MAX_OBJECT_SIZES = 10_000  # remembered at a gateway
 
 
 @dataclass(slots=True)
 class _VolumeMeter:
     debt: TransferDebt
-    lock: anyio.Lock = field(default_factory=anyio.Lock)  # first come, first served
+    lock: anyio.Lock = field(default_factory=anyio.Lock)  # serves waiting requests in order of arrival
     open_charges: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaShare:
-    """This gateway's part of a volume's limit, and the units of its bucket that are kept for small requests."""
+    """This gateway's share of a volume's limit, and the units of its bucket that are reserved for small requests."""
 
     rate_units_per_s: float
     small_request_units: float
 
 
 class ObjectSizes:
-    """The last known sizes of objects, from which the cost of reading one is estimated. Bounded: the oldest are dropped."""
+    """The last known sizes of objects, used to estimate the cost of a read. Bounded: the oldest entries are dropped."""
 
     def __init__(self, max_objects: int = MAX_OBJECT_SIZES) -> None:
         self._max_objects = max_objects
@@ -50,15 +50,15 @@
             self._bytes_by_object.popitem(last=False)
 
     def get(self, volume: str, key: str) -> int | None:
-        """Return the last known size in bytes; None where none is known. It may have changed through other gateways."""
+        """Return the last known size in bytes, or None. It may be outdated: other gateways also change objects."""
         return self._bytes_by_object.get((volume, key))
 
 
 class ByteMeter:
-    """The debts of one gateway's volumes.
+    """Tracks the debts of one gateway's volumes.
 
-    ``clock_ms``: the scheduler's clock. ``find_balance``: the scheduler's token bucket of a volume, None where it has none yet.
-    ``max_request_units``: the most units of a request that the scheduler accounts for.
+    ``clock_ms``: the scheduler's clock. ``find_balance``: returns the scheduler's token bucket of a volume, or None if there is none
+    yet. ``max_request_units``: the maximum number of units of a request that the scheduler accounts for.
     """
 
     def __init__(
@@ -71,7 +71,7 @@
         self._find_balance = find_balance
         self._max_request_units = max_request_units
         self._meters: dict[str, _VolumeMeter] = {}
-        self._fallback_shares: dict[str, QuotaShare] = {}  # of volumes that the scheduler does not know yet
+        self._fallback_shares: dict[str, QuotaShare] = {}  # for volumes without a token bucket yet
         self.object_sizes = ObjectSizes()
 
     def __len__(self) -> int:
@@ -79,18 +79,19 @@
 
     @property
     def max_request_units(self) -> float:
-        """The most units of a request that the scheduler accounts for."""
+        """The maximum number of units of a request that the scheduler accounts for."""
         return self._max_request_units()
 
     def debt_units(self, volume: str) -> float:
-        """Return what a volume owes at this gateway."""
+        """Return a volume's debt at this gateway, in units."""
         meter = self._meters.get(volume)
         return meter.debt.units if meter is not None else 0.0
 
     def quota_share(self, volume: str, rate_units_per_s: float, gateways: int) -> QuotaShare:
-        """Return this gateway's part of a volume's limit.
+        """Return this gateway's share of a volume's limit.
 
-        The scheduler's values are preferred: they include lower limits around an instant and the most gateways seen.
+        The scheduler's values take precedence: they include the lower limits around an activation instant and the highest
+        number of gateways seen.
         """
         balance = self._find_balance(volume)
         if balance is not None:
@@ -99,7 +100,7 @@
         return QuotaShare(rate_units_per_s / gateways, self._max_request_units())
 
     def settle(self) -> None:
-        """Pay off all debts up to now, and forget volumes without any. To be called a few times a second."""
+        """Pay off all debts up to now, and drop volumes without debts and charges. To be called a few times a second."""
         for volume, meter in list(self._meters.items()):
             self._settle_volume(volume, meter)
             if meter.debt.is_settled and not meter.open_charges:
@@ -123,9 +124,9 @@
         scheduled_units: float,
         deadline_ms: float,
     ) -> TransferCharge:
-        """Begin to charge a request, of which the scheduler accounts for ``scheduled_units``.
+        """Open the charge of a request, of which the scheduler accounts for ``scheduled_units``.
 
-        ``deadline_ms``: until when it may wait for quota, by the meter's clock.
+        ``deadline_ms``: the time until which the request may wait for quota, by the meter's clock.
         """
         meter = self._meters.get(volume)
         if meter is None:
@@ -135,7 +136,7 @@
         return TransferCharge(self, volume, meter, unit_bytes, scheduled_units, deadline_ms)
 
     def charge_now(self, volume: str, units: float) -> None:
-        """Charge a small excess to the bucket at once, below zero if need be: the scheduler waits until it has refilled."""
+        """Charge a small excess to the bucket at once, below zero if necessary; the scheduler waits until it has refilled."""
         balance = self._find_balance(volume)
         if balance is not None:
             balance.refill(self._clock_ms())
@@ -144,10 +145,10 @@
     async def charge_when_settled(
         self, volume: str, meter: _VolumeMeter, units: float, deadline_ms: float
     ) -> None:
-        """Wait in turn until the volume owes nothing, then charge ``units``.
+        """Wait in order of arrival until the volume has no debt, then charge ``units``.
 
         Raises:
-            QuotaExceededError: That is not so before ``deadline_ms``.
+            QuotaExceededError: The debt is not settled before ``deadline_ms``.
         """
         debt = meter.debt
         share = self._settle_volume(volume, meter)
@@ -171,7 +172,7 @@
         raise QuotaExceededError(debt.latest_settled_ms(rate) if rate > 0 else 0.0)
 
     async def _wait_until_settled(self, volume: str, meter: _VolumeMeter, deadline_ms: float) -> None:
-        """Wait until the volume owes nothing; returns early where that can't be before the deadline."""
+        """Wait until the volume has no debt; return early if that can't happen before the deadline."""
         while not meter.debt.is_settled:
             share = self._settle_volume(volume, meter)
             if meter.debt.is_settled:
@@ -182,7 +183,7 @@
             await anyio.sleep(wait_ms / 1000)
 
     def close_charge(self, volume: str, meter: _VolumeMeter, unused_units: float) -> None:
-        """End a charge and refund what was not used."""
+        """Close a charge and refund its unused units."""
         meter.open_charges -= 1
         if unused_units > 0:
             self._settle_volume(volume, meter)
@@ -190,11 +191,11 @@
 
 
 class TransferCharge:
-    """What one request of a limited volume is charged beyond what the scheduler accounts for.
+    """The charge of one request of a limited volume, for the units that the scheduler does not account for.
 
     Attributes:
         paid_units: The units charged so far.
-        transferred_bytes: The bytes of its body so far.
+        transferred_bytes: The bytes of its body that were transferred so far.
     """
 
     def __init__(
@@ -220,7 +221,7 @@
         """Charge a body whose length in bytes is known, before it is transferred.
 
         Raises:
-            QuotaExceededError: There is no quota for it in time.
+            QuotaExceededError: There is no quota for the body before the deadline.
         """
         units = units_for_bytes(length, self._unit_bytes)
         excess_units = units - self._scheduled_units - self.paid_units
@@ -237,10 +238,10 @@
         self.paid_units += units
 
     async def record_bytes(self, count: int) -> None:
-        """Count transferred bytes. What was not charged before is charged in steps, each once the volume owes nothing.
+        """Count transferred bytes. Bytes that are not charged yet are charged in steps, each once the volume has no debt.
 
         Raises:
-            QuotaExceededError: There is no quota for a step in time.
+            QuotaExceededError: There is no quota for a step before the deadline.
         """
         self.transferred_bytes += count
         if self.transferred_bytes > (self._scheduled_units + self.paid_units) * self._unit_bytes:
@@ -249,11 +250,11 @@
             await self._charge_when_settled(max(STREAM_STEP_UNITS, missing_units))
 
     def remove_deadline(self) -> None:
-        """Let the rest of the body wait for quota without a limit: a response of unknown length has begun."""
+        """Let the rest of the body wait for quota without a deadline, for a response of unknown length that has begun."""
         self._deadline_ms = float("inf")
 
     def close(self) -> None:
-        """End the charge with the request; what was charged and not transferred is refunded."""
+        """Close the charge at the end of the request; units that were charged but not transferred are refunded."""
         if not self._open:
             return
         self._open = False
@@ -265,7 +266,7 @@
 
 
 class MeteredSink:
-    """A sink that charges what is read from a store before passing it on to another sink."""
+    """A sink that charges data read from a store before passing it on to another sink."""
 
     def __init__(self, charge: TransferCharge, sink: Sink) -> None:
         self._charge = charge
@@ -275,7 +276,7 @@
         """Charge a response of known length, then pass its head on.
 
         Raises:
-            QuotaExceededError: There is no quota for it in time; nothing was passed on.
+            QuotaExceededError: There is no quota for it before the deadline; nothing was passed on.
         """
         if head.length is not None:
             await self._charge.charge_length(head.length)
@@ -284,10 +285,10 @@
         await self._sink.begin_stream(head)
 
     async def data(self, data: Bytes) -> None:
-        """Charge a piece and pass it on. Raises QuotaExceededError."""
+        """Charge a piece of the body and pass it on. Raises QuotaExceededError."""
         await self._charge.record_bytes(len(data))
         await self._sink.data(data)
 
     async def finish(self) -> None:
-        """Pass the end on."""
+        """Pass the end of the response on."""
         await self._sink.finish()
--- a/winchdyke/quotas/token_bucket.py
+++ b/winchdyke/quotas/token_bucket.py
@@ -1,23 +1,23 @@
 """A volume's rate limit for the bytes that the scheduler does not account for. Pure: no clock, no I/O.
 
-The scheduler accounts for at most ``max_request_units`` of a request, and for a usual size where none is known: a larger request
-would never fit into a volume's token bucket. So a body of 16 MiB counts there as a few units; the units beyond, its *excess*, are
-charged here.
+The scheduler accounts for at most ``max_request_units`` of a request, and for a typical size if the size is not known: a larger
+request would never fit into a volume's token bucket. So a body of 16 MiB counts there as a few units; the remaining units, its
+*excess*, are charged here.
 
-A volume has one token bucket at a gateway, the scheduler's own, which its limit fills and its small requests are paid from. An
-excess makes a *debt*. While there is a debt no other request with an excess may begin, and the bucket pays the debt off:
+A volume has one token bucket at a gateway, the scheduler's own. The volume's limit fills it, and its small requests are paid from
+it. An excess creates a *debt*. While there is a debt no other request with an excess may begin, and the bucket pays the debt off:
 
-- by the fraction ``DEBT_RATE_FRACTION`` of the rate that fills the bucket, always, so that a debt ends within a time that is known
+- always at the fraction ``DEBT_RATE_FRACTION`` of the rate that fills the bucket, so that a debt ends within a time that is known
   beforehand (``Retry-After``);
-- by all that the bucket holds beyond ``small_request_units``: what small requests do not use.
+- with all units in the bucket beyond ``small_request_units``, which are those that small requests do not use.
 
-Meanwhile the volume's small requests have the rest of the rate, and ``small_request_units`` that the bucket may accumulate. The
-scheduler decides about them as always; it only finds less in the bucket.
+Meanwhile the volume's small requests have the rest of the rate, and up to ``small_request_units`` in the bucket. The scheduler
+decides about them as always; it only finds fewer units in the bucket.
 
-Bound: per gateway let *r* be its part of the limit and *b* its part of the burst. What is transferred is what the scheduler took
-from the bucket, what was paid off from it, and the present debt. The bucket fills at *r* and holds at most *b*, and a debt begins
-only where there is none and is due to one object. So over any time *t* a gateway transfers at most ``r t + b`` and one object, and
-*n* gateways ``limit t + burst`` and one object each. Further properties are in ``docs/limits.md``.
+Bound: per gateway let *r* be its share of the limit and *b* its share of the burst. The units transferred are those that the
+scheduler took from the bucket, those that the bucket paid off, and the current debt. The bucket fills at *r* and holds at most *b*,
+and a debt begins only if there is none, and is due to one object. So over any time *t* a gateway transfers at most ``r t + b`` and
+one object, and *n* gateways ``limit t + burst`` and one object each. Further properties are in ``docs/limits.md``.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class QuotaExceededError(Exception):
-    """A volume's limit leaves no capacity within the request's time. ``wait_ms``: after which there surely is some."""
+    """A volume's limit leaves no capacity before the request's deadline. ``wait_ms``: the wait after which it does, at the latest."""
 
     def __init__(self, wait_ms: float) -> None:
-        super().__init__(f"the limit of this course is used up; there is room again in {wait_ms:.0f} ms")
+        super().__init__(f"the volume's limit is used up; retry after {wait_ms:.0f} ms")
         self.wait_ms = wait_ms
 
 
@@ -79,10 +79,10 @@
 
 
 def charge_reservation(balance: ReservationBalance, excess_units: float, scheduled_units: float) -> None:
-    """Charge a volume's reservation with the units of a request that the scheduler did not account for, when it is sent.
+    """Charge a volume's reservation, when a request is sent, with the units that the scheduler did not account for.
 
-    Without it a volume whose large objects are all within its reservation, accounted for as small ones, would get several times
-    its reservation at the expense of others. At most the units of one request stay owed.
+    Without this charge, large objects of a volume within its reservation would be accounted for as small ones, and the volume would
+    get several times its reservation at the expense of others. The balance owes at most the units of one request.
     """
     balance.reserved_units = max(balance.reserved_units - excess_units, -(scheduled_units + excess_units))
 
@@ -92,9 +92,9 @@
     """The debt of one volume at one gateway.
 
     Attributes:
-        settled_at_ms: Up to when it has been paid off.
-        units: The units that are owed.
-        queued_units: The excess of the requests that wait for the debt to be settled.
+        settled_at_ms: The time up to which payments have been made.
+        units: The units owed.
+        queued_units: The total excess of the requests that wait for the debt to be settled.
     """
 
     settled_at_ms: float
@@ -103,16 +103,16 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether nothing is owed."""
+        """Whether there is no debt."""
         return self.units <= NEGLIGIBLE_DEBT_UNITS
 
     def settle(
         self, now_ms: float, balance: QuotaBalance | None, rate_units_per_s: float, small_request_units: float
     ) -> None:
-        """Pay off up to a time, with ``rate_units_per_s`` being the rate that fills the bucket.
+        """Pay off the debt up to a time; ``rate_units_per_s``: the rate that fills the bucket.
 
-        Without a bucket yet only the fixed part of the rate is paid. A clock that goes back counts as stopped. Without a limit
-        (rate 0) nothing is left to pay.
+        If there is no bucket yet, only the fixed fraction of the rate is paid. A clock that goes back counts as stopped. Without a
+        limit (rate 0) the debt is cancelled.
         """
         elapsed_seconds = max(0.0, now_ms - self.settled_at_ms) / 1000
         self.settled_at_ms = max(now_ms, self.settled_at_ms)
@@ -122,7 +122,8 @@
             return
         payment = min(self.units, DEBT_RATE_FRACTION * rate_units_per_s * elapsed_seconds)
         if balance is not None:
-            # The payment may take the bucket below zero, by what came into it just now: that part of the debt stands there.
+            # The payment may take the bucket below zero, by at most the units that it gained in the same time: that part of the
+            # debt then stands as a negative balance.
             balance.refill(now_ms)
             payment += min(
                 self.units - payment, max(0.0, balance.limit_units - payment - small_request_units)
@@ -131,11 +132,11 @@
         self.units -= payment
 
     def add(self, units: float) -> None:
-        """Owe the excess of a body."""
+        """Add the excess of a body to the debt."""
         self.units += units
 
     def refund(self, units: float, balance: QuotaBalance | None) -> None:
-        """Give back what was charged and not transferred; what exceeds the debt goes to the bucket, as far as it fits."""
+        """Refund units that were charged but not transferred; those beyond the debt go to the bucket, up to its size."""
         self.units -= units
         if self.units >= 0:
             return
@@ -145,9 +146,9 @@
         self.units = 0.0
 
     def earliest_settled_ms(self, rate_units_per_s: float) -> float:
-        """Return the milliseconds until the debt is settled, if all of the rate pays it."""
+        """Return the milliseconds until the debt is settled if the whole rate pays it."""
         return 0.0 if self.is_settled else self.units / rate_units_per_s * 1000
 
     def latest_settled_ms(self, rate_units_per_s: float) -> float:
-        """Return the milliseconds until the debt and all queued excess are paid, whatever small requests use."""
+        """Return the milliseconds until the debt and all queued excess are settled, however much small requests use."""
         return (self.units + self.queued_units) / (DEBT_RATE_FRACTION * rate_units_per_s) * 1000
