--- a/winchdyke/admin/__init__.py
+++ b/winchdyke/admin/__init__.py
@@ -1,6 +1,6 @@
-"""The admin API: operations on changes and the state of the fleet, over a listener of its own.
+"""The admin API: operations on changes and the state of the fleet, over a separate listener.
 
-Callers are authenticated by the system where they use the unix socket, and by their key's signature over TCP.
+Callers are authenticated by the operating system on the unix socket, and by the signature of their key over TCP.
 
 Public names:
     ``server.AdminServer``, ``listeners.open_listeners``: the gateway's side.
--- a/winchdyke/admin/client.py
+++ b/winchdyke/admin/client.py
@@ -1,4 +1,4 @@
-"""The caller's side of the admin API, for the command line and for programs. Blocking: not for an event loop."""
+"""The client of the admin API, for the command line and for programs. Blocking: not for an event loop."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from winchdyke.config_rollout.operations import OperationError
 
 TIMEOUT_SECONDS = 60.0
-MAX_ATTEMPTS = 3  # at a gateway that has just started and asks to retry
+MAX_ATTEMPTS = 3  # if the gateway answers 503 with Retry-After, as it does just after a start
 MAX_RETRY_WAIT_SECONDS = 10.0
 UNIX_SCHEME = "unix:"
 
@@ -39,15 +39,15 @@
 
 
 class AdminClient:
-    """A gateway's admin API at ``unix:PATH`` or ``http://HOST:PORT``.
+    """A client of a gateway's admin API at ``unix:PATH`` or ``http://HOST:PORT``.
 
-    All methods raise OperationError, with the gateway's code and text or with the reason why it was not reached.
+    All methods raise OperationError, with the gateway's code and text or with the reason why the gateway was not reached.
     """
 
     def __init__(self, target: str, key_file: Path | None = None, actor: str = "") -> None:
         """Prepare a connection; it is opened with the first request.
 
-        ``key_file``: needed over TCP, where requests are signed. ``actor``: who acts, where the unix socket's user is not enough.
+        ``key_file``: needed over TCP, where requests are signed. ``actor``: the name to record instead of the unix socket's user.
         """
         self._target = target
         self._actor = actor
@@ -59,21 +59,21 @@
         parts = urlsplit(target)
         if parts.scheme != "http" or not parts.hostname or parts.path not in ("", "/"):
             raise OperationError(
-                "where", f"{target} is no place of an admin API: unix:PATH or http://HOST:PORT"
+                "where", f"{target} is not the address of an admin API; give unix:PATH or http://HOST:PORT"
             )
         if key_file is None:
-            raise OperationError("no-key", f"{target} wants signed requests: give --key FILE")
+            raise OperationError("no-key", f"{target} requires signed requests; give --key FILE")
         self._key = _newest_valid_key(key_file)
         self._connection = http.client.HTTPConnection(
             parts.hostname, parts.port or 80, timeout=TIMEOUT_SECONDS
         )
 
     def execute(self, **operation: Any) -> dict[str, Any]:
-        """Have an operation carried out; its fields are those of ``config_rollout.operations``, with ``op`` as its name."""
+        """Have the gateway carry out an operation of ``config_rollout.operations``; ``op`` is its name."""
         return self._post_with_retries("/v1/changes", json.dumps(operation).encode())
 
     def fleet_status(self) -> dict[str, Any]:
-        """Return what the gateway knows of the other gateways."""
+        """Return the state of the other gateways as this gateway knows it."""
         return self._post_with_retries("/v1/fleet", b"{}")
 
     def _post_with_retries(self, path: str, body: bytes) -> dict[str, Any]:
@@ -119,7 +119,7 @@
     except KeyFileError as error:
         raise OperationError("key", str(error)) from error
     if not valid_keys:
-        raise OperationError("key", f"{key_file}: none of its keys counts now; ask for another one")
+        raise OperationError("key", f"{key_file}: none of its keys is valid now; ask for a new one")
     return max(valid_keys, key=lambda key: key.valid_from_ms)
 
 
--- a/winchdyke/admin/keys.py
+++ b/winchdyke/admin/keys.py
@@ -1,7 +1,8 @@
 """Keys of the admin API and of the fleet: a file that only its owner may read, with shared secrets, their owners and validity.
 
-Keys are rotated with overlap: a person's new key is added, and the old one gets an end; both are valid until then. The file is
-checked for changes at each request, so a key that is withdrawn is rejected from the next request on, also on open connections.
+Keys are rotated with overlap: a new key is added for the person, and the old one gets an end of validity; until then both are
+valid. The file is checked for changes at each request, so a withdrawn key is rejected from the next request on, also on open
+connections.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class KeyFileError(Exception):
-    """A file of keys that can't be used; its text tells what is wrong and what to do."""
+    """A key file that can't be used; its text says what is wrong and what to do."""
 
 
 class Key(msgspec.Struct, forbid_unknown_fields=True):
@@ -44,7 +45,7 @@
         return self.valid_from_ms <= now_ms and (not self.valid_until_ms or now_ms < self.valid_until_ms)
 
     def secret_bytes(self) -> bytes:
-        """Return the decoded secret. Raises ValueError where it is no base64."""
+        """Return the decoded secret. Raises ValueError if it is not base64."""
         return base64.b64decode(self.secret, validate=True)
 
 
@@ -53,24 +54,24 @@
 
 
 def read_keys(path: Path) -> list[Key]:
-    """Read a file of keys. Raises KeyFileError where others than its owner may read it, or it holds something else."""
+    """Read a key file. Raises KeyFileError if others than its owner may read it, or if its content is not valid."""
     try:
         data = read_private_file(path)
     except PrivateFileError as error:
-        raise KeyFileError(f"{error}; 'winchdyke keys new' makes such a file") from error
+        raise KeyFileError(f"{error}; 'winchdyke keys new' creates one") from error
     try:
         keys = msgspec.json.decode(data, type=_KeyFile).keys
         if any(len(key.secret_bytes()) < MIN_SECRET_BYTES for key in keys):
-            raise KeyFileError(f"{path}: a secret has fewer than {MIN_SECRET_BYTES} bytes; make another key")
+            raise KeyFileError(f"{path}: a secret has fewer than {MIN_SECRET_BYTES} bytes; create a new key")
     except (msgspec.MsgspecError, ValueError) as error:
-        raise KeyFileError(f"{path} is no file of keys: {error}") from error
+        raise KeyFileError(f"{path} is not a key file: {error}") from error
     if len({key.id for key in keys}) != len(keys):
-        raise KeyFileError(f"{path}: two keys have one id; withdraw one of them")
+        raise KeyFileError(f"{path}: two keys have the same id; withdraw one of them")
     return keys
 
 
 def write_keys(path: Path, keys: list[Key]) -> None:
-    """Replace a file of keys atomically; only its owner may read it. Raises KeyFileError."""
+    """Replace a key file atomically; only its owner may read it. Raises KeyFileError."""
     try:
         write_private_file(path, msgspec.json.format(msgspec.json.encode(_KeyFile(keys)), indent=2) + b"\n")
     except PrivateFileError as error:
@@ -78,7 +79,7 @@
 
 
 def create_key(who: str, now_ms: float, valid_until_ms: float = 0.0) -> Key:
-    """Return a new key with a random secret, valid from now on; ``valid_until_ms`` 0: without end."""
+    """Return a new key with a random secret, valid from ``now_ms`` on; ``valid_until_ms`` 0: without end."""
     secret = base64.b64encode(secrets.token_bytes(MIN_SECRET_BYTES)).decode()
     return Key(f"{who}-{secrets.token_hex(KEY_ID_SUFFIX_BYTES)}", secret, who, now_ms, valid_until_ms)
 
@@ -95,7 +96,7 @@
         return [key for key in self._by_id().values() if key.is_valid(now_ms)]
 
     def find(self, key_id: str, now_ms: float) -> Key | None:
-        """Return the key of an id where it is valid at a Unix time. Raises KeyFileError; then no key is valid."""
+        """Return the key with an id if it is valid at a Unix time, else None. Raises KeyFileError; then no key is valid."""
         key = self._by_id().get(key_id)
         return key if key is not None and key.is_valid(now_ms) else None
 
--- a/winchdyke/admin/listeners.py
+++ b/winchdyke/admin/listeners.py
@@ -15,15 +15,15 @@
 from winchdyke.config.model import Admin as AdminSettings
 
 SOCKET_NAME = "admin.sock"  # in the gateway's folder, where the settings give no path
-MAX_SOCKET_PATH_BYTES = 100  # that all systems take
+MAX_SOCKET_PATH_BYTES = 100  # within the limit of all systems
 
 
 class AdminError(Exception):
-    """A listener that can't be opened; its text tells why and what to do."""
+    """A listener that can't be opened; its text says why and what to do."""
 
 
 async def open_listeners(settings: AdminSettings, folder: Path) -> list[SocketListener]:
-    """Open the listeners that the settings give. Raises AdminError where one can't be opened; then none stays open."""
+    """Open the configured listeners. Raises AdminError if one can't be opened; then none stays open."""
     listeners: list[SocketListener] = []
     try:
         path = settings.socket or str(folder / SOCKET_NAME)
@@ -48,7 +48,9 @@
     _check_socket_is_free(path)
     try:
         os.makedirs(os.path.dirname(path) or ".", mode=0o700, exist_ok=True)
-        old_umask = os.umask(0o177)  # so that it is never open to others, not even at first
+        old_umask = os.umask(
+            0o177
+        )  # so that the socket is never open to other users, not even before its mode is set
         try:
             return [await anyio.create_unix_listener(path, mode=0o600)]
         finally:
@@ -58,23 +60,25 @@
 
 
 def _check_socket_is_free(path: str) -> None:
-    """Raise AdminError where another file or a listening process has the path; a socket that nobody listens on is replaced."""
+    """Raise AdminError if the path is another kind of file or a process listens on it; an unused socket is replaced."""
     if not os.path.exists(path):
         return
     if not stat.S_ISSOCK(os.stat(path).st_mode):
-        raise AdminError(f"{path} is there and is no socket; set admin, socket to another path")
+        raise AdminError(f"{path} exists and is not a socket; set admin, socket to another path")
     with socket.socket(socket.AF_UNIX) as probe:
         try:
             probe.connect(path)
         except OSError:
-            return  # left by a process that has ended
+            return  # the process that created it has ended
     raise AdminError(f"another gateway listens at {path}; set admin, socket to another path")
 
 
 async def _listen_on_tcp(settings: AdminSettings) -> list[SocketListener]:
     assert settings.listen is not None
     if not settings.keys:
-        raise AdminError("admin, listen is given and admin, keys is not: over TCP requests are signed")
+        raise AdminError(
+            "admin, listen is set and admin, keys is not; set it, since requests over TCP are signed"
+        )
     try:
         read_keys(Path(settings.keys))
         listener = await anyio.create_tcp_listener(
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -1,9 +1,9 @@
 """The admin API's requests: ``POST /v1/changes`` with an operation as JSON, ``GET /v1/changes`` for the state of the rollout,
-and ``GET /v1/fleet`` for what the gateway knows of the other gateways.
+and ``GET /v1/fleet`` for the state of the other gateways as this gateway knows it.
 
-On a unix socket the system decides who connects (the socket's owner and root), and tells their user. On TCP a request is
-accepted where it is signed (:mod:`winchdyke.admin.signing`). Operations run in worker threads, a few at a time, so that
-they never delay the gateway's clients.
+On a unix socket the operating system admits only the socket's owner and root, and reports the caller's user. On TCP a request has
+to be signed (:mod:`winchdyke.admin.signing`). Operations run in worker threads, a few at a time, so that they never delay the
+gateway's clients.
 """
 
 from __future__ import annotations
@@ -37,11 +37,11 @@
 MAX_CONNECTIONS = 16
 MAX_CONCURRENT_OPERATIONS = 2
 STATUS_OPERATION = b'{"op": "standing"}'
-STATUS_BY_CODE = {  # of operations that can't be carried out; 409 for all others
+STATUS_BY_CODE = {  # the HTTP status by an operation's error code; 409 for all other codes
     "not-an-operation": 400, "check": 422, "no-edit": 422, "no-difference": 422, "needs-start": 422, "past": 422,
     "too-long": 413, "no-version": 404,
 }  # fmt: skip
-STATUS_BY_SIGNATURE_CODE = {"busy": 503, "just-started": 503, "keys": 503}  # 401 for all others
+STATUS_BY_SIGNATURE_CODE = {"busy": 503, "just-started": 503, "keys": 503}  # 401 for all other codes
 
 
 class AdminConnection(Protocol):
@@ -52,7 +52,7 @@
 
     @property
     def stream(self) -> SocketStream:
-        """The socket, which tells who is at its other end."""
+        """The socket, from which the caller's user or address is read."""
         ...
 
     async def read_body(self) -> Bytes:
@@ -65,16 +65,16 @@
 
 
 class FleetStatusSource(Protocol):
-    """What reports the other gateways, as plain data for JSON."""
+    """Reports the other gateways, as plain data for JSON."""
 
     def status(self) -> dict[str, Any]:
-        """Return the members of the fleet as this gateway knows them."""
+        """Return the members of the fleet as known to this gateway."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class AdminResponse:
-    """A response: its status, its body as plain data for JSON, and headers beyond the usual ones."""
+    """A response: its status, its body as plain data for JSON, and additional headers."""
 
     status: int
     data: dict[str, Any]
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """Who sent a request, and from where."""
+    """The sender of a request and its origin, as they are recorded."""
 
     name: str
     origin: str
@@ -111,9 +111,9 @@
     """Answers requests on the admin listeners of one gateway.
 
     Attributes:
-        max_connections: How many connections are to be served at once.
-        change_log: The gateway's change log; None where it keeps no changes.
-        fleet: What knows the other gateways; None where there are none.
+        max_connections: The maximum number of connections at a time.
+        change_log: The gateway's change log; None if none is configured.
+        fleet: The source of the other gateways' state; None without a fleet.
     """
 
     def __init__(
@@ -140,7 +140,7 @@
             response = _error(error.status, error.reason, str(error))
         except Exception as error:
             self._log.error("admin_request_failed", exc_info=error)
-            response = _error(500, "internal", "this went wrong inside; see the gateway's log")
+            response = _error(500, "internal", "internal error; see the gateway's log")
         body = msgspec.json.encode(response.data) + b"\n"
         headers: Headers = [
             (b"content-type", b"application/json"),
@@ -153,12 +153,12 @@
     async def _respond(self, connection: AdminConnection, head: RequestHead) -> AdminResponse:
         path = head.target.partition(b"?")[0]
         if path not in (CHANGES_PATH, FLEET_PATH):
-            text = f"there are {CHANGES_PATH.decode()} and {FLEET_PATH.decode()} here, and nothing else"
+            text = f"the paths are {CHANGES_PATH.decode()} and {FLEET_PATH.decode()}; there are no others"
             return _error(404, "not-found", text)
         if head.method not in ("GET", "POST"):
-            return _error(405, "method", "GET or POST", [(b"allow", b"GET, POST")])
+            return _error(405, "method", "use GET or POST", [(b"allow", b"GET, POST")])
         if head.length is not None and head.length > MAX_BODY_BYTES:
-            return _error(413, "too-large", f"{MAX_BODY_BYTES} bytes at the most")
+            return _error(413, "too-large", f"{MAX_BODY_BYTES} bytes are the maximum for a body")
         body = await self._read_body(connection)
         try:
             caller = self._authenticate(connection.stream, head, body)
@@ -172,12 +172,14 @@
 
     def _fleet_status(self) -> AdminResponse:
         if self.fleet is None:
-            return _error(404, "no-fleet", "this gateway knows no others; see fleet, listen")
+            return _error(404, "no-fleet", "no fleet is configured at this gateway; see fleet, listen")
         return AdminResponse(200, self.fleet.status())
 
     async def _execute(self, body: bytes, caller: Caller) -> AdminResponse:
         if self.change_log is None:
-            return _error(404, "no-changes", "no changes are kept here; see changes, folder")
+            return _error(
+                404, "no-changes", "no change log is configured at this gateway; see changes, folder"
+            )
         try:
             operation = operations.parse_operation(body)
             worker = operations.ChangeOperations(self.change_log, caller.name, caller.origin)
@@ -196,7 +198,9 @@
             while data := await connection.read_body():
                 received += data
                 if len(received) > MAX_BODY_BYTES:
-                    raise ProtocolError(413, "too-large", f"{MAX_BODY_BYTES} bytes at the most")
+                    raise ProtocolError(
+                        413, "too-large", f"{MAX_BODY_BYTES} bytes are the maximum for a body"
+                    )
         if timeout.cancelled_caught:
             raise ProtocolError(408, "body-slow", "the request did not arrive in time")
         return bytes(received)
@@ -224,11 +228,13 @@
 
 
 def _local_caller(raw_socket: Any, head: RequestHead) -> Caller:
-    """Return the user at the other end of a unix socket, under the name that they give."""
+    """Return the user at the other end of a unix socket, under the name in the request's header if there is one."""
     credentials = raw_socket.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12)
     pid, uid, _ = struct.unpack("3i", credentials)
     if uid not in (0, os.geteuid()):
-        raise _RequestRejectedError(403, "not-yours", "only its owner may use this socket", f"uid {uid}")
+        raise _RequestRejectedError(
+            403, "not-yours", "only the gateway's user and root may use this socket", f"uid {uid}"
+        )
     given_name = (head.get(ACTOR_HEADER) or "")[:MAX_ACTOR_CHARACTERS]
     user = _user_name(uid)
     return Caller(given_name or user, f"socket, {user}, process {pid}")
--- a/winchdyke/admin/signing.py
+++ b/winchdyke/admin/signing.py
@@ -1,9 +1,9 @@
 """Requests signed with a shared key: HTTP Message Signatures (RFC 9421) with HMAC-SHA-256, over method, host, path and the body's
 digest (RFC 9530), with the time and a nonce.
 
-A request is accepted once. Nonces are kept for as long as a signature may be valid; after a start, requests that may have been
-signed before it are rejected, since the nonces of the process before are lost. The host is signed, so a request is valid at one
-gateway alone.
+A request is accepted once. Nonces are stored for as long as a signature may be valid; after a start, requests that may have been
+signed before it are rejected, since the nonces of the previous process are lost. The host is signed, so a request is valid at only
+one gateway.
 """
 
 from __future__ import annotations
@@ -32,18 +32,18 @@
 MAX_AGE_SECONDS = 30
 MAX_CLOCK_SKEW_SECONDS = 5
 MAX_NONCES = 100_000
-MIN_NONCES_TO_EXPIRE = 1000  # below which expired nonces are not looked for
+MIN_NONCES_TO_EXPIRE = 1000  # with fewer nonces, expired ones are not removed
 MAX_DETAIL_CHARACTERS = 200
 BUSY_RETRY_SECONDS = 5.0
 
 
 class SignatureError(Exception):
-    """A request that is rejected; its text does not tell which keys there are.
+    """A request that is rejected; its text does not reveal which keys exist.
 
     Attributes:
         code: The reason, for programs.
         text: What is wrong and what to do, for people.
-        retry_after_seconds: After which another request may be accepted; 0: not known.
+        retry_after_seconds: The wait after which another request may be accepted; 0: not known.
     """
 
     def __init__(self, code: str, text: str, retry_after_seconds: float = 0.0) -> None:
@@ -76,7 +76,7 @@
 def sign(
     message: Message, body: bytes, key: Key, created_unix_s: float | None = None, nonce: str = ""
 ) -> None:
-    """Add the body's digest and the signature to a message's headers; by default with the present time and a random nonce."""
+    """Add the body's digest and the signature to a message's headers; by default with the current time and a random nonce."""
     signer = HTTPMessageSigner(
         signature_algorithm=algorithms.HMAC_SHA256, key_resolver=_KeyResolver(lambda _: key.secret_bytes())
     )
@@ -98,13 +98,13 @@
 
 
 class SignatureVerifier:
-    """Accepts requests that are signed with a valid key, each once."""
+    """Verifies that requests are signed with a valid key, and accepts each request once."""
 
     def __init__(self, key_ring: KeyRing, clock: Callable[[], float] = time.time) -> None:
         """``clock``: the Unix time in seconds."""
         self._key_ring = key_ring
         self._clock = clock
-        # Until then a caller whose clock is ahead may have signed for the process before.
+        # A caller's clock may be ahead, so the previous process may have accepted signatures created before this time.
         self._accepted_from_unix_s = clock() + MAX_CLOCK_SKEW_SECONDS
         self._nonce_expiry_unix_s: dict[tuple[str, str], float] = {}  # by key and nonce
 
@@ -124,7 +124,7 @@
 
         results = _verify_signatures(message, body, find_secret)
         if len(results) != 1 or signing_key is None:
-            raise SignatureError("signature", "one signature is wanted")
+            raise SignatureError("signature", "the request has to have exactly one signature")
         created = int(results[0].parameters["created"])
         self._accept_once(signing_key, results[0].nonce, created, now)
         return signing_key
@@ -136,15 +136,15 @@
             retry_after_seconds = max(1.0, self._accepted_from_unix_s - now + 1)
             raise SignatureError(
                 "just-started",
-                "signed before this gateway had started for good; sign anew",
+                "signed too early after this gateway's start; sign the request again",
                 retry_after_seconds,
             )
         self._expire_nonces(now)
         used = (key.id, nonce)
         if used in self._nonce_expiry_unix_s:
-            raise SignatureError("replayed", "this request was here before; sign another one")
+            raise SignatureError("replayed", "this request was accepted before; sign a new one")
         if len(self._nonce_expiry_unix_s) >= MAX_NONCES:
-            raise SignatureError("busy", "too many requests; come back later", BUSY_RETRY_SECONDS)
+            raise SignatureError("busy", "too many requests; retry later", BUSY_RETRY_SECONDS)
         lifetime_seconds = MAX_AGE_SECONDS + 2 * MAX_CLOCK_SKEW_SECONDS + 1
         self._nonce_expiry_unix_s[used] = created_unix_s + lifetime_seconds
 
@@ -172,13 +172,11 @@
     except (HTTPMessageSignaturesException, ValueError, TypeError) as error:
         if _is_caused_by_key_file(error):
             raise _unusable_keys() from error
-        raise SignatureError(
-            "signature", f"not signed with a key that counts here: {_first_line(error)}"
-        ) from error
+        raise SignatureError("signature", f"not signed with a valid key: {_first_line(error)}") from error
 
 
 def _unusable_keys() -> SignatureError:
-    return SignatureError("keys", "the file of keys can't be used; see the gateway's log")
+    return SignatureError("keys", "the key file can't be used; see the gateway's log")
 
 
 def _is_caused_by_key_file(error: BaseException) -> bool:
@@ -192,5 +190,5 @@
 
 
 def _first_line(error: Exception) -> str:
-    text = str(error).strip() or "it does not fit"
+    text = str(error).strip() or "it does not match"
     return text.splitlines()[0][:MAX_DETAIL_CHARACTERS]
