--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -1,4 +1,4 @@
-"""Changes in service: versions, the change log, one instant, undone; kills at any step."""
+"""Configuration changes in service: rollout state, edits, change log, hot reload, canary analysis, and kills at any step."""
 
 from __future__ import annotations
 
@@ -37,10 +37,10 @@
 from winchdyke.model.checker import explore
 from winchdyke.scheduling import Scheduler
 
-WHOLE = [Step("proposed", 1), Step("staged", 1), Step("applying", 1), Step("applied", 1)]
+APPLIED_ONCE = [Step("proposed", 1), Step("staged", 1), Step("applying", 1), Step("applied", 1)]
 
 
-def said(*words: str, ends: int = 0) -> str:
+def run_changes(*words: str, ends: int = 0) -> str:
     done = CliRunner().invoke(main, ["changes", *words])
     assert done.exit_code == ends, done.output
     return done.output
@@ -49,27 +49,27 @@
 # The state machine
 
 
-@pytest.mark.parametrize("until", [0.0, 5000.0])
-def test_a_kill_at_any_step_leaves_the_old_or_the_new_version_and_says_which(until):
+@pytest.mark.parametrize("confirm_by_ms", [0.0, 5000.0])
+def test_recovery_after_a_kill_at_any_step_serves_the_old_or_the_new_version_and_names_it(confirm_by_ms):
     steps = [
-        *WHOLE,
+        *APPLIED_ONCE,
         Step("proposed", 2),
-        Step("staged", 2, confirm_by_ms=until),
+        Step("staged", 2, confirm_by_ms=confirm_by_ms),
         Step("applying", 2),
-        Step("applied", 2, confirm_by_ms=until),
+        Step("applied", 2, confirm_by_ms=confirm_by_ms),
         Step("confirmed", 2),
         Step("staged", 1),
         Step("undoing", 1),
         Step("undone", 1),
     ]
-    served = {6: 1, 7: 1, 8: 1 if until else 2, 9: 2, 10: 2, 11: 1, 12: 1}
+    served = {6: 1, 7: 1, 8: 1 if confirm_by_ms else 2, 9: 2, 10: 2, 11: 1, 12: 1}
     for cut, version in served.items():
         found = replay(steps[:cut])
         added, why = recover(found)
         after = replay([*steps[:cut], *added])
         assert after.serving == version and not after.applying and not after.confirm_by_ms, (cut, why)
         assert f"version {version}" in why
-    assert replay(steps[:6]).staged == 2, "what was staged is still to be applied"
+    assert replay(steps[:6]).staged == 2, "the staged version is still to be applied"
 
 
 STEPS = ["staged", "refused", "applying", "applied", "confirmed", "undoing", "undone"]
@@ -77,8 +77,8 @@
 
 @given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(1, 4)), max_size=14))
 @examples(max_examples=300)
-def test_whatever_steps_follow_a_start_serves_one_version_that_was_applied(steps):
-    found = replay(WHOLE)
+def test_recovery_after_arbitrary_steps_serves_one_version_that_was_applied(steps):
+    found = replay(APPLIED_ONCE)
     applied = {1}
     for what, version in steps:
         if what == "undone":
@@ -94,30 +94,30 @@
     assert found.serving in applied | {found.previous} and not found.applying and not found.confirm_by_ms
 
 
-def test_an_undo_that_was_asked_for_is_done_once():
-    """It stayed staged, and was done over and over."""
-    steps = [*WHOLE, Step("staged", 2), Step("applying", 2), Step("applied", 2), Step("staged", 1)]
+def test_a_requested_undo_is_done_once():
+    """The target of the undo must not stay staged: it would be undone again and again."""
+    steps = [*APPLIED_ONCE, Step("staged", 2), Step("applying", 2), Step("applied", 2), Step("staged", 1)]
     found = replay([*steps, Step("undoing", 1), Step("undone", 1)])
     assert due_step(found, 0.0) is None and (found.serving, found.previous) == (1, 2)
     newer = replay([*steps[:-1], Step("staged", 3), Step("undoing", 1), Step("undone", 1)])
-    assert due_step(newer, 0.0) == Step("applying", 3), "what was staged meanwhile is still to be applied"
+    assert due_step(newer, 0.0) == Step("applying", 3), "a version staged meanwhile is still to be applied"
 
 
-def test_what_is_due():
+def test_due_step():
     assert due_step(RolloutState(serving=1, staged=2), 0.0) == Step("applying", 2)
     assert due_step(RolloutState(serving=2, previous=1, confirm_by_ms=100.0), 99.0) is None
     assert due_step(RolloutState(serving=2, previous=1, confirm_by_ms=100.0), 100.0) == Step("undoing", 1)
     assert due_step(RolloutState(serving=1, applying=2), 1e9) is None
 
 
-# The seam to the module
+# Hot reload of a scheduler
 
 
-def scheduler(limit: float = 0.0) -> Scheduler:
-    return Scheduler(told(limit), 1, 0.0)
+def make_scheduler(limit: float = 0.0) -> Scheduler:
+    return Scheduler(settings_with_limit(limit), 1, 0.0)
 
 
-def told(limit: float) -> api.Settings:
+def settings_with_limit(limit: float) -> api.Settings:
     kind = api.RequestClass(
         "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
     )
@@ -130,7 +130,7 @@
     )
 
 
-def sent(scheduler: Scheduler, now: float, count: int, name: str) -> int:
+def send_requests(scheduler: Scheduler, now: float, count: int, name: str) -> int:
     requests = [
         api.Request(f"{name}{n}", "fetch", "a", "v", f"{name}{n}", 1.0, 0, 1, 2500.0) for n in range(count)
     ]
@@ -141,31 +141,33 @@
     return len(done)
 
 
-def test_a_lowered_limit_binds_from_the_instant_and_a_raised_one_gives_no_burst():
-    made = scheduler(50.0)
+def test_a_lowered_limit_applies_at_once_and_a_raised_one_allows_no_burst():
+    made = make_scheduler(50.0)
     made.handle(
         0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
     )
-    sent(made, 0.0, 1, "x")
-    sent(made, 2000.0, 1, "y")  # the account is full by now: 50 units
+    send_requests(made, 0.0, 1, "x")
+    send_requests(made, 2000.0, 1, "y")  # the quota is full by now: 50 units
     assert made.quotas["v"].limit_units > 40
-    assert apply_settings(made, told(2.0), {"v": told(2.0).plans[0]}, 2000.0) == 1
+    assert (
+        apply_settings(made, settings_with_limit(2.0), {"v": settings_with_limit(2.0).plans[0]}, 2000.0) == 1
+    )
     assert made.quotas["v"].limit_units == 2.0
-    total = sum(sent(made, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
-    assert total <= 2 + 2.0 * 3, "the burst and the flow of the new limit, no more"
+    total = sum(send_requests(made, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
+    assert total <= 2 + 2.0 * 3, "at most the burst and the rate of the new limit"
     before = made.quotas["v"].limit_units
-    apply_settings(made, told(500.0), {"v": told(500.0).plans[0]}, 5000.0)
+    apply_settings(made, settings_with_limit(500.0), {"v": settings_with_limit(500.0).plans[0]}, 5000.0)
     assert made.quotas["v"].limit_units == pytest.approx(before, abs=1.0)
 
 
-def test_what_lives_on_lives_on_and_a_volume_may_change_its_plan():
-    made = scheduler()
+def test_a_reload_keeps_concurrency_limits_and_retry_budget_and_a_volume_may_change_its_plan():
+    made = make_scheduler()
     made.handle(
         0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
     )
-    sent(made, 0.0, 3, "x")
+    send_requests(made, 0.0, 3, "x")
     window, taken = made.endpoints["n"].concurrency_limit, list(made.retry_budget.request_times)
-    apply_settings(made, told(0.0), {"v": told(0.0).plans[1]}, 1.0)
+    apply_settings(made, settings_with_limit(0.0), {"v": settings_with_limit(0.0).plans[1]}, 1.0)
     assert made.quotas["v"].plan.name == "b"
     assert made.endpoints["n"].concurrency_limit is window and list(made.retry_budget.request_times) == taken
     base = settings()
@@ -182,7 +184,7 @@
 # Edits
 
 
-def test_edits_of_single_values_and_two_edits_of_one_version():
+def test_single_values_are_edited_and_two_edits_of_one_version_merge_or_conflict():
     base = settings()
     mine = parse(set_values(base, "plan", "school", ["usual_rate=90 units/s"]))
     theirs = parse(set_values(base, "plan", "basic", ["limit=200 units/s"]))
@@ -210,7 +212,7 @@
     return change_log
 
 
-def test_the_chain_shows_every_altered_and_removed_entry_and_text(tmp_path):
+def test_the_hash_chain_detects_every_altered_or_removed_entry_and_text(tmp_path):
     change_log = make_change_log(tmp_path)
     assert change_log.verify() == []
     whole = change_log.entries()
@@ -235,7 +237,7 @@
     assert change_log.path.stat().st_mode & 0o777 == 0o600
 
 
-def test_steps_that_do_not_follow_and_races_are_refused_and_nothing_is_written(tmp_path):
+def test_invalid_and_concurrent_steps_are_refused_and_nothing_is_written(tmp_path):
     change_log = make_change_log(tmp_path)
     before = change_log.entries()
     with pytest.raises(ChangeLogError, match="is not being applied"):
@@ -243,16 +245,16 @@
     with pytest.raises(ChangeLogError, match="meanwhile"):
         change_log.append(Step("staged", 2), "x", expected=RolloutState())
     assert change_log.entries() == before
-    assert "does not exist" in said("log", str(tmp_path / "none"), ends=1)
+    assert "does not exist" in run_changes("log", str(tmp_path / "none"), ends=1)
 
 
 def test_a_damaged_file_is_an_error_that_names_it(tmp_path):
     change_log = make_change_log(tmp_path)
     change_log.path.write_bytes(b"no database" * 1000)
-    assert "changes.db" in said("log", str(tmp_path), ends=1)
+    assert "changes.db" in run_changes("log", str(tmp_path), ends=1)
 
 
-KILLED = """
+ENDLESS_APPLIES = """
 import sys
 from pathlib import Path
 from winchdyke.config_rollout.rollout_state import Step
@@ -272,7 +274,7 @@
     draw = random.Random(4)
     for _ in range(rounds):
         process = subprocess.Popen(
-            [sys.executable, "-c", KILLED, str(tmp_path)], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", ENDLESS_APPLIES, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert process.stdout is not None
         reported = int(process.stdout.readline())
@@ -299,8 +301,8 @@
     return dataclasses.replace(settings(), changes=Changes(str(folder)))
 
 
-def test_changes_under_load_are_applied_at_one_instant_and_undone(tmp_path):
-    """Each answer carries its version, and every attempt at a store carried the same; waits that span a swap add up."""
+def test_changes_under_load_are_applied_at_one_instant_and_rolled_back(tmp_path):
+    """Each response has the version of its attempts at stores, and waits that span a swap are fully accounted for."""
 
     @played
     async def run():
@@ -322,7 +324,7 @@
                     versions[name] = answer.headers["winchdyke-version"]
 
             async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
 
             folder = str(tmp_path)
             async with anyio.create_task_group() as group:
@@ -364,7 +366,7 @@
     run()
 
 
-def test_a_limit_below_what_a_course_sends_now_binds_at_the_stores(tmp_path):
+def test_a_limit_below_a_volumes_current_load_is_enforced_at_the_stores(tmp_path):
     @played
     async def run():
         async with rig(with_changes(tmp_path), unit_ms=1.0) as it:
@@ -381,9 +383,11 @@
                     group.start_soon(load, number)
                 await anyio.sleep(0.5)
                 await anyio.to_thread.run_sync(
-                    lambda: said("set", str(tmp_path), "plan", "basic", "limit=10 units/s", "limit_burst=8")
+                    lambda: run_changes(
+                        "set", str(tmp_path), "plan", "basic", "limit=10 units/s", "limit_burst=8"
+                    )
                 )
-                await anyio.to_thread.run_sync(lambda: said("apply", str(tmp_path), "2"))
+                await anyio.to_thread.run_sync(lambda: run_changes("apply", str(tmp_path), "2"))
                 since = it.record.seen[-1]["t"]
                 await anyio.sleep(2.0)
                 stop = True
@@ -394,8 +398,8 @@
     run()
 
 
-def test_peers_and_seeds_of_the_fleet_change_in_service_by_the_command(tmp_path):
-    """The page named a command that the command line did not take: peers could be changed by a whole file alone."""
+def test_peers_and_seeds_of_the_fleet_change_in_service_through_the_command_line(tmp_path):
+    """The command line must accept single values of peers and seeds, not only a whole file."""
     keys.write_keys(tmp_path / "keys", [keys.Key("k", base64.b64encode(b"k" * 32).decode(), "fleet")])
     fleet = Fleet(Listen("127.0.0.1", 0), seeds=(Listen("127.0.0.1", 9),), keys=str(tmp_path / "keys"))
 
@@ -405,7 +409,7 @@
         async with rig(config) as it:
 
             async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
 
             folder = str(tmp_path / "changes")
             protocol = it.gateway.membership_agent.protocol
@@ -426,13 +430,13 @@
     run()
 
 
-def test_what_does_not_pass_or_needs_a_start_or_clashes_is_refused_with_words(tmp_path):
+def test_invalid_conflicting_or_restart_requiring_changes_are_refused_with_an_explanation(tmp_path):
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
 
             async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: said(*words, ends=ends))
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
 
             folder = str(tmp_path)
             assert "there is no plan shcool; existing: school" in await cli(
@@ -450,8 +454,8 @@
             await cli("set", folder, "plan", "school", "weight=4")
             await cli("set", folder, "plan", "basic", "weight=5")
             await cli("apply", folder, "2")
-            clash = await cli("apply", folder, "3", ends=1)
-            assert "yours" in clash and "theirs" in clash
+            conflict = await cli("apply", folder, "3", ends=1)
+            assert "yours" in conflict and "theirs" in conflict
             assert "merged" in await cli("apply", folder, "4")
             plans = {
                 plan.name: plan.fair_share_weight
@@ -462,11 +466,11 @@
     run()
 
 
-# The verdict
+# Canary analysis
 
 
-def watched(**rates: tuple[float, float]) -> CanaryObserver:
-    """Ten seconds before and five after, two shards; rates: group -> share of bad before and after."""
+def observe(**rates: tuple[float, float]) -> CanaryObserver:
+    """Observe two shards for ten seconds before a change and five after; rates: failure ratios before and after, by volume."""
     draw, watch = random.Random(3), CanaryObserver()
     for second in range(100, 116):
         for volume, (before, after) in rates.items():
@@ -481,17 +485,23 @@
     return watch
 
 
-def found(watch: CanaryObserver, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
+def is_harmful(watch: CanaryObserver, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
     return watch.evaluate(110_000.0, 116_000.0, lambda volume: volume in volumes, dead).harmful
 
 
-def test_harm_to_what_a_change_touches_is_seen_and_trouble_that_all_have_is_not_blamed_on_it():
-    assert found(watched(mine=(0.02, 0.5), other=(0.02, 0.02)), "mine")
-    assert not found(watched(mine=(0.02, 0.02), other=(0.02, 0.02)), "mine")
-    assert not found(watched(mine=(0.02, 0.5), other=(0.02, 0.5)), "mine"), "a node's death, a bad hour"
-    assert not found(watched(mine=(0.3, 0.32), other=(0.3, 0.3)), "mine"), "it was so before"
-    assert not found(watched(mine=(0.02, 0.9)), "mine", dead=(0, 1)), "no node is left, which no setting does"
-    assert not found(CanaryObserver(), "mine"), "nothing seen is no verdict"
+def test_harm_to_affected_volumes_is_detected_and_faults_that_all_volumes_see_are_not_attributed_to_a_change():
+    assert is_harmful(observe(mine=(0.02, 0.5), other=(0.02, 0.02)), "mine")
+    assert not is_harmful(observe(mine=(0.02, 0.02), other=(0.02, 0.02)), "mine")
+    assert not is_harmful(observe(mine=(0.02, 0.5), other=(0.02, 0.5)), "mine"), (
+        "a dead endpoint or a busy hour"
+    )
+    assert not is_harmful(observe(mine=(0.3, 0.32), other=(0.3, 0.3)), "mine"), (
+        "the failure ratio was as high before"
+    )
+    assert not is_harmful(observe(mine=(0.02, 0.9)), "mine", dead=(0, 1)), (
+        "no endpoint is left, which no setting causes"
+    )
+    assert not is_harmful(CanaryObserver(), "mine"), "without requests there is no harmful verdict"
     lower = CanaryObserver()
     for second in range(100, 116):
         for number in range(20):
@@ -501,11 +511,11 @@
     mine = lambda volume: volume == "mine"  # noqa: E731
     assert lower.evaluate(110_000.0, 116_000.0, mine).harmful
     assert not lower.evaluate(110_000.0, 116_000.0, mine, (), mine).harmful, (
-        "a lower limit is meant to refuse"
+        "a lowered limit refuses intentionally"
     )
 
 
-def test_a_surge_is_not_blamed_on_a_change():
+def test_a_surge_is_not_attributed_to_a_change():
     draw, watch = random.Random(4), CanaryObserver()
     for second in range(100, 116):
         surge = 3 if second > 110 else 1
@@ -513,11 +523,11 @@
             watch.record_request(
                 second * 1000.0, "mine", 0, "served" if draw.random() < 1 / surge else "refused"
             )
-    assert not found(watch, "mine")
+    assert not is_harmful(watch, "mine")
 
 
-def test_a_change_that_makes_a_course_unreachable_is_undone_by_itself(tmp_path):
-    """It passes the check: its shard has a node in the list of settings, and none on the floor."""
+def test_a_change_that_makes_a_volume_unreachable_is_rolled_back_automatically(tmp_path):
+    """The change passes the check: its shards are configured, but no endpoint serves them."""
 
     @played
     async def run():
@@ -540,17 +550,17 @@
                     group.start_soon(load, "school-1", number)
                 folder = str(tmp_path)
                 await anyio.to_thread.run_sync(
-                    lambda: said("set", folder, "volume", "contest-*", "shards=0-3")
+                    lambda: run_changes("set", folder, "volume", "contest-*", "shards=0-3")
                 )
-                await anyio.to_thread.run_sync(lambda: said("apply", folder, "2"))
+                await anyio.to_thread.run_sync(lambda: run_changes("apply", folder, "2"))
                 await anyio.sleep(2.5)
-                assert it.gateway.service.snapshot.version == 2, "it does no harm"
+                assert it.gateway.service.snapshot.version == 2, "the change does no harm"
                 it.gateway.rollout._observed = None
                 await anyio.to_thread.run_sync(
-                    lambda: said("set", folder, "volume", "contest-*", "shards=6-7")
+                    lambda: run_changes("set", folder, "volume", "contest-*", "shards=6-7")
                 )
                 applied = it.gateway.scheduler_loop.clock()
-                await anyio.to_thread.run_sync(lambda: said("apply", folder, "3"))
+                await anyio.to_thread.run_sync(lambda: run_changes("apply", folder, "3"))
                 with anyio.fail_after(10):
                     while it.gateway.service.snapshot.version != 2:
                         await anyio.sleep(0.05)
@@ -558,8 +568,8 @@
                 assert undone - applied < 10_000
                 await anyio.sleep(0.6)
                 stop = True
-            assert sum(good for at, good in served if at > undone + 350) > 5, "served again"
-            text = await anyio.to_thread.run_sync(lambda: said("log", folder))
+            assert sum(good for at, good in served if at > undone + 350) > 5, "requests are served again"
+            text = await anyio.to_thread.run_sync(lambda: run_changes("log", folder))
             assert "version 3 does harm" in text and "undone" in text
 
     run()
@@ -568,19 +578,19 @@
 # Every interleaving
 
 
-def test_every_interleaving_of_edits_kills_and_time_keeps_what_was_reported_and_serves_one_version_whole():
+def test_every_interleaving_of_edits_kills_and_time_keeps_reported_versions_and_serves_one_complete_version():
     found = explore(Changing())
     assert found.complete and not found.violation, (found.violation, found.trace)
     assert found.states > 1000
 
 
 @pytest.mark.parametrize("careless", ["recover", "begin"])
-def test_the_checker_catches_a_start_that_does_not_recover_and_an_apply_that_is_not_written_first(careless):
+def test_the_model_checker_detects_a_start_without_recovery_and_an_apply_that_is_not_written_first(careless):
     assert explore(Changing(careless=careless)).violation
 
 
 @measured
-def test_a_short_change_day_keeps_all_seven_rules_and_shows_no_mix():
+def test_a_short_change_day_keeps_all_seven_rules_and_serves_no_mixed_versions():
     from winchdyke.days import script
     from winchdyke.days.run import run_day
 
@@ -591,7 +601,7 @@
     assert len({each["version"] for each in seen if each["what"] == "head"}) >= 2
 
 
-def test_who_changed_what_last_and_a_change_log_that_is_exported_and_imported(tmp_path):
+def test_blame_names_the_last_change_of_each_value_and_a_change_log_is_exported_and_imported(tmp_path):
     change_log = ChangeLog(tmp_path / "a")
     for number, (who, what) in enumerate(
         [("ann", "plan.school.weight"), ("bob", "plan.school.weight"), ("eve", "plan.basic.limit")]
@@ -600,24 +610,26 @@
         for step in ("staged", "applying", "applied") if who != "eve" else ():
             change_log.append(Step(step, version), "gateway")
     folder = str(tmp_path / "a")
-    blamed = said("blame", folder)
-    assert "bob" in blamed and "ann" not in blamed and "eve" not in blamed, "what was not applied is nobody's"
-    assert said("blame", folder, "plan.basic") == ""
+    blamed = run_changes("blame", folder)
+    assert "bob" in blamed and "ann" not in blamed and "eve" not in blamed, (
+        "a version that was not applied is not blamed"
+    )
+    assert run_changes("blame", folder, "plan.basic") == ""
     undone = ChangeLog(tmp_path / "a2")
     for number, what in enumerate(["plan.school.weight", "plan.basic.limit"], 1):
         undone.add_version("text", number - 1, f'[{{"path": "{what}"}}]', "ann", "why", "here")
         undone.append_all([(Step(step, number), "") for step in ("staged", "applying", "applied")], "gateway")
     undone.append_all([(Step("undoing", 1), "too much"), (Step("undone", 1), "")], "bob")
     blamed = {path: entry.actor for path, entry in undone.blame().items()}
-    assert blamed["plan.basic.limit"] == "bob", "who took it back"
-    text = said("export", folder)
+    assert blamed["plan.basic.limit"] == "bob", "the undo is the last change"
+    text = run_changes("export", folder)
     file = tmp_path / "export"
     file.write_text(text)
-    assert "9 entries" in said("import", str(tmp_path / "b"), str(file))
-    assert said("export", str(tmp_path / "b")) == text
-    assert "is not empty" in said("import", folder, str(file), ends=1)
+    assert "9 entries" in run_changes("import", str(tmp_path / "b"), str(file))
+    assert run_changes("export", str(tmp_path / "b")) == text
+    assert "is not empty" in run_changes("import", folder, str(file), ends=1)
     file.write_text(text.replace("ann", "eva"))
-    assert "does not verify" in said("import", str(tmp_path / "c"), str(file), ends=1)
+    assert "does not verify" in run_changes("import", str(tmp_path / "c"), str(file), ends=1)
     file.write_text("no json\n")
-    assert "line 1" in said("import", str(tmp_path / "d"), str(file), ends=1)
-    assert ChangeLog(tmp_path / "c").last_seq() == 0, "nothing of it was kept"
+    assert "line 1" in run_changes("import", str(tmp_path / "d"), str(file), ends=1)
+    assert ChangeLog(tmp_path / "c").last_seq() == 0, "nothing was imported"
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -1,4 +1,4 @@
-"""Changes where parts fail: kills at every step, full disks, damaged files, clocks apart, undos on undos, stops."""
+"""Configuration changes under failures: kills at every step, full disks, damaged files, clock skew, repeated undos, shutdowns."""
 
 from __future__ import annotations
 
@@ -66,17 +66,17 @@
     return ChangeOperations(it.gateway.rollout.change_log, "ann", "here")
 
 
-async def do(it, operation):
+async def execute(it, operation):
     return await anyio.to_thread.run_sync(operations_of(it).execute, operation)
 
 
-async def change(it, kind: str, name: str, *values: str, **more) -> int:
-    made = await do(it, Set(kind, name, list(values)))
-    await do(it, Stage(made["version"], **more))
+async def stage_change(it, kind: str, name: str, *values: str, **more) -> int:
+    made = await execute(it, Set(kind, name, list(values)))
+    await execute(it, Stage(made["version"], **more))
     return made["version"]
 
 
-async def serves(it, version: int) -> None:
+async def wait_until_served(it, version: int) -> None:
     await it.until(lambda: it.gateway.service.snapshot.version == version, 15)
     await it.until(lambda: it.gateway.rollout.change_log.state().serving == version, 15)
 
@@ -87,7 +87,7 @@
 
 # Killed at every step, on real processes
 
-KILLED_AT = """
+GATEWAY_WITH_KILL = """
 import os, sys
 left = int(sys.argv[1])
 def step(call):
@@ -107,11 +107,14 @@
 from winchdyke.cli.main import main
 main(["serve", "-c", sys.argv[2]])
 """
-POINTS = 10
+KILL_POINTS = 10
 
 
-def killed_at(folder, point: int, within: float) -> tuple[int, set[int], int, list[str]]:
-    """Apply version 2 with a kill before or after the nth step: left at, versions served after a start, version then, steps."""
+def apply_with_kill(folder, point: int, within: float) -> tuple[int, set[int], int, list[str]]:
+    """Apply version 2 and kill the gateway before or after the nth step, then start it again.
+
+    Returns the version being applied at the kill, the versions served after the start, the one served last, and all actions.
+    """
     folder.mkdir()
     made = kills.Killed(folder, 0)
     change_log = ChangeLog(folder / "changes")
@@ -124,7 +127,7 @@
     operations.execute(Set("plan", "school", ["weight=7"]))
     operations.execute(Stage(2, confirm_within_ms=within))
     process = subprocess.Popen(
-        [sys.executable, "-c", KILLED_AT, str(point), str(folder / "g.ini")],
+        [sys.executable, "-c", GATEWAY_WITH_KILL, str(point), str(folder / "g.ini")],
         stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
     )  # fmt: skip
     with contextlib.suppress(subprocess.TimeoutExpired):
@@ -146,22 +149,24 @@
 
 
 @pytest.mark.parametrize("within", [0.0, 60_000.0])
-def test_killed_before_and_after_every_step_of_an_apply_one_version_whole_is_served(tmp_path, within):
+def test_after_a_kill_before_or_after_any_step_of_an_apply_one_complete_version_is_served(tmp_path, within):
     with ThreadPoolExecutor(4) as pool:
         runs = list(
-            pool.map(lambda point: killed_at(tmp_path / str(point), point, within), range(1, POINTS + 1))
+            pool.map(
+                lambda point: apply_with_kill(tmp_path / str(point), point, within), range(1, KILL_POINTS + 1)
+            )
         )
     for applying, seen, last, steps in runs:
         standing = 1 if "undone" in steps and steps[-1] in ("undone", "ready") else 2
         assert seen <= {1, 2} and last == standing, (applying, seen, last, steps)
         if applying:
-            assert last == 1 and seen == {1}, "what a kill cut is not served"
-    assert {last for _, _, last, _ in runs} == {1, 2}, "kills before the apply began, and in it"
+            assert last == 1 and seen == {1}, "an interrupted apply is not served"
+    assert {last for _, _, last, _ in runs} == {1, 2}, "some kills came before the apply, some during it"
     assert any(applying for applying, *_ in runs)
 
 
-def test_gateways_killed_at_random_points_of_change_cycles_lose_nothing_and_refuse_no_start(tmp_path):
-    """500 kills: benchmarks/kills.py."""
+def test_gateways_killed_at_random_points_of_change_cycles_lose_no_change_and_start_again(tmp_path):
+    """benchmarks/kills.py runs the same with 500 kills."""
     found = kills.run(tmp_path, 3, int(os.environ.get("CHANGE_KILLS", "4")))
     assert found.wrong == [] and found.counts["kills"] >= 4
 
@@ -169,26 +174,26 @@
 # Undos
 
 
-def test_an_undo_while_a_newer_change_is_staged_withdraws_it_and_an_undo_of_the_undo_goes_forward(tmp_path):
+def test_an_undo_withdraws_a_newer_staged_version_and_an_undo_of_the_undo_returns_to_the_newer_one(tmp_path):
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
-            await change(it, "plan", "school", "weight=6")
-            await serves(it, 2)
-            await change(it, "plan", "basic", "weight=8", hold=True)
+            await stage_change(it, "plan", "school", "weight=6")
+            await wait_until_served(it, 2)
+            await stage_change(it, "plan", "basic", "weight=8", hold=True)
             await it.until(lambda: ("ready", 3) in steps_of(it))
-            assert (await do(it, Status()))["held"]
-            assert (await do(it, Undo(why="too much")))["withdrawn"] == 3
-            await serves(it, 1)
+            assert (await execute(it, Status()))["held"]
+            assert (await execute(it, Undo(why="too much")))["withdrawn"] == 3
+            await wait_until_served(it, 1)
             await anyio.sleep(0.3)
             assert it.gateway.service.snapshot.version == 1 and ("applying", 3) not in steps_of(it)
-            await do(it, Undo())
-            await serves(it, 2)
-            await do(it, Undo())
-            await serves(it, 1)
-            # What was made on top of the version that was undone takes none of it along.
-            found = await do(it, Stage(3))
-            await serves(it, found["version"])
+            await execute(it, Undo())
+            await wait_until_served(it, 2)
+            await execute(it, Undo())
+            await wait_until_served(it, 1)
+            # Version 3 was made from the undone version 2: merged, it contains none of version 2's changes.
+            found = await execute(it, Stage(3))
+            await wait_until_served(it, found["version"])
             plans = {
                 plan.name: plan.fair_share_weight
                 for plan in it.gateway.scheduler_loop._scheduler.settings.plans
@@ -199,16 +204,16 @@
     run()
 
 
-def test_what_was_undone_by_itself_does_not_come_back_within_what_was_staged_on_top_of_it(tmp_path):
-    """The staged one was applied right after the undo, whole, with the harm in it."""
+def test_an_automatic_undo_is_not_reverted_by_a_version_that_was_staged_on_top_of_the_undone_one(tmp_path):
+    """The staged version contains the undone change, and must not be applied as it is right after the undo."""
 
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
-            await change(it, "plan", "school", "weight=6", confirm_within_ms=900.0)
-            await serves(it, 2)
-            await change(it, "plan", "basic", "weight=8", at_ms=time.time() * 1000 + 1500)
-            await serves(it, 1)
+            await stage_change(it, "plan", "school", "weight=6", confirm_within_ms=900.0)
+            await wait_until_served(it, 2)
+            await stage_change(it, "plan", "basic", "weight=8", at_ms=time.time() * 1000 + 1500)
+            await wait_until_served(it, 1)
             await it.until(lambda: ("refused", 3) in steps_of(it))
             assert (
                 "apply it again"
@@ -219,7 +224,7 @@
     run()
 
 
-def test_a_start_finishes_an_undo_that_was_begun(tmp_path):
+def test_a_start_completes_an_interrupted_undo(tmp_path):
     change_log = ChangeLog(tmp_path)
     base = settings()
     for number in (1, 2):
@@ -241,8 +246,8 @@
 # Disks and files
 
 
-def full_after(change_log: ChangeLog, writes: int):
-    """A change log whose disk is full after so many transactions: SQLite itself says so."""
+def fill_disk_after(change_log: ChangeLog, writes: int):
+    """Make the disk of a change log full after some transactions; SQLite itself reports the error."""
     opened = ChangeLog._connect
     left = [writes]
 
@@ -268,16 +273,16 @@
 
 
 @pytest.mark.parametrize("writes", [0, 1])
-def test_a_full_disk_leaves_the_old_version_in_service_and_nothing_half_done(tmp_path, writes):
+def test_a_full_disk_leaves_the_old_version_in_service_and_no_partial_change(tmp_path, writes):
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
             rollout = it.gateway.rollout
             other = ChangeOperations(
                 ChangeLog(tmp_path), "ann", "here"
-            )  # its own way to the file, which has room
+            )  # a connection of its own, without the page limit
             other.execute(Set("plan", "school", ["weight=6"]))
-            left = full_after(rollout.change_log, writes)
+            left = fill_disk_after(rollout.change_log, writes)
             other.execute(Stage(2))
             await anyio.sleep(0.8)
             assert it.gateway.service.snapshot.version == 1
@@ -295,29 +300,29 @@
                 await it.until(lambda: ("undone", 1) in steps_of(it))
                 assert "could not be recorded" in other.change_log.entries()[-1].note
             else:
-                await serves(it, 2)
+                await wait_until_served(it, 2)
             assert other.change_log.verify() == []
 
     run()
 
 
-def test_harm_is_undone_even_where_the_disk_is_full(tmp_path):
+def test_a_version_is_rolled_back_even_if_the_disk_is_full(tmp_path):
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
-            await change(it, "plan", "school", "weight=6", confirm_within_ms=400.0)
-            await serves(it, 2)
-            left = full_after(it.gateway.rollout.change_log, 0)
+            await stage_change(it, "plan", "school", "weight=6", confirm_within_ms=400.0)
+            await wait_until_served(it, 2)
+            left = fill_disk_after(it.gateway.rollout.change_log, 0)
             await it.until(lambda: it.gateway.service.snapshot.version == 1)
             assert ChangeLog(tmp_path).state().serving == 2
             left[0] = 1000
-            await serves(it, 1)
+            await wait_until_served(it, 1)
             assert ("undone", 1) in steps_of(it)
 
     run()
 
 
-def test_damage_at_any_byte_of_the_change_log_is_detected_and_the_last_good_version_served(tmp_path):
+def test_damage_at_any_byte_of_the_change_log_is_detected_and_the_last_known_good_version_is_served(tmp_path):
     whole = tmp_path / "whole"
     change_log = ChangeLog(whole)
     base = settings()
@@ -344,7 +349,7 @@
         try:
             found, why = last_known_good.open_change_log(folder)
         except ChangeLogError as error:
-            assert "newer one" in str(error), "a file of a later format is nothing to put aside"
+            assert "newer one" in str(error), "a file of a later format is not set aside"
             continue
         told += bool(why)
         standing = found.state()
@@ -358,12 +363,12 @@
     assert last_known_good.load(tmp_path / "0") is None
 
 
-def test_a_gateway_starts_with_a_damaged_change_log_and_records_it_in_the_new_one(tmp_path):
+def test_a_gateway_starts_with_a_damaged_change_log_and_records_the_damage_in_a_new_one(tmp_path):
     @played
     async def first():
         async with rig(with_changes(tmp_path)) as it:
-            await change(it, "plan", "school", "weight=9")
-            await serves(it, 2)
+            await stage_change(it, "plan", "school", "weight=9")
+            await wait_until_served(it, 2)
             await it.until(
                 lambda: (
                     last_known_good.load(tmp_path) is not None and last_known_good.load(tmp_path).version == 2
@@ -391,18 +396,18 @@
 # Many changes, and history
 
 
-def test_many_changes_in_a_row_all_end_and_the_last_one_is_served(tmp_path):
-    """1,000 in a minute: CHANGES=1000."""
+def test_of_many_changes_in_a_row_each_is_completed_and_the_last_one_is_served(tmp_path):
+    """CHANGES=1000 runs 1,000 changes, which takes a minute."""
     count = int(os.environ.get("CHANGES", "60"))
 
     @played
     async def run():
         async with rig(with_changes(tmp_path, keep=20)) as it:
             for number in range(count):
-                while True:  # others have gone on: the gateway, and the version that is served
+                while True:  # retried on a conflict with a step of the gateway
                     try:
-                        made = await do(it, Set("plan", "school", [f"weight={number + 10}"]))
-                        last = (await do(it, Stage(made["version"])))["version"]
+                        made = await execute(it, Set("plan", "school", [f"weight={number + 10}"]))
+                        last = (await execute(it, Stage(made["version"])))["version"]
                         break
                     except OperationError as error:
                         assert error.code == "conflict", error.text
@@ -429,7 +434,7 @@
     return change_log
 
 
-def test_history_is_bounded_and_the_chain_goes_on_over_the_archives(tmp_path):
+def test_history_is_bounded_and_the_hash_chain_continues_over_the_archives(tmp_path):
     change_log = make_change_log(tmp_path, 30)
     before, stood = change_log.entries(), change_log.state()
     assert change_log.prune(10) > 0
@@ -438,7 +443,9 @@
     left = archive.read_text()
     row = [*dataclasses.astuple(change_log.entries()[0])]
     archive.write_text(left + json.dumps({"entry": row}) + "\n")
-    assert change_log.verify(archives=True) == [], "a move that was cut short has left more there than went"
+    assert change_log.verify(archives=True) == [], (
+        "an interrupted prune leaves entries in the archive that are still in the database"
+    )
     archive.write_text(left)
     assert change_log.state() == stood and change_log.version(30).text == "text 30"
     assert change_log.all_entries()[: len(before)] == before
@@ -461,11 +468,11 @@
         path.write_text(data)
     with sqlite3.connect(change_log.path) as db:
         db.execute("UPDATE versions SET text = 'other' WHERE id = 30")
-    assert change_log.verify(), "one whose entry is in an archive"
+    assert change_log.verify(), "a version whose proposal is in an archive is verified too"
 
 
 @pytest.mark.parametrize("key", ["seq", "hash", "standing", "kept"])
-def test_a_prune_entry_that_lacks_a_value_is_damage_and_the_rest_stays_readable(tmp_path, key):
+def test_a_prune_entry_without_a_value_is_reported_as_damage_and_other_entries_stay_readable(tmp_path, key):
     change_log = make_change_log(tmp_path, 12)
     assert change_log.prune(3) > 0
     remaining = change_log.entries()
@@ -498,7 +505,7 @@
 ]
 
 
-def test_every_operation_has_a_handler_and_the_name_of_its_json():
+def test_every_operation_has_a_handler_and_its_name_in_json():
     found = [parse_operation(fields) for fields in REQUESTED_OPERATIONS]
     assert [operation_name(each) for each in found] == [fields["op"] for fields in REQUESTED_OPERATIONS]
     assert {type(each) for each in found} == set(get_args(Operation)) == set(ChangeOperations._HANDLERS)
@@ -519,10 +526,10 @@
         ChangeLog(tmp_path)
 
 
-# Stops, and what goes while it is used
+# Shutdowns, and blocks that are removed while in use
 
 
-def test_a_change_during_a_stop_waits_for_the_next_start(tmp_path):
+def test_a_version_staged_during_a_shutdown_waits_for_the_next_start(tmp_path):
     @played
     async def first():
         async with rig(with_changes(tmp_path), unit_ms=120.0) as it:
@@ -536,7 +543,7 @@
                 await it.until(lambda: it.gateway.service.active_requests == 1)
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
-                await change(it, "plan", "school", "weight=6")
+                await stage_change(it, "plan", "school", "weight=6")
             assert answers[0].status == 201 and answers[0].headers["winchdyke-version"] == "1"
             assert it.gateway.service.snapshot.version == 1
 
@@ -546,12 +553,12 @@
     @played
     async def second():
         async with rig(with_changes(tmp_path)) as it:
-            await serves(it, 2)
+            await wait_until_served(it, 2)
 
     second()
 
 
-def test_a_volume_that_is_removed_while_its_upload_is_under_way(tmp_path):
+def test_an_upload_continues_after_its_volume_is_removed(tmp_path):
     @played
     async def run():
         async with rig(with_changes(tmp_path)) as it:
@@ -560,9 +567,9 @@
                 b"PUT /school-1/k HTTP/1.1\r\nhost: t\r\ncontent-length: 200000\r\n\r\n" + b"x" * 100_000
             )
             await it.until(lambda: it.gateway.service.active_requests == 1)
-            made = await do(it, Set("volume", "school-*", remove=True))
-            await do(it, Stage(made["version"]))
-            await serves(it, 2)
+            made = await execute(it, Set("volume", "school-*", remove=True))
+            await execute(it, Stage(made["version"]))
+            await wait_until_served(it, 2)
             after = await it.ask("GET", "/school-1/k")
             await peer.stream.send(b"x" * 100_000)
             from rig import reply
@@ -581,7 +588,7 @@
     run()
 
 
-def test_requests_that_are_held_while_their_plan_and_volume_go_are_answered_once_under_their_version(
+def test_queued_requests_whose_plan_and_volume_are_removed_are_answered_once_under_their_own_version(
     tmp_path,
 ):
     @played
@@ -600,13 +607,13 @@
                     group.start_soon(load, number)
                 await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) >= 40, 15.0)
                 base = it.gateway.rollout.change_log.version(1).text
-                made = await do(it, Set("volume", "contest-*", remove=True))
+                made = await execute(it, Set("volume", "contest-*", remove=True))
                 text = it.gateway.rollout.change_log.version(made["version"]).text
                 at = text.index("plan contest {")
-                made = await do(it, Propose(text[:at] + text[text.index("}", at) + 2 :]))
+                made = await execute(it, Propose(text[:at] + text[text.index("}", at) + 2 :]))
                 assert base != text
-                await do(it, Stage(made["version"]))
-                await serves(it, made["version"])
+                await execute(it, Stage(made["version"]))
+                await wait_until_served(it, made["version"])
                 await anyio.sleep(0.5)
                 stop = True
             told = {answer.headers["x-request-id"]: answer.headers["winchdyke-version"] for answer in answers}
@@ -621,7 +628,7 @@
     run()
 
 
-def test_a_course_that_moves_to_another_plan_in_a_burst_is_answered_all_the_while_and_by_its_new_limit(
+def test_a_volume_that_changes_its_plan_during_a_burst_is_served_throughout_and_limited_by_the_new_plan(
     tmp_path,
 ):
     @played
@@ -643,8 +650,8 @@
                 for number in range(6):
                     group.start_soon(load, number)
                 await anyio.sleep(0.6)
-                await change(it, "volume", "school-*", "plan=small")
-                await serves(it, 2)
+                await stage_change(it, "volume", "school-*", "plan=small")
+                await wait_until_served(it, 2)
                 since = it.record.seen[-1]["t"]
                 await anyio.sleep(1.5)
                 stop = True
@@ -654,7 +661,7 @@
             span = (it.record.seen[-1]["t"] - since) / 1000
             assert 5 <= len(late) <= 8 + 20 * span + 2
             assert len([seen for seen in heads if seen["t"] <= since]) > 2 * len(late), (
-                "a burst that the old plan let through"
+                "the old plan admitted the burst"
             )
             assert {answer.status for answer in answers} <= {404, 503, 504}
             told = {answer.headers["x-request-id"]: answer.headers["winchdyke-version"] for answer in answers}
@@ -664,10 +671,10 @@
     run()
 
 
-# Clocks apart
+# Clock skew
 
 
-def test_phases_and_the_lower_of_two_limits():
+def test_phases_around_an_instant_and_the_lower_of_two_limits():
     assert [phase_at(now, 100.0, 20.0) for now in (79, 80, 99, 100, 119, 120)] == [
         Phase.OLD, Phase.OLD_LOWER, Phase.OLD_LOWER, Phase.NEW_LOWER, Phase.NEW_LOWER, Phase.NEW,
     ]  # fmt: skip
@@ -707,7 +714,7 @@
     now=st.floats(-5000, 5000),
 )
 @examples(max_examples=300)
-def test_while_any_two_gateways_differ_in_version_all_hold_the_lower_limit(offsets, limits, now):
+def test_while_gateways_serve_different_versions_all_apply_the_lower_limit(offsets, limits, now):
     old, new = limits
     phases = [phase_at(10_000.0 + now + offset, 10_000.0, 1800.0) for offset in offsets]
     held = {Phase.OLD: old, Phase.NEW: new, Phase.OLD_LOWER: min(limits), Phase.NEW_LOWER: min(limits)}
@@ -717,7 +724,7 @@
     assert sum(held[at] for at in phases) <= max(limits) * len(phases)
 
 
-def test_every_interleaving_of_clocks_kills_and_late_arrivals_holds_the_lower_limit_while_versions_differ():
+def test_every_interleaving_of_clocks_kills_and_late_gateways_keeps_the_lower_limit_while_versions_differ():
     lowered, raised = (5, 2), (2, 5)
     for limits in (lowered, raised):
         found = explore(Clocks(limits=limits))
@@ -729,8 +736,10 @@
 
 @pytest.mark.parametrize("limit", [(200, 24), (24, 200)])
 @measured
-def test_three_gateways_whose_clocks_are_apart_hold_the_lower_limit_in_sum_while_they_differ(tmp_path, limit):
-    """Stores' traffic alone tells. Clocks are 2 s apart; where the limit is lowered it holds from before the first one changes."""
+def test_three_gateways_with_clock_skew_keep_the_lower_limit_in_sum_while_their_versions_differ(
+    tmp_path, limit
+):
+    """Measured at the stores alone, with clocks 2 s apart; a lowered limit applies before the first gateway changes over."""
     old, new = limit
     least = min(limit)
 
@@ -740,11 +749,13 @@
         config = dataclasses.replace(
             parse(base), changes=Changes(str(tmp_path / "0"), clocks_apart=2500.0), admin=Admin("none")
         )
-        async with rig(_of(config, 0, tmp_path), unit_ms=0.2) as it:
+        async with rig(gateway_config(config, 0, tmp_path), unit_ms=0.2) as it:
             gateways = [it.gateway]
             for index in (1, 2):
                 made = Gateway(
-                    dataclasses.replace(_of(config, index, tmp_path), nodes=it.gateway.config.nodes)
+                    dataclasses.replace(
+                        gateway_config(config, index, tmp_path), nodes=it.gateway.config.nodes
+                    )
                 )
                 ready = anyio.Event()
                 it.group.start_soon(made.run, ready.set)
@@ -795,16 +806,16 @@
                     await anyio.sleep(4.5)
                 stop = True
             first, last = min(changed.values()), max(changed.values())
-            assert 1500 < last - first < 3000, "they did not change at one time, by 2 s of clocks"
+            assert 1500 < last - first < 3000, "the gateways changed over 2 s apart, as their clocks differ"
             heads = [seen for seen in it.record.seen if seen["what"] == "head" and seen["volume"] == "other"]
             between = [seen["t"] for seen in heads if first <= seen["t"] <= last]
             units = sum(seen["units"] for seen in heads if first <= seen["t"] <= last)
             assert units <= 9 + least * (last - first) / 1000 * 1.05 + 3, (units, len(between))
-            assert units >= least * (last - first) / 1000 * 0.4, "and it is used"
+            assert units >= least * (last - first) / 1000 * 0.4, "the limit is used"
             if new > old:
                 rest = [seen for seen in heads if seen["t"] > last_change + 3000]
                 assert sum(seen["units"] for seen in rest) > 1.5 * old * 1.0, (
-                    "the higher limit counts once it is settled"
+                    "the higher limit applies after the skew interval"
                 )
             else:
                 before = [seen for seen in heads if began < seen["t"] < first - 2000]
@@ -813,7 +824,7 @@
     run()
 
 
-def _of(config, index: int, folder):
+def gateway_config(config, index: int, folder):
     gateway = dataclasses.replace(config.gateway, name=f"g{index}", index=index, gateways=3)
     volumes = tuple(dataclasses.replace(rule, gateways=3) for rule in config.volumes)
     changes = dataclasses.replace(config.changes, folder=str(folder / str(index)))
@@ -823,7 +834,7 @@
 # Operations
 
 
-def test_what_cant_be_done_is_told_in_words_and_codes(tmp_path):
+def test_operations_that_cannot_be_carried_out_raise_an_error_with_text_and_code(tmp_path):
     change_log = ChangeLog(tmp_path)
     base = settings()
     change_log.add_version(config_text(base), 0, "[]", "gateway", "", "")
@@ -844,11 +855,11 @@
     assert code(Set("plan", "school", ["weight=8"], new=True)) == "no-edit"
     assert code(Set("limits", "", ["connections=3"])) == "no-edit"
     assert code(Set("plan", "none", remove=True)) == "no-edit"
-    assert code(Set("plan", "school", remove=True)) == "check", "its volumes need it"
+    assert code(Set("plan", "school", remove=True)) == "check", "volumes still use the plan"
     assert code(Propose("plan {")) == "check"
     assert code(Propose("x" * 10, why="y" * 5000)) == "too-long"
     assert operations.execute(Set("plan", "school", ["weight=8"], check=True))["changes"]
-    assert operations.execute(Status())["last"] == 4, "a check keeps nothing"
+    assert operations.execute(Status())["last"] == 4, "a check stores nothing"
     made = operations.execute(Set("plan", "extra", ["weight=8"], new=True))
     assert made["version"] == 2
     assert code(Stage(2, at_ms=1000.0)) == "past"
@@ -863,10 +874,10 @@
 
 
 def test_the_complete_history_is_read_during_a_prune(tmp_path):
-    """Archives first and then the change log: entries that were moved between the two were in neither."""
+    """A reader of the archives first and then the database would miss entries that a prune moves between the two reads."""
 
-    class Moved(ChangeLog):
-        """History is moved out behind the first reading, whichever that is."""
+    class PrunedWhileRead(ChangeLog):
+        """Prunes the change log right after the first read, whichever that is."""
 
         moved = False
 
@@ -887,14 +898,14 @@
 
     pruned_log = make_change_log(tmp_path, 12)
     before = pruned_log.entries()
-    reader = Moved(tmp_path)
+    reader = PrunedWhileRead(tmp_path)
     assert reader.all_entries() == before and reader.moved
-    assert len(pruned_log.entries()) < len(before), "some did go"
+    assert len(pruned_log.entries()) < len(before), "some entries were archived"
     assert reader.all_entries()[: len(before)] == before
 
 
-def test_a_change_log_that_is_read_during_a_prune_is_read_as_it_was_at_one_moment(tmp_path):
-    """The reader took where it stood before the move and the entries after it: a start or an editor failed on that."""
+def test_a_change_log_that_is_read_during_a_prune_is_read_from_one_snapshot(tmp_path):
+    """A reader that takes the state before a prune and the entries after it makes a start or an operation fail."""
     change_log, reader, stop = make_change_log(tmp_path, 6), ChangeLog(tmp_path), []
 
     def reading() -> int:
