--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -1,11 +1,11 @@
-"""Whole gateways killed at random points of change cycles: what they serve after each kill, against what their trails say.
+"""Kills gateway processes at random points of change cycles, and checks what they serve after each kill against their change logs.
 
 python benchmarks/kills.py [--kills 500] [--workers 6]
 
-Each round starts a gateway process, asks it for its version all the while, and an editor proposes, stages (at once, on trial, for
-an instant), confirms and undoes beside it; then the process is killed with SIGKILL. Wrong is: a start that is refused, a trail whose
-chain does not hold, a start that serves another version than the trail leaves it at, a version reported applied for good that is
-gone without an entry that says why, and an answer under a version that was not in service.
+In each round a gateway process is started and asked for its version continuously, while an editor proposes, stages (at once, on
+trial, or for an instant), confirms and undoes versions; then the process is killed with SIGKILL. Faults are: a gateway that does not
+start, a change log whose hash chain does not verify, a start that serves another version than the change log records, a version that
+was reported as finally applied and is gone without an entry that explains it, and a response under a version that was never served.
 """
 
 from __future__ import annotations
@@ -29,29 +29,32 @@
 from winchdyke.config_rollout.rollout_state import RolloutState, recover
 
 START_S = 30.0
-KEPT = 12  # versions, so that old ones are moved out as well
+RETAINED_VERSIONS = 12  # few, so that old versions are archived during the run
 
 
 def settings(folder: Path) -> str:
-    """The embedded settings, at ports of the system's, with a folder of changes and no list service."""
+    """Return the embedded settings with ports chosen by the system, a folder for the change log, and no list service."""
     text = resources.files("winchdyke.config").joinpath("defaults.ini").read_text()
     text = text.replace("[gateway]\n", f"[gateway]\nport_file = {folder}/port\n", 1)
     lines = [line for line in text.splitlines() if not line.startswith("port_file =") or str(folder) in line]
-    return "\n".join(lines) + f"\n[changes]\nfolder = {folder}/changes\nkeep = {KEPT}\nclocks_apart = 50ms\n"
+    return (
+        "\n".join(lines)
+        + f"\n[changes]\nfolder = {folder}/changes\nkeep = {RETAINED_VERSIONS}\nclocks_apart = 50ms\n"
+    )
 
 
-class Killed:
-    """One gateway's rounds."""
+class KillRounds:
+    """Starts, edits and kills one gateway, and collects the faults."""
 
     def __init__(self, folder: Path, seed: int) -> None:
         self.folder, self.draw = folder, random.Random(seed)
         self.file = folder / "g.ini"
         self.file.write_text(settings(folder))
-        self.wrong: list[str] = []
+        self.faults: list[str] = []
         self.counts: Counter[str] = Counter()
 
     def start(self) -> subprocess.Popen[bytes] | None:
-        """A gateway that answers; None where it was refused."""
+        """Start the gateway and wait until it listens; returns None if it does not."""
         port = self.folder / "port"
         port.unlink(missing_ok=True)
         log = open(self.folder / "log", "ab")  # noqa: SIM115
@@ -69,7 +72,7 @@
         return None
 
     def version(self) -> int:
-        """The version of one answer; 0 where there was none."""
+        """Return the version of one response; 0 without a response."""
         try:
             host, _, number = (self.folder / "port").read_text().strip().rpartition(":")
             connection = http.client.HTTPConnection(host, int(number), timeout=2)
@@ -81,9 +84,9 @@
         except (OSError, ValueError, http.client.HTTPException):
             return 0
 
-    def edit(self, trail: ChangeLog) -> None:
-        """One step of an editor."""
-        operations = ChangeOperations(trail, "editor", "here")
+    def edit(self, change_log: ChangeLog) -> None:
+        """Carry out one random operation."""
+        operations = ChangeOperations(change_log, "editor", "here")
         try:
             what = self.draw.choice(("set", "set", "set", "undo", "confirm"))
             if what == "undo":
@@ -101,24 +104,27 @@
             self.counts["no " + error.code] += 1
 
     def round(self) -> bool:
-        """Start, edit, kill; False where the start was refused."""
+        """Start, edit and kill the gateway, and check the result; returns False if the gateway did not start."""
         changes = self.folder / "changes"
         before = ChangeLog(changes).state() if changes.exists() else RolloutState()
         last = ChangeLog(changes).last_seq() if changes.exists() else 0
         process = self.start()
         if process is None:
-            self.wrong.append("a start was refused: " + (self.folder / "log").read_text()[-500:])
+            self.faults.append("the gateway did not start: " + (self.folder / "log").read_text()[-500:])
             return False
         try:
-            trail = ChangeLog(changes)
+            change_log = ChangeLog(changes)
             steps, _ = recover(before)
             due = before
             for step in steps:
                 due = due.advance(step)
             first = self.version()
-            mine = {entry.version for entry in trail.entries_after(last)} | {due.serving, before.serving}
-            if last and first not in mine:
-                self.wrong.append(f"version {first} after a start; the trail leaves it at {due.serving}")
+            allowed = {entry.version for entry in change_log.entries_after(last)} | {
+                due.serving,
+                before.serving,
+            }
+            if last and first not in allowed:
+                self.faults.append(f"version {first} after a start; the change log records {due.serving}")
             seen: set[int] = set()
             stop = threading.Event()
 
@@ -129,9 +135,9 @@
             asking = threading.Thread(target=ask)
             asking.start()
             for _ in range(self.draw.randrange(1, 4)):
-                self.edit(trail)
+                self.edit(change_log)
                 time.sleep(self.draw.uniform(0.0, 0.3))
-            reported = trail.state()
+            reported = change_log.state()
             process.send_signal(signal.SIGKILL)
             process.wait()
             stop.set()
@@ -140,59 +146,63 @@
             if process.poll() is None:
                 process.kill()
                 process.wait()
-        self._check(trail, reported, seen, last)
+        self._check(change_log, reported, seen, last)
         return True
 
-    def _check(self, trail: ChangeLog, reported: RolloutState, seen: set[int], last: int) -> None:
+    def _check(self, change_log: ChangeLog, reported: RolloutState, seen: set[int], last: int) -> None:
         self.counts["kills"] += 1
-        self.wrong += trail.verify(archives=True)
-        entries = [*trail.archived_entries(), *trail.entries()]
+        self.faults += change_log.verify(archives=True)
+        entries = [*change_log.archived_entries(), *change_log.entries()]
         served = {e.version for e in entries if e.action in ("applying", "applied", "undoing", "undone")}
-        if strange := seen - served - {0}:
-            self.wrong.append(f"answers under versions {strange} that were never in service")
-        after = trail.state()
+        if never_served := seen - served - {0}:
+            self.faults.append(f"responses under versions {never_served} that were never served")
+        after = change_log.state()
         self.counts["cut while applying"] += bool(after.applying)
-        good = reported.serving and not reported.confirm_by_ms and not reported.applying
-        if good and after.serving != reported.serving and not after.applying:
-            said = [e for e in entries if e.action in ("applied", "undone") and e.version == after.serving]
-            if not said:
-                self.wrong.append(
+        is_final = reported.serving and not reported.confirm_by_ms and not reported.applying
+        if is_final and after.serving != reported.serving and not after.applying:
+            explaining = [
+                e for e in entries if e.action in ("applied", "undone") and e.version == after.serving
+            ]
+            if not explaining:
+                self.faults.append(
                     f"version {reported.serving} was reported applied, and {after.serving} is served"
                 )
 
 
-def run(folder: Path, seed: int, kills: int) -> Killed:
-    """So many kills of one gateway."""
-    killed = Killed(folder, seed)
+def run(folder: Path, seed: int, kills: int) -> KillRounds:
+    """Kill one gateway a number of times, and stop early if it does not start."""
+    rounds = KillRounds(folder, seed)
     for _ in range(kills):
-        if not killed.round():
+        if not rounds.round():
             break
-    return killed
+    return rounds
 
 
 def main() -> None:
-    """Run, and print what was wrong."""
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("--kills", type=int, default=500)
-    asked.add_argument("--workers", type=int, default=6)
-    given = asked.parse_args()
+    """Run all workers and print the counts and faults."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--kills", type=int, default=500)
+    parser.add_argument("--workers", type=int, default=6)
+    arguments = parser.parse_args()
     counts: Counter[str] = Counter()
-    wrong: list[str] = []
-    with tempfile.TemporaryDirectory() as where, ThreadPoolExecutor(given.workers) as pool:
+    faults: list[str] = []
+    with tempfile.TemporaryDirectory() as where, ThreadPoolExecutor(arguments.workers) as pool:
         jobs = []
-        for number in range(given.workers):
+        for number in range(arguments.workers):
             folder = Path(where) / str(number)
             folder.mkdir()
-            each = given.kills // given.workers + (number < given.kills % given.workers)
+            each = arguments.kills // arguments.workers + (number < arguments.kills % arguments.workers)
             jobs.append(pool.submit(run, folder, number, each))
         for job in jobs:
             counts += job.result().counts
-            wrong += job.result().wrong
+            faults += job.result().faults
     print(", ".join(f"{name} {count}" for name, count in sorted(counts.items())))
-    print(f"{len(wrong)} wrong")
-    for text in wrong[:20]:
+    print(f"{len(faults)} faults")
+    for text in faults[:20]:
         print(" ", text)
-    raise SystemExit(bool(wrong))
+    raise SystemExit(bool(faults))
 
 
 if __name__ == "__main__":
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -1,10 +1,10 @@
-"""What a limited course moves with large objects: both dialects, one gateway and three, against what its limit allows.
+"""Measures what a limited volume transfers with large objects, over both protocols and with one and three gateways, against its limit.
 
     python -m benchmarks.limits [--seconds 8.3] [--plot docs/figures/limits.png]
 
 Gateways are real processes with the embedded settings, volume ``other`` (plan basic: 240 units of 64 KiB a second, burst 480); three
-clients at each put objects of 16 MiB one after another, wait as long as they are told, and stop after the time. What moved is what the
-stores took of whole bodies. It is simulated in nothing: loopback, real bytes.
+clients at each upload objects of 16 MiB one after another, wait for their Retry-After, and stop after the given time. The transferred
+bytes are those of bodies that the stores received completely. Nothing is simulated: all bytes go over the loopback interface.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 async def _put(peer: Peer, path: str) -> tuple[int, float]:
-    """Its status, and how long it is to stay away (s)."""
+    """Upload one object; returns the status and the Retry-After in seconds."""
     headers = [("host", "g"), ("content-length", str(SIZE))]
     head: h11.Response | None = None
     async with anyio.create_task_group() as group:
@@ -46,7 +46,7 @@
                     await peer.send(h11.Data(data=piece))
                 await peer.send(h11.EndOfMessage())
             except (*LOST, h11.LocalProtocolError):
-                pass  # answered before its end
+                pass  # the response came before the end of the body
 
         group.start_soon(send)
         while True:
@@ -61,7 +61,7 @@
     return head.status_code, float(after)
 
 
-async def _client(address: tuple[str, int], name: str, until: float, said: Counter[int]) -> None:
+async def _client(address: tuple[str, int], name: str, until: float, statuses: Counter[int]) -> None:
     number = 0
     while clock() < until:
         number += 1
@@ -73,7 +73,7 @@
                 await anyio.aclose_forcefully(peer.stream)
         except LOST:
             status, wait = 0, 0.2
-        said[status] += 1
+        statuses[status] += 1
         if status >= 500:
             await anyio.sleep(max(0.05, min(wait, (until - clock()) / 1000)))
 
@@ -87,10 +87,10 @@
 
 
 async def measure(
-    dialect: str, gateways: int, seconds: float
+    protocol: str, gateways: int, seconds: float
 ) -> tuple[list[tuple[float, float]], Counter[int]]:
-    """Units moved, as (ms since the start, units), and the clients' statuses."""
-    record, meter, rack, said = Record(), Meter(), Rack(), Counter[int]()
+    """Return the transfers as (ms since the start, units), and the counts of the clients' statuses."""
+    record, meter, rack, statuses = Record(), Meter(), Rack(), Counter[int]()
     processes: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory(prefix="winchdyke-limits-") as folder:
         async with anyio.create_task_group() as group:
@@ -102,7 +102,7 @@
                 await listing.set(store.name, "ready", shard, "hall-a")
             try:
                 addresses = [
-                    await _start(Path(folder), index, gateways, listing.port, dialect, processes)
+                    await _start(Path(folder), index, gateways, listing.port, protocol, processes)
                     for index in range(gateways)
                 ]
                 await anyio.sleep(0.3)
@@ -111,7 +111,7 @@
                     for index, address in enumerate(addresses):
                         for number in range(CLIENTS):
                             clients.start_soon(
-                                _client, address, f"g{index}-{number}", began + seconds * 1000, said
+                                _client, address, f"g{index}-{number}", began + seconds * 1000, statuses
                             )
             finally:
                 for process in processes:
@@ -124,7 +124,7 @@
         for seen in record.seen
         if seen["what"] == "whole" and seen["bytes"]
     ]
-    return moved, said
+    return moved, statuses
 
 
 async def _start(
@@ -132,7 +132,7 @@
     index: int,
     gateways: int,
     list_port: int,
-    dialect: str,
+    protocol: str,
     processes: list[subprocess.Popen[bytes]],
 ) -> tuple[str, int]:
     port_file, settings = folder / f"{index}.port", folder / f"{index}.conf"
@@ -150,13 +150,13 @@
             if processes[-1].poll() is not None:
                 raise SystemExit((folder / f"{index}.log").read_text())
             await anyio.sleep(0.02)
-    where = port_file if dialect == "object" else port_file.with_name(port_file.name + ".s3")
+    where = port_file if protocol == "object" else port_file.with_name(port_file.name + ".s3")
     host, _, port = where.read_text().strip().rpartition(":")
     return host, int(port)
 
 
-def worst(moved: list[tuple[float, float]], rate: float, burst: float, gateways: int) -> float:
-    """The most that any window moved, as a part of what limit, burst and one object a gateway allow it."""
+def highest_window_ratio(moved: list[tuple[float, float]], rate: float, burst: float, gateways: int) -> float:
+    """Return the highest ratio over all windows of transferred units to those that limit, burst and one object a gateway allow."""
     found, most = 0.0, burst + gateways * SIZE / UNIT
     for first in range(len(moved)):
         total = 0.0
@@ -168,19 +168,19 @@
 
 def plot(
     path: Path,
-    all_of_them: dict[str, tuple[list[tuple[float, float]], int]],
+    runs: dict[str, tuple[list[tuple[float, float]], int]],
     rate: float,
     burst: float,
     seconds: float,
 ) -> None:
-    """Units moved over time, and what is allowed at the most."""
+    """Plot the transferred units over time, and the maximum allowed."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for name, (moved, _) in all_of_them.items():
+    for name, (moved, _) in runs.items():
         total, xs, ys = 0.0, [0.0], [0.0]
         for at, units in moved:
             total += units
@@ -208,17 +208,17 @@
     found: dict[str, tuple[list[tuple[float, float]], int]] = {}
     click.echo("| dialect | gateways | MiB moved | MiB allowed | most of any window | put | refused |")
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
-    for dialect in ("object", "s3"):
+    for protocol in ("object", "s3"):
         for gateways in (1, 3):
-            moved, said = anyio.run(measure, dialect, gateways, seconds)
-            found[f"{dialect}, {gateways}"] = moved, gateways
+            moved, statuses = anyio.run(measure, protocol, gateways, seconds)
+            found[f"{protocol}, {gateways}"] = moved, gateways
             span = max((at for at, _ in moved), default=0.0) / 1000
             allowed = (plan.limit_units_per_s * span + plan.limit_burst_units + gateways * SIZE / UNIT) / 16
-            part = worst(moved, plan.limit_units_per_s, plan.limit_burst_units, gateways)
+            part = highest_window_ratio(moved, plan.limit_units_per_s, plan.limit_burst_units, gateways)
             total = sum(units for _, units in moved) / 16
-            good, bad = sum(n for s, n in said.items() if 200 <= s < 300), said[503]
+            good, bad = sum(n for s, n in statuses.items() if 200 <= s < 300), statuses[503]
             click.echo(
-                f"| {dialect} | {gateways} | {total:.0f} | {allowed:.0f} | {part:.2f} | {good} | {bad} |"
+                f"| {protocol} | {gateways} | {total:.0f} | {allowed:.0f} | {part:.2f} | {good} | {bad} |"
             )
     if figure is not None:
         plot(figure, found, plan.limit_units_per_s, plan.limit_burst_units, seconds)
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -1,9 +1,9 @@
-"""What an apply costs a serving gateway: the pause of its loop, with 1 of 5,000 volumes changed and with all; memory.
+"""Measures what an apply costs a serving gateway, with 1 of 5,000 volumes changed and with all: event-loop pause and memory.
 
 python benchmarks/swap.py [--volumes 5000] [--rounds 20]
 
-All 5,000 volumes have accounts at the scheduler. The pause is the time for which nothing else can run: the swap itself.
-Reading and checking the version runs in a thread beside the loop.
+All 5,000 volumes have quotas at the scheduler. The pause is the duration of the swap itself, during which nothing else can run.
+Reading and checking the version runs in a thread outside the event loop.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 from winchdyke.gateway.service import ConfigSnapshot
 
 
-def swapped(engine: SchedulerLoop, old: Config, config: Config) -> float:
-    """Milliseconds for which the loop stands in one swap, as the daemon does it; the rest is made beside it."""
+def swap_pause_ms(engine: SchedulerLoop, old: Config, config: Config) -> float:
+    """Do one swap as the daemon does, and return the milliseconds for which it blocks the event loop."""
     plans, settings = (
         changed_plans(
             engine.volumes_with_quota(), EffectiveConfig(old, old), EffectiveConfig(config, config)
@@ -34,7 +34,7 @@
         config.settings(),
     )
     names = list(plans)
-    for at in range(0, len(names), REFILL_BATCH_VOLUMES):  # between these others run
+    for at in range(0, len(names), REFILL_BATCH_VOLUMES):  # other tasks run between the batches
         engine.refill_quotas(names[at : at + REFILL_BATCH_VOLUMES])
     began = time.perf_counter()
     engine.volumes_with_quota(len(engine.volumes_with_quota()))
@@ -44,12 +44,14 @@
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--volumes", type=int, default=5000)
-    words.add_argument("--rounds", type=int, default=20)
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--volumes", type=int, default=5000)
+    parser.add_argument("--rounds", type=int, default=20)
+    arguments = parser.parse_args()
     settings.PLANS = ("basic",)
-    base = parse(defaults() + "\n" + settings.many(chosen.volumes, 0))
+    base = parse(defaults() + "\n" + settings.many(arguments.volumes, 0))
     names = [rule.pattern for rule in base.volumes if rule.pattern.startswith("course")]
     text = config_text(base)
     at = text.index("volume course")
@@ -60,12 +62,12 @@
     for number, name in enumerate(names):
         engine.submit(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
     engine.process_events()
-    print(f"{len(engine._scheduler.quotas)} accounts")
+    print(f"{len(engine._scheduler.quotas)} quotas")
     for what, config in (("one volume", one), ("all volumes", every)):
         pauses = []
-        for _ in range(chosen.rounds):
-            pauses.append(swapped(engine, base, config))
-            swapped(engine, config, base)
+        for _ in range(arguments.rounds):
+            pauses.append(swap_pause_ms(engine, base, config))
+            swap_pause_ms(engine, config, base)
         pauses.sort()
         print(f"{what}: pause {statistics.median(pauses):.2f} ms (at most {pauses[-1]:.2f})")
     began = time.perf_counter()
@@ -73,7 +75,7 @@
     kept = parse(config_text(every))
     held, took = tracemalloc.get_traced_memory()[0] / 2**20, time.perf_counter() - began
     print(
-        f"a version more: {held:.1f} MiB; read and checked beside the loop in {took:.1f} s (while memory is traced)"
+        f"one more version: {held:.1f} MiB; read and checked outside the loop in {took:.1f} s (while memory is traced)"
     )
     assert kept
 
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -1,11 +1,11 @@
-"""What requests that are under way at an apply wait longer: their latency against that of others of the same run.
+"""Measures how an apply delays requests in flight: their latency compared with that of other requests of the same run.
 
 python benchmarks/swap_load.py [--volumes 5000] [--applies 30]
 
-One gateway, eight stores and 16 clients in one process, all 5,000 volumes with accounts at the scheduler. Versions take turns in
-which 1 volume or all 5,000 have another plan; each is staged on the trail, checked, watched and applied as in service. Told is
-the 50th and 99th percentile of requests during which a swap came, of those while a version is read and checked beside the loop, and
-of all others.
+One gateway, eight stores and 16 clients run in one process, and all 5,000 volumes have quotas at the scheduler. Two versions
+alternate, in which 1 volume or all 5,000 have another plan; each is staged in the change log, checked, observed and applied as in
+service. The output is the 50th and 99th percentile latency of requests during a swap, of those while a version is read and checked
+outside the event loop, and of all others.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 def percentile(values: list[float], percent: float) -> float:
-    """Of a sample; 0 where there is none."""
+    """Return a percentile of a sample; 0 for an empty one."""
     values = sorted(values)
     return values[min(len(values) - 1, int(len(values) * percent / 100))] if values else 0.0
 
@@ -43,7 +43,7 @@
 async def client(
     gateway: Gateway, number: int, took: list[tuple[float, float]], on: Callable[[], bool]
 ) -> None:
-    """One closed loop."""
+    """Send requests one after another and record when each began and ended."""
     peer = Peer(await anyio.connect_tcp(*gateway.address), h11.CLIENT)
     count = 0
     while on():
@@ -59,7 +59,7 @@
 
 
 async def run(base: Config, changed: Callable[[str], str], applies: int) -> None:
-    """Play it, and print."""
+    """Run the load with its applies, and print the latencies."""
     took: list[tuple[float, float]] = []
     swaps: list[tuple[float, float]] = []
     checks: list[tuple[float, float]] = []
@@ -116,7 +116,7 @@
     checked = [at for at in took if not during(swaps, at) and during(checks, at)]
     others = [at for at in took if not during(swaps, at) and not during(checks, at)]
     print(f"{len(swaps)} swaps, the longest {max(end - start for start, end in swaps) * 1000:.2f} ms")
-    for what, found in (("during a swap", swapped), ("while one is checked", checked), ("others", others)):
+    for what, found in (("during a swap", swapped), ("during a check", checked), ("others", others)):
         ms = [(end - start) * 1000 for start, end in found]
         print(
             f"{what:22} {len(ms):6} requests, p50 {percentile(ms, 50):.2f} ms, p99 {percentile(ms, 99):.2f} ms"
@@ -124,14 +124,16 @@
 
 
 def main() -> None:
-    """Both kinds of change, one after the other."""
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--volumes", type=int, default=5000)
-    words.add_argument("--applies", type=int, default=10)
-    chosen = words.parse_args()
+    """Measure both kinds of change, one after the other."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--volumes", type=int, default=5000)
+    parser.add_argument("--applies", type=int, default=10)
+    arguments = parser.parse_args()
     logs.configure("none")
     many_settings.PLANS = ("basic",)
-    plain = parse(defaults() + "\n" + many_settings.many(chosen.volumes, 0))
+    plain = parse(defaults() + "\n" + many_settings.many(arguments.volumes, 0))
     for what in ("one volume", "all volumes"):
         with tempfile.TemporaryDirectory() as folder:
             base = dataclasses.replace(plain, changes=Changes(str(Path(folder) / "c")), admin=Admin("none"))
@@ -142,7 +144,7 @@
                 return text[:at] + text[at:].replace("plan = basic", "plan = school", count)
 
             print(what)
-            anyio.run(run, base, changed, chosen.applies)
+            anyio.run(run, base, changed, arguments.applies)
 
 
 if __name__ == "__main__":
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -1,10 +1,10 @@
-"""How often the verdict on a change errs, over simulated days: good changes undone, bad ones missed, by its thresholds.
+"""Measures the errors of the canary verdict over simulated days: good changes undone and bad ones missed, by threshold.
 
 python benchmarks/verdict.py [--days 300] [--plot FILE.png]
 
-Each day has three gateways' courses on eight stores in the model, a change to one course halfway, and a rough hour of its own in
-two days of three: a surge of that course, a store that slows down by 3 to 8, or a burst of exports beside it. In a bad change
-a part of the course's requests goes to a shard that has no node (a fifth to all of them).
+Each day simulates courses (volumes) on eight stores, a change to one course halfway, and in three days of four a disturbance: a
+surge of that course, a store that slows down by a factor of 3 to 8, or a burst of exports beside it. A bad change sends a part of
+the course's requests (a fifth to all of them) to a shard without an endpoint.
 """
 
 from __future__ import annotations
@@ -20,17 +20,20 @@
 from winchdyke.model.world import Course, Scene, World
 
 LENGTH, APPLIED = 24_000.0, 13_500.0
-NOWHERE = 8  # a shard that no store has
+SHARD_WITHOUT_STORE = 8
 
 
-class Holed(World):
-    """A world with a shard that has no node."""
+class WorldWithEmptyShard(World):
+    """A simulated cluster that has a shard without an endpoint."""
 
 
-def day(seed: int) -> tuple[bool, str, list[tuple[float, str, int, str, float]]]:
-    """Whether the change was bad, what was rough, and what ended: when, whose, at which shard, how."""
+def simulate_day(seed: int) -> tuple[bool, str, list[tuple[float, str, int, str, float]]]:
+    """Simulate a day.
+
+    Returns whether the change was bad, the disturbance, and the finished requests as (end, volume, shard, outcome, latency).
+    """
     draw = random.Random(seed)
-    bad, rough = bool(seed % 2), draw.choice(("surge", "slow", "burst", "calm"))
+    bad, disturbance = bool(seed % 2), draw.choice(("surge", "slow", "burst", "calm"))
     courses = [
         Course(f"course-{n}", draw.uniform(8, 20), "fetch", 2.0, "school", (n % 8, (n + 3) % 8))
         for n in range(8)
@@ -44,19 +47,19 @@
     if part:
         courses.append(
             dataclasses.replace(
-                mine, name="mine-bad", begin_ms=APPLIED, rate=mine.rate * part, shards=(NOWHERE,)
+                mine, name="mine-bad", begin_ms=APPLIED, rate=mine.rate * part, shards=(SHARD_WITHOUT_STORE,)
             )
         )
     slow: tuple[tuple[int, float], ...] = ()
-    if rough == "surge":
+    if disturbance == "surge":
         courses.append(
             dataclasses.replace(
                 mine, name="mine-surge", begin_ms=APPLIED, rate=mine.rate * draw.uniform(1, 6)
             )
         )
-    elif rough == "slow":
+    elif disturbance == "slow":
         slow = ((0, draw.uniform(3, 8)),)
-    elif rough == "burst":
+    elif disturbance == "burst":
         courses.append(
             Course(
                 "burst",
@@ -70,7 +73,7 @@
             )
         )
     scene = Scene(tuple(courses), stores=8, slow=slow, slow_from_ms=APPLIED, length_ms=LENGTH, seed=seed)
-    world = Holed(scene)
+    world = WorldWithEmptyShard(scene)
     shards = {request.request_id: request.shard for _, request in world.arrivals()}
     ended = [
         (
@@ -82,11 +85,13 @@
         )
         for done in world.run()
     ]
-    return bad, rough, sorted(ended)
+    return bad, disturbance, sorted(ended)
 
 
-def judged(ended: list[tuple[float, str, int, str, float]], criteria: CanaryCriteria) -> float | None:
-    """After how many milliseconds the change was undone; None where it was not."""
+def time_to_undo_ms(
+    ended: list[tuple[float, str, int, str, float]], criteria: CanaryCriteria
+) -> float | None:
+    """Return the milliseconds after which the change was undone; None if it was not."""
     watch, at = CanaryObserver(criteria), 0
     now = APPLIED
     while now < APPLIED + criteria.watch_ms:
@@ -100,26 +105,30 @@
     return None
 
 
-def one(seed: int) -> tuple[bool, str, dict[tuple[float, float], float | None]]:
-    """A day under several thresholds."""
-    bad, rough, ended = day(seed)
+def evaluate_day(seed: int) -> tuple[bool, str, dict[tuple[float, float], float | None]]:
+    """Evaluate one day under several thresholds."""
+    bad, disturbance, ended = simulate_day(seed)
     found = {}
     for excess in (0.02, 0.05, 0.10, 0.20):
-        for sure in (2.0, 3.0, 4.0, 6.0):
-            found[excess, sure] = judged(
-                ended, CanaryCriteria(max_excess_ratio=excess, min_standard_errors=sure)
+        for standard_errors in (2.0, 3.0, 4.0, 6.0):
+            found[excess, standard_errors] = time_to_undo_ms(
+                ended, CanaryCriteria(max_excess_ratio=excess, min_standard_errors=standard_errors)
             )
-    return bad, rough, found
+    return bad, disturbance, found
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--days", type=int, default=300)
-    words.add_argument("--first", type=int, default=0, help="the first seed")
-    words.add_argument("--plot", type=Path)
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--days", type=int, default=300)
+    parser.add_argument("--first", type=int, default=0, help="the first seed")
+    parser.add_argument("--plot", type=Path)
+    arguments = parser.parse_args()
     with ProcessPoolExecutor(4) as pool:
-        days = list(pool.map(one, range(chosen.first, chosen.first + chosen.days), chunksize=4))
+        days = list(
+            pool.map(evaluate_day, range(arguments.first, arguments.first + arguments.days), chunksize=4)
+        )
     goods, bads = sum(not bad for bad, _, _ in days), sum(bad for bad, _, _ in days)
     print(
         f"{goods} good changes, {bads} bad ones (simulated); false undo, missed, and the slowest undo of a bad one"
@@ -130,24 +139,28 @@
         missed = sum(found[key] is None for bad, _, found in days if bad) / bads
         slowest = max((found[key] or 0.0 for bad, _, found in days if bad), default=0.0)
         points[key] = false, missed
-        print(f"  excess {key[0]:.2f}, sure {key[1]:g}: {false:.3f}  {missed:.3f}  {slowest / 1000:.1f} s")
+        print(
+            f"  excess {key[0]:.2f}, standard errors {key[1]:g}: {false:.3f}  {missed:.3f}  {slowest / 1000:.1f} s"
+        )
     here = (CanaryCriteria().max_excess_ratio, CanaryCriteria().min_standard_errors)
     print(
         "false undo at",
         here,
-        dict(Counter(rough for bad, rough, found in days if not bad and found[here] is not None)),
+        dict(Counter(disturbance for bad, disturbance, found in days if not bad and found[here] is not None)),
     )
     print(
-        "missed at", here, dict(Counter(rough for bad, rough, found in days if bad and found[here] is None))
+        "missed at",
+        here,
+        dict(Counter(disturbance for bad, disturbance, found in days if bad and found[here] is None)),
     )
-    if chosen.plot:
-        plot(points, here, chosen.plot)
+    if arguments.plot:
+        plot(points, here, arguments.plot)
 
 
 def plot(
     points: dict[tuple[float, float], tuple[float, float]], here: tuple[float, float], path: Path
 ) -> None:
-    """Missed against false, one line for each excess."""
+    """Plot the missed bad changes against the undone good ones, one line for each excess."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -116,7 +116,7 @@
     Returns the version being applied at the kill, the versions served after the start, the one served last, and all actions.
     """
     folder.mkdir()
-    made = kills.Killed(folder, 0)
+    made = kills.KillRounds(folder, 0)
     change_log = ChangeLog(folder / "changes")
     base = settings()
     text = (folder / "g.ini").read_text()
@@ -168,7 +168,7 @@
 def test_gateways_killed_at_random_points_of_change_cycles_lose_no_change_and_start_again(tmp_path):
     """benchmarks/kills.py runs the same with 500 kills."""
     found = kills.run(tmp_path, 3, int(os.environ.get("CHANGE_KILLS", "4")))
-    assert found.wrong == [] and found.counts["kills"] >= 4
+    assert found.faults == [] and found.counts["kills"] >= 4
 
 
 # Undos
