--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -905,7 +905,7 @@
 
 
 def test_a_change_log_that_is_read_during_a_prune_is_read_from_one_snapshot(tmp_path):
-    """A reader that takes the state before a prune and the entries after it makes a start or an operation fail."""
+    """A reader must not combine the state before a prune with the entries after it: a start or an operation failed on that."""
     change_log, reader, stop = make_change_log(tmp_path, 6), ChangeLog(tmp_path), []
 
     def reading() -> int:
--- a/winchdyke/admin/listeners.py
+++ b/winchdyke/admin/listeners.py
@@ -14,7 +14,7 @@
 from winchdyke.admin.keys import KeyFileError, read_keys
 from winchdyke.config.model import Admin as AdminSettings
 
-SOCKET_NAME = "admin.sock"  # in the gateway's folder, where the settings give no path
+SOCKET_NAME = "admin.sock"  # in the gateway's folder, unless the settings give a path
 MAX_SOCKET_PATH_BYTES = 100  # within the limit of all systems
 
 
--- a/winchdyke/config_rollout/canary_analysis.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CanaryCriteria:
-    """When a change counts as harmful.
+    """The thresholds from which a change is harmful.
 
     Attributes:
         watch_ms: How long a change is observed.
@@ -260,7 +260,7 @@
 
 
 def affected_volumes(old: Config, new: Config) -> VolumePredicate:
-    """Return which volumes a change affects: by their block, their plan's values, or a route that may take their requests."""
+    """Return a predicate for volumes that a change affects: by their block, their plan's values, or a route that may match them."""
     old_plans = {plan.name: plan for plan in old.plans}
     new_plans = {plan.name: plan for plan in new.plans}
     route_patterns = {route.pattern.volume for route in set(old.routes) ^ set(new.routes)}
@@ -281,7 +281,7 @@
 
 
 def volumes_with_lowered_limit(old: Config, new: Config) -> VolumePredicate:
-    """Return which volumes have a lower limit or burst than before, or a limit where they had none."""
+    """Return a predicate for volumes with a lower limit or burst than before, or with a limit for the first time."""
     old_plans = {plan.name: plan for plan in old.plans}
     new_plans = {plan.name: plan for plan in new.plans}
 
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -134,7 +134,7 @@
                 yield db
                 db.execute("COMMIT")
             except BaseException:
-                if db.in_transaction:  # SQLite rolls back by itself where the disk is full
+                if db.in_transaction:  # SQLite rolls back by itself when the disk is full
                     db.execute("ROLLBACK")
                 raise
 
