--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -24,8 +24,8 @@
 import gateway as plain
 from lean import Client
 
-from winchdyke.auth.keys import Right, made, new_master, write
-from winchdyke.auth.sigv4 import UNSIGNED, sign
+from winchdyke.auth.keys import Right, add_master_key, create_key, write_keys
+from winchdyke.auth.sigv4 import UNSIGNED_PAYLOAD, sign
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 
@@ -65,7 +65,7 @@
         if kind in ("pass", "unsigned"):
             lines.append(f"host: {host}")
         else:
-            payload = EMPTY if how != "put" else HASHED if kind == "signed, hashed" else UNSIGNED
+            payload = EMPTY if how != "put" else HASHED if kind == "signed, hashed" else UNSIGNED_PAYLOAD
             signed = sign(method, host, path, query, payload, *access, time.time())
             lines += [f"{name.decode()}: {value.decode()}" for name, value in signed]
         found.append(("\r\n".join(lines) + "\r\n\r\n", size))
@@ -114,9 +114,9 @@
         ports = [port for _, port in stores]
         passing, pass_port = plain.start_process(str(HERE / "passthrough.py"), *map(str, ports))
         processes.append(passing)
-        new_master(where / "master")
-        key, secret = made("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
-        write(where / "keys", [key])
+        add_master_key(where / "master")
+        key, secret = create_key("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
+        write_keys(where / "keys", [key])
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
             await listing.start(group)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -473,7 +473,9 @@
             await restarted_store.start(it.group, cold=True)
             it.list.kill()
             paths = [
-                path for path in (f"/school-1/k{n}" for n in range(400)) if it.store_of(path) is restarted_store
+                path
+                for path in (f"/school-1/k{n}" for n in range(400))
+                if it.store_of(path) is restarted_store
             ]
             gateways = []
             for number in range(5):
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -19,7 +19,7 @@
 import structlog
 
 from winchdyke.auth import sigv4
-from winchdyke.auth.keys import Access, KeysError, Right, may, sees
+from winchdyke.auth.keys import AccessKeyFileError, AccessKeyRing, Right, has_rights_in, is_allowed
 from winchdyke.config.model import S3 as Settings
 from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import ClientDisconnectedError
@@ -136,7 +136,7 @@
 
     def __init__(self, service: Service, settings: Settings, wall: Callable[[], float] = time.time) -> None:
         self.service, self.settings, self.wall = service, settings, wall
-        self.access = Access(Path(settings.keys), Path(settings.master)) if settings.keys else None
+        self.access = AccessKeyRing(Path(settings.keys), Path(settings.master)) if settings.keys else None
         self._born, self._count = uuid.uuid4().hex[:20], 0
         self.parts, self.ranges = Lanes(settings.parts_at_once), Lanes(settings.ranges_at_once)
         self._volumes: set[str] = set()  # that had uploads in parts since this gateway's start
@@ -236,7 +236,7 @@
         self.began, self._steps = self.service.clock(), 0
         self.asked: Asked | None = None
         self.rights: list[Right] = []
-        self.signed = sigv4.Signed("", sigv4.UNSIGNED)
+        self.signed = sigv4.VerifiedRequest("", sigv4.UNSIGNED_PAYLOAD)
         self.record = AccessLogRecord(config_version=self.snapshot.version)
         self.outcome, self.code, self.who = "served", "", ""
         self.end = float("inf")
@@ -266,7 +266,7 @@
 
     def _let_in(self, asked: Asked) -> None:
         head, now = self.head, self.s3.wall()
-        request = sigv4.Signable(head.method, asked.path, asked.raw_query, tuple(head.headers))
+        request = sigv4.SignableRequest(head.method, asked.path, asked.raw_query, tuple(head.headers))
         if "AWSAccessKeyId" in asked.query or (head.get(b"authorization") or "").startswith("AWS "):
             raise S3Error(
                 "InvalidRequest", "signature version 2 is not spoken: set your client to version 4 (s3v4)"
@@ -276,7 +276,7 @@
             if word == "all" or (word == "read" and asked.spoken.right in ("read", "list")):
                 self.rights, self.who = ALL, "anyone"
                 if head.get(b"x-amz-content-sha256") in PACKED:
-                    self.signed.payload = sigv4.UNSIGNED_TRAILER
+                    self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
                 return
             raise S3Error("AccessDenied", "the request is not signed")
         access = self.s3.access
@@ -287,7 +287,7 @@
                 return None
             try:
                 key = access.find(name, now * 1000)
-            except KeysError as error:
+            except AccessKeyFileError as error:
                 self.s3._log.error("keys", trouble=str(error))
                 raise S3Error(
                     "ServiceUnavailable", "keys can't be looked at now; see the gateway's log"
@@ -310,7 +310,11 @@
             bare = asked.spoken.level == "bucket" and asked.spoken.name.startswith(
                 ("Head", "Create", "GetBucket")
             )
-            allowed = sees(self.rights, asked.bucket) if bare else may(self.rights, right, asked.bucket, name)
+            allowed = (
+                has_rights_in(self.rights, asked.bucket)
+                if bare
+                else is_allowed(self.rights, right, asked.bucket, name)
+            )
             if not allowed:
                 raise S3Error("AccessDenied", f"this key has no right to {right} here")
 
@@ -414,9 +418,9 @@
     def _source(self) -> tuple[BodySource, Body]:
         """The client's body, unpacked and checked."""
         head = self.head
-        payload = head.get(b"x-amz-content-sha256") or self.signed.payload
-        if self.signed.payload not in (sigv4.UNSIGNED, sigv4.UNSIGNED_TRAILER):
-            payload = self.signed.payload
+        payload = head.get(b"x-amz-content-sha256") or self.signed.payload_hash
+        if self.signed.payload_hash not in (sigv4.UNSIGNED_PAYLOAD, sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER):
+            payload = self.signed.payload_hash
         packed = payload in PACKED
         wanted = Wanted(payload, self.signed.chunks, head.length, packed=packed)
         if packed:
@@ -492,7 +496,7 @@
     async def _ListBuckets(self, _: Asked) -> None:
         names = sorted(
             rule.pattern for rule in self.snapshot.config.volumes
-            if not set("*?[") & set(rule.pattern) and sees(self.rights, rule.pattern)
+            if not set("*?[") & set(rule.pattern) and has_rights_in(self.rights, rule.pattern)
         )  # fmt: skip
         buckets: list[xml.Value] = [
             {"Name": name, "CreationDate": "1970-01-01T00:00:00.000Z"} for name in names
@@ -524,7 +528,7 @@
         overrides: Headers = []
         for name, header in requests.OVERRIDES.items():
             if name in asked.query:
-                if not self.signed.key and self.s3.settings.unsigned != "all":
+                if not self.signed.access_key_id and self.s3.settings.unsigned != "all":
                     raise S3Error("InvalidRequest", "response headers are set by signed requests alone")
                 value = asked.query[name]
                 if not value.isprintable() or not value.isascii():
@@ -605,7 +609,7 @@
         async def one(key: str) -> None:
             async with places:
                 try:
-                    if not may(self.rights, "delete", asked.bucket, key):
+                    if not is_allowed(self.rights, "delete", asked.bucket, key):
                         raise S3Error("AccessDenied", "this key has no right to delete here")
                     volume, read = routes.volume_and_key(f"/{asked.bucket}/{requests.spelled(key)}")
                     final = await self._do("delete", volume, read)
@@ -636,7 +640,7 @@
         bucket, key, part = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
             raise S3Error("NoSuchBucket", f"no volume {bucket!r} is set up here")
-        if not may(self.rights, "read", bucket, key):
+        if not is_allowed(self.rights, "read", bucket, key):
             raise S3Error("AccessDenied", "this key has no right to read what is copied")
         names = {
             b"x-amz-copy-source-if-match": b"if-match", b"x-amz-copy-source-if-none-match": b"if-none-match",
