--- a/benchmarks/log.py
+++ b/benchmarks/log.py
@@ -93,7 +93,7 @@
     committer = Committer(Log(disk, 16 << 20, 256 << 20))
 
     def write() -> None:
-        committer.done(committer.write(PAYLOAD).result())
+        committer.mark_done(committer.write(PAYLOAD).result())
 
     return write, committer.close
 
@@ -107,7 +107,7 @@
         folder = Path(made)
         log = Log(Folder(folder), 16 << 20, bytes_ + (64 << 20))
         payload = b"r" * (16 << 10)
-        while log.used < bytes_:
+        while log.used_bytes < bytes_:
             log.append(payload)
         log.close()
         before = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss
@@ -116,7 +116,8 @@
         took = time.perf_counter() - began
         more = (resource.getrusage(resource.RUSAGE_SELF).ru_maxrss - before) / 1024
         click.echo(
-            f"{found.found.bytes / 2**20:.0f} MiB, {len(found.open)} records: found again in {took:.2f} s, {more:.1f} MiB more memory"
+            f"{found.recovery.bytes / 2**20:.0f} MiB, {len(found.pending_writes)} records: "
+            f"found again in {took:.2f} s, {more:.1f} MiB more memory"
         )
         found.disk.close()
 
--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -40,7 +40,7 @@
 from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
-from winchdyke.writeback.log import Kind, Log
+from winchdyke.writeback.log import Log, RecordKind
 
 START_S = 1_700_000_000
 START_MS = START_S * 1000.0
@@ -242,11 +242,11 @@
     log = Log(Folder(folder), SEGMENT_BYTES, 4 * SEGMENT_BYTES)
     log.append(payload(3, bytes(range(256))))
     log.sync()
-    log.append(sent.to_bytes(8, "little") + b'"tag-before"', Kind.OUT)
+    log.append(sent.to_bytes(8, "little") + b'"tag-before"', RecordKind.SENDING)
     log.sync()
-    log.done([done])
+    log.mark_done([done])
     log.close()
-    (folder / Folder.LOCK).unlink()
+    (folder / Folder.LOCK_FILE).unlink()
 
 
 def account(number: int) -> Account:
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -44,7 +44,7 @@
 async def wait_until_drained(it: Rig) -> None:
     """Wait until all records of the log are stored or quarantined."""
     write_back = it.gateway.write_back
-    await it.until(lambda: not write_back._pending_objects and not write_back.drain.out, 10)
+    await it.until(lambda: not write_back._pending_objects and not write_back.drain.in_flight, 10)
 
 
 def test_a_write_is_acknowledged_from_the_log_and_reaches_its_store_once(tmp_path):
@@ -157,9 +157,9 @@
             new.kill()
             assert (await it.ask("PUT", "/school-1/new", b"fresh")).status == 200
             log = it.gateway.write_back.log
-            assert len(log.open) == 2
+            assert len(log.pending_writes) == 2
             # Simulates a kill: nothing more is sent or written, and the lock of the folder is released.
-            it.gateway.write_back.drain.next = lambda *_: []
+            it.gateway.write_back.drain.start_next = lambda *_: []
             log.disk.close()
             await new.start(it.group)
             next_gateway = Gateway(
@@ -243,7 +243,7 @@
         from winchdyke.writeback.log import Log
 
         recovered = Log(Folder(tmp_path), 1 << 20, 8 << 20)
-        assert len(recovered.open) == 20 and not recovered.found.torn
+        assert len(recovered.pending_writes) == 20 and not recovered.recovery.torn
 
     run()
 
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -30,7 +30,7 @@
 from winchdyke.latency_attribution.sums import new_histogram
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
-from winchdyke.writeback.log import Found, Log
+from winchdyke.writeback.log import Log, RecoveryReport
 
 DATA = Path(__file__).parent / "data"
 START_MS = 1_700_000_000_000.0
@@ -266,13 +266,13 @@
     """Which writes are left, what may have been sent, and each field of the records."""
     log = Log(Folder(copied("writeback", tmp_path)), SEGMENT_BYTES, 4 * SEGMENT_BYTES)
     try:
-        assert log.found == Found(records=7, torn=[], corrupt=[], bytes=1016)
+        assert log.recovery == RecoveryReport(records=7, torn=[], corrupt=[], bytes=1016)
         assert (log.sequence, log.synced, log.epoch) == (7, 7, 3)
-        assert {sequence: astuple(place) for sequence, place in log.open.items()} == {
+        assert {sequence: astuple(place) for sequence, place in log.pending_writes.items()} == {
             2: (1, 248, 142),
             4: (2, 72, 388),
         }
-        assert log.out == {2: b'"tag-before"'}
+        assert log.sending_notes == {2: b'"tag-before"'}
         records = [
             (sequence, msgspec.msgpack.decode(data, type=WriteBackRecord)) for sequence, data in log.writes()
         ]
--- a/tests/test_writeback.py
+++ b/tests/test_writeback.py
@@ -15,9 +15,17 @@
 import pytest
 
 from winchdyke.writeback.commit import Committer
-from winchdyke.writeback.disk import Folder, Locked
-from winchdyke.writeback.emulated import Crashed, EmulatedDisk
-from winchdyke.writeback.log import HEAD_SIZE, Full, Log, LogError, Lost, head_of, name_of
+from winchdyke.writeback.disk import Folder, FolderLockedError
+from winchdyke.writeback.emulated import EmulatedDisk, SimulatedCrash
+from winchdyke.writeback.log import (
+    SEGMENT_HEADER_SIZE,
+    DurabilityUnknownError,
+    Log,
+    LogError,
+    LogFullError,
+    encode_segment_header,
+    segment_file_name,
+)
 
 SMALL = 4096  # bytes of a segment: histories cross several
 Step = tuple[str, int]
@@ -49,12 +57,12 @@
                     self._new.append(sequence)
                 elif what == "sync":
                     log.sync()
-                elif value in log.open:
+                elif value in log.pending_writes:
                     self.done.add(value)
-                    log.done([value])
+                    log.mark_done([value])
             except LogError:
                 pass
-            self.safe |= {each for each in self._new if each <= log.synced and each in log.open}
+            self.safe |= {each for each in self._new if each <= log.synced and each in log.pending_writes}
 
     def check(self, found: Log) -> None:
         """Nothing acknowledged is missing, nothing is there that nobody wrote, and nothing acknowledged was called lost."""
@@ -62,8 +70,8 @@
         for sequence, payload in there.items():
             assert self.asked.get(sequence) == payload, sequence
         missing = self.safe - self.done - set(there)
-        assert not missing, f"acknowledged and gone: {missing}; {found.found}"
-        assert not found.found.corrupt, found.found.corrupt
+        assert not missing, f"acknowledged and gone: {missing}; {found.recovery}"
+        assert not found.recovery.corrupt, found.recovery.corrupt
 
 
 def opened(disk: EmulatedDisk) -> Log:
@@ -79,9 +87,9 @@
         try:
             story.play(make(disk), steps)
             over = True
-        except Crashed:
+        except SimulatedCrash:
             pass
-        for found in disk.crashes():
+        for found in disk.crash_states():
             states += 1
             story.check(opened(found))
             again = opened(found)  # found anew, after the first finder was killed
@@ -121,10 +129,10 @@
         dirty = list(self._dirty)
         try:
             return super().sync()
-        except Lost:
-            self.disk.sync(name_of(max(self._segments)))
+        except DurabilityUnknownError:
+            self.disk.sync(segment_file_name(max(self._segments)))
             for sequence, _, _ in dirty:
-                self.open.setdefault(sequence, next(iter(self.open.values()), None))  # type: ignore[arg-type]
+                self.pending_writes.setdefault(sequence, next(iter(self.pending_writes.values()), None))  # type: ignore[arg-type]
             self.synced = self.sequence
             return self.synced
 
@@ -133,11 +141,11 @@
     """Does not sync names."""
 
     def _begin(self, number: int, spare: bool) -> None:
-        kept, self.disk.sync_names = self.disk.sync_names, lambda: None  # type: ignore[method-assign]
+        kept, self.disk.sync_directory = self.disk.sync_directory, lambda: None  # type: ignore[method-assign]
         try:
             super()._begin(number, spare)
         finally:
-            self.disk.sync_names = kept  # type: ignore[method-assign]
+            self.disk.sync_directory = kept  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("wrong", [Early, Nameless])
@@ -161,12 +169,12 @@
     disk, story = EmulatedDisk(), Story()
     story.play(opened(disk), HISTORIES[1])
     for at in range(6):
-        found = disk.crash([True] * len(disk.pending), [True] * len(disk.names_pending))
+        found = disk.crash([True] * len(disk.pending_writes), [True] * len(disk.pending_name_changes))
         found.crash_at = at
-        with contextlib.suppress(Crashed):
+        with contextlib.suppress(SimulatedCrash):
             opened(found)
         found.crash_at = None
-        for after in found.crashes():
+        for after in found.crash_states():
             story.check(opened(after))
 
 
@@ -178,14 +186,14 @@
     wrote[log.append(b"last")] = b"last"
     log.sync()
     end = log._segments[1].end
-    whole = bytes(disk.kept[name_of(1)])
+    whole = bytes(disk.durable[segment_file_name(1)])
     for at in range(end):
         for bit in (0, 7):
             changed = bytearray(whole)
             changed[at] ^= 1 << bit
             hurt = EmulatedDisk()
-            hurt.seen = {name_of(1): changed}
-            hurt.kept = {name_of(1): bytearray(changed)}
+            hurt.visible = {segment_file_name(1): changed}
+            hurt.durable = {segment_file_name(1): bytearray(changed)}
             try:
                 found = opened(hurt)
             except LogError:
@@ -193,7 +201,7 @@
             there = dict(found.writes())
             assert all(wrote[sequence] == payload for sequence, payload in there.items())
             if len(there) < len(wrote):
-                assert found.found.torn or found.found.corrupt, at
+                assert found.recovery.torn or found.recovery.corrupt, at
 
 
 def test_damage_behind_which_a_synced_record_stands_is_called_corrupt_and_a_torn_end_is_not():
@@ -203,10 +211,10 @@
     log.sync()
     log.append(b"b" * 100)
     log.sync()
-    disk.seen[name_of(1)][log.open[first].at] ^= 1
-    disk.kept[name_of(1)][log.open[first].at] ^= 1
+    disk.visible[segment_file_name(1)][log.pending_writes[first].offset] ^= 1
+    disk.durable[segment_file_name(1)][log.pending_writes[first].offset] ^= 1
     found = opened(disk)
-    assert found.found.corrupt and list(dict(found.writes()).values()) == [b"b" * 100]
+    assert found.recovery.corrupt and list(dict(found.writes()).values()) == [b"b" * 100]
     with pytest.raises(LogError, match="can't be read"):
         log.payload(first)
 
@@ -217,8 +225,8 @@
     for _ in range(3):
         log.append(b"x" * 3000)
         log.sync()
-    del disk.seen[name_of(2)], disk.kept[name_of(2)]
-    assert any("up to 2 were acknowledged" in text for text in opened(disk).found.corrupt)
+    del disk.visible[segment_file_name(2)], disk.durable[segment_file_name(2)]
+    assert any("up to 2 were acknowledged" in text for text in opened(disk).recovery.corrupt)
 
 
 def test_a_log_of_a_newer_version_is_refused_in_words(tmp_path):
@@ -226,17 +234,17 @@
     log = Log(folder, SMALL, 4 * SMALL)
     log.append(b"x")
     log.close()
-    path = tmp_path / name_of(1)
+    path = tmp_path / segment_file_name(1)
     import struct
 
     import xxhash
 
-    plain = bytearray(head_of(1, 1, 0)[: HEAD_SIZE - 8])
+    plain = bytearray(encode_segment_header(1, 1, 0)[: SEGMENT_HEADER_SIZE - 8])
     plain[8] = 9
     path.write_bytes(
         bytes(plain)
         + struct.pack("<Q", xxhash.xxh3_64_intdigest(bytes(plain)))
-        + path.read_bytes()[HEAD_SIZE:]
+        + path.read_bytes()[SEGMENT_HEADER_SIZE:]
     )
     with pytest.raises(LogError, match=r"version 9 .* reads 1"):
         Log(Folder(tmp_path), SMALL, 4 * SMALL)
@@ -244,7 +252,7 @@
 
 def test_two_processes_never_have_one_log(tmp_path):
     first = Folder(tmp_path)
-    with pytest.raises(Locked, match="in use by another process"):
+    with pytest.raises(FolderLockedError, match="in use by another process"):
         Folder(tmp_path)
     first.close()
     Folder(tmp_path).close()
@@ -254,17 +262,17 @@
     disk = EmulatedDisk()
     log = opened(disk)
     kept = []
-    with pytest.raises(Full):
+    with pytest.raises(LogFullError):
         while True:
             kept.append(log.append(b"x" * 1900))
             log.sync()
-    assert len(kept) == 6 and log.room() < 2000
-    log.done(kept[:2])
+    assert len(kept) == 6 and log.free_bytes() < 2000
+    log.mark_done(kept[:2])
     log.sync()
     kept.append(log.append(b"y" * 1900))
     log.sync()
-    assert sorted(opened(disk).open) == kept[2:]
-    with pytest.raises(Full, match="does not fit"):
+    assert sorted(opened(disk).pending_writes) == kept[2:]
+    with pytest.raises(LogFullError, match="does not fit"):
         log.append(b"x" * SMALL)
 
 
@@ -274,10 +282,10 @@
         log = opened(disk)
         sequence = log.append(b"x" * 3000)
         log.sync()
-        log.done([sequence])
+        log.mark_done([sequence])
         log.sync()
-        assert sequence > expected - 1 and not log.open
-    assert len(disk.names()) <= 2 and not opened(disk).found.corrupt
+        assert sequence > expected - 1 and not log.pending_writes
+    assert len(disk.file_names()) <= 2 and not opened(disk).recovery.corrupt
 
 
 def test_a_hundred_thousand_records_are_found_at_a_start(tmp_path):
@@ -286,7 +294,7 @@
         log.append(b"r" * 64)
     log.close()
     found = Log(Folder(tmp_path), 4 << 20, 64 << 20)
-    assert len(found.open) == 100_000 and not found.found.torn and not found.found.corrupt
+    assert len(found.pending_writes) == 100_000 and not found.recovery.torn and not found.recovery.corrupt
 
 
 # Group commit
@@ -310,10 +318,10 @@
     assert sorted(future.result(1) for future in futures) == list(range(1, 801))
     assert committer.syncs < 800
     for future in futures[:400]:
-        committer.done(future.result())
+        committer.mark_done(future.result())
     committer.close()
     found = Log(Folder(tmp_path), 1 << 20, 8 << 20)
-    assert len(found.open) == 400 and not found.found.torn
+    assert len(found.pending_writes) == 400 and not found.recovery.torn
 
 
 def test_a_sync_that_fails_is_told_to_all_who_waited_and_the_next_ones_are_safe():
@@ -321,11 +329,11 @@
     committer = Committer(Log(disk, SMALL, 4 * SMALL))
     assert committer.write(b"a").result(5) == 1
     disk.errors[disk.operations + 1] = errno.EIO  # the write goes well, its sync does not
-    with pytest.raises(Lost):
+    with pytest.raises(DurabilityUnknownError):
         committer.write(b"b").result(5)
     assert committer.write(b"c").result(5) == 3
     committer.close()
-    for found in disk.crashes():
+    for found in disk.crash_states():
         there = dict(opened(found).writes())
         assert there[1] == b"a" and there[3] == b"c"
 
@@ -333,7 +341,7 @@
 def test_a_log_that_closes_takes_no_more():
     committer = Committer(Log(EmulatedDisk(), SMALL, 4 * SMALL))
     committer.close()
-    with pytest.raises(Full, match="closing"):
+    with pytest.raises(LogFullError, match="closing"):
         committer.write(b"x").result(1)
 
 
@@ -361,7 +369,7 @@
         if number % 3 == 0:
             with out:
                 print("done", name, flush=True)
-            committer.done(sequence)
+            committer.mark_done(sequence)
 for me in range(4):
     threading.Thread(target=writer, args=(me,)).start()
 """
@@ -391,7 +399,7 @@
         names = {payload[: len(payload) // 20].decode() for payload in there}
         assert len(names) == len(there), "one write is there twice"
         assert safe - done <= names, f"turn {turn}: {sorted(safe - done - names)[:3]}"
-        assert not log.found.corrupt
+        assert not log.recovery.corrupt
         folder.close()
     assert len(safe) > 200
 
@@ -401,6 +409,6 @@
     disk, story = EmulatedDisk(), Story()
     log = Early(disk, SMALL, 4 * SMALL)
     story.play(log, [("write", 10), ("sync", 0), ("write", 20)])
-    lost = disk.crash([False] * len(disk.pending), [True] * len(disk.names_pending))
+    lost = disk.crash([False] * len(disk.pending_writes), [True] * len(disk.pending_name_changes))
     with pytest.raises(AssertionError, match="acknowledged and gone"):
         story.check(opened(lost))
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -13,7 +13,7 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.gateway.writeback import WriteBack, WriteBackRecord, etag_of
 from winchdyke.http1 import Headers, ProtocolError, ResponseHead
-from winchdyke.writeback.log import Full, LogError
+from winchdyke.writeback.log import LogError, LogFullError
 
 
 class WriteBackPath:
@@ -91,7 +91,7 @@
         )
         try:
             await self._write_back.append(record)
-        except Full as error:
+        except LogFullError as error:
             retry_after_ms = self._scheduler_loop.settings.max_retry_after_ms
             return FinalResponse(503, "refused", "write-back", str(error), retry_after_ms)
         except LogError as error:
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -27,9 +27,9 @@
 from winchdyke.config.model import VolumeRule
 from winchdyke.object_api import routes
 from winchdyke.writeback.commit import Committer
-from winchdyke.writeback.disk import Folder, Locked
-from winchdyke.writeback.drain import Bounds, Drain, Waiting
-from winchdyke.writeback.log import Full, Log, LogError
+from winchdyke.writeback.disk import Folder, FolderLockedError
+from winchdyke.writeback.drain import DrainBounds, DrainQueue, QueuedRecord
+from winchdyke.writeback.log import Log, LogError, LogFullError
 
 DRAIN_INTERVAL_SECONDS = 0.05
 MAX_REMEMBERED_IDEMPOTENCY_KEYS = 100_000
@@ -135,8 +135,8 @@
         _check_classes(config)
         self.log = self._open_log()
         weights = {plan.name: plan.fair_share_weight for plan in config.plans}
-        bounds = Bounds(self.settings.wide, self.settings.urgent)
-        self.drain = Drain(bounds, _VolumeWeights(config.volume, weights))
+        bounds = DrainBounds(self.settings.wide, self.settings.urgent)
+        self.drain = DrainQueue(bounds, _VolumeWeights(config.volume, weights))
         self.quarantined: dict[int, str] = {}
         self.counts: Counter[str] = Counter()
         self._pending_objects: dict[tuple[str, str], _PendingObject] = {}
@@ -153,28 +153,30 @@
         try:
             disk = Folder(Path(settings.folder))
             return Log(disk, settings.segment_bytes, settings.total_bytes, self._report_log_problem)
-        except (OSError, Locked, LogError) as error:
+        except (OSError, FolderLockedError, LogError) as error:
             raise WriteBackError(f"{error}; see writeback, folder") from error
 
     def _recover(self) -> None:
         """Take over the records that an earlier process left in the log."""
-        for text in [*self.log.found.corrupt, *self.log.found.torn]:
+        for text in [*self.log.recovery.corrupt, *self.log.recovery.torn]:
             self._events.error("write_back_log_damaged", error=text)
-        for sequence in sorted(self.log.open):
+        for sequence in sorted(self.log.pending_writes):
             try:
-                record = msgspec.msgpack.decode(self.log.payload(sequence), type=WriteBackRecord)
+                record = msgspec.msgpack.decode(self.log.read_payload(sequence), type=WriteBackRecord)
             except (LogError, msgspec.DecodeError) as error:
                 self.quarantined[sequence] = str(error)
                 self._events.error("write_back_record_unreadable", record=sequence, error=str(error))
                 continue
-            precondition = self.log.out.get(sequence)
+            precondition = self.log.sending_notes.get(sequence)
             if precondition is not None:
                 self._preconditions[sequence] = precondition.decode()
                 self._possibly_executed.add(sequence)
             self._add(sequence, record, self._clock())
-        if self.log.found.records:
+        if self.log.recovery.records:
             self._events.info(
-                "write_back_log_recovered", records=self.log.found.records, open=len(self.log.open)
+                "write_back_log_recovered",
+                records=self.log.recovery.records,
+                open=len(self.log.pending_writes),
             )
 
     def _report_log_problem(self, text: str) -> None:
@@ -185,7 +187,9 @@
         pending.sequences.append(sequence)
         order_key = f"{record.volume}/{record.key}"
         self.drain.add(
-            Waiting(sequence, record.volume, record.shard, record.units, len(record.body), now, order_key)
+            QueuedRecord(
+                sequence, record.volume, record.shard, record.units, len(record.body), now, order_key
+            )
         )
         if record.repeat_key:
             remembered = _RememberedWrite(record.etag, record.unix_ms)
@@ -212,13 +216,15 @@
         """Write a record to the log durably; the write may be acknowledged afterwards.
 
         Raises:
-            Full: The log has no capacity for it; nothing was written.
+            LogFullError: The log has no capacity for it; nothing was written.
             LogError: It could not be made durable; the write must not be acknowledged.
         """
-        free_bytes = self.log.room()
+        free_bytes = self.log.free_bytes()
         if not self.drain.admits(record.volume, len(record.body), free_bytes, self.settings.total_bytes):
             self.counts["rejected"] += 1
-            raise Full("the write-back log has no capacity for this volume until earlier writes are stored")
+            raise LogFullError(
+                "the write-back log has no capacity for this volume until earlier writes are stored"
+            )
         sequence = await self._wait_for_sync(self.committer.write(msgspec.msgpack.encode(record)))
         self._add(sequence, record, self._clock())
         self.counts["acknowledged"] += 1
@@ -249,9 +255,9 @@
             while True:
                 now = self._clock()
                 self._forget_expired_keys()
-                for waiting in self.drain.next(now, queue_lengths()):
+                for waiting in self.drain.start_next(now, queue_lengths()):
                     if self._retry_at_ms.get(waiting.sequence, 0.0) > now:
-                        self.drain.ended(waiting.sequence, False)
+                        self.drain.finish_attempt(waiting.sequence, False)
                         continue
                     group.start_soon(self._send, waiting)
                 await anyio.sleep(DRAIN_INTERVAL_SECONDS)
@@ -264,10 +270,10 @@
                 return
             del self._remembered[key]
 
-    async def _send(self, waiting: Waiting) -> None:
+    async def _send(self, waiting: QueuedRecord) -> None:
         sequence = waiting.sequence
         try:
-            record = msgspec.msgpack.decode(self.log.payload(sequence), type=WriteBackRecord)
+            record = msgspec.msgpack.decode(self.log.read_payload(sequence), type=WriteBackRecord)
         except (LogError, msgspec.DecodeError) as error:
             self._quarantine(waiting, str(error))
             return
@@ -298,7 +304,7 @@
         if etag is None:
             return False
         try:
-            await self._wait_for_sync(self.committer.out(sequence, etag.encode()))
+            await self._wait_for_sync(self.committer.mark_sending(sequence, etag.encode()))
         except LogError:
             return False
         self._preconditions[sequence] = etag
@@ -317,7 +323,7 @@
             client_request=record.client_request,
         )
 
-    async def _resolve_conflict(self, waiting: Waiting, record: WriteBackRecord) -> None:
+    async def _resolve_conflict(self, waiting: QueuedRecord, record: WriteBackRecord) -> None:
         """Resolve a failed precondition: the stored object has changed since before the record was first sent."""
         etag = await self._stored_etag(record)
         if etag is None:
@@ -325,7 +331,7 @@
         elif etag == record.etag:
             self._complete(waiting)
         elif waiting.sequence in self._possibly_executed:
-            # See replay.after_asking: it is unknown whether the record was executed before the other write.
+            # See replay.action_for_content: it is unknown whether the record was executed before the other write.
             self._quarantine(waiting, "it may have been executed, and its store holds something else now")
         else:  # never executed: another client wrote after the precondition was determined
             del self._preconditions[waiting.sequence]
@@ -354,17 +360,17 @@
         await finished.wait()
         return synced.result()
 
-    def _retry_later(self, waiting: Waiting) -> None:
+    def _retry_later(self, waiting: QueuedRecord) -> None:
         self.counts["retries"] += 1
         self._retry_at_ms[waiting.sequence] = self._clock() + RETRY_DELAY_MS
-        self.drain.ended(waiting.sequence, False)
+        self.drain.finish_attempt(waiting.sequence, False)
 
-    def _complete(self, waiting: Waiting) -> None:
+    def _complete(self, waiting: QueuedRecord) -> None:
         self.counts["stored"] += 1
-        self.committer.done(waiting.sequence)
+        self.committer.mark_done(waiting.sequence)
         self._forget_record(waiting)
 
-    def _quarantine(self, waiting: Waiting, reason: str) -> None:
+    def _quarantine(self, waiting: QueuedRecord, reason: str) -> None:
         """Keep a record in the log for an operator to inspect, and don't send it again."""
         self.counts["quarantined"] += 1
         self.quarantined[waiting.sequence] = reason
@@ -376,8 +382,8 @@
         )
         self._forget_record(waiting)
 
-    def _forget_record(self, waiting: Waiting) -> None:
-        self.drain.ended(waiting.sequence, True)
+    def _forget_record(self, waiting: QueuedRecord) -> None:
+        self.drain.finish_attempt(waiting.sequence, True)
         self._preconditions.pop(waiting.sequence, None)
         self._possibly_executed.discard(waiting.sequence)
         self._retry_at_ms.pop(waiting.sequence, None)
@@ -394,7 +400,7 @@
             while self._pending_objects:
                 await anyio.sleep(DRAIN_INTERVAL_SECONDS)
         await anyio.to_thread.run_sync(self.committer.close)
-        self._events.info("write_back_log_closed", open=len(self.log.open), **self.counts)
+        self._events.info("write_back_log_closed", open=len(self.log.pending_writes), **self.counts)
 
 
 def _check_classes(config: Config) -> None:
--- a/winchdyke/writeback/commit.py
+++ b/winchdyke/writeback/commit.py
@@ -12,9 +12,9 @@
 from collections import deque
 from concurrent.futures import Future
 
-from winchdyke.writeback.log import DONE, Full, Kind, Log, LogError, Lost
+from winchdyke.writeback.log import SEQUENCE, DurabilityUnknownError, Log, LogError, LogFullError, RecordKind
 
-GATHER = 512  # records of one sync at the most
+MAX_BATCH_RECORDS = 512  # records of one sync at the most
 
 
 class Committer:
@@ -23,7 +23,7 @@
     def __init__(self, log: Log, linger_ms: float = 0.0) -> None:
         self.log, self._linger = log, linger_ms / 1000
         self.syncs = self.records = 0
-        self._waiting: deque[tuple[bytes, Kind, Future[int]]] = deque()
+        self._waiting: deque[tuple[bytes, RecordKind, Future[int]]] = deque()
         self._done: list[int] = []
         self._later: list[int] = []  # done, and not yet said so in the log
         self._told = threading.Condition()
@@ -32,22 +32,25 @@
         self._thread = threading.Thread(target=self._run, name="winchdyke-log", daemon=True)
         self._thread.start()
 
-    def out(self, sequence: int, note: bytes) -> Future[int]:
+    def mark_sending(self, sequence: int, note: bytes) -> Future[int]:
         """A write is about to be sent; wait for it before that. ``note`` is found beside it after a crash."""
-        return self.write(DONE.pack(sequence) + note, Kind.OUT)
+        return self.write(SEQUENCE.pack(sequence) + note, RecordKind.SENDING)
 
-    def write(self, payload: bytes, kind: Kind = Kind.WRITE) -> Future[int]:
-        """A write's sequence once it is safe. The future raises Full (nothing was written) or Lost (it may or may not be kept)."""
+    def write(self, payload: bytes, kind: RecordKind = RecordKind.WRITE) -> Future[int]:
+        """A write's sequence once it is safe.
+
+        The future raises LogFullError (nothing was written) or DurabilityUnknownError (it may or may not be kept).
+        """
         made: Future[int] = Future()
         with self._told:
             if self._closing:
-                made.set_exception(Full("the log is closing"))
+                made.set_exception(LogFullError("the log is closing"))
             else:
                 self._waiting.append((payload, kind, made))
                 self._told.notify()
         return made
 
-    def done(self, sequence: int) -> None:
+    def mark_done(self, sequence: int) -> None:
         """A write has reached its store; written with the next sync."""
         with self._told:
             self._done.append(sequence)
@@ -67,16 +70,16 @@
                     self._told.wait()
                 if self._closing and not self._waiting and not self._done:
                     break
-            if self._linger and len(self._waiting) < GATHER:
+            if self._linger and len(self._waiting) < MAX_BATCH_RECORDS:
                 time.sleep(self._linger)
             with self._told:
-                batch = [self._waiting.popleft() for _ in range(min(GATHER, len(self._waiting)))]
+                batch = [self._waiting.popleft() for _ in range(min(MAX_BATCH_RECORDS, len(self._waiting)))]
                 done, self._done = self._done, []
             self._commit(batch, done)
-            if self.log.wants_spare and (self._helper is None or not self._helper.is_alive()):
+            if self.log.needs_spare and (self._helper is None or not self._helper.is_alive()):
                 # Guards against all who write standing still while a segment's blocks are set aside.
                 self._helper = threading.Thread(
-                    target=self.log.make_spare, name="winchdyke-log-spare", daemon=True
+                    target=self.log.create_spare, name="winchdyke-log-spare", daemon=True
                 )
                 self._helper.start()
         if self._helper is not None:
@@ -84,9 +87,9 @@
         with contextlib.suppress(LogError, OSError):  # found again as after a kill
             self.log.close()
 
-    def _commit(self, batch: list[tuple[bytes, Kind, Future[int]]], done: list[int]) -> None:
+    def _commit(self, batch: list[tuple[bytes, RecordKind, Future[int]]], done: list[int]) -> None:
         try:
-            self.log.done([*self._later, *done])
+            self.log.mark_done([*self._later, *done])
             self._later = []
         except (LogError, OSError):
             self._later += (
@@ -98,7 +101,7 @@
                 kept.append((self.log.append(payload, kind), future))
             except LogError as error:
                 future.set_exception(error)
-        lost: LogError = Lost("the segment that it was in could not be synced")
+        lost: LogError = DurabilityUnknownError("the segment that it was in could not be synced")
         try:
             self.log.sync()
             self.syncs += 1
@@ -106,7 +109,7 @@
             lost = error
         for sequence, future in kept:
             # A sync may have failed before this one, ahead of a new segment.
-            if sequence <= self.log.synced and sequence not in self.log.lost:
+            if sequence <= self.log.synced and sequence not in self.log.failed_sequences:
                 future.set_result(sequence)
                 self.records += 1
             else:
--- a/winchdyke/writeback/replay.py
+++ b/winchdyke/writeback/replay.py
@@ -19,48 +19,62 @@
 import enum
 from dataclasses import dataclass
 
-MARGIN_MS = 250.0  # of the memory that is not counted on: queues, clocks and the way there
+DEDUPLICATION_MARGIN_MS = 250.0  # of the memory that is not counted on: queues, clocks and the way there
 
 
-class Way(enum.Enum):
+class ReplayAction(enum.Enum):
     """What to do with a record."""
 
-    FIRST = "send it: it was never out"
-    AGAIN = "send it again under its key"
-    CONDITION = "send it again: its condition lets it take effect once"
-    ASK = "ask the store what it holds"
-    KEEP = "keep it, and report it"
+    SEND = "send it: it was never out"
+    RESEND_WITH_KEY = "send it again under its key"
+    RESEND_CONDITIONALLY = "send it again: its condition lets it take effect once"
+    QUERY_STORE = "ask the store what it holds"
+    QUARANTINE = "keep it, and report it"
 
 
-class Told(enum.Enum):
+class StoredContent(enum.Enum):
     """What a store said it holds, beside what the record knows."""
 
-    MINE = "the write's own content"
-    BEFORE = "what was there when the record was made"
+    OWN = "the write's own content"
+    PREVIOUS = "what was there when the record was made"
     OTHER = "something else"
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """What is known of a record's attempts. ``first_ms``: when the first one that may have run was sent, by the gateway's clock."""
-
-    first_ms: float | None = None
-    this_process: bool = True  # a clock of another process says nothing here
-
-
-def way(sent: Sent, now: float, memory_ms: float, keyed: bool, conditional: bool, tells: bool) -> Way:
-    """How a record goes on. ``tells``: whether its store says the tag of what it holds."""
-    if sent.first_ms is None:
-        return Way.FIRST
-    if keyed and sent.this_process and now < sent.first_ms + memory_ms - MARGIN_MS:
-        return Way.AGAIN
-    if conditional:
-        return Way.CONDITION
-    return Way.ASK if tells else Way.KEEP
-
-
-def after_asking(told: Told) -> Way | None:
+class AttemptHistory:
+    """What is known of a record's attempts.
+
+    ``first_sent_ms``: when the first one that may have run was sent, by the gateway's clock.
+    """
+
+    first_sent_ms: float | None = None
+    same_process: bool = True  # a clock of another process says nothing here
+
+
+def choose_action(
+    sent: AttemptHistory,
+    now: float,
+    deduplication_ms: float,
+    has_key: bool,
+    has_condition: bool,
+    reports_etag: bool,
+) -> ReplayAction:
+    """How a record goes on. ``reports_etag``: whether its store says the tag of what it holds."""
+    if sent.first_sent_ms is None:
+        return ReplayAction.SEND
+    if (
+        has_key
+        and sent.same_process
+        and now < sent.first_sent_ms + deduplication_ms - DEDUPLICATION_MARGIN_MS
+    ):
+        return ReplayAction.RESEND_WITH_KEY
+    if has_condition:
+        return ReplayAction.RESEND_CONDITIONALLY
+    return ReplayAction.QUERY_STORE if reports_etag else ReplayAction.QUARANTINE
+
+
+def action_for_content(content: StoredContent) -> ReplayAction | None:
     """What follows from the store's answer; None: it has run, and the record is done."""
-    if told is Told.MINE:
+    if content is StoredContent.OWN:
         return None
-    return Way.CONDITION if told is Told.BEFORE else Way.KEEP
+    return ReplayAction.RESEND_CONDITIONALLY if content is StoredContent.PREVIOUS else ReplayAction.QUARANTINE
