--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Draining and replay, as pure rules."""
+"""Rules for draining the write-back log and for replaying writes that may have been executed."""
 
 from __future__ import annotations
 
@@ -27,35 +27,35 @@
 
 @given(st.integers(0, 2**32))
 @examples(max_examples=150)
-def test_order_keys_go_one_at_a_time_and_in_order_whatever_ends_when(seed):
+def test_records_of_an_order_key_are_sent_one_at_a_time_and_in_order(seed):
     draw = random.Random(seed)
     drain = DrainQueue(DrainBounds(max_in_flight=3), {"a": 1.0, "b": 3.0})
-    wanted = 40
-    for sequence in range(1, wanted + 1):
+    count = 40
+    for sequence in range(1, count + 1):
         volume = draw.choice("ab")
         key = f"{volume}/{draw.randrange(3)}" if draw.random() < 0.6 else ""
         drain.add(record(sequence, volume, draw.randrange(3), order_key=key))
-    last: dict[str, int] = {}
+    last_sent: dict[str, int] = {}  # by order key
     done = 0
     for _ in range(2000):
         for sent in drain.start_next(0.0, {0: 1} if draw.random() < 0.5 else {}):
             if sent.order_key:
                 others = [each for each in drain.in_flight.values() if each.order_key == sent.order_key]
                 assert others == [sent]
-                assert sent.sequence >= last.get(sent.order_key, 0)
-                last[sent.order_key] = sent.sequence
+                assert sent.sequence >= last_sent.get(sent.order_key, 0)
+                last_sent[sent.order_key] = sent.sequence
         for shard in range(3):
             assert sum(each.shard == shard for each in drain.in_flight.values()) <= 3
         if not drain.in_flight:
             break
         sequence = draw.choice(list(drain.in_flight))
-        over = draw.random() < 0.8
-        drain.finish_attempt(sequence, over)
-        done += over
-    assert done == wanted and drain.oldest_since_ms is None
+        is_done = draw.random() < 0.8
+        drain.finish_attempt(sequence, is_done)
+        done += is_done
+    assert done == count and drain.oldest_since_ms is None
 
 
-def test_live_requests_leave_one_record_out_at_a_shard_and_urgent_ones_more():
+def test_live_requests_leave_one_record_in_flight_for_a_shard_and_urgent_records_more():
     drain = DrainQueue(DrainBounds(max_in_flight=4, urgent_after_ms=1000.0), {})
     for sequence in range(1, 9):
         drain.add(record(sequence))
@@ -65,7 +65,7 @@
     assert [each.sequence for each in drain.in_flight.values()] == [1, 2, 3, 4]
 
 
-def test_courses_drain_by_weight_and_one_that_was_idle_has_no_turns_saved_up():
+def test_volumes_drain_by_weight_and_an_idle_volume_does_not_catch_up():
     drain = DrainQueue(DrainBounds(max_in_flight=1), {"a": 1.0, "b": 3.0})
     for sequence in range(1, 81):
         drain.add(record(sequence, "a" if sequence % 2 else "b"))
@@ -86,26 +86,26 @@
     assert order[:3] != ["late", "late", "late"]
 
 
-def test_a_course_that_writes_through_an_outage_keeps_nobody_out():
-    drain, total = DrainQueue(DrainBounds(), {"big": 1.0, "small": 1.0}), 100_000
-    room, sequence = total, 0
+def test_a_volume_that_writes_through_an_outage_does_not_keep_others_out():
+    drain, total_bytes = DrainQueue(DrainBounds(), {"big": 1.0, "small": 1.0}), 100_000
+    free_bytes, sequence = total_bytes, 0
     drain.add(QueuedRecord(1, "small", 0, 1.0, 100, 0.0))
-    room, sequence = room - 100, 1
-    while drain.admits("big", 1000, room, total):
+    free_bytes, sequence = free_bytes - 100, 1
+    while drain.admits("big", 1000, free_bytes, total_bytes):
         sequence += 1
         drain.add(QueuedRecord(sequence, "big", 0, 1.0, 1000, 0.0))
-        room -= 1000
-    assert total - room == pytest.approx(UNRESTRICTED_FRACTION * total, abs=1000)
-    took = 0
-    while drain.admits("small", 1000, room, total):
+        free_bytes -= 1000
+    assert total_bytes - free_bytes == pytest.approx(UNRESTRICTED_FRACTION * total_bytes, abs=1000)
+    admitted = 0
+    while drain.admits("small", 1000, free_bytes, total_bytes):
         sequence += 1
-        took += 1
+        admitted += 1
         drain.add(QueuedRecord(sequence, "small", 0, 1.0, 1000, 0.0))
-        room -= 1000
-    assert took >= 32, "a third: two courses and one more that may come"
+        free_bytes -= 1000
+    assert admitted >= 32, "a third of the log: the share is reckoned for both volumes and one more"
 
 
-def test_a_record_that_fails_waits_again_at_its_old_place():
+def test_a_failed_record_is_queued_again_at_its_old_place():
     drain = DrainQueue(DrainBounds(max_in_flight=1), {})
     drain.add(record(1))
     drain.add(record(2))
@@ -114,24 +114,28 @@
     assert [each.sequence for each in drain.start_next(0.0, {})] == [1]
 
 
-def test_what_may_have_run_is_only_repeated_where_that_is_proven_harmless():
-    """Every combination: only within the memory under its key, or by a condition; never by guess."""
-    for keyed, conditional, tells, mine in itertools.product((True, False), repeat=4):
+def test_a_write_that_may_have_been_executed_is_repeated_only_where_it_can_not_take_effect_twice():
+    """All combinations: a repeat only within the deduplication window under its key, or under a precondition."""
+    for has_key, has_condition, reports_etag, same_process in itertools.product((True, False), repeat=4):
         for age in (0.0, 4000.0 - DEDUPLICATION_MARGIN_MS - 1, 4000.0 - DEDUPLICATION_MARGIN_MS, 4000.0, 1e9):
-            found = choose_action(AttemptHistory(0.0, mine), age, 4000.0, keyed, conditional, tells)
-            known = keyed and mine and age < 4000.0 - DEDUPLICATION_MARGIN_MS
-            if found is ReplayAction.RESEND_WITH_KEY:
-                assert known
-            elif found is ReplayAction.RESEND_CONDITIONALLY:
-                assert conditional and not known
-            elif found is ReplayAction.QUERY_STORE:
-                assert tells and not conditional and not known
+            action = choose_action(
+                AttemptHistory(0.0, same_process), age, 4000.0, has_key, has_condition, reports_etag
+            )
+            is_deduplicated = has_key and same_process and age < 4000.0 - DEDUPLICATION_MARGIN_MS
+            if action is ReplayAction.RESEND_WITH_KEY:
+                assert is_deduplicated
+            elif action is ReplayAction.RESEND_CONDITIONALLY:
+                assert has_condition and not is_deduplicated
+            elif action is ReplayAction.QUERY_STORE:
+                assert reports_etag and not has_condition and not is_deduplicated
             else:
-                assert found is ReplayAction.QUARANTINE and not (known or conditional or tells)
+                assert action is ReplayAction.QUARANTINE and not (
+                    is_deduplicated or has_condition or reports_etag
+                )
     assert choose_action(AttemptHistory(), 1e9, 0.0, False, False, False) is ReplayAction.SEND
 
 
-def test_what_a_store_holds_decides_and_what_nobody_can_tell_is_kept():
+def test_the_stored_content_decides_and_an_undecidable_write_is_quarantined():
     assert action_for_content(StoredContent.OWN) is None
     assert action_for_content(StoredContent.PREVIOUS) is ReplayAction.RESEND_CONDITIONALLY
     assert action_for_content(StoredContent.OTHER) is ReplayAction.QUARANTINE
--- a/winchdyke/writeback/__init__.py
+++ b/winchdyke/writeback/__init__.py
@@ -1,1 +1,1 @@
-"""The write-back log: what was acknowledged is there after any crash."""
+"""The write-back log: a write-ahead log from which every acknowledged write is recovered after a crash."""
--- a/winchdyke/writeback/disk.py
+++ b/winchdyke/writeback/disk.py
@@ -1,9 +1,9 @@
-"""The seam between the log and a disk: the few file operations that the log needs, so that a disk which fails can stand in.
+"""The file operations that the log needs, as an interface, so that crash tests can replace the disk by an emulated one.
 
-What a disk promises, and all that the log relies on: data that was written before a ``sync`` that returned is there after a
-crash, and names are there once ``sync_directory`` has returned. Anything else may be lost, kept, torn at a sector or kept out of
-order. A ``sync`` that raised promises nothing, ever: the system may have thrown the data away and call the next one good
-(Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
+The log relies on these guarantees alone: data written before a ``sync`` that returned survives a crash, and so do file
+names once ``sync_directory`` has returned. Any other data may be lost, kept, torn at a sector or written out of order. A
+``sync`` that raised guarantees nothing, and no later one does for the same data: the system may have dropped the data and
+then report success (Rebello et al., "Can Applications Recover from fsync Failures?", USENIX ATC 2020).
 """
 
 from __future__ import annotations
@@ -15,98 +15,102 @@
 
 
 class FolderLockedError(Exception):
-    """Another process has the folder."""
+    """Another process holds the lock of the folder."""
 
 
 class Disk(Protocol):
     """A folder of files. Every method may raise OSError."""
 
     def file_names(self) -> list[str]:
-        """The files there are."""
+        """Return the names of all files."""
 
     def size(self, name: str) -> int:
-        """Bytes of a file."""
+        """Return the size of a file in bytes."""
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Bytes from a place in a file; fewer at its end."""
+        """Return ``length`` bytes from an offset; fewer at the end of the file."""
 
     def create(self, name: str, size: int) -> None:
-        """Make a file with room for so many bytes, that reads as zeros."""
+        """Create a file of ``size`` bytes, all zeros."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Put bytes at a place in a file."""
+        """Write data at an offset of a file."""
 
     def sync(self, name: str) -> None:
-        """Bring a file's bytes to the disk. Where it raises, what was written since the last one counts as lost."""
+        """Make a file's data durable. If it raises, data written since the last sync counts as lost."""
 
     def sync_directory(self) -> None:
-        """Bring names that were made or removed to the disk."""
+        """Make the creation, renaming and removal of files durable."""
 
     def rename(self, name: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
+        """Remove a file."""
 
     def close(self) -> None:
-        """Let go of all."""
+        """Close all files."""
 
 
 class Folder:
-    """A real folder, held by one process at a time. FolderLockedError where another one has it."""
+    """A folder on a real disk, locked by one process at a time.
+
+    Raises:
+        FolderLockedError: Another process holds the lock.
+    """
 
     LOCK_FILE = "lock"
 
     def __init__(self, path: Path) -> None:
         path.mkdir(parents=True, exist_ok=True, mode=0o700)
         self.path = path
-        self._open: dict[str, int] = {}
-        self._lock = os.open(path / self.LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        self._descriptors: dict[str, int] = {}
+        self._lock_descriptor = os.open(path / self.LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
-            fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
-            os.close(self._lock)
+            os.close(self._lock_descriptor)
             raise FolderLockedError(
-                f"{path} is in use by another process; one log has one gateway"
+                f"{path} is in use by another process; each gateway needs a log folder of its own"
             ) from error
 
-    def _file(self, name: str) -> int:
-        if name not in self._open:
-            self._open[name] = os.open(self.path / name, os.O_RDWR | os.O_CLOEXEC)
-        return self._open[name]
+    def _descriptor(self, name: str) -> int:
+        if name not in self._descriptors:
+            self._descriptors[name] = os.open(self.path / name, os.O_RDWR | os.O_CLOEXEC)
+        return self._descriptors[name]
 
     def file_names(self) -> list[str]:
-        """The files there are, without the lock."""
-        return sorted(each.name for each in self.path.iterdir() if each.name != self.LOCK_FILE)
+        """Return the names of all files except the lock file."""
+        return sorted(file.name for file in self.path.iterdir() if file.name != self.LOCK_FILE)
 
     def size(self, name: str) -> int:
-        """Bytes of a file."""
-        return os.fstat(self._file(name)).st_size
+        """Return the size of a file in bytes."""
+        return os.fstat(self._descriptor(name)).st_size
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Bytes from a place in a file; fewer at its end."""
-        return os.pread(self._file(name), length, offset)
+        """Return ``length`` bytes from an offset; fewer at the end of the file."""
+        return os.pread(self._descriptor(name), length, offset)
 
     def create(self, name: str, size: int) -> None:
-        """Make a file; its blocks are set aside, so that a full disk shows here and not at a write."""
+        """Create a file and allocate its blocks, so that a full disk raises here and not at a write."""
         descriptor = os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
-        self._open[name] = descriptor
+        self._descriptors[name] = descriptor
         os.posix_fallocate(descriptor, 0, size)
-        os.fsync(descriptor)  # its size: a sync of data alone need not bring it
+        os.fsync(descriptor)  # fdatasync alone need not make the file size durable
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Put bytes at a place in a file."""
-        descriptor, view = self._file(name), memoryview(data)
+        """Write data at an offset of a file."""
+        descriptor, view = self._descriptor(name), memoryview(data)
         while view:
-            done = os.pwrite(descriptor, view, offset)
-            view, offset = view[done:], offset + done
+            written = os.pwrite(descriptor, view, offset)
+            view, offset = view[written:], offset + written
 
     def sync(self, name: str) -> None:
-        """Bring a file's bytes to the disk."""
-        os.fdatasync(self._file(name))
+        """Make a file's data durable."""
+        os.fdatasync(self._descriptor(name))
 
     def sync_directory(self) -> None:
-        """Bring names to the disk."""
+        """Make the creation, renaming and removal of files durable."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -114,20 +118,20 @@
             os.close(descriptor)
 
     def rename(self, name: str, new: str) -> None:
-        """Give a file another name."""
+        """Rename a file."""
         (self.path / name).rename(self.path / new)
-        if name in self._open:
-            self._open[new] = self._open.pop(name)
+        if name in self._descriptors:
+            self._descriptors[new] = self._descriptors.pop(name)
 
     def remove(self, name: str) -> None:
-        """Take a file away."""
-        if name in self._open:
-            os.close(self._open.pop(name))
+        """Remove a file."""
+        if name in self._descriptors:
+            os.close(self._descriptors.pop(name))
         (self.path / name).unlink()
 
     def close(self) -> None:
-        """Close all files and let another process have the folder."""
-        for descriptor in self._open.values():
+        """Close all files and release the lock."""
+        for descriptor in self._descriptors.values():
             os.close(descriptor)
-        self._open.clear()
-        os.close(self._lock)
+        self._descriptors.clear()
+        os.close(self._lock_descriptor)
--- a/winchdyke/writeback/drain.py
+++ b/winchdyke/writeback/drain.py
@@ -1,18 +1,19 @@
-"""Which record goes next, and who may still add to the log. Pure: values and the time in, values out.
-
-Draining is background work that every rule of the scheduler still decides on: what goes from here is handed to it as a
-request of its class, and windows, limits, budgets and cold bounds hold it as any other. What is decided here is only
-how much is handed over:
-
-- of each order key the oldest record alone, and the next one once that is done;
-- at a shard where live requests are held, one record at a time; elsewhere up to ``max_in_flight``;
-- of several courses the one that has drained least for its weight, and of its records the oldest;
-- a record that is older than ``urgent_after_ms`` goes before all others, up to ``max_in_flight`` also beside live requests: then live
-  ones give way, as the scheduler's shares and CoDel have it, and a record's age stays bounded by what stores can do.
-
-*Room.* While less than ``UNRESTRICTED_FRACTION`` of the log is in use whoever comes may use it. From there on each course may hold its
-weight's part of the whole among those that hold something and one more, and no more: so a course that writes through a
-long outage can't keep others out.
+"""Chooses which records are sent next and which volumes may still append to the log. Without I/O or a clock of its own.
+
+Draining is background work under the scheduler: each record is handed to it as a request of the record's class, and
+concurrency limits, quotas, retry budgets and slow start apply as to any other request. This module decides only how many
+records are handed over:
+
+- for each order key only the oldest record; the next one follows once that one is done;
+- for a shard with queued live requests one record at a time, for other shards up to ``max_in_flight``;
+- among several volumes, the one that has drained the fewest units for its weight, and its oldest record first;
+- a record older than ``urgent_after_ms`` goes before all others, and up to ``max_in_flight`` of them also beside live
+  requests. Live requests then give way by the scheduler's shares and CoDel, so the age of records stays bounded by the
+  capacity of the stores.
+
+Admission: while less than ``UNRESTRICTED_FRACTION`` of the log is in use, every volume may append. Above that, a volume may
+hold a share of the log in proportion to its weight, among the volumes that hold records and one more. So a volume that
+keeps writing through a long outage can't keep others out.
 """
 
 from __future__ import annotations
@@ -21,12 +22,19 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-UNRESTRICTED_FRACTION = 0.5  # of the log that is anybody's
+UNRESTRICTED_FRACTION = 0.5  # of the log, which any volume may fill
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedRecord:
-    """A record that is to reach its store. ``since_ms`` in ms, ``units`` as plans count."""
+    """A record that is to be sent to its store.
+
+    Attributes:
+        units: Its work, in the unit of plans.
+        size: Its bytes.
+        since_ms: When it was acknowledged.
+        order_key: Records with the same key are sent one after the other; "" without an order.
+    """
 
     sequence: int
     volume: str
@@ -39,27 +47,32 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainBounds:
-    """How hard the log is drained."""
+    """Bounds of draining.
+
+    Attributes:
+        max_in_flight: Records in flight for each shard.
+        urgent_after_ms: Age from which a record goes before others.
+    """
 
-    max_in_flight: int = 4  # records out at a shard
+    max_in_flight: int = 4
     urgent_after_ms: float = 60_000.0
 
 
 class DrainQueue:
-    """The records of one gateway's log, and what is out of them."""
+    """The records of one gateway's log, queued and in flight."""
 
     def __init__(self, bounds: DrainBounds, weights: Mapping[str, float]) -> None:
         self.bounds, self.weights = bounds, weights
-        self.queued: dict[int, QueuedRecord] = {}  # in order of sequence
+        self.queued: dict[int, QueuedRecord] = {}  # by sequence number, ascending
         self.in_flight: dict[int, QueuedRecord] = {}
-        self._bytes: dict[str, int] = {}  # of courses that hold something
+        self._bytes: dict[str, int] = {}  # by volume, for volumes with records
         self._count: Counter[str] = Counter()
-        self._drained: defaultdict[str, float] = defaultdict(float)  # units for each weight
+        self._drained: defaultdict[str, float] = defaultdict(float)  # units divided by weight, by volume
 
     def add(self, record: QueuedRecord) -> None:
-        """A record was acknowledged."""
+        """Queue a record that was acknowledged."""
         if not self._count[record.volume]:
-            # Guards against a course that was idle and then has all the turns that it did not use.
+            # A volume that was idle starts level with the others; else it would catch up on all the turns it missed.
             busy = [self._drained[volume] for volume in self._bytes]
             self._drained[record.volume] = max(self._drained[record.volume], min(busy, default=0.0))
         self.queued[record.sequence] = record
@@ -67,7 +80,7 @@
         self._bytes[record.volume] = self._bytes.get(record.volume, 0) + record.size
 
     def finish_attempt(self, sequence: int, done: bool) -> None:
-        """An attempt of a record is over; one that is not done waits again at its old place."""
+        """End an attempt of a record: drop the record if it is done, else queue it again at its old place."""
         record = self.in_flight.pop(sequence)
         if done:
             self._count[record.volume] -= 1
@@ -78,52 +91,55 @@
             self.queued[sequence] = record
             self.queued = dict(sorted(self.queued.items()))
 
-    def start_next(self, now: float, live: Mapping[int, int]) -> list[QueuedRecord]:
-        """Records to hand over now; ``live``: how many live requests are held for each shard."""
-        found: list[QueuedRecord] = []
-        while (record := self._one(now, live)) is not None:
+    def start_next(self, now_ms: float, live_requests: Mapping[int, int]) -> list[QueuedRecord]:
+        """Move the records that may be sent now in flight, and return them.
+
+        ``live_requests``: the number of live requests queued for each shard.
+        """
+        started: list[QueuedRecord] = []
+        while (record := self._choose(now_ms, live_requests)) is not None:
             del self.queued[record.sequence]
             self.in_flight[record.sequence] = record
             self._drained[record.volume] += record.units / self.weights.get(record.volume, 1.0)
-            found.append(record)
-        return found
+            started.append(record)
+        return started
 
-    def _one(self, now: float, live: Mapping[int, int]) -> QueuedRecord | None:
-        busy: defaultdict[int, int] = defaultdict(int)
+    def _choose(self, now_ms: float, live_requests: Mapping[int, int]) -> QueuedRecord | None:
+        in_flight_by_shard: defaultdict[int, int] = defaultdict(int)
         for record in self.in_flight.values():
-            busy[record.shard] += 1
-        keys = {record.order_key for record in self.in_flight.values() if record.order_key}
+            in_flight_by_shard[record.shard] += 1
+        blocked_keys = {record.order_key for record in self.in_flight.values() if record.order_key}
         best: tuple[bool, float, int] | None = None
         chosen: QueuedRecord | None = None
         for record in self.queued.values():
             if record.order_key:
-                if record.order_key in keys:
+                if record.order_key in blocked_keys:
                     continue
-                keys.add(record.order_key)
-            urgent = now - record.since_ms >= self.bounds.urgent_after_ms
-            most = self.bounds.max_in_flight if urgent or not live.get(record.shard) else 1
-            if busy[record.shard] >= most:
+                blocked_keys.add(record.order_key)
+            urgent = now_ms - record.since_ms >= self.bounds.urgent_after_ms
+            limit = self.bounds.max_in_flight if urgent or not live_requests.get(record.shard) else 1
+            if in_flight_by_shard[record.shard] >= limit:
                 continue
-            # Urgent ones by age alone, all others by what their course has had.
+            # Urgent records are ranked by age alone, all others by what their volume has drained.
             rank = (not urgent, 0.0 if urgent else self._drained[record.volume], record.sequence)
             if best is None or rank < best:
                 best, chosen = rank, record
         return chosen
 
-    def admits(self, volume: str, size: int, room: int, total: int) -> bool:
-        """Whether a course may add so many bytes; ``room`` are free of ``total``."""
-        if size > room:
+    def admits(self, volume: str, size: int, free_bytes: int, total_bytes: int) -> bool:
+        """Whether a volume may append ``size`` bytes to a log with ``free_bytes`` of ``total_bytes`` left."""
+        if size > free_bytes:
             return False
-        if total - room + size <= UNRESTRICTED_FRACTION * total:
+        if total_bytes - free_bytes + size <= UNRESTRICTED_FRACTION * total_bytes:
             return True
-        # One more of its own weight is always thought of, or a course that is alone would leave nothing for the next one.
+        # The share is reckoned with one more volume of the same weight: else a volume that is alone could fill the log.
         weight = self.weights.get(volume, 1.0)
         share = weight / (weight + sum(self.weights.get(each, 1.0) for each in {*self._bytes, volume}))
-        return self._bytes.get(volume, 0) + size <= share * total
+        return self._bytes.get(volume, 0) + size <= share * total_bytes
 
     @property
     def oldest_since_ms(self) -> float | None:
-        """Since when the oldest record waits or is out (ms)."""
+        """When the oldest record, queued or in flight, was acknowledged; None without records."""
         return min(
             (record.since_ms for record in (*self.queued.values(), *self.in_flight.values())), default=None
         )
--- a/winchdyke/writeback/log.py
+++ b/winchdyke/writeback/log.py
@@ -1,31 +1,34 @@
-"""The log: records in preallocated segments, found again after any crash in one pass.
+"""The write-ahead log: records in preallocated segments, recovered after a crash in one pass over them.
 
-A segment is a file ``NNNNNNNNNNNNNNNN.log`` (its number), of a fixed size, zeros until written. All numbers are little-endian.
+A segment is a file ``NNNNNNNNNNNNNNNN.log`` (its number) of a fixed size, all zeros until written. All numbers are
+little-endian.
 
-    head, 40 bytes    WDWRITES, version (2), zeros (2), epoch (4), number (8), base: the last sequence synced before (8),
-                      xxh3-64 of those 32 bytes
+    header, 40 bytes  WDWRITES, version (2), zeros (2), epoch (4), number (8), base: the last sequence number that was
+                      synced before this segment (8), xxh3-64 of those 32 bytes
     records, each at a multiple of 8:
         4 bytes   length of the payload
-        1 byte    kind: 1 write, 2 done, 3 closed, 4 out (a write is about to be sent: its sequence, what its store held)
+        1 byte    kind: 1 write, 2 done, 3 closed, 4 sending (a write is about to be sent: the payload is its sequence
+                  number and a note on what its store held)
         3 bytes   zeros
-        8 bytes   sequence, one more than the record's before it
-        8 bytes   the sequence up to which all was synced when this one was written
+        8 bytes   sequence number, one more than that of the record before it
+        8 bytes   the sequence number up to which all records were synced when this one was written
         8 bytes   xxh3-64 of the segment's number and epoch, the 24 bytes above and the payload
         payload, padded with zeros to a multiple of 8
 
-*The crash argument.* A record counts only with its checksum, which is over the segment's own number too, so that nothing left
-from an earlier use of the blocks passes for one. Bytes of a segment are written once, in order, and a record is acknowledged only
-after a sync of its segment that returned. So after a crash all acknowledged records are whole, and what follows the first record
-that is not is what no sync ever covered: *torn*. A whole record after it whose ``synced`` reaches it shows that it is *corrupt*
-instead: it was acknowledged, and is reported; reading goes on behind it. Damage to the very last batch, with nothing whole after
-it, can't be told from a torn end; it is reported as what it is: an end that is not whole.
+Crash safety: a record is valid only if its checksum fits. The checksum covers the segment's number and epoch too, so data
+left by an earlier use of the blocks is never taken for a record. Bytes of a segment are written once, in order, and a record
+is acknowledged only after a sync of its segment has returned. So after a crash all acknowledged records are valid, and the
+first invalid record begins the part that no sync covered: it is *torn*. If a valid record after it has a ``synced`` that
+reaches it, it is *corrupt* instead: it had been acknowledged. It is reported, and recovery goes on behind it. Damage to the
+very last batch, with no valid record after it, can't be told from a torn end, so it is reported as an incomplete end.
 
-*A sync that failed* is fatal for its segment: nothing more is written there, what was not acknowledged before is not
-acknowledged, and the log goes on in a new segment. The old one is never synced again and believed.
+Failed syncs: a sync that fails ends its segment. Nothing more is written to it, its unacknowledged records stay
+unacknowledged, and the log continues in a new segment. The old segment is not synced again, because the system may have
+dropped the data and would still report success.
 
-*Space.* A segment goes once all its writes are done, the oldest first, each removal synced before the next: so no gap is ever
-left between numbers, and ``done`` records, which stand in the same or a later segment, outlive what they speak of. One segment is
-kept for them, so that what is done can be said in a log that is full.
+Space: a segment is removed once all its writes are done, the oldest first, and each removal is synced before the next. So
+segment numbers never have a gap, and a ``done`` record, which is in the segment of its write or a later one, is removed no
+earlier than the write. One segment is reserved for ``done`` records, so that they can be appended to a full log.
 """
 
 from __future__ import annotations
@@ -48,13 +51,13 @@
     SEGMENT_HEADER.size + CHECKSUM.size,
     RECORD_HEADER.size + CHECKSUM.size,
 )
-MAX_PAYLOAD_BYTES = 64 << 20  # bytes of one payload
-READ_CHUNK_BYTES = 1 << 20  # bytes that a pass reads at once
+MAX_PAYLOAD_BYTES = 64 << 20
+READ_CHUNK_BYTES = 1 << 20  # read at once during recovery
 SEQUENCE = struct.Struct("<Q")
 
 
 class RecordKind(IntEnum):
-    """What a record says."""
+    """The kind of a record, as stored."""
 
     WRITE = 1
     DONE = 2
@@ -63,20 +66,20 @@
 
 
 class LogError(Exception):
-    """The log can't be used; says what is wrong and what to do."""
+    """The log can't be used, or can't take or return a record; the text says what is wrong."""
 
 
 class LogFullError(LogError):
-    """There is no room for the record; nothing was written."""
+    """The log has no space for the record; nothing was written."""
 
 
 class DurabilityUnknownError(LogError):
-    """The record may or may not be kept: it is not acknowledged."""
+    """The record may or may not survive a crash, so it must not be acknowledged."""
 
 
 @dataclass(frozen=True, slots=True)
 class RecordLocation:
-    """Where a write's payload lies."""
+    """Where the payload of a write is stored: segment number, offset and length in bytes."""
 
     segment: int
     offset: int
@@ -85,7 +88,14 @@
 
 @dataclass
 class RecoveryReport:
-    """What a pass over the log found. ``torn`` and ``corrupt`` say it in words, segment and place first."""
+    """The result of recovery.
+
+    Attributes:
+        records: Valid records.
+        torn: Parts that no sync covered, each described in a line that begins with segment and offset.
+        corrupt: Damage to acknowledged records, described likewise.
+        bytes: Bytes of segments that were read.
+    """
 
     records: int = 0
     torn: list[str] = field(default_factory=list)
@@ -97,80 +107,87 @@
 class _Segment:
     number: int
     epoch: int
-    end: int = SEGMENT_HEADER_SIZE  # where the next record goes
-    open: set[int] = field(default_factory=set)  # its writes that are not done
+    end: int = SEGMENT_HEADER_SIZE  # offset of the next record
+    pending: set[int] = field(default_factory=set)  # sequence numbers of its writes that are not done
 
 
 def segment_file_name(number: int) -> str:
-    """The file of a segment."""
+    """Return the file name of a segment."""
     return f"{number:016d}{SEGMENT_SUFFIX}"
 
 
 def padded_length(length: int) -> int:
-    """A length rounded up to a multiple of 8."""
+    """Round a length up to a multiple of 8."""
     return -(-length // 8) * 8
 
 
 def encode_segment_header(number: int, epoch: int, base: int) -> bytes:
-    """A segment's first bytes."""
-    plain = SEGMENT_HEADER.pack(MAGIC, VERSION, epoch, number, base)
-    return plain + CHECKSUM.pack(xxhash.xxh3_64_intdigest(plain))
+    """Return the header of a segment."""
+    header = SEGMENT_HEADER.pack(MAGIC, VERSION, epoch, number, base)
+    return header + CHECKSUM.pack(xxhash.xxh3_64_intdigest(header))
 
 
 def encode_record(
     number: int, epoch: int, kind: RecordKind, sequence: int, synced: int, payload: bytes
 ) -> bytes:
-    """A record as it stands in a segment."""
-    plain = RECORD_HEADER.pack(len(payload), kind, sequence, synced)
+    """Return a record as it is stored in a segment."""
+    header = RECORD_HEADER.pack(len(payload), kind, sequence, synced)
     return b"".join(
         (
-            plain,
-            CHECKSUM.pack(_check(number, epoch, plain, payload)),
+            header,
+            CHECKSUM.pack(_checksum(number, epoch, header, payload)),
             payload,
             bytes(padded_length(len(payload)) - len(payload)),
         )
     )
 
 
-def _check(number: int, epoch: int, plain: bytes, payload: bytes) -> int:
-    made = xxhash.xxh3_64(struct.pack("<QI", number, epoch))
-    made.update(plain)
-    made.update(payload)
-    return made.intdigest()
+def _checksum(number: int, epoch: int, header: bytes, payload: bytes) -> int:
+    digest = xxhash.xxh3_64(struct.pack("<QI", number, epoch))
+    digest.update(header)
+    digest.update(payload)
+    return digest.intdigest()
 
 
 @dataclass(frozen=True, slots=True)
 class ScannedRecord:
-    """One record that a pass read."""
+    """A valid record read from a segment."""
 
     kind: RecordKind
     sequence: int
     synced: int
-    offset: int  # of the record
+    offset: int
     payload: bytes
 
     @property
     def size(self) -> int:
-        """Bytes that it takes up."""
+        """Bytes of the record, with header and padding."""
         return RECORD_HEADER_SIZE + padded_length(len(self.payload))
 
 
 class SegmentReader:
-    """One pass over a segment, with at most one record and ``READ_CHUNK_BYTES`` bytes in memory."""
+    """Reads a segment front to back, with at most one record and ``READ_CHUNK_BYTES`` in memory."""
 
     def __init__(self, disk: Disk, name: str) -> None:
         self._disk, self._name = disk, name
         self.size = disk.size(name)
-        self._from, self._data = 0, b""
-
-    def read(self, at: int, length: int) -> bytes:
-        """Bytes of the segment."""
-        if not self._from <= at or at + length > self._from + len(self._data):
-            self._from, self._data = at, self._disk.read(self._name, at, max(READ_CHUNK_BYTES, length))
-        return self._data[at - self._from : at - self._from + length]
+        self._chunk_offset, self._chunk = 0, b""
+
+    def read(self, offset: int, length: int) -> bytes:
+        """Return bytes of the segment; fewer at its end."""
+        if not self._chunk_offset <= offset or offset + length > self._chunk_offset + len(self._chunk):
+            self._chunk_offset, self._chunk = (
+                offset,
+                self._disk.read(self._name, offset, max(READ_CHUNK_BYTES, length)),
+            )
+        return self._chunk[offset - self._chunk_offset : offset - self._chunk_offset + length]
 
     def header(self) -> tuple[int, int, int] | None:
-        """Number, epoch and base; None where the head is not whole. LogError for a version that is not known here."""
+        """Return the header's number, epoch and base; None if the header is damaged.
+
+        Raises:
+            LogError: The segment has another format version.
+        """
         data = self.read(0, SEGMENT_HEADER_SIZE)
         if (
             len(data) < SEGMENT_HEADER_SIZE
@@ -183,57 +200,67 @@
             return None
         if version != VERSION:
             raise LogError(
-                f"{self._name} has version {version} of the log's format; this program reads {VERSION}: use the one that wrote it"
+                f"{self._name} has version {version} of the log's format; this program reads {VERSION}: "
+                "start the release that wrote it"
             )
         return number, epoch, base
 
-    def record_at(self, at: int, number: int, epoch: int) -> ScannedRecord | None:
-        """The record at a place; None where there is no whole one."""
-        if at + RECORD_HEADER_SIZE > self.size:
+    def record_at(self, offset: int, number: int, epoch: int) -> ScannedRecord | None:
+        """Return the record at an offset; None if no valid record begins there."""
+        if offset + RECORD_HEADER_SIZE > self.size:
             return None
-        data = self.read(at, RECORD_HEADER_SIZE)
+        data = self.read(offset, RECORD_HEADER_SIZE)
         if len(data) < RECORD_HEADER_SIZE:
             return None
         length, kind, sequence, synced = RECORD_HEADER.unpack_from(data)
         if (
             not sequence
             or length > MAX_PAYLOAD_BYTES
-            or at + RECORD_HEADER_SIZE + length > self.size
+            or offset + RECORD_HEADER_SIZE + length > self.size
             or kind not in (1, 2, 3, 4)
         ):
             return None
-        plain, check = data[: RECORD_HEADER.size], CHECKSUM.unpack_from(data, RECORD_HEADER.size)[0]
-        payload = self.read(at + RECORD_HEADER_SIZE, length)
-        if len(payload) < length or _check(number, epoch, plain, payload) != check:
+        header, checksum = data[: RECORD_HEADER.size], CHECKSUM.unpack_from(data, RECORD_HEADER.size)[0]
+        payload = self.read(offset + RECORD_HEADER_SIZE, length)
+        if len(payload) < length or _checksum(number, epoch, header, payload) != checksum:
             return None
-        return ScannedRecord(RecordKind(kind), sequence, synced, at, payload)
+        return ScannedRecord(RecordKind(kind), sequence, synced, offset, payload)
 
-    def only_zeros(self, at: int) -> bool:
-        """Whether nothing but zeros follows."""
-        while at < self.size:
-            piece = self.read(at, min(READ_CHUNK_BYTES, self.size - at))
-            if not piece:
+    def only_zeros(self, offset: int) -> bool:
+        """Whether the segment holds only zeros from an offset on."""
+        while offset < self.size:
+            chunk = self.read(offset, min(READ_CHUNK_BYTES, self.size - offset))
+            if not chunk:
                 return True
-            if piece.count(0) != len(piece):
+            if chunk.count(0) != len(chunk):
                 return False
-            at += len(piece)
+            offset += len(chunk)
         return True
 
-    def find_record(self, at: int, number: int, epoch: int) -> ScannedRecord | None:
-        """The first whole record from a place on."""
-        at = padded_length(at)
-        while at + RECORD_HEADER_SIZE <= self.size:
-            found = self.record_at(at, number, epoch)
-            if found is not None:
-                return found
-            at += 8
+    def find_record(self, offset: int, number: int, epoch: int) -> ScannedRecord | None:
+        """Return the first valid record from an offset on; None if there is none."""
+        offset = padded_length(offset)
+        while offset + RECORD_HEADER_SIZE <= self.size:
+            record = self.record_at(offset, number, epoch)
+            if record is not None:
+                return record
+            offset += 8
         return None
 
 
 class Log:
-    """The log of one gateway. Not for several threads at once: :mod:`winchdyke.writeback.commit` owns it.
-
-    ``segment_bytes`` is the size of a segment, ``total_bytes`` bounds all. ``heard`` is told what a pass could not read.
+    """The log of one gateway. Not thread-safe: the thread of :mod:`winchdyke.writeback.commit` owns it.
+
+    Attributes:
+        pending_writes: Where the writes that are not done are stored, by sequence number, ascending.
+        sending_notes: The notes of writes that may have been sent, by sequence number.
+        failed_sequences: Sequence numbers of this process's records whose sync failed.
+        recovery: What recovery found.
+        sequence: The last sequence number given to a record.
+        synced: The last sequence number covered by a successful sync. Records up to it are durable, except those in
+            ``failed_sequences``.
+        has_spare: Whether a file with the blocks of the next segment exists, in addition to ``total_bytes``.
+        epoch: The number of this process among those that have opened the log; its segments carry it.
     """
 
     def __init__(
@@ -241,30 +268,40 @@
         disk: Disk,
         segment_bytes: int = 16 << 20,
         total_bytes: int = 1 << 30,
-        heard: Callable[[str], None] = lambda _: None,
+        on_warning: Callable[[str], None] = lambda _: None,
     ) -> None:
+        """Recover the log.
+
+        Args:
+            disk: The folder of the log.
+            segment_bytes: The size of a segment.
+            total_bytes: The size of all segments.
+            on_warning: Called with the text of a disk error that the log survives.
+
+        Raises:
+            LogError: A segment has another format version.
+        """
         if segment_bytes < 4096 or total_bytes < 3 * segment_bytes:
-            raise LogError("a segment has 4096 bytes at least, and the log room for three of them")
+            raise LogError(
+                "a segment must have at least 4096 bytes, and the log must have space for three segments"
+            )
         self.disk, self.segment_bytes, self.total_bytes = disk, padded_length(segment_bytes), total_bytes
-        self._heard = heard
-        self.pending_writes: dict[int, RecordLocation] = {}  # writes that are not done, in order
-        self.sending_notes: dict[
-            int, bytes
-        ] = {}  # writes that may have been sent, and what was noted of that
-        self.failed_sequences: set[int] = set()  # sequences of this process whose sync failed
+        self._on_warning = on_warning
+        self.pending_writes: dict[int, RecordLocation] = {}
+        self.sending_notes: dict[int, bytes] = {}
+        self.failed_sequences: set[int] = set()
         self.recovery = RecoveryReport()
         self.sequence = self.synced = 0
         self._segments: dict[int, _Segment] = {}
-        self._dirty: list[
-            tuple[int, RecordKind, bytes]
-        ] = []  # appended since the last sync: sequence, kind, payload
-        self.has_spare = False  # whether a file with the next segment's blocks is there, beyond total_bytes
-        self._unsynced_names = False  # whether a removal is not yet known to be on the disk
-        self._ended = True  # whether the last segment takes no more
+        # Records appended since the last sync: sequence number, kind, payload.
+        self._dirty: list[tuple[int, RecordKind, bytes]] = []
+        self.has_spare = False
+        self._unsynced_removal = False  # whether a removed segment could reappear after a crash
+        self._last_segment_ended = True  # whether the last segment accepts no more records
         self.epoch = 0
         self._recover()
 
-    # Finding what is there
+    # Recovery
 
     def _recover(self) -> None:
         numbers = sorted(
@@ -274,122 +311,130 @@
         )
         for name in self.disk.file_names():
             if name.endswith(NEW_SUFFIX):
-                self.disk.remove(name)  # nothing was acknowledged in it
+                self.disk.remove(name)  # no record in it was acknowledged
         done: set[int] = set()
         for number in numbers:
-            self._pass(number, done)
+            self._recover_segment(number, done)
         for sequence in done:
-            self._finish(sequence)
+            self._forget_write(sequence)
         self.epoch += 1  # each process writes segments of its own epoch
         if numbers and self._segments[numbers[-1]].epoch:
-            # Guards against what was found whole and never synced, and is gone after the next crash.
+            # Recovered records may never have been synced. Without this sync the next crash could lose them after this
+            # process has acted on them.
             try:
                 self.disk.sync(segment_file_name(numbers[-1]))
                 self.synced = self.sequence
             except OSError as error:
-                self._heard(f"{segment_file_name(numbers[-1])} can't be synced: {error.strerror or error}")
-        # What was not done stays where it is; new records go into a new segment, so that a torn end is never written behind.
-        self._sweep()
-
-    def _pass(self, number: int, done: set[int]) -> None:
-        name, found = segment_file_name(number), self.recovery
+                self._on_warning(
+                    f"{segment_file_name(numbers[-1])} can't be synced: {error.strerror or error}"
+                )
+        # Pending writes stay where they are. New records go to a new segment, so nothing is written behind a torn end.
+        self._remove_done_segments()
+
+    def _recover_segment(self, number: int, done: set[int]) -> None:
+        name, recovery = segment_file_name(number), self.recovery
         reader = SegmentReader(self.disk, name)
-        head = reader.header()
-        if head is None:
-            found.corrupt.append(f"{name}: its head is broken; its records can't be read")
+        header = reader.header()
+        if header is None:
+            recovery.corrupt.append(
+                f"{name}: the header is damaged; the records of this segment can't be read"
+            )
             self._segments[number] = _Segment(number, 0, reader.size)
             return
-        self.epoch = max(self.epoch, head[1])
-        if head[2] > self.sequence:
-            if number > 1 and not found.records and not found.corrupt:
-                self.sequence = head[2]  # what came before is done and gone
+        self.epoch = max(self.epoch, header[1])
+        if header[2] > self.sequence:
+            if number > 1 and not recovery.records and not recovery.corrupt:
+                self.sequence = header[2]  # the segments before this one were done and removed
             else:
-                text = f"records after {self.sequence} up to {head[2]} were acknowledged and can't be read"
-                found.corrupt.append(f"{name}: {text}")
-                self.sequence = head[2]
-        segment = self._segments[number] = _Segment(number, head[1])
-        at = SEGMENT_HEADER_SIZE
-        while at + RECORD_HEADER_SIZE <= reader.size:
-            read = reader.record_at(at, number, head[1])
-            if read is None:
-                if reader.only_zeros(at):
+                text = f"records after {self.sequence} up to {header[2]} were acknowledged and can't be read"
+                recovery.corrupt.append(f"{name}: {text}")
+                self.sequence = header[2]
+        segment = self._segments[number] = _Segment(number, header[1])
+        offset = SEGMENT_HEADER_SIZE
+        while offset + RECORD_HEADER_SIZE <= reader.size:
+            record = reader.record_at(offset, number, header[1])
+            if record is None:
+                if reader.only_zeros(offset):
                     break
-                after = reader.find_record(at + 8, number, head[1])
-                if after is None:
-                    found.torn.append(f"{name}, byte {at}: the end is not whole")
+                next_record = reader.find_record(offset + 8, number, header[1])
+                if next_record is None:
+                    recovery.torn.append(f"{name}, byte {offset}: the end is incomplete")
                     break
-                if after.synced <= self.sequence:
-                    found.torn.append(
-                        f"{name}, byte {at}: {after.offset - at} bytes before record {after.sequence}"
+                if next_record.synced <= self.sequence:
+                    recovery.torn.append(
+                        f"{name}, byte {offset}: {next_record.offset - offset} invalid bytes before record {next_record.sequence}"
                     )
-                read = after
-            self._take(read, segment, done)
-            at = read.offset + read.size
-        segment.end = at
-        found.bytes += at
-
-    def _take(self, read: ScannedRecord, segment: _Segment, done: set[int]) -> None:
-        if read.synced > self.sequence:
-            text = f"records after {self.sequence} up to {read.synced} were acknowledged and can't be read"
-            self.recovery.corrupt.append(f"{segment_file_name(segment.number)}, byte {read.offset}: {text}")
+                record = next_record
+            self._recover_record(record, segment, done)
+            offset = record.offset + record.size
+        segment.end = offset
+        recovery.bytes += offset
+
+    def _recover_record(self, record: ScannedRecord, segment: _Segment, done: set[int]) -> None:
+        if record.synced > self.sequence:
+            text = f"records after {self.sequence} up to {record.synced} were acknowledged and can't be read"
+            self.recovery.corrupt.append(f"{segment_file_name(segment.number)}, byte {record.offset}: {text}")
         self.recovery.records += 1
-        self.synced = max(self.synced, read.synced)
-        self.sequence = max(self.sequence, read.sequence)
-        if read.kind is RecordKind.WRITE:
-            segment.open.add(read.sequence)
-            self.pending_writes[read.sequence] = RecordLocation(
-                segment.number, read.offset + RECORD_HEADER_SIZE, len(read.payload)
+        self.synced = max(self.synced, record.synced)
+        self.sequence = max(self.sequence, record.sequence)
+        if record.kind is RecordKind.WRITE:
+            segment.pending.add(record.sequence)
+            self.pending_writes[record.sequence] = RecordLocation(
+                segment.number, record.offset + RECORD_HEADER_SIZE, len(record.payload)
             )
-        elif read.kind is RecordKind.DONE:
-            done.update(each[0] for each in SEQUENCE.iter_unpack(read.payload))
-        elif read.kind is RecordKind.SENDING:
-            self.sending_notes[SEQUENCE.unpack_from(read.payload)[0]] = read.payload[SEQUENCE.size :]
+        elif record.kind is RecordKind.DONE:
+            done.update(each[0] for each in SEQUENCE.iter_unpack(record.payload))
+        elif record.kind is RecordKind.SENDING:
+            self.sending_notes[SEQUENCE.unpack_from(record.payload)[0]] = record.payload[SEQUENCE.size :]
 
-    def _finish(self, sequence: int) -> None:
+    def _forget_write(self, sequence: int) -> None:
         self.sending_notes.pop(sequence, None)
-        place = self.pending_writes.pop(sequence, None)
-        if place is not None:
-            self._segments[place.segment].open.discard(sequence)
+        location = self.pending_writes.pop(sequence, None)
+        if location is not None:
+            self._segments[location.segment].pending.discard(sequence)
 
-    def _sweep(self) -> None:
-        """Remove segments that hold nothing to be done, the oldest first; the last one stays, for its number."""
+    def _remove_done_segments(self) -> None:
+        """Remove segments without pending writes, the oldest first; the last one stays, as it holds the number."""
         for number in sorted(self._segments)[:-1]:
-            if self._segments[number].open:
+            if self._segments[number].pending:
                 return
             try:
-                if self._unsynced_names:
+                if self._unsynced_removal:
                     self.disk.sync_directory()
-                    self._unsynced_names = False
-                if (
-                    segment_file_name(number) in self.disk.file_names()
-                ):  # one that could not be made may not be there
+                    self._unsynced_removal = False
+                # A segment that could not be created has no file.
+                if segment_file_name(number) in self.disk.file_names():
                     self.disk.remove(segment_file_name(number))
                 del self._segments[number]
-                self._unsynced_names = True
+                self._unsynced_removal = True
                 self.disk.sync_directory()
-                self._unsynced_names = False
+                self._unsynced_removal = False
             except OSError as error:
-                self._heard(f"{segment_file_name(number)} can't be removed: {error.strerror or error}")
+                self._on_warning(f"{segment_file_name(number)} can't be removed: {error.strerror or error}")
                 return
 
     # Writing
 
     @property
     def used_bytes(self) -> int:
-        """Bytes that the log's segments take up."""
+        """The size of all segments."""
         return len(self._segments) * self.segment_bytes
 
     def free_bytes(self) -> int:
-        """Bytes that may surely be appended still, a little less than there is."""
+        """Bytes that can still be appended for certain: a lower bound, as one segment is reserved."""
         last = max(self._segments, default=None)
-        here = 0 if self._ended or last is None else self.segment_bytes - self._segments[last].end
-        more = max(0, (self.total_bytes - self.used_bytes) // self.segment_bytes - 1)
-        return here + more * (self.segment_bytes - SEGMENT_HEADER_SIZE)
+        last_segment_bytes = (
+            0 if self._last_segment_ended or last is None else self.segment_bytes - self._segments[last].end
+        )
+        new_segments = max(0, (self.total_bytes - self.used_bytes) // self.segment_bytes - 1)
+        return last_segment_bytes + new_segments * (self.segment_bytes - SEGMENT_HEADER_SIZE)
 
     def append(self, payload: bytes, kind: RecordKind = RecordKind.WRITE) -> int:
-        """Put a record behind the others, not yet synced; its sequence.
+        """Append a record without a sync, and return its sequence number.
 
-        LogFullError where there is no room for it: nothing is written.
+        Raises:
+            LogFullError: The log has no space for the record; nothing was written.
+            DurabilityUnknownError: The write failed; the record may or may not survive a crash.
         """
         size = RECORD_HEADER_SIZE + padded_length(len(payload))
         if size > self.segment_bytes - SEGMENT_HEADER_SIZE or len(payload) > MAX_PAYLOAD_BYTES:
@@ -397,8 +442,8 @@
                 f"a record of {len(payload)} bytes does not fit into a segment of {self.segment_bytes}"
             )
         last = max(self._segments, default=0)
-        if self._ended or self._segments[last].end + size > self.segment_bytes:
-            self._begin(last + 1, spare=kind is RecordKind.WRITE)
+        if self._last_segment_ended or self._segments[last].end + size > self.segment_bytes:
+            self._begin_segment(last + 1, reserve=kind is RecordKind.WRITE)
             last += 1
         segment = self._segments[last]
         self.sequence += 1
@@ -406,12 +451,12 @@
         try:
             self.disk.write(segment_file_name(last), segment.end, data)
         except OSError as error:
-            self._ended = True
+            self._last_segment_ended = True
             raise DurabilityUnknownError(
                 f"record {self.sequence} could not be written: {error.strerror or error}"
             ) from error
         if kind is RecordKind.WRITE:
-            segment.open.add(self.sequence)
+            segment.pending.add(self.sequence)
             self.pending_writes[self.sequence] = RecordLocation(
                 last, segment.end + RECORD_HEADER_SIZE, len(payload)
             )
@@ -419,17 +464,18 @@
         segment.end += size
         return self.sequence
 
-    def _begin(self, number: int, spare: bool) -> None:
-        """A new segment; ``spare``: one more has to be left, so that what is done can always be said."""
+    def _begin_segment(self, number: int, reserve: bool) -> None:
+        """Create a segment. ``reserve``: leave space for one more, so that ``done`` records always fit."""
         if self._dirty:
-            self.sync()  # each sync is of one segment
-        self._sweep()
-        if self.used_bytes + self.segment_bytes * (2 if spare else 1) > self.total_bytes:
+            self.sync()  # a sync covers a single segment
+        self._remove_done_segments()
+        if self.used_bytes + self.segment_bytes * (2 if reserve else 1) > self.total_bytes:
             raise LogFullError(
-                f"the log has its {self.total_bytes} bytes; what is in it has to reach the stores first"
+                f"the write-back log has reached its bound of {self.total_bytes} bytes; its writes have to reach their stores first"
             )
         try:
-            # Under another name until its head is safe: a segment with a broken head is damage then, and never a start cut off.
+            # The segment gets its final name once its header is durable. So a segment with a damaged header is always
+            # damage, and never the creation of a segment that a crash interrupted.
             if self.has_spare:
                 self.has_spare = False
                 self.disk.rename(SPARE_FILE, segment_file_name(number) + NEW_SUFFIX)
@@ -445,30 +491,31 @@
             self.disk.sync_directory()
         except OSError as error:
             self._segments[number] = _Segment(number, self.epoch, self.segment_bytes)
-            self._ended = True
-            raise LogFullError(f"no new segment could be made: {error.strerror or error}") from error
+            self._last_segment_ended = True
+            raise LogFullError(f"no new segment could be created: {error.strerror or error}") from error
         self._segments[number] = _Segment(number, self.epoch)
-        self._ended = False
+        self._last_segment_ended = False
 
     @property
     def needs_spare(self) -> bool:
-        """Whether the next segment is near, and nothing is prepared for it."""
+        """Whether the last segment is more than half full and no spare exists for the next one."""
         last = max(self._segments, default=None)
         return not self.has_spare and (last is None or self._segments[last].end * 2 > self.segment_bytes)
 
     def create_spare(self) -> None:
-        """Set the blocks of the next segment aside. Slow; the one thing here that another thread may do meanwhile."""
+        """Allocate the blocks of the next segment. Slow; the only method that may run in another thread meanwhile."""
         try:
             self.disk.create(SPARE_FILE, self.segment_bytes)
         except OSError as error:
-            self._heard(f"no blocks can be set aside: {error.strerror or error}")
+            self._on_warning(f"the next segment can't be preallocated: {error.strerror or error}")
         else:
             self.has_spare = True
 
     def sync(self) -> int:
-        """Bring all that was appended to the disk; the last sequence that is safe now.
+        """Make all appended records durable, and return the last durable sequence number.
 
-        DurabilityUnknownError where the disk did not say so.
+        Raises:
+            DurabilityUnknownError: The sync failed; the records may or may not survive a crash.
         """
         if not self._dirty:
             return self.synced
@@ -477,46 +524,54 @@
         try:
             self.disk.sync(segment_file_name(last))
         except OSError as error:
-            # Guards against a sync that failed and is tried again: the system may have dropped the data and say yes. It hurts by a
-            # segment given up, and by clients who are told that nothing is promised.
-            self._ended = True
+            # The sync is not repeated: the system may have dropped the data and would report success. The price is the
+            # rest of this segment, and clients whose writes are reported as possibly lost.
+            self._last_segment_ended = True
             self.failed_sequences.update(sequence for sequence, _, _ in dirty)
             for sequence, kind, _ in dirty:
                 if kind is RecordKind.WRITE:
-                    self._finish(sequence)
+                    self._forget_write(sequence)
             raise DurabilityUnknownError(
-                f"{len(dirty)} records may not be on the disk: {error.strerror or error}"
+                f"{len(dirty)} records may not be durable, because a sync failed: {error.strerror or error}"
             ) from error
         self.synced = dirty[-1][0]
         return self.synced
 
     def mark_done(self, sequences: list[int]) -> None:
-        """Writes that have reached their stores. It counts once the next sync has returned; until then they may be found again."""
+        """Record that writes have reached their stores.
+
+        Durable after the next sync; a crash before it recovers the writes as pending.
+        """
         for each in sequences:
-            self._finish(each)
+            self._forget_write(each)
         if sequences:
-            self._sweep()
+            self._remove_done_segments()
             self.append(b"".join(SEQUENCE.pack(each) for each in sequences), RecordKind.DONE)
 
     def read_payload(self, sequence: int) -> bytes:
-        """What a write holds. LogError where it is damaged now, KeyError where it is done."""
-        place = self.pending_writes[sequence]
-        segment = self._segments[place.segment]
-        reader = SegmentReader(self.disk, segment_file_name(place.segment))
-        read = reader.record_at(place.offset - RECORD_HEADER_SIZE, place.segment, segment.epoch)
-        if read is None or read.sequence != sequence:
+        """Return the payload of a pending write.
+
+        Raises:
+            LogError: The record is damaged.
+            KeyError: The write is done.
+        """
+        location = self.pending_writes[sequence]
+        segment = self._segments[location.segment]
+        reader = SegmentReader(self.disk, segment_file_name(location.segment))
+        record = reader.record_at(location.offset - RECORD_HEADER_SIZE, location.segment, segment.epoch)
+        if record is None or record.sequence != sequence:
             raise LogError(
-                f"record {sequence} can't be read any more: {segment_file_name(place.segment)}, byte {place.offset}"
+                f"record {sequence} can't be read: it is damaged in {segment_file_name(location.segment)}, byte {location.offset}"
             )
-        return read.payload
+        return record.payload
 
     def writes(self) -> Iterator[tuple[int, bytes]]:
-        """All writes that are not done, in order."""
+        """Yield the sequence number and payload of each pending write, in order."""
         for sequence in sorted(self.pending_writes):
             yield sequence, self.read_payload(sequence)
 
     def close(self) -> None:
-        """End in good order: all is synced, and a later pass knows that nothing may be missing."""
+        """Sync all records, with a record that marks the log as closed, and close the disk."""
         self.append(b"", RecordKind.CLOSED)
         self.sync()
         self.disk.close()
--- a/winchdyke/writeback/replay.py
+++ b/winchdyke/writeback/replay.py
@@ -1,17 +1,18 @@
-"""What may be done with a write that may have reached its store, so that nothing takes effect twice. Pure.
+"""Chooses how to replay a write that may have reached its store, so that no write takes effect twice. Without I/O.
 
-A record's attempt may have run where it was sent and no whole answer came (``gateway/outcomes.py``), and also where the
-gateway was killed while it was out: the log cannot know. Then, in this order:
+An attempt of a record may have been executed if no complete response arrived (``gateway/outcomes.py``), or if the gateway
+was killed while the attempt was in flight: the log can't tell. The first of these rules that applies is used:
 
-1. within the rack's memory of its key it is sent again under that key: the rack gives the first one's answer;
-2. a write that carries a condition (``If-Match``, ``If-None-Match``) is sent again at any time: where it has run its
-   condition no longer holds, and ``412`` is looked into as the next case is;
-3. a store that tells what it holds is asked: the object's tag is the write's own (it has run), the one it had when the
-   record was made (it has not, and goes with ``If-Match`` on that), or another one (somebody wrote since: whether
-   before or after can't be told);
-4. else it is kept and reported, and nothing is guessed.
+1. Within the deduplication window of its idempotency key, the write is sent again under that key: the rack replies with
+   the response of the first attempt.
+2. A write with a precondition (``If-Match``, ``If-None-Match``) may be sent again at any time: if it has been executed, its
+   precondition no longer holds, and a ``412`` is resolved as in the next rule.
+3. A store that reports the ETag of its object is queried. The write's own ETag means that it has been executed. The ETag
+   that was stored when the record was made means that it hasn't, and it is sent with ``If-Match`` on that ETag. Any other
+   ETag means that another write has happened since, and whether it came before or after this one is unknown.
+4. Otherwise the record is quarantined and reported; nothing is guessed.
 
-A margin is left for the way to the store: a repeat has to arrive while it is still known.
+The window is shortened by a margin for the way to the store: a repeat has to arrive while its key is still known there.
 """
 
 from __future__ import annotations
@@ -19,11 +20,12 @@
 import enum
 from dataclasses import dataclass
 
-DEDUPLICATION_MARGIN_MS = 250.0  # of the memory that is not counted on: queues, clocks and the way there
+# The part of the deduplication window that is not used, because of queues, clocks and the way to the store.
+DEDUPLICATION_MARGIN_MS = 250.0
 
 
 class ReplayAction(enum.Enum):
-    """What to do with a record."""
+    """What to do with a record next."""
 
     SEND = "send it: it was never out"
     RESEND_WITH_KEY = "send it again under its key"
@@ -33,7 +35,7 @@
 
 
 class StoredContent(enum.Enum):
-    """What a store said it holds, beside what the record knows."""
+    """What a store holds at a record's key, by the ETags that the record knows."""
 
     OWN = "the write's own content"
     PREVIOUS = "what was there when the record was made"
@@ -42,30 +44,33 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptHistory:
-    """What is known of a record's attempts.
+    """The attempts of a record so far.
 
-    ``first_sent_ms``: when the first one that may have run was sent, by the gateway's clock.
+    Attributes:
+        first_sent_ms: When the first attempt that may have been executed was sent, by the gateway's monotonic clock;
+            None without such an attempt.
+        same_process: Whether this process sent it; clock readings of another process can't be compared.
     """
 
     first_sent_ms: float | None = None
-    same_process: bool = True  # a clock of another process says nothing here
+    same_process: bool = True
 
 
 def choose_action(
-    sent: AttemptHistory,
-    now: float,
+    history: AttemptHistory,
+    now_ms: float,
     deduplication_ms: float,
     has_key: bool,
     has_condition: bool,
     reports_etag: bool,
 ) -> ReplayAction:
-    """How a record goes on. ``reports_etag``: whether its store says the tag of what it holds."""
-    if sent.first_sent_ms is None:
+    """Choose the next action for a record. ``reports_etag``: whether its store reports the ETag of its objects."""
+    if history.first_sent_ms is None:
         return ReplayAction.SEND
     if (
         has_key
-        and sent.same_process
-        and now < sent.first_sent_ms + deduplication_ms - DEDUPLICATION_MARGIN_MS
+        and history.same_process
+        and now_ms < history.first_sent_ms + deduplication_ms - DEDUPLICATION_MARGIN_MS
     ):
         return ReplayAction.RESEND_WITH_KEY
     if has_condition:
@@ -74,7 +79,7 @@
 
 
 def action_for_content(content: StoredContent) -> ReplayAction | None:
-    """What follows from the store's answer; None: it has run, and the record is done."""
+    """Choose the action that follows from a store's content; None if the write has been executed and is done."""
     if content is StoredContent.OWN:
         return None
     return ReplayAction.RESEND_CONDITIONALLY if content is StoredContent.PREVIOUS else ReplayAction.QUARANTINE
