--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -37,7 +37,7 @@
 from winchdyke.discovery.sources import OnFailure, OnList
 from winchdyke.gateway.writeback import WriteBackRecord, etag_of
 from winchdyke.latency_attribution import compaction, ledger_writer
-from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup
+from winchdyke.latency_attribution.records import Account, QueuedGroup, TraceRecord
 from winchdyke.membership import member_cache as fleet_disk
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Log, RecordKind
@@ -276,9 +276,9 @@
     )
 
 
-def noted() -> Annotation:
+def noted() -> TraceRecord:
     """A request as a gateway notes it: arriving, held for two causes, out at a store, answered."""
-    return Annotation(
+    return TraceRecord(
         request="request-noted",
         end_unix_ns=(START_S + 300) * 1_000_000_000,
         gateway="gateway-1",
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -444,8 +444,7 @@
     )
     assert len(kept) == 10_000
     assert all(
-        sum(s for *_, s in one.blame) == one.queued_ns
-        for one in map(spans.account_from_annotation, kept[:200])
+        sum(s for *_, s in one.blame) == one.queued_ns for one in map(spans.account_from_trace, kept[:200])
     )
 
 
--- a/winchdyke/latency_attribution/apportionment.py
+++ b/winchdyke/latency_attribution/apportionment.py
@@ -8,7 +8,10 @@
 
 
 def apportion(total_ns: int, weights: Mapping[Holder, float]) -> dict[Holder, int]:
-    """Divide a time among holders by the largest-remainder method; without weights it is the gateway's own turn."""
+    """Divides a time among holders by the largest-remainder method.
+
+    Without positive weights, all of it goes to :data:`~.vocabulary.TURN_HOLDER`.
+    """
     if total_ns <= 0:
         return {}
     if len(weights) == 1:
@@ -26,7 +29,7 @@
 
 
 def apportion_causes(total_ns: int, weights: Mapping[str, float]) -> dict[str, int]:
-    """Divide a time among causes; without weights it is the gateway's own turn."""
+    """Divides a time among causes; without positive weights, all of it goes to :data:`~.vocabulary.CAUSE_TURN`."""
     by_holder: dict[Holder, float] = {("cause", cause, ""): weight for cause, weight in weights.items()}
     shares = apportion(total_ns, by_holder)
     return {CAUSE_TURN if holder == TURN_HOLDER else holder[1]: share for holder, share in shares.items()}
--- a/winchdyke/latency_attribution/compaction.py
+++ b/winchdyke/latency_attribution/compaction.py
@@ -1,8 +1,8 @@
-"""Compacts old segments of a ledger to sums by the minute, and deletes the oldest sums beyond the ledger's size.
+"""Compacts old segments of a ledger to minute sums, and deletes the oldest sums while the ledger exceeds its size.
 
-Crash safety: a segment ``N.waits`` is read, its sums are written to ``N.sums.new``, synced, renamed to ``N.sums``, and only
-then is the segment deleted. A reader that finds both uses the segment alone, so a kill at any moment loses nothing and
-counts nothing twice. A file lock, released with the process, keeps a second process away.
+Crash safety: the sums of a segment ``N.waits`` are written to ``N.sums.new``, synced and renamed to ``N.sums``, and only then
+is the segment deleted. A reader that finds both files reads the segment alone, so a kill at any moment loses nothing and
+counts nothing twice. A file lock, which ends with the process, keeps a second process from compacting at the same time.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
 
 @dataclass
 class CompactionResult:
-    """What was done.
+    """The result of a compaction.
 
     Attributes:
         segments: Segments compacted.
-        bytes_before: Their size.
+        bytes_before: The size of these segments.
         bytes_after: The size of their sums.
-        deleted_sums: Files of sums deleted.
-        busy: Whether nothing was done because another process is at work.
-        losses: What could not be read, in words.
+        deleted_sums: Files of minute sums deleted.
+        busy: Whether nothing was done because another process holds the lock.
+        losses: Descriptions of the data that could not be read.
     """
 
     segments: int = 0
@@ -51,10 +51,10 @@
 
 
 def compact_ledger(directory: Path, max_total_bytes: int, retention_seconds: float) -> CompactionResult:
-    """Compact all segments that are due.
+    """Compacts all segments that are due.
 
     Raises:
-        OSError: The directory can't be written to. Nothing that was not compacted is lost.
+        OSError: The directory can't be written to. Segments that were not compacted are unchanged.
     """
     result = CompactionResult()
     with (directory / LOCK_FILE).open("a") as lock:
@@ -89,7 +89,7 @@
 
 
 def _delete_oldest_sums(directory: Path, max_total_bytes: int) -> int:
-    """Delete sums until the ledger has its size; returns how many files."""
+    """Deletes files of minute sums until the ledger fits its size, and returns how many."""
     sums = sorted(directory.glob(f"*{SUMS_SUFFIX}"))
     segments = directory.glob(f"*{SEGMENT_SUFFIX}")
     total_bytes = sum(path.stat().st_size for path in (*sums, *segments))
--- a/winchdyke/latency_attribution/errors.py
+++ b/winchdyke/latency_attribution/errors.py
@@ -1,5 +1,5 @@
-"""The error of latency attribution."""
+"""Exceptions of latency attribution."""
 
 
 class LedgerError(Exception):
-    """A ledger that can't be used at all; the text says what is wrong and where."""
+    """A ledger can't be used at all; the text says what is wrong and where."""
--- a/winchdyke/latency_attribution/ledger.py
+++ b/winchdyke/latency_attribution/ledger.py
@@ -1,4 +1,4 @@
-"""Reads ledgers: directories of segments and sums, or single files of them."""
+"""Reads ledgers: directories with files of segments and of minute sums, or single files."""
 
 from __future__ import annotations
 
@@ -8,9 +8,15 @@
 import msgspec
 
 from winchdyke.latency_attribution.errors import LedgerError
-from winchdyke.latency_attribution.records import Account, Annotation, LedgerRecord, MinuteSums, QueueSnapshot
+from winchdyke.latency_attribution.records import (
+    Account,
+    LedgerRecord,
+    MinuteSums,
+    QueueSnapshot,
+    TraceRecord,
+)
 from winchdyke.latency_attribution.segments import RecoveryReport, ledger_files, recover_payloads
-from winchdyke.latency_attribution.spans import account_from_annotation
+from winchdyke.latency_attribution.spans import account_from_trace
 
 SNAPSHOT_FILE = "now"
 
@@ -20,10 +26,10 @@
 def read_entries(
     paths: Iterable[Path], report: RecoveryReport | None = None
 ) -> Iterator[Account | MinuteSums]:
-    """All accounts and sums of ledgers; what is lost is added to the report.
+    """Yields all accounts and minute sums of ledgers; data that can't be read is added to the report.
 
     Raises:
-        LedgerError: A path holds no ledger, or can't be read.
+        LedgerError: A path is no ledger, or can't be read.
     """
     report = report if report is not None else RecoveryReport()
     for path in paths:
@@ -39,25 +45,29 @@
 
 
 def read_accounts(paths: Iterable[Path], report: RecoveryReport | None = None) -> Iterator[Account]:
-    """The accounts in ledgers, without those that are left only in sums. Raises LedgerError."""
+    """Yields the accounts of ledgers, without those that were compacted to minute sums.
+
+    Raises:
+        LedgerError: A path is no ledger, or can't be read.
+    """
     return (entry for entry in read_entries(paths, report) if isinstance(entry, Account))
 
 
 def decode_record(payload: bytes, name: str, report: RecoveryReport) -> Account | MinuteSums | None:
-    """A record's content; None, and an entry in the report, where its form is not known."""
+    """Decodes a record; returns None and adds a loss to the report if its format is unknown."""
     try:
         record = _DECODER.decode(payload)
     except msgspec.DecodeError as error:
         report.records -= 1
-        report.losses.append(f"{name}: a record of another form: {error}")
+        report.losses.append(f"{name}: a record has an unknown format: {error}")
         return None
-    if isinstance(record, Annotation):
-        return account_from_annotation(record)
+    if isinstance(record, TraceRecord):
+        return account_from_trace(record)
     return record
 
 
 def read_queue_snapshot(directory: Path) -> QueueSnapshot | None:
-    """What a gateway has queued, as it last wrote it; None where it has written nothing."""
+    """Returns the requests that a gateway had queued when it last wrote its snapshot; None without a readable one."""
     try:
         return msgspec.msgpack.decode((directory / SNAPSHOT_FILE).read_bytes(), type=QueueSnapshot)
     except (OSError, msgspec.DecodeError):
--- a/winchdyke/latency_attribution/ledger_writer.py
+++ b/winchdyke/latency_attribution/ledger_writer.py
@@ -1,4 +1,4 @@
-"""Writes a ledger off the hot path, in a thread of its own, within a bounded size on the disk."""
+"""Writes a ledger in a thread of its own, apart from the event loop, within a bounded size on the disk."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 from winchdyke.durable_files import sync_directory
 from winchdyke.latency_attribution.ledger import SNAPSHOT_FILE
-from winchdyke.latency_attribution.records import Account, Annotation, QueuedGroup, QueueSnapshot
+from winchdyke.latency_attribution.records import Account, QueuedGroup, QueueSnapshot, TraceRecord
 from winchdyke.latency_attribution.retention import delete_oldest_files, segments_due
 from winchdyke.latency_attribution.segments import SEGMENT_HEADER, SEGMENT_SUFFIX, frame_record
 
-BATCH_RECORDS = 200  # encoded in one go
+BATCH_RECORDS = 200  # encoded and written together
 CLOSE_TIMEOUT_SECONDS = 5.0
 SEGMENT_MODE = 0o640
 
@@ -30,12 +30,12 @@
     """Bounds of a ledger.
 
     Attributes:
-        max_segment_bytes: Size after which a new segment begins.
-        max_segment_seconds: Age after which a new segment begins.
+        max_segment_bytes: Size from which on a new segment begins.
+        max_segment_seconds: Age from which on a new segment begins.
         max_total_bytes: Size of all files.
-        max_queued_accounts: Accounts that may wait to be written; further ones are dropped.
-        sync_interval_seconds: Time between two writes, each with a sync.
-        detail_retention_seconds: Age after which accounts are compacted to sums by the minute.
+        max_queued_accounts: Accounts that may be queued for writing; further ones are dropped.
+        sync_interval_seconds: Time between two writes, each followed by a sync.
+        detail_retention_seconds: Age from which on accounts are compacted to minute sums.
     """
 
     max_segment_bytes: int = 16 << 20
@@ -47,12 +47,12 @@
 
 
 class LedgerWriter:
-    """Writes accounts in a thread of its own; disk errors cost accounts, which are counted, and nothing else.
+    """Writes accounts in a thread of its own. Disk errors lose accounts, which are counted, and have no other effect.
 
     Attributes:
-        dropped: Accounts for which the queue had no capacity.
+        dropped: Accounts dropped because the queue was full.
         written: Accounts written to a segment.
-        synced: Those of them that were synced to the disk.
+        synced: Written accounts that are durable.
         failed: Accounts that could not be written.
         last_error: The text of the last disk error.
     """
@@ -63,7 +63,11 @@
         bounds: LedgerBounds = LedgerBounds(),
         sync: Callable[[int], None] = os.fsync,
     ) -> None:
-        """Make the directory where needed and start the thread. Raises OSError."""
+        """Creates the directory if it is missing, and starts the thread.
+
+        Raises:
+            OSError: The directory can't be created.
+        """
         self.directory = directory
         self.bounds = bounds
         self.dropped = 0
@@ -72,7 +76,7 @@
         self.failed = 0
         self.last_error = ""
         self._sync = sync
-        self._queue: deque[Account | Annotation] = deque()
+        self._queue: deque[Account | TraceRecord] = deque()
         self._stop = threading.Event()
         self._encoder = msgspec.msgpack.Encoder()
         self._segment: int | None = None  # its file descriptor
@@ -85,19 +89,19 @@
         self._thread = threading.Thread(target=self._run, name="winchdyke-ledger", daemon=True)
         self._thread.start()
 
-    def put(self, account: Account | Annotation) -> None:
-        """Queue an account; never waits."""
+    def put(self, account: Account | TraceRecord) -> None:
+        """Queues an account without blocking, or drops it if the queue is full."""
         if len(self._queue) >= self.bounds.max_queued_accounts:
             self.dropped += 1
         else:
             self._queue.append(account)
 
     def publish_snapshot(self, gateway: str, groups: list[QueuedGroup]) -> None:
-        """Set what is queued now; it is written to the disk within the sync interval."""
+        """Sets the snapshot of the queued requests, which is written to the disk within the sync interval."""
         self._snapshot = QueueSnapshot(time.time() * 1000, gateway, groups, self.dropped, self.failed)
 
     def close(self, timeout_seconds: float = CLOSE_TIMEOUT_SECONDS) -> None:
-        """Write and sync what is queued, and end the thread, within a time."""
+        """Writes and syncs all queued accounts and ends the thread and a running compaction, within a timeout each."""
         self._stop.set()
         self._thread.join(timeout_seconds)
         if self._compactor is None:
@@ -106,11 +110,11 @@
             self._compactor.terminate()
         self._compactor.wait(timeout_seconds)
 
-    # In the thread
+    # Methods of the thread
 
     def _run(self) -> None:
-        # The thread polls and is never woken: waking it for each account would take the interpreter lock from the
-        # event loop at each request.
+        # The thread polls instead of being notified: a notification for each account would take the interpreter lock
+        # from the event loop at each request.
         while True:
             stopping = self._stop.wait(self.bounds.sync_interval_seconds)
             self._write_queued()
@@ -121,7 +125,7 @@
                 return
 
     def _write_queued(self) -> None:
-        batch: list[Account | Annotation] = []
+        batch: list[Account | TraceRecord] = []
         while self._queue:
             batch.append(self._queue.popleft())
             if len(batch) >= BATCH_RECORDS:
@@ -130,7 +134,7 @@
         if batch:
             self._write_batch(batch)
 
-    def _write_batch(self, batch: list[Account | Annotation]) -> None:
+    def _write_batch(self, batch: list[Account | TraceRecord]) -> None:
         data = b"".join(frame_record(self._encoder.encode(each)) for each in batch)
         try:
             self._append(data)
@@ -138,7 +142,7 @@
         except OSError as error:
             self.last_error = error.strerror or str(error)
             self.failed += len(batch)
-            self._close_segment()  # its end may be incomplete; the next batch begins a new one
+            self._close_segment()  # it may end in an incomplete record; the next batch begins a new segment
 
     def _append(self, data: bytes) -> None:
         segment = self._segment
@@ -200,7 +204,7 @@
             self.last_error = error.strerror or str(error)
 
     def _start_compaction(self) -> None:
-        """Compact in a process of its own: decoding accounts here would take time from the event loop."""
+        """Starts the compaction in a process: decoding accounts here would take the interpreter lock from the event loop."""
         if self._compactor is not None and self._compactor.poll() is None:
             return
         bounds = self.bounds
--- a/winchdyke/latency_attribution/live.py
+++ b/winchdyke/latency_attribution/live.py
@@ -1,7 +1,7 @@
-"""The live view of running gateways' ledgers: what is queued now, and what ended in the last seconds.
+"""A live view of running gateways' ledgers: requests that are queued now, and requests that ended in the last seconds.
 
-A gateway replaces the file ``now`` beside its segments; all else is read from the ends of the segments. No request is sent
-to the gateway.
+Queued requests are read from the file ``now``, which a gateway replaces beside its segments, and ended ones from the ends
+of the segments. No request is sent to the gateway.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 from winchdyke.latency_attribution.wording import describe_holder
 
 STALE_AFTER_SECONDS = 5.0
-TAIL_BYTES = 1 << 20  # of the newest segment, read at the start
+TAIL_BYTES = 1 << 20  # read from the end of the newest segment at the start
 MAX_HOLDERS_PER_VOLUME = 2
 MAX_HOLDERS_PER_GROUP = 3
 NS_PER_MS = 1e6
@@ -36,11 +36,11 @@
     """Reads the accounts that are appended to one ledger.
 
     Attributes:
-        recovery: What could not be read.
+        recovery: Its ``losses`` describe the records that could not be decoded.
     """
 
     def __init__(self, directory: Path, tail_bytes: int = TAIL_BYTES) -> None:
-        """Begin at the end of the ledger, less so many bytes."""
+        """Starts ``tail_bytes`` before the end of the ledger's newest segment."""
         self.directory = directory
         self.recovery = RecoveryReport()
         self._positions = {path.name: path.stat().st_size for path in directory.glob(f"*{SEGMENT_SUFFIX}")}
@@ -49,7 +49,7 @@
             self._positions[newest] = max(0, self._positions[newest] - tail_bytes)
 
     def read_new(self) -> list[Account]:
-        """The accounts appended since the last call; a record that is still incomplete waits for the next one."""
+        """Returns the accounts appended since the last call, without a record that is still incomplete."""
         accounts: list[Account] = []
         for path in sorted(self.directory.glob(f"*{SEGMENT_SUFFIX}")):
             position = self._positions.get(path.name, 0)
@@ -58,7 +58,7 @@
                     file.seek(position)
                     data = file.read()
             except FileNotFoundError:
-                continue  # compacted meanwhile
+                continue  # compacted since the directory was listed
             payloads, end = complete_records(data, 0 if position else len(SEGMENT_HEADER))
             self._positions[path.name] = position + end
             for payload in payloads:
@@ -69,7 +69,7 @@
 
 
 class LiveView:
-    """The last seconds of several ledgers."""
+    """Figures of the last ``seconds`` of several ledgers."""
 
     def __init__(self, directories: Iterable[Path], seconds: float) -> None:
         self.directories = list(directories)
@@ -78,7 +78,7 @@
         self._recent: deque[tuple[float, Account]] = deque()  # end (Unix ms), account
 
     def snapshot(self, now_ms: float | None = None) -> dict[str, Any]:
-        """The present figures with the keys of the command's JSON; times in milliseconds."""
+        """Returns the current figures with the keys of the command's JSON; times in milliseconds."""
         now_unix_ms = time.time() * 1000 if now_ms is None else now_ms
         self._read_recent(now_unix_ms)
         summary = Summary()
--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -1,11 +1,11 @@
-"""Merges ledgers of several gateways: which requests, through any gateway, made an endpoint slow. Without I/O.
-
-A gateway sees its own requests alone: what it puts down to a slow endpoint may be contention by other gateways' requests.
-Merged ledgers show it. A first pass adds up, for each endpoint and time bin, which requests were there through any gateway
-and how much work was done. A second pass divides what was put down to the endpoint: the fraction of its throughput that it
-lacked, relative to its own best in these ledgers, stays the endpoint's; the rest goes to the requests there, by their time at
-it (an estimate, as at one gateway). Clocks that differ by ``clock_skew_ms`` move a request by as much, so bins are at least
-twice as wide.
+"""Merges ledgers of several gateways to find which requests, through any gateway, made an endpoint slow. Without I/O.
+
+A gateway observes only its own requests, so a wait that it attributes to a slow endpoint may be contention by requests of
+other gateways. A first pass over merged ledgers adds up, for each endpoint and time bin, the time that requests of each
+volume and class spent there through any gateway, and the work that was done. A second pass divides the waits that were
+attributed to the endpoint: the fraction of its throughput that it lacked, relative to its own best in these ledgers, stays
+with the endpoint; the rest is divided among the requests there by their time at it (an estimate, as at one gateway). Clocks
+that differ by ``clock_skew_ms`` shift a request by as much, so bins are at least twice as wide.
 """
 
 from __future__ import annotations
@@ -28,17 +28,19 @@
     Holder,
 )
 
-MIN_BIN_MS = 500.0  # shorter bins tell random variation from throughput less well
-THROUGHPUT_QUANTILE = 0.9  # of an endpoint's bins; the maximum would be random
+MIN_BIN_MS = 500.0  # in shorter bins, random variation hides the throughput
+THROUGHPUT_QUANTILE = 0.9  # over an endpoint's bins; the maximum would vary at random
 MAX_TRACKED_KEYS = 200_000
-MAX_RETRY_DELAY_MS = 15_000.0  # after an unserved request, within which another may be its retry
+MAX_RETRY_DELAY_MS = (
+    15_000.0  # a later request counts as a possible retry up to this time after an unserved one
+)
 MIN_ATTEMPT_MS = 1e-3
 NS_PER_MS = 1e6
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptInterval:
-    """When an attempt was at its endpoint, in Unix milliseconds by its gateway's clock."""
+    """The interval in which an attempt was at its endpoint, in Unix milliseconds by its gateway's clock."""
 
     endpoint: str
     begin_ms: float
@@ -53,7 +55,7 @@
 
 
 def attempt_intervals(account: Account) -> Iterator[AttemptInterval]:
-    """The interval of each attempt of an account that has a timeline."""
+    """Yields the interval of each attempt of an account; none if the account has no timeline."""
     intervals_ns: list[tuple[int, int]] = []
     begin_ns: int | None = None
     last_end_ns = 0
@@ -73,9 +75,9 @@
 
 
 def merge_accounts(accounts: Iterable[Account], clock_skew_ms: float = 0.0) -> list[Account]:
-    """Accounts of several gateways with waits attributed across them.
+    """Returns the accounts of several gateways with waits attributed across gateways.
 
-    Holds all accounts in memory; a reader of large ledgers uses :class:`ContentionTimeline` in two passes instead.
+    All accounts are held in memory; for large ledgers, read them twice with a :class:`ContentionTimeline` instead.
     """
     retained = list(accounts)
     timeline = ContentionTimeline(clock_skew_ms)
@@ -85,18 +87,18 @@
 
 
 class ContentionTimeline:
-    """Which requests were at each endpoint, by time bin, through all gateways.
+    """The time that requests spent at each endpoint, by time bin, through all gateways.
 
     Attributes:
         bin_ms: The width of a bin.
-        evicted_keys: Keys that are no longer followed to find retries.
+        evicted_keys: Keys that were dropped from the search for retries, for lack of space.
     """
 
     def __init__(self, clock_skew_ms: float = 0.0) -> None:
-        """``clock_skew_ms``: by how much the gateways' clocks may differ."""
+        """``clock_skew_ms``: the largest difference between the gateways' clocks."""
         self.bin_ms = max(MIN_BIN_MS, 2 * clock_skew_ms)
         self.evicted_keys = 0
-        # Milliseconds of presence by endpoint and bin, then by volume and class.
+        # Milliseconds that requests spent at an endpoint, by endpoint and bin, then by volume and class.
         self._presence_ms: defaultdict[tuple[str, int], defaultdict[tuple[str, str], float]] = defaultdict(
             lambda: defaultdict(float)
         )
@@ -107,7 +109,7 @@
         self._observed: OrderedDict[tuple[str, str], list[_ObservedRequest]] = OrderedDict()
 
     def add(self, account: Account) -> None:
-        """First pass: count one account."""
+        """Adds one account (first pass)."""
         owner = (account.volume, account.class_name)
         for interval, outcome in zip(attempt_intervals(account), account.attempt_outcomes, strict=False):
             duration_ms = max(interval.end_ms - interval.begin_ms, MIN_ATTEMPT_MS)
@@ -121,7 +123,7 @@
         self._max_units.clear()
 
     def max_units_per_bin(self, endpoint: str) -> float:
-        """The units of work that an endpoint can do in a bin: a high quantile over the bins in which it did any."""
+        """Returns the units of work an endpoint can do in a bin: a high quantile over the bins in which it did any."""
         if endpoint not in self._max_units:
             values = sorted(self._completed_units[endpoint].values())
             index = int(THROUGHPUT_QUANTILE * (len(values) - 1))
@@ -129,7 +131,10 @@
         return self._max_units[endpoint]
 
     def slowness_shares(self, endpoint: str, bin_number: int) -> dict[Holder, float]:
-        """What made an endpoint slow in a bin: itself by the throughput it lacked, and the requests there; sums to 1."""
+        """Divides an endpoint's slowness in a bin among itself, by the throughput it lacked, and the requests there.
+
+        The shares sum to 1.
+        """
         itself: Holder = (KIND_ENDPOINT, endpoint, DETAIL_SLOW)
         presence_ms = self._presence_ms.get((endpoint, bin_number))
         if not presence_ms:
@@ -147,7 +152,7 @@
         return shares
 
     def reattribute(self, account: Account) -> Account:
-        """Second pass: the account with waits for slow endpoints divided anew; sums stay exact."""
+        """Returns the account with its waits for slow endpoints divided anew (second pass); sums stay exact."""
         slow = [entry for entry in account.blame if _is_slow_endpoint(entry[0], entry[2])]
         queued = [
             (begin_ns, end_ns)
@@ -167,7 +172,7 @@
         return msgspec.structs.replace(account, blame=entries)
 
     def count_possible_retries(self) -> int:
-        """Requests that may retry one that was not served at another gateway; there is no way to be certain."""
+        """Counts requests that may be retries of an unserved request at another gateway; the ledgers can't prove it."""
         count = 0
         for requests in self._observed.values():
             if len({request.gateway for request in requests}) < 2:
@@ -185,7 +190,7 @@
     def _slowness_weights(
         self, endpoint: str, began_unix_ms: float, queued: list[tuple[int, int]]
     ) -> dict[Holder, float]:
-        """What made an endpoint slow during intervals (ns after a begin), in milliseconds."""
+        """Returns the milliseconds by holder that made an endpoint slow during intervals (ns after ``began_unix_ms``)."""
         weights: defaultdict[Holder, float] = defaultdict(float)
         for begin_ns, end_ns in queued:
             begin_ms = began_unix_ms + begin_ns / NS_PER_MS
@@ -196,7 +201,7 @@
         return weights
 
     def _bins(self, begin_ms: float, end_ms: float) -> Iterator[tuple[int, float]]:
-        """The bins that an interval overlaps, with the milliseconds in each."""
+        """Yields the bins that an interval overlaps, with the milliseconds in each."""
         bin_number = int(begin_ms // self.bin_ms)
         while bin_number * self.bin_ms < end_ms:
             bin_end_ms = (bin_number + 1) * self.bin_ms
--- a/winchdyke/latency_attribution/page.py
+++ b/winchdyke/latency_attribution/page.py
@@ -1,4 +1,4 @@
-"""The report as one self-contained HTML page. All names are escaped."""
+"""Renders the report as one self-contained HTML page. All names are escaped."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def render_page(report: dict[str, Any], losses: list[str]) -> str:
-    """The page of a report's data; ``losses`` says what could not be read."""
+    """Returns the page for a report's data; ``losses`` describes the data that could not be read."""
     loader = PackageLoader("winchdyke.latency_attribution", ".")
     environment = Environment(loader=loader, autoescape=True, undefined=StrictUndefined)
     span = "no requests"
@@ -25,7 +25,7 @@
 
 
 def _bars(minutes: dict[int, dict[str, float]]) -> list[dict[str, Any]]:
-    """A bar for each minute: its time in the queue."""
+    """Returns a bar of the chart for each minute, showing the time that requests spent in the queue."""
     queued_ms = {int(minute): sum(by_volume.values()) for minute, by_volume in minutes.items()}
     if not queued_ms:
         return []
--- a/winchdyke/latency_attribution/queue_observer.py
+++ b/winchdyke/latency_attribution/queue_observer.py
@@ -1,14 +1,15 @@
-"""Observes why requests are queued and what takes up the capacity they wait for, by reading the scheduler's state.
-
-The scheduler itself is never changed. For each shard and class with something queued, the shares of the holders of the
-capacity it lacks are integrated over time. What a request waited for is the difference of two readings, so it costs no
-more with 10,000 queued than with one: an observation costs by shards with a queue, times classes, times attempts in flight at
-an endpoint. Causes of one request alone (its volume's quota, its key's order, the rules on repeats) are followed request by
-request, for a bounded number of them at a time.
-
-Facts, by which the scheduler itself goes: attempts in flight, a quota, a key's order, no endpoint, a health check, slow
-start. Estimates: attempts in flight take up equal shares; an attempt's time beyond its usual one (the unit cost of its
-class, times the endpoint's long-term ratio) is the endpoint's.
+"""Finds out why requests are queued and who holds the capacity they wait for, by reading the scheduler's state.
+
+The state is never changed here. A *turn* is one run of the scheduler over the events that have arrived. For each shard and
+class with queued requests, the shares of the holders of the missing capacity are integrated over time, and the wait of a
+request is the difference of two readings of that integral. So the cost does not depend on the number of queued requests: an
+observation costs in proportion to shards with a queue, times classes, times attempts in flight at an endpoint. Causes that
+apply to a single request (its volume's quota, its key's order, the rules on repeats) are observed request by request, for a
+bounded number of requests at a time.
+
+These causes are facts, as the scheduler itself decides by them: attempts in flight, a quota, a key's order, no endpoint, a
+health check, slow start. These are estimates: attempts in flight have equal shares; an attempt's time beyond its expected
+one (the unit cost of its class, times the endpoint's long-term ratio) is attributed to the endpoint.
 """
 
 from __future__ import annotations
@@ -54,8 +55,8 @@
 Reading = tuple[TimesByHolder, TimesByCause]
 CauseAndShares = tuple[str, Shares]
 
-MAX_OBSERVED_REQUESTS = 512  # requests whose own causes are looked for in one observation
-SLOW_ATTEMPT_FACTOR = 1.5  # of the usual latency, from which on an attempt's time is its endpoint's
+MAX_OBSERVED_REQUESTS = 512  # whose own causes are examined in one observation
+SLOW_ATTEMPT_FACTOR = 1.5  # times the expected latency; slower attempts are attributed to their endpoint
 TURN: CauseAndShares = (CAUSE_TURN, {TURN_HOLDER: 1.0})
 BACKOFF_HOLDER: Holder = (KIND_DESIGN, "window", "pause")
 RETRY_BUDGET_HOLDER: Holder = (KIND_DESIGN, "budget", "attempts")
@@ -74,7 +75,7 @@
 
 
 class WaitIntegral:
-    """Milliseconds by holder and by cause for one shard and class, while anything is queued there."""
+    """Milliseconds by holder and by cause for one shard and class, integrated while requests are queued there."""
 
     __slots__ = ("_reading", "advanced_at_ms", "cause", "causes_ms", "holders_ms", "shares")
 
@@ -86,7 +87,7 @@
         self._reading: Reading | None = None
 
     def advance(self, now_ms: float) -> None:
-        """Count the time since the last call by the present shares."""
+        """Adds the time since the last call according to the current shares."""
         span_ms = now_ms - self.advanced_at_ms
         if span_ms <= 0:
             return
@@ -96,14 +97,14 @@
         self._reading = None
 
     def read(self) -> Reading:
-        """The present reading; all that are queued at the same time share one copy."""
+        """Returns the current reading; requests queued at the same time share one copy."""
         if self._reading is None:
             self._reading = (dict(self.holders_ms), dict(self.causes_ms))
         return self._reading
 
 
 class QueuedRequest:
-    """One queued request: the reading at which its wait began, and its own cause where it has one."""
+    """One queued request: the reading at the begin of its wait, and a cause of its own if it has one."""
 
     __slots__ = (
         "cause",
@@ -129,7 +130,7 @@
         self.causes_ms: TimesByCause = {}
 
     def settle(self, now_ms: float) -> None:
-        """Count the time since the last call, for its own cause or for its group's."""
+        """Adds the time since the last call to the request's own cause, or to the causes of its group."""
         if self.has_own_cause:
             span_ms = max(0.0, now_ms - self.settled_at_ms)
             _add_shares(self.holders_ms, self.shares, span_ms)
@@ -159,29 +160,28 @@
 
 
 class QueueObserver:
-    """Observes one scheduler; :meth:`observe` is called after each of its turns."""
+    """Observes one scheduler. :meth:`observe` has to be called after each turn of the scheduler."""
 
     def __init__(self, scheduler: Scheduler) -> None:
         self.scheduler = scheduler
         self._groups: dict[tuple[int, str], WaitIntegral] = {}
         self._group_sizes: dict[tuple[int, str], int] = {}
         self._waiting: dict[str, QueuedRequest] = {}
-        self._individual: OrderedDict[str, None] = (
-            OrderedDict()
-        )  # requests that may have a cause of their own
-        # Shard, class and time of requests not yet observed in the queue: most are dispatched in the same turn.
+        # Requests that may have a cause of their own.
+        self._individual: OrderedDict[str, None] = OrderedDict()
+        # Shard, class and time of requests not yet observed in the queue; most are dispatched in the turn that takes them.
         self._unobserved: dict[str, tuple[int, str, float]] = {}
 
     def record_queued(self, request: str, shard: int, class_name: str, now_ms: float) -> None:
-        """A request is handed to the scheduler; it counts as queued from now on if it still is after the turn."""
+        """Records that a request is passed to the scheduler; it counts as queued from now on if the turn leaves it queued."""
         self._unobserved[request] = (shard, class_name, now_ms)
 
     def take_immediate(self, request: str) -> bool:
-        """Whether a request was decided on in the turn that took it; it is then forgotten."""
+        """Returns whether a request was decided on in the turn that took it, and forgets the request in that case."""
         return self._unobserved.pop(request, None) is not None
 
     def record_dequeued(self, request: str, now_ms: float) -> Reading:
-        """A request is no longer queued: its milliseconds by holder, and by cause."""
+        """Ends the wait of a request, and returns its milliseconds by holder and by cause."""
         unobserved = self._unobserved.pop(request, None)
         if unobserved is not None:
             _, _, queued_at_ms = unobserved
@@ -200,14 +200,14 @@
         return waiting.holders_ms, waiting.causes_ms
 
     def queued_groups(self) -> list[ObservedGroup]:
-        """What is queued now."""
+        """Returns the groups of requests that are queued now."""
         return [
             ObservedGroup(*group, self._group_sizes[group], integral.cause, dict(integral.shares))
             for group, integral in self._groups.items()
         ]
 
     def observe(self, now_ms: float) -> None:
-        """Read the scheduler's state after one of its turns."""
+        """Reads the scheduler's state after one of its turns."""
         requests = self.scheduler.requests
         for name in list(self._unobserved):
             pending = requests.get(name)
@@ -230,7 +230,7 @@
                 self._individual.move_to_end(name)
 
     def expected_latency_ms(self, endpoint: EndpointState, class_name: str, units: float) -> float:
-        """The usual latency of an endpoint for some work, as learnt of the class and of the endpoint."""
+        """Returns the expected latency of an endpoint for some work, as learnt for the class and the endpoint."""
         unit_cost_ms = self.scheduler.unit_cost_ms[class_name]
         return float(unit_cost_ms * units * max(1.0, endpoint.concurrency_limit.long_ratio))
 
@@ -333,7 +333,7 @@
         return bool(settings.slow_start_overload_window_ms) and age_ms < settings.slow_start_duration_ms
 
     def _in_flight_shares(self, endpoint: EndpointState, now_ms: float) -> Shares:
-        """Attempts in flight take up equal shares; past its usual time, an attempt's share is the endpoint's."""
+        """Returns equal shares for all attempts in flight; the share of a slow attempt goes to the endpoint."""
         requests = self.scheduler.requests
         shares: Shares = {}
         share = 1.0 / len(endpoint.in_flight)
@@ -359,7 +359,7 @@
     quota = pending.quota
     if not quota.plan.limit_units_per_s:
         return None
-    # The level as of now, computed without refilling the quota itself.
+    # The current level, computed without refilling the quota, as the scheduler's state must not change.
     seconds = (now_ms - quota.refilled_at_ms) / 1000
     level_units = quota.limit_units + quota.plan.limit_units_per_s / quota.sharing_gateways * seconds
     if level_units >= pending.request.units:
--- a/winchdyke/latency_attribution/recorder.py
+++ b/winchdyke/latency_attribution/recorder.py
@@ -1,4 +1,4 @@
-"""Records a request's way through the gateway, and hands its account to the ledger."""
+"""Records the phases, waits and attempts of each request, and queues them for the ledger."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from time import monotonic_ns
 from typing import TYPE_CHECKING
 
-from winchdyke.latency_attribution.records import Annotation, ObservedWait, QueuedGroup
+from winchdyke.latency_attribution.records import ObservedWait, QueuedGroup, TraceRecord
 from winchdyke.latency_attribution.vocabulary import OUTCOME_SERVED, PHASE_CODES
 
 if TYPE_CHECKING:
@@ -20,12 +20,12 @@
 
 
 class RequestTrace:
-    """What is noted of one request while it runs.
+    """The trace of one request while it runs.
 
     Attributes:
-        phase_marks: Time (ns) and code of each phase in turn; it begins in the first phase.
-        waits: Waits in the queue that lasted past one turn of the scheduler.
-        attempts: Endpoint, outcome, time at the endpoint (ms), and its usual time (ms).
+        phase_marks: Begin (ns) and code of each phase in turn; a request starts in the phase with code 0.
+        waits: Waits in the queue that lasted longer than one turn of the scheduler.
+        attempts: Endpoint, outcome, time at the endpoint (ms) and expected time there (ms) of each attempt.
     """
 
     __slots__ = ("attempts", "phase_marks", "waits")
@@ -36,7 +36,7 @@
         self.attempts: list[tuple[str, str, float, float]] = []
 
     def enter_phase(self, name: str) -> None:
-        """The request enters a phase now."""
+        """Records that the request enters a phase now."""
         self.phase_marks += (monotonic_ns(), PHASE_CODES[name])
 
 
@@ -46,25 +46,25 @@
     def __init__(
         self, gateway: str, writer: LedgerWriter, observer: Callable[[], QueueObserver | None]
     ) -> None:
-        """``observer`` gives the observer of the present scheduler."""
+        """``observer`` returns the observer of the current scheduler, or None."""
         self.gateway = gateway
         self.writer = writer
         self._observer = observer
-        # By volume and key: a request that was not served, and its time (ms).
+        # The first request of a sequence of unserved ones and its time (ms), by volume and key.
         self._first_requests: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
     def start_trace(self) -> RequestTrace:
-        """A request has arrived."""
+        """Starts the trace of a request that has arrived."""
         return RequestTrace(monotonic_ns())
 
     def start_wait(self, request: str, shard: int, class_name: str, now_ms: float) -> None:
-        """A request is handed to the scheduler."""
+        """Records that a request is passed to the scheduler."""
         observer = self._observer()
         if observer is not None:
             observer.record_queued(request, shard, class_name, now_ms)
 
     def end_wait(self, trace: RequestTrace, request: str, since_ns: int, now_ms: float) -> None:
-        """The scheduler has decided on a request that waited since a time."""
+        """Records that the scheduler has decided on a request that waited since ``since_ns``."""
         observer = self._observer()
         if observer is not None and not observer.take_immediate(request):
             holders, causes = observer.record_dequeued(request, now_ms)
@@ -72,7 +72,7 @@
                 trace.waits.append((since_ns, monotonic_ns(), holders, causes))
 
     def publish_snapshot(self) -> None:
-        """Write what is queued now to the ledger's directory."""
+        """Publishes the groups of requests that are queued now in the ledger's directory."""
         observer = self._observer()
         if observer is None:
             return
@@ -89,7 +89,7 @@
         self.writer.publish_snapshot(self.gateway, groups)
 
     def expected_latency_ms(self, endpoint_name: str, class_name: str, units: float) -> float:
-        """The usual latency of an endpoint for some work; 0 where it is not known."""
+        """Returns the expected latency of an endpoint for some work; 0 if it is unknown."""
         observer = self._observer()
         if observer is None:
             return 0.0
@@ -111,14 +111,14 @@
         client_request: str,
         deadline_ms: float,
     ) -> None:
-        """The request has ended: hand it to the ledger."""
+        """Queues the trace of a request that has ended for the ledger."""
         served = outcome == OUTCOME_SERVED
         first_request = ""
         if self._first_requests or not served:
             now_ms = monotonic_ns() / NS_PER_MS
             first_request = self._match_first(volume, key or request, request, served, deadline_ms, now_ms)
         self.writer.put(
-            Annotation(
+            TraceRecord(
                 request,
                 time.time_ns(),
                 self.gateway,
@@ -141,7 +141,11 @@
     def _match_first(
         self, volume: str, key: str, request: str, served: bool, deadline_ms: float, now_ms: float
     ) -> str:
-        """The request that this one retries, or ""; matched by volume and key within the deadline, as scheduled."""
+        """Returns the id of the request that this one retries, or "".
+
+        A retry has the volume and key of an unserved request and arrives within the deadline after it, as the scheduler
+        matches retries too.
+        """
         known = self._first_requests.get((volume, key))
         first = (request, now_ms)
         if known is not None and now_ms <= known[1] + deadline_ms:
--- a/winchdyke/latency_attribution/records.py
+++ b/winchdyke/latency_attribution/records.py
@@ -1,7 +1,8 @@
 """The records stored in a ledger.
 
-All are msgpack arrays told apart by their first element: the order of fields and the tags are the stored form and must
-not change; names may. Times are whole nanoseconds unless a name says otherwise, so that sums are exact.
+All records are msgpack arrays whose first element is the tag of the record type. The order of fields and the tags are the
+stored format and must not change; names of fields may. Times are whole nanoseconds unless a name says otherwise, so that
+sums are exact.
 """
 
 from __future__ import annotations
@@ -13,12 +14,12 @@
 
 from winchdyke.latency_attribution.vocabulary import PHASE_QUEUED, Holder
 
-# Begin, end (ns, monotonic), milliseconds by holder, milliseconds by cause.
+# Begin and end (ns of the monotonic clock), milliseconds by holder, milliseconds by cause.
 ObservedWait = tuple[int, int, dict[Holder, float], dict[str, float]]
 
 
 class AttemptTimes(NamedTuple):
-    """One attempt of an account: its endpoint, how it ended, its time there, and the usual time there."""
+    """One attempt of an account: its endpoint, its outcome, its time there, and the expected time there."""
 
     endpoint: str
     outcome: str
@@ -27,24 +28,25 @@
 
 
 class Account(msgspec.Struct, array_like=True, omit_defaults=True, tag=1):
-    """One request.
+    """The account of one request: where its time was spent.
 
     Attributes:
-        request: The gateway's id of it.
-        began_unix_ms: When it arrived.
-        key: The key by which it is recognised when it is retried.
-        latency_ns: From its arrival to its end.
-        phases_ns: Time in each phase; adds up to the latency.
-        causes_ns: Time in the queue by cause; adds up to :attr:`queued_ns`.
-        blame: Kind, name and detail of a holder, and the time in the queue put down to it; adds up likewise.
+        request: The id given by the gateway.
+        began_unix_ms: When the request arrived.
+        key: The key that identifies the request when it is retried.
+        latency_ns: The time from arrival to end.
+        phases_ns: The time in each phase; adds up to the latency.
+        causes_ns: The time in the queue by cause; adds up to :attr:`queued_ns`.
+        blame: Kind, name and detail of a holder, and the time in the queue attributed to it; adds up to
+            :attr:`queued_ns` too.
         attempt_endpoints: The endpoint of each attempt.
-        attempt_outcomes: How each attempt ended.
-        client_request: The client's own id of it.
-        first_request: The request that this one retries; "?" where that was at another gateway.
-        units: Its work.
+        attempt_outcomes: The outcome of each attempt.
+        client_request: The id given by the client.
+        first_request: The id of the request that this one retries; "?" if that was at another gateway.
+        units: The work of the request.
         attempt_times_ns: The time of each attempt at its endpoint.
-        expected_times_ns: For each attempt the usual time at that endpoint.
-        timeline: Phase, begin and end after its arrival, in order.
+        expected_times_ns: The expected time of each attempt at its endpoint.
+        timeline: Phase, begin and end of each span after the arrival, in order.
     """
 
     request: str
@@ -71,11 +73,15 @@
 
     @property
     def queued_ns(self) -> int:
-        """The time in the gateway's queue."""
+        """The time that the request spent in the gateway's queue."""
         return sum(span_ns for phase, span_ns in self.phases_ns if phase == PHASE_QUEUED)
 
     def attempts(self) -> Iterator[AttemptTimes]:
-        """Its attempts in order. Raises ValueError where its lists differ in length."""
+        """Yields the attempts in order.
+
+        Raises:
+            ValueError: The lists of attempts differ in length.
+        """
         return map(
             AttemptTimes._make,
             zip(
@@ -88,13 +94,15 @@
         )
 
 
-class Annotation(msgspec.Struct, array_like=True, tag=2, gc=False):
-    """One request as a gateway notes it: all that an :class:`Account` is computed from, at the least cost.
+class TraceRecord(msgspec.Struct, array_like=True, tag=2, gc=False):
+    """The trace of one request as a gateway stores it; readers compute the :class:`Account` from it.
+
+    A gateway stores this form because it costs less than the account on the path of a request.
 
     Attributes:
-        phase_marks: Time and code of each phase in turn: time, code, time, code, ...
-        waits: Waits in the queue that lasted past one turn of the scheduler.
-        attempts: Endpoint, outcome, time at the endpoint (ms), and its usual time (ms).
+        phase_marks: Begin and code of each phase in turn: time, code, time, code, ...
+        waits: Waits in the queue that lasted longer than one turn of the scheduler.
+        attempts: Endpoint, outcome, time at the endpoint (ms) and expected time there (ms) of each attempt.
     """
 
     request: str
@@ -116,7 +124,7 @@
 
 
 class LatencySum(msgspec.Struct, array_like=True):
-    """Requests or attempts: their number, their time in all, an HDR histogram of microseconds (V2, base64)."""
+    """Latencies of requests or attempts: count, total time, and an HDR histogram of microseconds (V2, base64)."""
 
     count: int
     total_ns: int
@@ -124,7 +132,7 @@
 
 
 class VolumeSum(msgspec.Struct, array_like=True):
-    """One volume in one minute."""
+    """The sums of one volume in one minute."""
 
     volume: str
     latency: LatencySum
@@ -135,12 +143,12 @@
 
 
 class EndpointSum(msgspec.Struct, array_like=True):
-    """One endpoint in one minute.
+    """The sums of one endpoint in one minute.
 
     Attributes:
-        slow_attempts: Attempts that took clearly longer than usual.
-        expected_ns: The usual time of all its attempts.
-        excess_ns: The time of slow attempts beyond the usual.
+        slow_attempts: Attempts past :data:`~.sums.SLOW_ATTEMPT_FACTOR` times their expected time.
+        expected_ns: The expected time of all attempts.
+        excess_ns: The time of slow attempts beyond their expected time.
         excess_ns_by_volume: That time for the eight volumes with the most.
         outcomes: Attempts by outcome.
         lost_by_volume: Attempts without a response, for the eight volumes with the most.
@@ -157,13 +165,13 @@
 
 
 class MinuteSums(msgspec.Struct, array_like=True, tag=3):
-    """One minute of one gateway, or a part of it where two segments meet.
+    """The sums of one gateway in one minute, or in a part of it if the minute's accounts were in several segments.
 
     Attributes:
-        minute: Since the Unix epoch.
-        matrix: Waiting volume; kind, name and detail of the holder; nanoseconds.
-        folded_ns: Time of the cells that were added up as others.
-        max_omitted_cell_ns: No cell that was added up so is larger.
+        minute: Minutes since the Unix epoch.
+        matrix: The wait matrix: waiting volume; kind, name and detail of the holder; nanoseconds.
+        folded_ns: The time of the cells that were merged into "others".
+        max_omitted_cell_ns: The largest of these cells.
         retries: Requests that retried an earlier one.
         slowest: The accounts of the slowest requests.
     """
@@ -183,7 +191,7 @@
 
 
 class QueuedGroup(msgspec.Struct, array_like=True):
-    """The requests of one class queued for one shard now: their number, the cause, and the holders' shares."""
+    """The requests of one class that are queued for one shard: their number, the cause, and the holders' shares."""
 
     shard: int
     class_name: str
@@ -193,7 +201,7 @@
 
 
 class QueueSnapshot(msgspec.Struct, array_like=True):
-    """What a gateway has queued now, and the accounts that its ledger dropped or failed to write."""
+    """The requests that a gateway has queued, and the accounts that its ledger dropped or failed to write."""
 
     unix_ms: float
     gateway: str
@@ -202,4 +210,4 @@
     failed: int
 
 
-LedgerRecord = Account | Annotation | MinuteSums
+LedgerRecord = Account | TraceRecord | MinuteSums
--- a/winchdyke/latency_attribution/report.py
+++ b/winchdyke/latency_attribution/report.py
@@ -1,4 +1,4 @@
-"""The report of a summary, and of one account, as plain values with the keys of the command's JSON. Without I/O."""
+"""Converts a summary or an account to plain values with the keys of the command's JSON. Without I/O."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def report_data(summary: Summary, volumes: Iterable[str] | None = None) -> dict[str, Any]:
-    """The report; times in milliseconds. ``volumes`` restricts it to some of them."""
+    """Returns the report of a summary; times in milliseconds. ``volumes`` restricts it to these volumes."""
     by_queued = sorted(summary.volumes, key=lambda name: -summary.volumes[name].queued_ns)
     chosen = set(by_queued) if volumes is None else set(volumes)
     by_excess = sorted(summary.endpoints.items(), key=lambda entry: -entry[1].excess_ns)
@@ -35,7 +35,7 @@
 
 
 def account_data(account: Account) -> dict[str, Any]:
-    """One account; times in milliseconds."""
+    """Returns the data of one account; times in milliseconds."""
     return {
         "request": account.request,
         "gateway": account.gateway,
@@ -133,5 +133,5 @@
 
 
 def percentile_ms(latencies_us: Any, percentile: float) -> float:
-    """A percentile of a histogram of microseconds, in milliseconds."""
+    """Returns a percentile of a histogram of microseconds, in milliseconds."""
     return float(latencies_us.get_value_at_percentile(percentile) / US_PER_MS)
--- a/winchdyke/latency_attribution/segments.py
+++ b/winchdyke/latency_attribution/segments.py
@@ -5,14 +5,14 @@
     2 bytes   RM
     4 bytes   length of the payload, little-endian
     8 bytes   xxh3-64 of the length and the payload
-    payload   msgpack of an Account or an Annotation (arrays, told apart by their first element)
+    payload   msgpack of an Account or a TraceRecord (arrays; the first element is the tag of the record type)
 
-A file ``NNNNNNNNNNNN.sums`` has the same form; its payloads are MinuteSums.
+A file ``NNNNNNNNNNNN.sums`` has the same format; its payloads are MinuteSums.
 
-Crash safety: a record counts only if its checksum fits, and nothing that was written is ever changed. After a kill at any
-byte, all records before the last sync are complete; of what follows, complete records are read and the rest is reported as
-lost. A reader that meets a broken record searches for the next place where mark, length and checksum fit, and reports
-how many bytes it skipped.
+Crash safety: a record is valid only if its checksum fits, and written data is never changed. After a kill at any byte, all
+records before the last sync are valid; behind them, valid records are read and the rest is reported as lost. A reader
+skips a damaged record by searching for the next offset at which mark, length and checksum fit, and reports how many bytes
+it skipped.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass
 class RecoveryReport:
-    """What a reader found: segments, records, and what was lost, also in words."""
+    """What a reader found: counts of segments and records, lost bytes, and a description of each loss."""
 
     records: int = 0
     lost_bytes: int = 0
@@ -48,7 +48,7 @@
 
 
 def frame_record(payload: bytes) -> bytes:
-    """A payload as a record of a segment."""
+    """Returns a payload framed as a record of a segment."""
     return RECORD_HEADER.pack(RECORD_MARK, len(payload), _checksum(payload)) + payload
 
 
@@ -57,10 +57,10 @@
 
 
 def recover_payloads(data: bytes, name: str, report: RecoveryReport) -> Iterator[bytes]:
-    """The payloads of a segment; what can't be read is added to the report under the segment's name."""
+    """Yields the payloads of a segment; data that can't be read is added to the report under the segment's name."""
     report.segments += 1
     if not SEGMENT_HEADER.startswith(data[: len(SEGMENT_HEADER)]):
-        report.losses.append(f"{name}: the head is broken; records are looked for all the same")
+        report.losses.append(f"{name}: the header is damaged; searching for records all the same")
     at = min(len(SEGMENT_HEADER), len(data))
     while at < len(data):
         payload = _payload_at(data, at)
@@ -71,14 +71,17 @@
             continue
         next_record = _find_record(data, at + 1)
         end = len(data) if next_record is None else next_record
-        kind = "the end is not whole" if next_record is None else "broken"
+        kind = "the end is incomplete" if next_record is None else "damaged"
         report.lost_bytes += end - at
         report.losses.append(f"{name}: {end - at} bytes at {at}: {kind}")
         at = end
 
 
 def complete_records(data: bytes, at: int) -> tuple[list[bytes], int]:
-    """The payloads in a part of a segment, and where its last complete record ends; it may begin within a record."""
+    """Returns the payloads in a part of a segment from an offset, and the offset behind the last complete record.
+
+    The part may begin within a record.
+    """
     payloads: list[bytes] = []
     while at + RECORD_HEADER.size <= len(data):
         payload = _payload_at(data, at)
@@ -94,7 +97,7 @@
 
 
 def _payload_at(data: bytes, at: int) -> bytes | None:
-    """The payload of the record that begins at a place; None where no valid one does."""
+    """Returns the payload of the record that begins at an offset; None if no valid one does."""
     begin = at + RECORD_HEADER.size
     if begin > len(data):
         return None
@@ -106,7 +109,7 @@
 
 
 def _find_record(data: bytes, at: int) -> int | None:
-    """The next place at which a valid record begins."""
+    """Returns the next offset at which a valid record begins; None without one."""
     found = data.find(RECORD_MARK, at)
     while found >= 0 and _payload_at(data, found) is None:
         found = data.find(RECORD_MARK, found + 1)
@@ -114,7 +117,7 @@
 
 
 def _is_incomplete(data: bytes, at: int) -> bool:
-    """Whether the record that begins at a place may still be being written."""
+    """Whether the record that begins at an offset may still be in the course of being written."""
     mark, payload_bytes, _ = RECORD_HEADER.unpack_from(data, at)
     if mark != RECORD_MARK or payload_bytes > MAX_RECORD_BYTES:
         return False
@@ -122,15 +125,15 @@
 
 
 def ledger_files(path: Path) -> list[Path]:
-    """The files of a ledger in order; where a segment and its sums are both present the segment alone counts.
+    """Returns the files of a ledger in order; a segment takes precedence over its minute sums.
 
     Raises:
-        LedgerError: The directory holds none.
+        LedgerError: The directory contains none.
     """
     if not path.is_dir():
         return [path]
     files = {file.stem: file for file in path.glob(f"*{SUMS_SUFFIX}")}
     files.update({file.stem: file for file in path.glob(f"*{SEGMENT_SUFFIX}")})
     if not files:
-        raise LedgerError(f"{path} holds no segment of a ledger (*{SEGMENT_SUFFIX}, *{SUMS_SUFFIX})")
+        raise LedgerError(f"{path} contains no file of a ledger (*{SEGMENT_SUFFIX}, *{SUMS_SUFFIX})")
     return [files[stem] for stem in sorted(files)]
--- a/winchdyke/latency_attribution/spans.py
+++ b/winchdyke/latency_attribution/spans.py
@@ -1,6 +1,6 @@
-"""Computes a request's account: its timeline divided into phases that add up exactly to its latency. Without I/O.
+"""Computes a request's account from its trace: spans of phases that add up exactly to the latency. Without I/O.
 
-Times are whole nanoseconds of the monotonic clock. At any moment a request is in one phase.
+Times are whole nanoseconds of the monotonic clock. A request is in exactly one phase at any moment.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 
 from winchdyke.latency_attribution.apportionment import apportion, apportion_causes
-from winchdyke.latency_attribution.records import Account, Annotation, ObservedWait
+from winchdyke.latency_attribution.records import Account, ObservedWait, TraceRecord
 from winchdyke.latency_attribution.vocabulary import (
     CAUSE_TURN,
     PHASE_QUEUED,
@@ -23,9 +23,9 @@
 
 
 def split_into_spans(phase_marks: Sequence[int], end_ns: int) -> list[Span]:
-    """Marks (time, code of the phase, time, code, ...) as spans that follow one another without a gap.
+    """Converts marks (time, code of the phase, time, code, ...) to spans without gaps between them.
 
-    A time before the latest one counts as the latest one; the same phase marked twice in a row is one span.
+    A time earlier than the one before it counts as equal to it; a phase marked twice in a row gives one span.
     """
     spans: list[Span] = []
     latest_ns = phase_marks[0]
@@ -43,39 +43,39 @@
 
 
 def total_by_phase(spans: Sequence[Span]) -> list[tuple[str, int]]:
-    """The time in each phase, in order of first appearance."""
+    """Returns the total time in each phase, in order of first appearance."""
     totals: dict[str, int] = {}
     for phase, begin_ns, end_ns in spans:
         totals[phase] = totals.get(phase, 0) + end_ns - begin_ns
     return [(phase, total_ns) for phase, total_ns in totals.items() if total_ns]
 
 
-def account_from_annotation(annotation: Annotation) -> Account:
-    """The account of what a gateway noted; the time in the queue is divided exactly among holders and causes."""
-    spans = split_into_spans(annotation.phase_marks, annotation.end_ns)
+def account_from_trace(trace: TraceRecord) -> Account:
+    """Computes the account of a trace; the time in the queue is divided exactly among holders and causes."""
+    spans = split_into_spans(trace.phase_marks, trace.end_ns)
     begin_ns = spans[0][1]
     latency_ns = spans[-1][2] - begin_ns
-    blame, causes_ns = _attribute_waits(spans, annotation.waits)
-    attempts = annotation.attempts
+    blame, causes_ns = _attribute_waits(spans, trace.waits)
+    attempts = trace.attempts
     return Account(
-        request=annotation.request,
-        began_unix_ms=round((annotation.end_unix_ns - latency_ns) / NS_PER_MS, 3),
-        gateway=annotation.gateway,
-        volume=annotation.volume,
-        class_name=annotation.class_name,
-        key=annotation.key,
-        outcome=annotation.outcome,
-        reason=annotation.reason,
-        status=annotation.status,
+        request=trace.request,
+        began_unix_ms=round((trace.end_unix_ns - latency_ns) / NS_PER_MS, 3),
+        gateway=trace.gateway,
+        volume=trace.volume,
+        class_name=trace.class_name,
+        key=trace.key,
+        outcome=trace.outcome,
+        reason=trace.reason,
+        status=trace.status,
         latency_ns=latency_ns,
         phases_ns=total_by_phase(spans),
         causes_ns=causes_ns,
         blame=[(*holder, share_ns) for holder, share_ns in blame.items()],
         attempt_endpoints=[endpoint for endpoint, _, _, _ in attempts],
         attempt_outcomes=[outcome for _, outcome, _, _ in attempts],
-        client_request=annotation.client_request,
-        first_request=annotation.first_request,
-        units=annotation.units,
+        client_request=trace.client_request,
+        first_request=trace.first_request,
+        units=trace.units,
         attempt_times_ns=[int(time_ms * NS_PER_MS) for _, _, time_ms, _ in attempts],
         expected_times_ns=[int(expected_ms * NS_PER_MS) for _, _, _, expected_ms in attempts],
         timeline=[(phase, at_ns - begin_ns, end_ns - begin_ns) for phase, at_ns, end_ns in spans],
@@ -85,7 +85,10 @@
 def _attribute_waits(
     spans: Sequence[Span], waits: Sequence[ObservedWait]
 ) -> tuple[dict[Holder, int], dict[str, int]]:
-    """Time in the queue by holder and by cause. A span that no observed wait overlaps is the gateway's own turn."""
+    """Divides the time in the queue by holder and by cause.
+
+    A span that no observed wait overlaps lasted less than a turn of the scheduler, and is attributed to that turn.
+    """
     blame: dict[Holder, int] = {}
     causes_ns: dict[str, int] = {}
     remaining = list(waits)
--- a/winchdyke/latency_attribution/summary.py
+++ b/winchdyke/latency_attribution/summary.py
@@ -1,4 +1,4 @@
-"""Adds accounts and sums up to a summary by volume, endpoint, class and minute. Without I/O."""
+"""Adds up accounts and minute sums to a summary by volume, endpoint, class and minute. Without I/O."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 )
 
 SLOWEST_REQUESTS = 10
-MAX_MATRIX_CELLS = 2000  # twice as many may stand until the smaller ones are folded
+MAX_MATRIX_CELLS = 2000  # left by a folding, which happens once there are more than twice as many
 LAST_MS_OF_MINUTE = MS_PER_MINUTE - 1
 
 
 @dataclass
 class VolumeSummary:
-    """One volume: requests, outcomes, time in the queue, and latencies as a histogram of microseconds."""
+    """The totals of one volume: requests, outcomes, time in the queue, and a histogram of latencies (microseconds)."""
 
     requests: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -35,7 +35,7 @@
     causes_ns: Counter[str] = field(default_factory=Counter)
 
     def add(self, account: Account) -> None:
-        """Add one account."""
+        """Adds one account."""
         self.requests += 1
         self.outcomes[account.outcome] += 1
         self.queued_ns += account.queued_ns
@@ -44,7 +44,7 @@
         self.causes_ns.update(account.causes_ns)
 
     def add_sum(self, volume: VolumeSum) -> None:
-        """Add the volume's sums of a minute."""
+        """Adds the volume's sums of a minute."""
         self.requests += volume.latency.count
         self.outcomes.update(volume.outcomes)
         self.queued_ns += volume.queued_ns
@@ -55,11 +55,11 @@
 
 @dataclass
 class EndpointSummary:
-    """One endpoint: its attempts, those that took clearly longer than usual, and their time beyond the usual.
+    """The totals of one endpoint: its attempts, the slow ones, and their time beyond the expected time.
 
     Attributes:
         upstream_ns: The time of all attempts.
-        expected_ns: The usual time of as many.
+        expected_ns: The expected time of all attempts.
         lost_by_volume: Attempts without a response.
     """
 
@@ -74,7 +74,7 @@
     lost_by_volume: Counter[str] = field(default_factory=Counter)
 
     def add_sum(self, endpoint: EndpointSum) -> None:
-        """Add the endpoint's sums of a minute."""
+        """Adds the endpoint's sums of a minute."""
         self.attempts += endpoint.latency.count
         self.slow_attempts += endpoint.slow_attempts
         self.upstream_ns += endpoint.latency.total_ns
@@ -87,7 +87,7 @@
 
 
 class Summary:
-    """Accounts and sums added up. Times are exact; the wait matrix is bounded and the rest is added up as others.
+    """Totals of accounts and minute sums. Times are exact; the wait matrix is bounded, and smaller cells are merged.
 
     Attributes:
         volumes: By name.
@@ -97,12 +97,12 @@
         minutes: Time in the queue (ns) by minute and volume.
         slowest: The slowest requests: latency, id, account; a heap.
         retries: Requests that retried another one, by the id of that one.
-        summed_retries: Such requests that are known from sums alone.
+        summed_retries: Such requests that are known from minute sums alone.
         possible_retries: Requests that may retry one at another gateway.
-        folded_ns: Time in cells of the matrix that were added up as others.
-        max_cell_error_ns: The most that a cell may lack because sums left it out.
-        summed_requests: Requests that are known from sums alone.
-        omitted_minutes: Minutes known as sums alone that could not be divided as asked.
+        folded_ns: Time in cells of the matrix that were merged into "others".
+        max_cell_error_ns: The largest time that a cell may lack because minute sums left it out.
+        summed_requests: Requests that are known from minute sums alone.
+        omitted_minutes: Minutes known from sums alone that an interval or endpoint filter could not divide.
     """
 
     def __init__(self) -> None:
@@ -127,7 +127,7 @@
         self._first_gateways: dict[tuple[str, str], str] = {}
 
     def add(self, account: Account) -> None:
-        """Add one account."""
+        """Adds one account."""
         self.requests += 1
         self.queued_ns += account.queued_ns
         self.latency_ns += account.latency_ns
@@ -143,7 +143,7 @@
         self._fold_matrix()
 
     def add_sums(self, sums: MinuteSums) -> None:
-        """Add a minute of sums; of cells that it folded the time is retained and the holders are lost."""
+        """Adds the sums of a minute. Cells that it folded keep their time but not their holders."""
         self.requests += sums.requests
         self.summed_requests += sums.requests
         self.queued_ns += sums.queued_ns
@@ -166,7 +166,7 @@
         self._fold_matrix()
 
     def holders(self, volume: str) -> list[tuple[Holder, int]]:
-        """What a volume's requests waited for, with the nanoseconds; the longest first."""
+        """Returns the holders that a volume's requests waited for, with the nanoseconds; the longest wait first."""
         found = [(holder, share_ns) for (waiter, holder), share_ns in self.matrix.items() if waiter == volume]
         return sorted(found, key=lambda entry: (-entry[1], entry[0]))
 
@@ -197,7 +197,7 @@
         if account.first_request:
             self.retries[account.first_request] += 1
         elif account.client_request and account.outcome != OUTCOME_SERVED:
-            # The same key at another gateway may be a retry; this is reported as possible and never assumed.
+            # The same key at another gateway may be a retry: counted as possible, never as certain.
             key = (account.volume, account.key)
             first_gateway = self._first_gateways.setdefault(key, account.gateway)
             self.possible_retries += first_gateway != account.gateway
@@ -210,7 +210,7 @@
             heapq.heapreplace(self.slowest, entry)
 
     def _fold_matrix(self) -> None:
-        """Once the matrix is twice its size, add its smaller cells up as others."""
+        """Merges the smaller cells of a matrix that has grown to twice its bound into "others"."""
         if len(self.matrix) <= 2 * MAX_MATRIX_CELLS:
             return
         folded = Counter(dict(self.matrix.most_common(MAX_MATRIX_CELLS)))
@@ -230,10 +230,10 @@
     until_unix_ms: float | None = None,
     endpoint: str | None = None,
 ) -> Summary:
-    """A summary of the requests that began in an interval and had an attempt at an endpoint.
+    """Returns a summary of the requests that began in an interval and had an attempt at an endpoint.
 
-    Sums count if their minute lies within the interval; minutes that it cuts, and all where an endpoint is given, are
-    counted as omitted.
+    Minute sums are included if their minute lies within the interval. Minutes that the interval cuts, and all minutes if an
+    endpoint is given, are counted as omitted.
     """
     summary = Summary()
     since = -math.inf if since_unix_ms is None else since_unix_ms
--- a/winchdyke/latency_attribution/sums.py
+++ b/winchdyke/latency_attribution/sums.py
@@ -1,9 +1,9 @@
-"""Adds accounts up by the minute: the form in which a ledger keeps them for long. Without I/O.
+"""Adds up accounts by the minute, the form in which a ledger retains them for long. Without I/O.
 
-Counts, times and histograms are exact and add up over minutes, segments and gateways. Bounded for each minute are the
-cells of the wait matrix (``MAX_MATRIX_CELLS``) and the volumes with figures of their own (``MAX_VOLUMES``). Smaller cells
-are added up by waiting volume as "others"; none of them is larger than ``max_omitted_cell_ns``, which is the stated error of
-a cell for each part of a minute.
+Counts, times and histograms are exact and add up over minutes, segments and gateways. For each minute, the cells of the
+wait matrix (``MAX_MATRIX_CELLS``) and the volumes with figures of their own (``MAX_VOLUMES``) are bounded. Smaller cells are
+merged by waiting volume into "others"; none of them is larger than ``max_omitted_cell_ns``, the error bound of a cell for
+each part of a minute.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 MAX_MATRIX_CELLS = 400
 MAX_VOLUMES = 500
 MAX_VOLUMES_PER_ENDPOINT = 8
-SLOWEST_REQUESTS = 3  # accounts that are kept of each minute
-SLOW_ATTEMPT_FACTOR = 1.5  # of the usual time, from which on an attempt counts as slow
+SLOWEST_REQUESTS = 3  # whose accounts are retained for each minute
+SLOW_ATTEMPT_FACTOR = 1.5  # times the expected time; attempts past it count as slow
 MS_PER_MINUTE = 60_000
 NS_PER_US = 1000
 MAX_LATENCY_US = 3_600_000_000
@@ -42,22 +42,22 @@
 
 
 def new_histogram() -> Any:
-    """An HDR histogram of microseconds up to an hour, to two digits."""
+    """Returns an HDR histogram of microseconds up to an hour, with two significant digits."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def to_histogram_us(time_ns: int) -> int:
-    """Nanoseconds as a value that a histogram can hold."""
+    """Converts nanoseconds to a histogram's microseconds, at least 1."""
     return max(1, time_ns // NS_PER_US)
 
 
 def is_slow(attempt: AttemptTimes) -> bool:
-    """Whether an attempt took clearly longer than usual."""
+    """Whether an attempt took longer than ``SLOW_ATTEMPT_FACTOR`` times its expected time."""
     return bool(attempt.expected_ns) and attempt.time_ns > SLOW_ATTEMPT_FACTOR * attempt.expected_ns
 
 
 def sum_by_minute(accounts: Iterable[Account]) -> list[MinuteSums]:
-    """Accounts as sums by minute and gateway, in order of time."""
+    """Adds up accounts by minute and gateway, and returns the sums in order of time."""
     minutes: defaultdict[tuple[int, str], MinuteAccumulator] = defaultdict(MinuteAccumulator)
     for account in accounts:
         minutes[int(account.began_unix_ms // MS_PER_MINUTE), account.gateway].add(account)
@@ -65,7 +65,7 @@
 
 
 class VolumeAccumulator:
-    """One volume in one minute while it is added up."""
+    """Collects the figures of one volume in one minute."""
 
     def __init__(self) -> None:
         self.latencies_ns: list[int] = []
@@ -75,7 +75,7 @@
         self.causes_ns: Counter[str] = Counter()
 
     def add(self, account: Account) -> None:
-        """Add one account."""
+        """Adds one account."""
         self.latencies_ns.append(account.latency_ns)
         self.queued_ns += account.queued_ns
         self.outcomes[account.outcome] += 1
@@ -83,7 +83,7 @@
         self.causes_ns.update(account.causes_ns)
 
     def merge(self, other: VolumeAccumulator) -> None:
-        """Add all of another one."""
+        """Adds the figures of another accumulator."""
         self.latencies_ns += other.latencies_ns
         self.queued_ns += other.queued_ns
         self.outcomes.update(other.outcomes)
@@ -91,7 +91,7 @@
         self.causes_ns.update(other.causes_ns)
 
     def sums(self, volume: str) -> VolumeSum:
-        """The record."""
+        """Returns the record of the volume."""
         return VolumeSum(
             volume=volume,
             latency=_latency_sum(self.latencies_ns),
@@ -103,7 +103,7 @@
 
 
 class MinuteAccumulator:
-    """One minute of one gateway while it is added up."""
+    """Collects the figures of one gateway in one minute."""
 
     def __init__(self) -> None:
         self._requests = 0
@@ -116,7 +116,7 @@
         self._slowest: list[tuple[int, str, Account]] = []
 
     def add(self, account: Account) -> None:
-        """Add one account."""
+        """Adds one account."""
         volume = account.volume
         self._requests += 1
         self._queued_ns += account.queued_ns
@@ -134,7 +134,7 @@
             heapq.heappushpop(self._slowest, entry)
 
     def sums(self, minute: int, gateway: str) -> MinuteSums:
-        """The record."""
+        """Returns the record of the minute."""
         self._fold_volumes()
         cells = self._matrix.most_common()
         omitted = cells[MAX_MATRIX_CELLS:]
@@ -159,7 +159,7 @@
         )
 
     def _fold_volumes(self) -> None:
-        """Add volumes beyond the limit up as others; those that waited the longest stay."""
+        """Merges volumes beyond ``MAX_VOLUMES`` into "others"; those with the longest waits keep their figures."""
         if len(self._volumes) <= MAX_VOLUMES:
             return
         queued_ns = Counter({volume: each.queued_ns for volume, each in self._volumes.items()})
--- a/winchdyke/latency_attribution/wording.py
+++ b/winchdyke/latency_attribution/wording.py
@@ -1,4 +1,4 @@
-"""Describes holders and waits in words."""
+"""Describes holders and waits in sentences for reports."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 def describe_holder(holder: Holder, waiter: str) -> str:
-    """What a volume waited for, as "behind ..." or "for ..."."""
+    """Describes a holder that a volume waited for, as "behind ..." or "for ..."."""
     kind, name, detail = holder
     if kind == KIND_VOLUME:
         return _describe_volume(name, detail, waiter)
     if kind == KIND_ENDPOINT:
         return _describe_endpoint(name, detail)
     if kind == KIND_OTHERS:
-        return "behind others, folded"
+        return "behind others (merged)"
     if detail == CAUSE_TURN:
-        return "in the gateway's own turns"
-    return f"by the design's own {name}"
+        return "for the scheduler's next turn"
+    return f"by the scheduler's rule {name}"
 
 
 def _describe_volume(name: str, detail: str, waiter: str) -> str:
@@ -51,19 +51,19 @@
 
 def _describe_endpoint(name: str, detail: str) -> str:
     if detail == DETAIL_SLOW:
-        return f"for {name} being slow"
+        return f"for {name}, which was slow"
     if detail == DETAIL_SUSPECTED:
-        return f"for {name} being silent or gone"
+        return f"for {name}, which may be down"
     if detail == DETAIL_NO_ENDPOINT:
-        return f"for {name} with no node"
+        return f"for {name}, which has no endpoint"
     return f"for {name}"
 
 
 def describe_waits(summary: Summary, volume: str) -> str:
-    """Why a volume's requests waited, in a sentence with figures."""
+    """Describes why a volume's requests waited, in a sentence with figures."""
     found = summary.volumes.get(volume)
     if found is None:
-        return f"There is no request of {volume} here."
+        return f"No request of {volume} is in these ledgers."
     text = _describe_requests(volume, found)
     holders = [
         f"{100 * share_ns / found.queued_ns:.0f}% {describe_holder(holder, volume)}"
@@ -71,7 +71,7 @@
         if found.queued_ns
     ]
     if holders:
-        text += f"; of the holding {', '.join(holders)}"
+        text += f"; of the time held {', '.join(holders)}"
     endpoints = _describe_slow_endpoints(summary, volume) + _describe_lost_responses(summary, volume)
     if endpoints:
         text += f"; {' and '.join(endpoints)}"
@@ -87,14 +87,15 @@
     return (
         f"{name} sent {volume.requests} requests ({outcomes[OUTCOME_SERVED]} served, "
         f"{outcomes[OUTCOME_REJECTED]} refused, {outcomes[OUTCOME_FAILED]} failed; p99 {p99_s:.3f} s): "
-        f"held {volume.queued_ns / NS_PER_S:.2f} s at gateways, {upstream_ns / NS_PER_S:.2f} s out at stores"
+        f"held {volume.queued_ns / NS_PER_S:.2f} s at gateways, {upstream_ns / NS_PER_S:.2f} s at stores"
     )
 
 
 def _describe_slow_endpoints(summary: Summary, volume: str) -> list[str]:
     excess_ns = {name: each.excess_ns_by_volume[volume] for name, each in summary.endpoints.items()}
     return [
-        f"{name} added {excess_ns[name] / NS_PER_S:.2f} s beyond its usual" for name in _largest(excess_ns)
+        f"{name} added {excess_ns[name] / NS_PER_S:.2f} s beyond its expected time"
+        for name in _largest(excess_ns)
     ]
 
 
@@ -104,6 +105,6 @@
 
 
 def _largest(figures: dict[str, int]) -> list[str]:
-    """The names with the largest figures above 0."""
+    """Returns the names with the largest figures above 0."""
     names = sorted(figures, key=lambda name: -figures[name])[:MAX_ENDPOINTS]
     return [name for name in names if figures[name] > 0]
--- a/winchdyke/writeback/commit.py
+++ b/winchdyke/writeback/commit.py
@@ -33,14 +33,14 @@
         self._thread.start()
 
     def mark_sending(self, sequence: int, note: bytes) -> Future[int]:
-        """Record that a write is about to be sent; the caller waits for the future before it sends the write.
+        """Records that a write is about to be sent; the caller waits for the future before it sends the write.
 
         ``note`` is recovered together with the write after a crash.
         """
         return self.write(SEQUENCE.pack(sequence) + note, RecordKind.SENDING)
 
     def write(self, payload: bytes, kind: RecordKind = RecordKind.WRITE) -> Future[int]:
-        """Queue a record. The future returns its sequence number once the record is durable.
+        """Queues a record. The future returns its sequence number once the record is durable.
 
         The future raises LogFullError (nothing was written) or DurabilityUnknownError (the record may or may not
         survive a crash).
@@ -57,13 +57,13 @@
         return future
 
     def mark_done(self, sequence: int) -> None:
-        """Record that a write has reached its store; the record is written with the next sync."""
+        """Records that a write has reached its store; the record is written with the next sync."""
         with self._wakeup:
             self._done.append(sequence)
             self._wakeup.notify()
 
     def close(self) -> None:
-        """Commit all queued records, close the log and end the thread."""
+        """Commits all queued records, closes the log and ends the thread."""
         with self._wakeup:
             self._closing = True
             self._wakeup.notify()
--- a/winchdyke/writeback/disk.py
+++ b/winchdyke/writeback/disk.py
@@ -22,34 +22,34 @@
     """A folder of files. Every method may raise OSError."""
 
     def file_names(self) -> list[str]:
-        """Return the names of all files."""
+        """Returns the names of all files."""
 
     def size(self, name: str) -> int:
-        """Return the size of a file in bytes."""
+        """Returns the size of a file in bytes."""
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Return ``length`` bytes from an offset; fewer at the end of the file."""
+        """Returns ``length`` bytes from an offset; fewer at the end of the file."""
 
     def create(self, name: str, size: int) -> None:
-        """Create a file of ``size`` bytes, all zeros."""
+        """Creates a file of ``size`` bytes, all zeros."""
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write data at an offset of a file."""
+        """Writes data at an offset of a file."""
 
     def sync(self, name: str) -> None:
-        """Make a file's data durable. If it raises, data written since the last sync counts as lost."""
+        """Makes a file's data durable. If it raises, data written since the last sync counts as lost."""
 
     def sync_directory(self) -> None:
-        """Make the creation, renaming and removal of files durable."""
+        """Makes the creation, renaming and removal of files durable."""
 
     def rename(self, name: str, new: str) -> None:
-        """Rename a file."""
+        """Renames a file."""
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Removes a file."""
 
     def close(self) -> None:
-        """Close all files."""
+        """Closes all files."""
 
 
 class Folder:
@@ -80,37 +80,37 @@
         return self._descriptors[name]
 
     def file_names(self) -> list[str]:
-        """Return the names of all files except the lock file."""
+        """Returns the names of all files except the lock file."""
         return sorted(file.name for file in self.path.iterdir() if file.name != self.LOCK_FILE)
 
     def size(self, name: str) -> int:
-        """Return the size of a file in bytes."""
+        """Returns the size of a file in bytes."""
         return os.fstat(self._descriptor(name)).st_size
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Return ``length`` bytes from an offset; fewer at the end of the file."""
+        """Returns ``length`` bytes from an offset; fewer at the end of the file."""
         return os.pread(self._descriptor(name), length, offset)
 
     def create(self, name: str, size: int) -> None:
-        """Create a file and allocate its blocks, so that a full disk raises here and not at a write."""
+        """Creates a file and allocates its blocks, so that a full disk raises here and not at a write."""
         descriptor = os.open(self.path / name, os.O_RDWR | os.O_CREAT | os.O_EXCL | os.O_CLOEXEC, 0o600)
         self._descriptors[name] = descriptor
         os.posix_fallocate(descriptor, 0, size)
         os.fsync(descriptor)  # fdatasync alone need not make the file size durable
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write data at an offset of a file."""
+        """Writes data at an offset of a file."""
         descriptor, view = self._descriptor(name), memoryview(data)
         while view:
             written = os.pwrite(descriptor, view, offset)
             view, offset = view[written:], offset + written
 
     def sync(self, name: str) -> None:
-        """Make a file's data durable."""
+        """Makes a file's data durable."""
         os.fdatasync(self._descriptor(name))
 
     def sync_directory(self) -> None:
-        """Make the creation, renaming and removal of files durable."""
+        """Makes the creation, renaming and removal of files durable."""
         descriptor = os.open(self.path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -118,19 +118,19 @@
             os.close(descriptor)
 
     def rename(self, name: str, new: str) -> None:
-        """Rename a file."""
+        """Renames a file."""
         (self.path / name).rename(self.path / new)
         if name in self._descriptors:
             self._descriptors[new] = self._descriptors.pop(name)
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Removes a file."""
         if name in self._descriptors:
             os.close(self._descriptors.pop(name))
         (self.path / name).unlink()
 
     def close(self) -> None:
-        """Close all files and release the lock."""
+        """Closes all files and releases the lock."""
         for descriptor in self._descriptors.values():
             os.close(descriptor)
         self._descriptors.clear()
--- a/winchdyke/writeback/drain.py
+++ b/winchdyke/writeback/drain.py
@@ -70,7 +70,7 @@
         self._drained: defaultdict[str, float] = defaultdict(float)  # units divided by weight, by volume
 
     def add(self, record: QueuedRecord) -> None:
-        """Queue a record that was acknowledged."""
+        """Queues a record that was acknowledged."""
         if not self._count[record.volume]:
             # A volume that was idle starts level with the others; else it would catch up on all the turns it missed.
             busy = [self._drained[volume] for volume in self._bytes]
@@ -80,7 +80,7 @@
         self._bytes[record.volume] = self._bytes.get(record.volume, 0) + record.size
 
     def finish_attempt(self, sequence: int, done: bool) -> None:
-        """End an attempt of a record: drop the record if it is done, else queue it again at its old place."""
+        """Ends an attempt of a record: drops the record if it is done, else queues it again at its old place."""
         record = self.in_flight.pop(sequence)
         if done:
             self._count[record.volume] -= 1
@@ -92,7 +92,7 @@
             self.queued = dict(sorted(self.queued.items()))
 
     def start_next(self, now_ms: float, live_requests: Mapping[int, int]) -> list[QueuedRecord]:
-        """Move the records that may be sent now in flight, and return them.
+        """Moves the records that may be sent now in flight, and returns them.
 
         ``live_requests``: the number of live requests queued for each shard.
         """
--- a/winchdyke/writeback/emulated.py
+++ b/winchdyke/writeback/emulated.py
@@ -63,19 +63,19 @@
             raise OSError(self.errors[number], "injected error")
 
     def file_names(self) -> list[str]:
-        """Return the names of all files."""
+        """Returns the names of all files."""
         return sorted(self.visible)
 
     def size(self, name: str) -> int:
-        """Return the size of a file in bytes."""
+        """Returns the size of a file in bytes."""
         return len(self.visible[name])
 
     def read(self, name: str, offset: int, length: int) -> bytes:
-        """Return ``length`` bytes from an offset; fewer at the end of the file."""
+        """Returns ``length`` bytes from an offset; fewer at the end of the file."""
         return bytes(self.visible[name][offset : offset + length])
 
     def create(self, name: str, size: int) -> None:
-        """Create a file. Raises OSError if the disk has too little space."""
+        """Creates a file. Raises OSError if the disk has too little space."""
         self._count_operation()
         if name in self.visible:
             raise FileExistsError(errno.EEXIST, name)
@@ -88,7 +88,7 @@
         self.pending_name_changes.append(("made", name, ""))
 
     def write(self, name: str, offset: int, data: bytes) -> None:
-        """Write data at an offset. If this operation fails, the first half of the data is written."""
+        """Writes data at an offset. If this operation fails, the first half of the data is written."""
         try:
             self._count_operation()
         except OSError:
@@ -104,7 +104,7 @@
             data, offset = data[cut:], offset + cut
 
     def sync(self, name: str) -> None:
-        """Make a file's writes durable. If this operation fails they are lost, but visible until the crash."""
+        """Makes a file's writes durable. If this operation fails they are lost, but visible until the crash."""
         try:
             self._count_operation()
         except OSError:
@@ -116,12 +116,12 @@
         self.pending_writes = [each for each in self.pending_writes if each.name != name]
 
     def sync_directory(self) -> None:
-        """Make all changes to file names durable."""
+        """Makes all changes to file names durable."""
         self._count_operation()
         self.pending_name_changes.clear()
 
     def rename(self, name: str, new: str) -> None:
-        """Rename a file."""
+        """Renames a file."""
         self._count_operation()
         self.visible[new], self.durable[new] = self.visible.pop(name), self.durable.pop(name)
         self.pending_writes = [
@@ -130,18 +130,18 @@
         self.pending_name_changes.append(("renamed", new, name))
 
     def remove(self, name: str) -> None:
-        """Remove a file."""
+        """Removes a file."""
         self._count_operation()
         del self.visible[name]
         self.pending_name_changes.append(("removed", name, ""))
 
     def close(self) -> None:
-        """Do nothing: there are no resources to release."""
+        """Does nothing: there are no resources to release."""
 
     # States after a crash
 
     def crash(self, keep: Iterable[bool], keep_names: Iterable[bool]) -> EmulatedDisk:
-        """Return the disk after a crash that keeps the chosen pending writes and changes of names."""
+        """Returns the disk after a crash that keeps the chosen pending writes and changes of names."""
         disk = EmulatedDisk()
         files = {name: bytearray(data) for name, data in self.durable.items()}
         for each, kept in zip(self.pending_writes, keep, strict=True):
@@ -163,7 +163,7 @@
         return disk
 
     def crash_states(self, max_states: int = 256) -> Iterator[EmulatedDisk]:
-        """Yield every disk that a crash may leave now.
+        """Yields every disk that a crash may leave now.
 
         With more than ``max_states`` combinations of pending writes: only those that keep a prefix of them, and those that
         lose a single one.
--- a/winchdyke/writeback/log.py
+++ b/winchdyke/writeback/log.py
@@ -112,17 +112,17 @@
 
 
 def segment_file_name(number: int) -> str:
-    """Return the file name of a segment."""
+    """Returns the file name of a segment."""
     return f"{number:016d}{SEGMENT_SUFFIX}"
 
 
 def padded_length(length: int) -> int:
-    """Round a length up to a multiple of 8."""
+    """Rounds a length up to a multiple of 8."""
     return -(-length // 8) * 8
 
 
 def encode_segment_header(number: int, epoch: int, base: int) -> bytes:
-    """Return the header of a segment."""
+    """Returns the header of a segment."""
     header = SEGMENT_HEADER.pack(MAGIC, VERSION, epoch, number, base)
     return header + CHECKSUM.pack(xxhash.xxh3_64_intdigest(header))
 
@@ -130,7 +130,7 @@
 def encode_record(
     number: int, epoch: int, kind: RecordKind, sequence: int, synced: int, payload: bytes
 ) -> bytes:
-    """Return a record as it is stored in a segment."""
+    """Returns a record as it is stored in a segment."""
     header = RECORD_HEADER.pack(len(payload), kind, sequence, synced)
     return b"".join(
         (
@@ -174,7 +174,7 @@
         self._chunk_offset, self._chunk = 0, b""
 
     def read(self, offset: int, length: int) -> bytes:
-        """Return bytes of the segment; fewer at its end."""
+        """Returns bytes of the segment; fewer at its end."""
         if not self._chunk_offset <= offset or offset + length > self._chunk_offset + len(self._chunk):
             self._chunk_offset, self._chunk = (
                 offset,
@@ -183,7 +183,7 @@
         return self._chunk[offset - self._chunk_offset : offset - self._chunk_offset + length]
 
     def header(self) -> tuple[int, int, int] | None:
-        """Return the header's number, epoch and base; None if the header is damaged.
+        """Returns the header's number, epoch and base; None if the header is damaged.
 
         Raises:
             LogError: The segment has another format version.
@@ -206,7 +206,7 @@
         return number, epoch, base
 
     def record_at(self, offset: int, number: int, epoch: int) -> ScannedRecord | None:
-        """Return the record at an offset; None if no valid record begins there."""
+        """Returns the record at an offset; None if no valid record begins there."""
         if offset + RECORD_HEADER_SIZE > self.size:
             return None
         data = self.read(offset, RECORD_HEADER_SIZE)
@@ -238,7 +238,7 @@
         return True
 
     def find_record(self, offset: int, number: int, epoch: int) -> ScannedRecord | None:
-        """Return the first valid record from an offset on; None if there is none."""
+        """Returns the first valid record from an offset on; None if there is none."""
         offset = padded_length(offset)
         while offset + RECORD_HEADER_SIZE <= self.size:
             record = self.record_at(offset, number, epoch)
@@ -270,7 +270,7 @@
         total_bytes: int = 1 << 30,
         on_warning: Callable[[str], None] = lambda _: None,
     ) -> None:
-        """Recover the log.
+        """Recovers the log.
 
         Args:
             disk: The folder of the log.
@@ -394,7 +394,7 @@
             self._segments[location.segment].pending.discard(sequence)
 
     def _remove_done_segments(self) -> None:
-        """Remove segments without pending writes, the oldest first; the last one stays, as it holds the number."""
+        """Removes segments without pending writes, the oldest first; the last one stays, as it holds the number."""
         for number in sorted(self._segments)[:-1]:
             if self._segments[number].pending:
                 return
@@ -430,7 +430,7 @@
         return last_segment_bytes + new_segments * (self.segment_bytes - SEGMENT_HEADER_SIZE)
 
     def append(self, payload: bytes, kind: RecordKind = RecordKind.WRITE) -> int:
-        """Append a record without a sync, and return its sequence number.
+        """Appends a record without a sync, and returns its sequence number.
 
         Raises:
             LogFullError: The log has no space for the record; nothing was written.
@@ -465,7 +465,7 @@
         return self.sequence
 
     def _begin_segment(self, number: int, reserve: bool) -> None:
-        """Create a segment. ``reserve``: leave space for one more, so that ``done`` records always fit."""
+        """Creates a segment. ``reserve``: leave space for one more, so that ``done`` records always fit."""
         if self._dirty:
             self.sync()  # a sync covers a single segment
         self._remove_done_segments()
@@ -503,7 +503,7 @@
         return not self.has_spare and (last is None or self._segments[last].end * 2 > self.segment_bytes)
 
     def create_spare(self) -> None:
-        """Allocate the blocks of the next segment. Slow; the only method that may run in another thread meanwhile."""
+        """Allocates the blocks of the next segment. Slow; the only method that may run in another thread meanwhile."""
         try:
             self.disk.create(SPARE_FILE, self.segment_bytes)
         except OSError as error:
@@ -512,7 +512,7 @@
             self.has_spare = True
 
     def sync(self) -> int:
-        """Make all appended records durable, and return the last durable sequence number.
+        """Makes all appended records durable, and returns the last durable sequence number.
 
         Raises:
             DurabilityUnknownError: The sync failed; the records may or may not survive a crash.
@@ -538,7 +538,7 @@
         return self.synced
 
     def mark_done(self, sequences: list[int]) -> None:
-        """Record that writes have reached their stores.
+        """Records that writes have reached their stores.
 
         Durable after the next sync; a crash before it recovers the writes as pending.
         """
@@ -549,7 +549,7 @@
             self.append(b"".join(SEQUENCE.pack(each) for each in sequences), RecordKind.DONE)
 
     def read_payload(self, sequence: int) -> bytes:
-        """Return the payload of a pending write.
+        """Returns the payload of a pending write.
 
         Raises:
             LogError: The record is damaged.
@@ -566,12 +566,12 @@
         return record.payload
 
     def writes(self) -> Iterator[tuple[int, bytes]]:
-        """Yield the sequence number and payload of each pending write, in order."""
+        """Yields the sequence number and payload of each pending write, in order."""
         for sequence in sorted(self.pending_writes):
             yield sequence, self.read_payload(sequence)
 
     def close(self) -> None:
-        """Sync all records, with a record that marks the log as closed, and close the disk."""
+        """Syncs all records, with a record that marks the log as closed, and closes the disk."""
         self.append(b"", RecordKind.CLOSED)
         self.sync()
         self.disk.close()
--- a/winchdyke/writeback/replay.py
+++ b/winchdyke/writeback/replay.py
@@ -64,7 +64,7 @@
     has_condition: bool,
     reports_etag: bool,
 ) -> ReplayAction:
-    """Choose the next action for a record. ``reports_etag``: whether its store reports the ETag of its objects."""
+    """Chooses the next action for a record. ``reports_etag``: whether its store reports the ETag of its objects."""
     if history.first_sent_ms is None:
         return ReplayAction.SEND
     if (
@@ -79,7 +79,7 @@
 
 
 def action_for_content(content: StoredContent) -> ReplayAction | None:
-    """Choose the action that follows from a store's content; None if the write has been executed and is done."""
+    """Chooses the action that follows from a store's content; None if the write has been executed and is done."""
     if content is StoredContent.OWN:
         return None
     return ReplayAction.RESEND_CONDITIONALLY if content is StoredContent.PREVIOUS else ReplayAction.QUARANTINE
