--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from rig import Rig, rig
-from test_latency_attribution import waits, with_ledger
+from test_latency_attribution import close_and_read_ledger, settings_with_ledger
 
 from winchdyke.latency_attribution.records import Account
 from winchdyke.latency_attribution.report import report_data
@@ -47,7 +47,7 @@
 ) -> ScenarioResult:
     """Sends requests of a volume, ``spread_ms`` apart, and behind them the victim volume's every 50 ms."""
     sent: dict[str, float] = {}
-    async with rig(with_ledger(folder), unit_ms=unit_ms, cores=CORES) as site:
+    async with rig(settings_with_ledger(folder), unit_ms=unit_ms, cores=CORES) as site:
         other_paths, victim_paths = object_paths(site, volume, count), object_paths(site, VICTIM, 12)
 
         async def ask(path: str, after_ms: float, name: str, **headers: str) -> None:
@@ -71,7 +71,7 @@
                 )
             for number, path in enumerate(victim_paths):
                 group.start_soon(ask, path, 60.0 + 50.0 * number, f"victim-{number}")
-        return site, waits(site, folder), sent
+        return site, close_and_read_ledger(site, folder), sent
 
 
 def compare(
@@ -104,13 +104,13 @@
 
 async def run_slow_node(folder: Path, slow_ms: float) -> tuple[float, float]:
     """Returns the response time (ms) of one slow node, by its own record and by the report."""
-    async with rig(with_ledger(folder), unit_ms=slow_ms / 10) as site:
+    async with rig(settings_with_ledger(folder), unit_ms=slow_ms / 10) as site:
         path = "/school-1/object"
         node = site.where(path)
         node.slow = 10.0
         for _ in range(5):
             await site.ask("GET", path)
-        accounts = waits(site, folder)
+        accounts = close_and_read_ledger(site, folder)
         assert report_data(summarize(accounts))["nodes"][0]["node"] == node.name
         received_ms = {event["request"]: event["t"] for event in site.record.seen if event["what"] == "head"}
         served_in_ms = {
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from rig import rig
-from test_latency_attribution import waits, with_ledger
+from test_latency_attribution import close_and_read_ledger, settings_with_ledger
 
 from winchdyke import interface as api
 from winchdyke.latency_attribution.records import Account
@@ -52,7 +52,7 @@
 
 async def measured(folder: Path, chosen: Scene, arrivals: list[tuple[float, api.Request]]) -> list[Account]:
     """The accounts of the same arrivals at a gateway on loopback."""
-    config = with_ledger(folder)
+    config = settings_with_ledger(folder)
     async with rig(config, unit_ms=UNIT_MS, cores=1) as it:
         peers = [await it.connect() for _ in range(200)]
         free = list(peers)
@@ -76,7 +76,7 @@
             group.start_soon(slowing)
             for number, (at, request) in enumerate(arrivals):
                 group.start_soon(ask, at, request, path(request.volume, request.shard, number))
-        return waits(it, folder)
+        return close_and_read_ledger(it, folder)
 
 
 def quantile(values: list[float], part: float) -> float:
@@ -106,7 +106,7 @@
     for name, rate, slow in (("calm", 80.0, False), ("busy", 200.0, False), ("a slow node", 120.0, True)):
         made = scene(rate, chosen.seconds, slow)
         with tempfile.TemporaryDirectory() as where:
-            world = World(made, given=with_ledger(Path(where)).settings())
+            world = World(made, given=settings_with_ledger(Path(where)).settings())
             arrivals = world.arrivals()
             model = accounts(world.run())
             real = anyio.run(measured, Path(where), made, arrivals)
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -248,12 +248,12 @@
     assert not scene.observer._groups and not scene.observer._waiting
 
 
-def waits(it, folder: Path) -> list[Account]:
+def close_and_read_ledger(it, folder: Path) -> list[Account]:
     it.gateway.ledger.close()
     return list(ledger.read_accounts([folder]))
 
 
-def with_ledger(folder: Path, extra: str = ""):
+def settings_with_ledger(folder: Path, extra: str = ""):
     from winchdyke.config.loading import load_text
     from winchdyke.config.writing import written
 
@@ -270,13 +270,13 @@
 
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=slow_ms / 10) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=slow_ms / 10) as it:
             slow = it.store_of("/school-1/object")
             slow.slow = 10.0
             for _ in range(max(6, int(400 / slow_ms))):
                 await it.ask("GET", "/school-1/object")
                 await it.ask("GET", "/school-1/other-1")
-            found = waits(it, tmp_path)
+            found = close_and_read_ledger(it, tmp_path)
             there = [a for a in found if a.attempt_endpoints == [slow.name]]
             out = min(a.attempt_times_ns[0] for a in there) / 1e6  # the one that the host disturbed least
             assert out == pytest.approx(slow_ms, rel=0.05, abs=2.5), "the host's own time is up to 2.5 ms"
@@ -317,7 +317,7 @@
 def test_second_tries_belong_to_the_first_and_those_elsewhere_are_unknown(tmp_path):
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path)) as it:
+        async with rig(settings_with_ledger(tmp_path)) as it:
             store = it.store_of("/school-1/object")
             store.kill()
             first = await it.ask(
@@ -327,7 +327,7 @@
             await anyio.sleep(0.6)
             second = await it.ask("PUT", "/school-1/object", b"x", idempotency_key="k")
             assert (first.status, second.status) == (503, 201)
-            found = waits(it, tmp_path)
+            found = close_and_read_ledger(it, tmp_path)
             assert [each.first_request for each in found] == ["", found[0].request]
 
     run()
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 from rig import rig, run_async
 from rig import settings as rig_settings
-from test_latency_attribution import account, segment, with_ledger
+from test_latency_attribution import account, segment, settings_with_ledger
 
 from winchdyke import interface as api
 from winchdyke.cli.main import main
@@ -189,7 +189,7 @@
 
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=150.0, cores=1) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=150.0, cores=1) as it:
             shown = LiveView([tmp_path], 30.0)
             paths = [f"/school-{n % 2}/k{n}" for n in range(400)]
             paths = [path for path in paths if it.store_of(path) is it.stores[0]][:12]
@@ -312,7 +312,7 @@
 
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=4.0) as it:
             paths = {volume: f"/{volume}/k" for volume in ("school-1", "school-2")}
             node = it.store_of(paths["school-1"])
             keys = [f"/school-2/k{n}" for n in range(100)]
@@ -339,7 +339,7 @@
 def test_answers_lost_at_a_working_node_are_told_as_such_and_not_as_slowness(tmp_path):
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=4.0) as it:
             node = it.store_of("/school-1/object")
             node.lost_share, node.lost_how = 1.0, "reset"
             assert (await it.ask("GET", "/school-1/object")).status in (502, 503)
@@ -364,7 +364,7 @@
 
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=100.0, cores=1) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=100.0, cores=1) as it:
             paths = [
                 path for path in (f"/school-1/k{n}" for n in range(300)) if it.store_of(path) is it.stores[0]
             ]
@@ -457,7 +457,7 @@
 
     @run_async
     async def run():
-        async with rig(with_ledger(tmp_path), unit_ms=25.0, cores=2) as it:
+        async with rig(settings_with_ledger(tmp_path), unit_ms=25.0, cores=2) as it:
             lie = lambda path: it.store_of(path) is it.stores[0]  # noqa: E731
             others = list(filter(lie, (f"/contest-9/k{n}" for n in range(2000))))[:count]
             mine = list(filter(lie, (f"/school-1/k{n}" for n in range(400))))[:10]
