--- a/tests/data/write_fixtures.py
+++ b/tests/data/write_fixtures.py
@@ -1,11 +1,11 @@
-"""Write the fixtures of stored data that tests/test_stored_data.py reads.
+"""Writes the fixtures of stored data that tests/test_stored_data.py reads.
 
 Usage: PYTHONPATH=. python tests/data/write_fixtures.py TARGET
 
-The committed fixtures were written by this script with the code of commit 08f4fc3. They show what earlier releases have stored, so
-they are kept as they are when the code changes; a new format gets fixtures of its own. The clock and the random sources are replaced
-by fixed ones, so each run writes the same bytes; only the header of the SQLite file names the SQLite release that wrote it. All keys
-are readable text that calls itself test data; they are used nowhere else.
+The committed fixtures were written by this script with the code of commit 08f4fc3. They represent data of earlier releases,
+so they stay unchanged when the code changes; a new format gets fixtures of its own. The clock and the random sources are replaced
+by fixed ones, so each run writes the same bytes, except for the header of the SQLite file, which names the SQLite release that
+wrote it. All keys are readable text that is marked as test data; they are used nowhere else.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 from winchdyke.config_rollout import last_known_good
 from winchdyke.config_rollout.change_log import ChangeLog
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
-from winchdyke.discovery import cache as nodes_disk
+from winchdyke.discovery import cache as endpoint_cache
 from winchdyke.discovery.bounds import DiscoveryBounds
 from winchdyke.discovery.follower import EndpointFollower
 from winchdyke.discovery.list_protocol import ReceivedList
@@ -38,7 +38,7 @@
 from winchdyke.gateway.writeback import WriteBackRecord, etag_of
 from winchdyke.latency_attribution import compaction, ledger_writer
 from winchdyke.latency_attribution.records import Account, QueuedGroup, TraceRecord
-from winchdyke.membership import member_cache as fleet_disk
+from winchdyke.membership import member_cache
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Log, RecordKind
 
@@ -49,62 +49,66 @@
 
 @contextmanager
 def fixed_clock() -> Iterator[None]:
-    """Let the wall clock begin at START_S and go on by one second at each call."""
+    """Replaces the wall clock by one that starts at START_S and advances by one second at each call."""
     ticks = itertools.count(START_S)
     with patch("time.time", lambda: float(next(ticks))):
         yield
 
 
 def difference(old: int, new: int) -> str:
-    """The difference of two versions that differ in the number of connections."""
+    """Returns the difference of two versions that differ in the number of connections."""
     text = f"limits.connections: {old} -> {new}"
     return json.dumps([{"path": "limits.connections", "old": old, "new": new, "text": text}])
 
 
 def settings_text(connections: int) -> str:
-    """The settings of one version."""
+    """Returns the settings of one version."""
     return f"limits {{\n    connections = {connections}\n}}\n"
 
 
 def write_changes(folder: Path) -> None:
-    """Four versions: applied, confirmed, undone and held; the entries of the first two are in an archive."""
-    trail = ChangeLog(folder)
+    """Writes four versions: applied, confirmed, undone and on hold; the entries of the first two are in an archive."""
+    change_log = ChangeLog(folder)
     with fixed_clock():
-        trail.add_version(settings_text(100), 0, "[]", "alice", "first settings", "test")
-        for what in ("staged", "applying", "applied"):
-            trail.append(Step(what, 1), "gateway")
+        change_log.add_version(settings_text(100), 0, "[]", "alice", "first settings", "test")
+        for action in ("staged", "applying", "applied"):
+            change_log.append(Step(action, 1), "gateway")
 
-        trail.add_version(settings_text(200), 1, difference(100, 200), "bob", "more clients in Žďár", "test")
+        change_log.add_version(
+            settings_text(200), 1, difference(100, 200), "bob", "more clients in Žďár", "test"
+        )
         confirm_by = START_MS + 600_000
-        trail.append(Step("staged", 2, confirm_by_ms=confirm_by), "bob", "on trial", "test")
-        trail.append(Step("applying", 2), "gateway")
-        trail.append(Step("applied", 2, confirm_by_ms=confirm_by), "gateway")
-        trail.append(Step("confirmed", 2), "bob", "works", "test")
+        change_log.append(Step("staged", 2, confirm_by_ms=confirm_by), "bob", "on trial", "test")
+        change_log.append(Step("applying", 2), "gateway")
+        change_log.append(Step("applied", 2, confirm_by_ms=confirm_by), "gateway")
+        change_log.append(Step("confirmed", 2), "bob", "works", "test")
         last_known_good.save(folder, 2, settings_text(200))
 
-        trail.add_version(settings_text(300), 2, difference(200, 300), "alice", "even more", "test")
-        trail.append(
+        change_log.add_version(settings_text(300), 2, difference(200, 300), "alice", "even more", "test")
+        change_log.append(
             Step("staged", 3, confirm_by_ms=confirm_by, activate_at_ms=START_MS + 60_000), "alice", "", "test"
         )
-        trail.append(Step("applying", 3), "gateway")
-        trail.append(Step("applied", 3, confirm_by_ms=confirm_by), "gateway")
-        trail.append_all([(Step("undoing", 2), "too many"), (Step("undone", 2), "")], "alice", "test")
+        change_log.append(Step("applying", 3), "gateway")
+        change_log.append(Step("applied", 3, confirm_by_ms=confirm_by), "gateway")
+        change_log.append_all([(Step("undoing", 2), "too many"), (Step("undone", 2), "")], "alice", "test")
 
-        trail.add_version(settings_text(250), 2, difference(200, 250), "bob", "a middle way", "test")
-        trail.append(Step("staged", 4, activate_at_ms=ON_HOLD_MS), "bob", "", "test")
-        trail.prune(retained_versions=2)
+        change_log.add_version(settings_text(250), 2, difference(200, 250), "bob", "a middle way", "test")
+        change_log.append(Step("staged", 4, activate_at_ms=ON_HOLD_MS), "bob", "", "test")
+        change_log.prune(retained_versions=2)
 
 
-def write_nodes(folder: Path) -> None:
-    """Two generations of the node list, the newer one with a node of each state."""
+def write_endpoint_lists(folder: Path) -> None:
+    """Writes two generations of the endpoint list, the newer one with an endpoint in each state."""
     folder.mkdir(mode=0o700)
     first = CachedEndpoint(
         "192.0.2.1:9000", 0, "east", DiscoveryStatus.USABLE, "on the list", 5.0, "store-1", "boot-1"
     )
-    nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first]), rotate=False)
-    nodes = [first]
+    endpoint_cache.save(
+        folder, endpoint_cache.CachedEndpointList(START_MS, "gateway-1", [first]), rotate=False
+    )
+    endpoints = [first]
     for number, state in enumerate(DiscoveryStatus, 2):
-        nodes.append(
+        endpoints.append(
             CachedEndpoint(
                 f"192.0.2.{number}:9000",
                 shard=number,
@@ -127,11 +131,13 @@
                 next_attempt_at_ms=200.0,
             )
         )
-    nodes_disk.save(folder, nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", nodes), rotate=True)
+    endpoint_cache.save(
+        folder, endpoint_cache.CachedEndpointList(START_MS + 1000, "gateway-1", endpoints), rotate=True
+    )
 
 
 class ListedOnce:
-    """A source of nodes that tells two lists and then ends the run."""
+    """A source of endpoint lists that sends two lists and then ends the run."""
 
     name = "list"
 
@@ -139,48 +145,48 @@
         self._scope = scope
 
     def request_poll(self) -> None:
-        """Nothing to do: the lists come by themselves."""
+        """Does nothing: the lists are sent without a request."""
 
-    async def run(self, tell: OnList, fail: OnFailure) -> None:
-        """Tell two nodes, then that the second one drains."""
+    async def run(self, on_list: OnList, on_failure: OnFailure) -> None:
+        """Sends two endpoints, and then a change: the second one is draining."""
         ready, draining = api.EndpointStatus.READY, api.EndpointStatus.DRAINING
         first = ListedEndpoint("192.0.2.1:9000", ready, 0, identity="store-1")
         second = ListedEndpoint("192.0.2.2:9000", ready, 1, identity="store-2")
-        await tell(self.name, ReceivedList("1", api.EndpointListKind.FULL, (first, second), 1))
+        await on_list(self.name, ReceivedList("1", api.EndpointListKind.FULL, (first, second), 1))
         drains = ListedEndpoint("192.0.2.2:9000", draining, 1, identity="store-2")
-        await tell(self.name, ReceivedList("2", api.EndpointListKind.CHANGES, (drains,), 2))
+        await on_list(self.name, ReceivedList("2", api.EndpointListKind.CHANGES, (drains,), 2))
         self._scope.cancel()
 
 
-async def write_node_history(folder: Path) -> None:
-    """The history of states as a running membership writes it."""
+async def write_endpoint_history(folder: Path) -> None:
+    """Writes the history of endpoint states with a running endpoint follower."""
 
     async def post(_: api.EndpointList) -> None:
-        """Take the scheduler's place."""
+        """Replaces the scheduler."""
 
-    async def trial(_: str) -> bool:
-        """Take the place of a connection to a node."""
+    async def probe(_: str) -> bool:
+        """Replaces a trial connection to an endpoint."""
         return True
 
     with anyio.CancelScope() as scope, fixed_clock():
         source = ListedOnce(scope)
-        membership = EndpointFollower(
-            DiscoveryBounds(), [source], "gateway-1", lambda: 1000.0, post, trial, folder
+        follower = EndpointFollower(
+            DiscoveryBounds(), [source], "gateway-1", lambda: 1000.0, post, probe, folder
         )
-        await membership.run()
+        await follower.run()
 
 
-def write_fleet(folder: Path) -> None:
-    """The last life of this gateway, and two members."""
+def write_members(folder: Path) -> None:
+    """Writes the last incarnation of this gateway, and two members."""
     members = [
-        fleet_disk.KnownMember("gateway-2", "192.0.2.12:7400"),
-        fleet_disk.KnownMember("gateway-3", "[2001:db8::3]:7400"),
+        member_cache.KnownMember("gateway-2", "192.0.2.12:7400"),
+        member_cache.KnownMember("gateway-3", "[2001:db8::3]:7400"),
     ]
-    fleet_disk.save(folder, fleet_disk.KnownMembers("gateway-1", 1_700_000_000_123, members))
+    member_cache.save(folder, member_cache.KnownMembers("gateway-1", 1_700_000_000_123, members))
 
 
 def write_keys(folder: Path) -> None:
-    """Keys of the admin API; access keys sealed with an older and a newer master key, with both master keys."""
+    """Writes keys of the admin API, access keys encrypted with an older and a newer master key, and both master keys."""
     folder.mkdir(mode=0o700)
     secret = base64.b64encode(b"winchdyke test data, not secret!").decode()
     admin = [
@@ -214,8 +220,8 @@
     access_keys.write_keys(folder / "access-keys.json", [first, second])
 
 
-def write_log(folder: Path) -> None:
-    """Two segments: one write is done, one may have been sent, one has not been sent; the log is closed."""
+def write_write_back_log(folder: Path) -> None:
+    """Writes two segments: one write is done, one may have been sent, one has not been sent; the log is closed."""
 
     def payload(number: int, body: bytes) -> bytes:
         record = WriteBackRecord(
@@ -250,7 +256,7 @@
 
 
 def account(number: int) -> Account:
-    """A request that was held for a volume and served at its second node."""
+    """Returns the account of a request that was queued behind a volume and served by its second endpoint."""
     return Account(
         request=f"request-{number}",
         began_unix_ms=START_MS + 60_000.0 * (number // 3),
@@ -276,8 +282,8 @@
     )
 
 
-def noted() -> TraceRecord:
-    """A request as a gateway notes it: arriving, held for two causes, out at a store, answered."""
+def trace_record() -> TraceRecord:
+    """Returns the trace of a request that was queued for two causes, sent to a store and served."""
     return TraceRecord(
         request="request-noted",
         end_unix_ns=(START_S + 300) * 1_000_000_000,
@@ -306,8 +312,8 @@
 
 
 def write_ledger(folder: Path) -> None:
-    """One segment summed up by the minute, one segment of an account and a note, and what is held now."""
-    # The writer's thread asks for the time too, so a clock that went on would give a different time at each run.
+    """Writes a segment compacted to minute sums, a segment with an account and a trace, and a queue snapshot."""
+    # The writer's thread reads the clock too, so an advancing clock would give different times in each run.
     with patch("time.time", lambda: float(START_S)):
         writer = ledger_writer.LedgerWriter(folder)
         for number in range(5):
@@ -315,23 +321,23 @@
         writer.close()
         writer = ledger_writer.LedgerWriter(folder)
         writer.put(account(7))
-        writer.put(noted())
-        held = QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
-        writer.publish_snapshot("gateway-1", [held])
+        writer.put(trace_record())
+        queued = QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
+        writer.publish_snapshot("gateway-1", [queued])
         writer.close()
     compaction.compact_ledger(folder, max_total_bytes=1 << 30, retention_seconds=0.0)
     (folder / "compact.lock").unlink()
 
 
 def main() -> None:
-    """Write all fixtures into the folder that is named on the command line."""
+    """Writes all fixtures to the folder named on the command line."""
     target = Path(sys.argv[1])
     write_changes(target / "changes")
-    write_nodes(target / "nodes")
-    anyio.run(write_node_history, target / "nodes-history")
-    write_fleet(target / "fleet")
+    write_endpoint_lists(target / "nodes")
+    anyio.run(write_endpoint_history, target / "nodes-history")
+    write_members(target / "fleet")
     write_keys(target / "keys")
-    write_log(target / "writeback")
+    write_write_back_log(target / "writeback")
     write_ledger(target / "ledger")
 
 
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -1,4 +1,4 @@
-"""Accounts: spans and blame that add up exactly, waits with the right cause, a ledger that survives, a safe report."""
+"""Latency attribution: spans and blame that add up exactly, causes of waits, crash-safe ledgers, reports."""
 
 from __future__ import annotations
 
@@ -39,15 +39,15 @@
 
 
 def account(name: str = "r1", **changes: object) -> Account:
-    made = Account(
+    result = Account(
         request=name, began_unix_ms=1e12, gateway="g", volume="course", class_name="fetch", key="k", outcome="served",
         reason="ok", status=200, latency_ns=30, phases_ns=[("held", 10), ("store", 20)], causes_ns={"window": 10},
         blame=[("volume", "other", "export", 10)], attempt_endpoints=["n"], attempt_outcomes=["served"],
         attempt_times_ns=[20], expected_times_ns=[10],
     )  # fmt: skip
     for key, value in changes.items():
-        setattr(made, key, value)
-    return made
+        setattr(result, key, value)
+    return result
 
 
 @given(
@@ -55,12 +55,12 @@
         st.tuples(st.integers(-50, 10**9), st.sampled_from(["held", "dial", "store", "client"])), max_size=30
     )
 )
-def test_spans_add_up_to_the_latency_exactly_also_where_a_clock_steps_back(marks):
-    noted, now = [1000, 0], 1000
+def test_spans_add_up_exactly_to_the_latency_even_if_the_clock_steps_back(marks):
+    phase_marks, now = [1000, 0], 1000
     for step, phase in marks:
         now += step
-        noted += (now, PHASE_CODES[phase])
-    spans = split_into_spans(noted, now)
+        phase_marks += (now, PHASE_CODES[phase])
+    spans = split_into_spans(phase_marks, now)
     assert all(a[2] == b[1] and a[0] != b[0] for a, b in itertools.pairwise(spans))
     assert sum(end - begin for _, begin, end in spans) == spans[-1][2] - 1000
     assert all(end >= begin for _, begin, end in spans)
@@ -71,14 +71,14 @@
     st.integers(0, 10**12),
     st.dictionaries(st.tuples(st.just("volume"), st.text(max_size=3), st.just("c")), st.floats(0, 1e9)),
 )
-def test_blame_adds_up_to_the_wait_exactly(whole, parts):
-    shares = apportion(whole, parts)
-    assert sum(shares.values()) == whole
+def test_blame_adds_up_exactly_to_the_wait(total_ns, weights):
+    shares = apportion(total_ns, weights)
+    assert sum(shares.values()) == total_ns
     assert all(share >= 0 for share in shares.values())
 
 
-def scheduler(**changes: object) -> Scheduler:
-    kinds = (
+def make_scheduler(**changes: object) -> Scheduler:
+    classes = (
         api.RequestClass(
             "fetch", 2.0, 400.0, 3000.0, 0.1, api.RepeatSafety.IDEMPOTENT, api.DeduplicationScope.ALL, 0.0
         ),
@@ -102,153 +102,166 @@
         api.Plan("capped", 1.0, 1.0, 10.0, 0.0, limit_units_per_s=2.0, limit_burst_units=8.0),
     )
     return Scheduler(
-        api.Settings(gateway_count=1, gateway_index=0, classes=kinds, plans=plans, max_attempts=3, **changes),
+        api.Settings(
+            gateway_count=1, gateway_index=0, classes=classes, plans=plans, max_attempts=3, **changes
+        ),
         1,
         0.0,
     )
 
 
-def asked(
-    name: str, kind: str = "fetch", volume: str = "a", plan: str = "open", key: str = "", units: float = 1.0
+def make_request(
+    name: str,
+    class_name: str = "fetch",
+    volume: str = "a",
+    plan: str = "open",
+    key: str = "",
+    units: float = 1.0,
 ) -> api.Request:
-    return api.Request(name, kind, plan, volume, key or name, units, 0, 1, 2500.0)
+    return api.Request(name, class_name, plan, volume, key or name, units, 0, 1, 2500.0)
 
 
-class Scene:
-    """A scheduler in virtual time with an observer, and a node that answers when told."""
+class ObservedScheduler:
+    """A scheduler with an observer in virtual time, and an endpoint whose responses the test triggers."""
 
-    def __init__(self, nodes: bool = True, **changes: object) -> None:
-        self.now, self.scheduler = 0.0, scheduler(**changes)
+    def __init__(self, with_endpoint: bool = True, **changes: object) -> None:
+        self.now_ms, self.scheduler = 0.0, make_scheduler(**changes)
         self.observer = QueueObserver(self.scheduler)
         self.sent: list[str] = []
         self.waits: dict[str, tuple[dict, dict]] = {}
-        self.began: dict[str, float] = {}
-        if nodes:
-            self.give(
+        self.queued_at_ms: dict[str, float] = {}
+        if with_endpoint:
+            self.handle(
                 api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))
             )
 
-    def give(self, *events: api.Event) -> None:
+    def handle(self, *events: api.Event) -> None:
+        """Passes events to the scheduler, and its actions and state to the observer."""
         for event in events:
             if isinstance(event, api.Request):
-                self.began[event.request_id] = self.now
-                self.observer.record_queued(event.request_id, event.shard, event.request_class, self.now)
-        actions = self.scheduler.handle(self.now, list(events))
+                self.queued_at_ms[event.request_id] = self.now_ms
+                self.observer.record_queued(event.request_id, event.shard, event.request_class, self.now_ms)
+        actions = self.scheduler.handle(self.now_ms, list(events))
         for action in actions:
             if isinstance(action, (api.StartAttempt, api.ShedRequest, api.FailRequest)):
-                self.waits[action.request_id] = self.observer.record_dequeued(action.request_id, self.now)
+                self.waits[action.request_id] = self.observer.record_dequeued(action.request_id, self.now_ms)
                 if isinstance(action, api.StartAttempt):
                     self.sent.append(action.request_id)
-        self.observer.observe(self.now)
+        self.observer.observe(self.now_ms)
 
-    def pass_time(self, span: float, step: float = 5.0) -> None:
-        until = self.now + span
-        while self.now < until:
-            self.now = min(until, self.now + step)
-            self.give(api.TimerFired(0))
+    def advance(self, duration_ms: float, step_ms: float = 5.0) -> None:
+        end_ms = self.now_ms + duration_ms
+        while self.now_ms < end_ms:
+            self.now_ms = min(end_ms, self.now_ms + step_ms)
+            self.handle(api.TimerFired(0))
 
-    def answer(self, name: str) -> None:
-        self.give(api.AttemptEnded(name, 0, "n", api.AttemptOutcome.SERVED, 10.0, True))
+    def complete(self, name: str) -> None:
+        self.handle(api.AttemptEnded(name, 0, "n", api.AttemptOutcome.SERVED, 10.0, True))
 
 
-def test_an_export_that_holds_up_a_fetch_shows_as_such():
-    scene = Scene()
+def test_a_wait_behind_an_export_is_attributed_to_the_export():
+    observed = ObservedScheduler()
     for number in range(4):
-        scene.give(asked(f"e{number}", "export", "big", units=8.0))
+        observed.handle(make_request(f"e{number}", "export", "big", units=8.0))
     for number in range(6):
-        scene.give(asked(f"f{number}", "fetch", "small"))
-    held = next(f"f{n}" for n in range(6) if f"f{n}" not in scene.sent)
-    scene.pass_time(30)
+        observed.handle(make_request(f"f{number}", "fetch", "small"))
+    held = next(f"f{n}" for n in range(6) if f"f{n}" not in observed.sent)
+    observed.advance(30)
     for number in range(4):
-        scene.answer(f"e{number}")
-    holders, causes = scene.waits[held]
+        observed.complete(f"e{number}")
+    holders, causes = observed.waits[held]
     assert sum(holders.values()) == pytest.approx(30.0) == sum(causes.values())
     assert holders["volume", "big", "export"] > 10.0
     assert set(causes) <= {"window", "share", "turn"}
 
 
-def test_two_courses_that_hold_each_other():
-    scene = Scene()
+def test_two_volumes_that_delay_each_other_are_both_blamed():
+    observed = ObservedScheduler()
     for number in range(12):
-        scene.give(asked(f"r{number}", volume="ab"[number % 2]))
-    scene.pass_time(20)
-    for name in list(scene.sent):
-        scene.answer(name)
-    held = {name: scene.waits[name][0] for name in scene.waits if sum(scene.waits[name][0].values()) > 10}
+        observed.handle(make_request(f"r{number}", volume="ab"[number % 2]))
+    observed.advance(20)
+    for name in list(observed.sent):
+        observed.complete(name)
+    held = {
+        name: observed.waits[name][0] for name in observed.waits if sum(observed.waits[name][0].values()) > 10
+    }
     assert all({"a", "b"} <= {holder[1] for holder in holders} for holders in held.values())
     assert len(held) >= 4
 
 
-def test_causes_of_their_own():
-    scene = Scene()
-    scene.pass_time(200)
-    scene.give(asked("l1", volume="c", plan="capped"))
-    scene.pass_time(600)  # the limit has room for it half a second after the start
-    holders, causes = scene.waits["l1"]
-    assert "l1" in scene.sent and causes == {"limit": pytest.approx(300.0)}
+def test_quota_key_order_and_a_missing_endpoint_are_causes():
+    observed = ObservedScheduler()
+    observed.advance(200)
+    observed.handle(make_request("l1", volume="c", plan="capped"))
+    observed.advance(600)  # the quota admits it half a second after the start
+    holders, causes = observed.waits["l1"]
+    assert "l1" in observed.sent and causes == {"limit": pytest.approx(300.0)}
     assert holders == {("volume", "c", "limit"): pytest.approx(300.0)}
-    scene.answer("l1")
-    scene.give(asked("o1", "turns", "d", key="same"))
-    scene.give(asked("o2", "turns", "e", key="same"))
-    scene.pass_time(100)
-    scene.answer("o1")
-    scene.pass_time(5)
-    assert scene.waits["o2"][1]["order"] == pytest.approx(100.0, abs=10)
-    assert scene.waits["o2"][0]["volume", "d", "turns"] == pytest.approx(100.0, abs=10)
-    gone = Scene()
-    gone.give(
+    observed.complete("l1")
+    observed.handle(make_request("o1", "turns", "d", key="same"))
+    observed.handle(make_request("o2", "turns", "e", key="same"))
+    observed.advance(100)
+    observed.complete("o1")
+    observed.advance(5)
+    assert observed.waits["o2"][1]["order"] == pytest.approx(100.0, abs=10)
+    assert observed.waits["o2"][0]["volume", "d", "turns"] == pytest.approx(100.0, abs=10)
+    without_endpoint = ObservedScheduler()
+    without_endpoint.handle(
         api.EndpointList(api.EndpointListKind.CHANGES, (api.Endpoint("n", api.EndpointStatus.REMOVED, 0),))
     )
-    gone.give(asked("x"))
-    gone.pass_time(50)
-    gone.give(
+    without_endpoint.handle(make_request("x"))
+    without_endpoint.advance(50)
+    without_endpoint.handle(
         api.EndpointList(api.EndpointListKind.CHANGES, (api.Endpoint("m", api.EndpointStatus.READY, 0),))
     )
-    if "x" in gone.waits:
-        assert gone.waits["x"][1].get("no-node", 0) == pytest.approx(sum(gone.waits["x"][1].values()), abs=1)
+    if "x" in without_endpoint.waits:
+        assert without_endpoint.waits["x"][1].get("no-node", 0) == pytest.approx(
+            sum(without_endpoint.waits["x"][1].values()), abs=1
+        )
 
 
-def test_a_node_past_its_usual_time_is_its_own_cause():
-    scene = Scene()
+def test_a_wait_for_attempts_past_their_expected_time_is_attributed_to_the_endpoint():
+    observed = ObservedScheduler()
     for number in range(8):
-        scene.give(asked(f"r{number}", volume=f"v{number}"))
-    held = next(f"r{n}" for n in range(8) if f"r{n}" not in scene.sent)
-    scene.pass_time(400)
-    for name in list(scene.sent):
-        scene.answer(name)
-    holders = scene.waits[held][0]
+        observed.handle(make_request(f"r{number}", volume=f"v{number}"))
+    held = next(f"r{n}" for n in range(8) if f"r{n}" not in observed.sent)
+    observed.advance(400)
+    for name in list(observed.sent):
+        observed.complete(name)
+    holders = observed.waits[held][0]
     assert holders["node", "n", "slow"] > 0.7 * sum(holders.values())
 
 
-def test_a_look_costs_no_more_with_ten_thousand_waiting(monkeypatch):
-    """Counted, not timed: one group and a bounded number of requests are looked at, however many wait."""
+def test_an_observation_costs_no_more_with_ten_thousand_queued_requests(monkeypatch):
+    """Counts calls instead of time: one group and a bounded number of requests are observed each time."""
     counts = {"groups": 0, "requests": 0}
-    group, one = QueueObserver._group_cause, QueueObserver._observe_request
+    group_cause, observe_request = QueueObserver._group_cause, QueueObserver._observe_request
 
-    def counted_group(*words):
+    def count_group_cause(*arguments):
         counts["groups"] += 1
-        return group(*words)
+        return group_cause(*arguments)
 
-    def counted_one(*words):
+    def count_observe_request(*arguments):
         counts["requests"] += 1
-        return one(*words)
+        return observe_request(*arguments)
 
-    monkeypatch.setattr(QueueObserver, "_group_cause", counted_group)
-    monkeypatch.setattr(QueueObserver, "_observe_request", counted_one)
-    scene = Scene()
+    monkeypatch.setattr(QueueObserver, "_group_cause", count_group_cause)
+    monkeypatch.setattr(QueueObserver, "_observe_request", count_observe_request)
+    observed = ObservedScheduler()
     for number in range(10_000):
-        scene.observer._start_wait(f"r{number}", 0, "fetch", number / 10_000)
+        observed.observer._start_wait(f"r{number}", 0, "fetch", number / 10_000)
     counts.update(groups=0, requests=0)
-    for look in range(20):
-        scene.observer.observe(10.0 + look)
+    for number in range(20):
+        observed.observer.observe(10.0 + number)
     assert counts["groups"] == 20
     assert counts["requests"] <= 20 * 512
-    waits = [scene.observer.record_dequeued(f"r{number}", 50.0)[0] for number in range(10_000)]
+    waits = [observed.observer.record_dequeued(f"r{number}", 50.0)[0] for number in range(10_000)]
     assert sum(waits[0].values()) == pytest.approx(50.0)
-    assert not scene.observer._groups and not scene.observer._waiting
+    assert not observed.observer._groups and not observed.observer._waiting
 
 
 def close_and_read_ledger(it, folder: Path) -> list[Account]:
+    """Closes the gateway's ledger, so that all accounts are written, and reads them."""
     it.gateway.ledger.close()
     return list(ledger.read_accounts([folder]))
 
@@ -265,8 +278,8 @@
 
 @pytest.mark.parametrize("slow_ms", [20.0, 80.0, 300.0])
 @measured
-def test_what_a_slow_node_added_is_measured_within_5_percent(tmp_path, slow_ms):
-    """One node takes a known time; the report names it, and what was out there is what was put in."""
+def test_the_time_added_by_a_slow_endpoint_is_measured_within_5_percent(tmp_path, slow_ms):
+    """One endpoint is slowed by a known time, which its attempts in the ledger must show."""
 
     @run_async
     async def run():
@@ -276,17 +289,21 @@
             for _ in range(max(6, int(400 / slow_ms))):
                 await it.ask("GET", "/school-1/object")
                 await it.ask("GET", "/school-1/other-1")
-            found = close_and_read_ledger(it, tmp_path)
-            there = [a for a in found if a.attempt_endpoints == [slow.name]]
-            out = min(a.attempt_times_ns[0] for a in there) / 1e6  # the one that the host disturbed least
-            assert out == pytest.approx(slow_ms, rel=0.05, abs=2.5), "the host's own time is up to 2.5 ms"
-            assert all(sum(span for _, span in a.phases_ns) == a.latency_ns for a in found)
+            accounts = close_and_read_ledger(it, tmp_path)
+            at_slow = [a for a in accounts if a.attempt_endpoints == [slow.name]]
+            attempt_ms = (
+                min(a.attempt_times_ns[0] for a in at_slow) / 1e6
+            )  # the attempt least disturbed by the host
+            assert attempt_ms == pytest.approx(slow_ms, rel=0.05, abs=2.5), (
+                "the host's own time is up to 2.5 ms"
+            )
+            assert all(sum(span for _, span in a.phases_ns) == a.latency_ns for a in accounts)
 
     run()
 
 
 @measured
-def test_a_bad_days_accounts_add_up_and_its_report_stands(tmp_path):
+def test_the_accounts_of_a_simulated_day_with_faults_add_up_and_are_reported(tmp_path):
     day = script.bad_day(4, length=8_000.0, rate=80.0)
     ledgers = [tmp_path / f"gateway-{n}" for n in range(3)]
     more = f'\naccounts {{\n    folder = "{tmp_path}/$"\n}}\n'
@@ -300,21 +317,23 @@
         assert sum(each.causes_ns.values()) == each.queued_ns
     summary = summarize(accounts)
     assert sum(summary.matrix.values()) == summary.queued_ns
-    done = CliRunner().invoke(main, ["waits", "report", "--json", *map(str, ledgers)])
-    data = json.loads(done.output)
+    result = CliRunner().invoke(main, ["waits", "report", "--json", *map(str, ledgers)])
+    data = json.loads(result.output)
     assert data["requests"] == len(accounts)
-    worst = data["worst"][0]["request"]
-    assert CliRunner().invoke(main, ["waits", "explain", worst, *map(str, ledgers)]).output.startswith(worst)
-    out = CliRunner().invoke(
+    slowest = data["worst"][0]["request"]
+    assert (
+        CliRunner().invoke(main, ["waits", "explain", slowest, *map(str, ledgers)]).output.startswith(slowest)
+    )
+    html_result = CliRunner().invoke(
         main, ["waits", "report", "--html", str(tmp_path / "page.html"), *map(str, ledgers)]
     )
-    assert "requests, held" in out.output
+    assert "requests, held" in html_result.output
     assert "<svg" in (tmp_path / "page.html").read_text()
-    same = CliRunner().invoke(main, ["waits", "diff", str(ledgers[0]), str(ledgers[0])])
-    assert same.exit_code == 0
+    diff_result = CliRunner().invoke(main, ["waits", "diff", str(ledgers[0]), str(ledgers[0])])
+    assert diff_result.exit_code == 0
 
 
-def test_second_tries_belong_to_the_first_and_those_elsewhere_are_unknown(tmp_path):
+def test_retries_refer_to_the_first_request_and_those_at_another_gateway_are_possible_retries(tmp_path):
     @run_async
     async def run():
         async with rig(settings_with_ledger(tmp_path)) as it:
@@ -327,8 +346,8 @@
             await anyio.sleep(0.6)
             second = await it.ask("PUT", "/school-1/object", b"x", idempotency_key="k")
             assert (first.status, second.status) == (503, 201)
-            found = close_and_read_ledger(it, tmp_path)
-            assert [each.first_request for each in found] == ["", found[0].request]
+            accounts = close_and_read_ledger(it, tmp_path)
+            assert [each.first_request for each in accounts] == ["", accounts[0].request]
 
     run()
     summary = Summary()
@@ -338,6 +357,7 @@
 
 
 def segment(folder: Path, count: int) -> tuple[Path, bytes, list[int]]:
+    """Writes a segment; returns its path, its bytes, and the offset at which each record ends."""
     path = folder / f"000000000001{segments.SEGMENT_SUFFIX}"
     data, ends = segments.SEGMENT_HEADER, []
     for number in range(count):
@@ -347,51 +367,51 @@
     return path, data, ends
 
 
-def test_a_ledger_cut_at_every_byte_gives_all_records_before(tmp_path):
+def test_a_ledger_truncated_at_any_byte_yields_all_records_before_it(tmp_path):
     path, data, ends = segment(tmp_path, 3)
     for size in range(len(data) + 1):
         path.write_bytes(data[:size])
-        found = segments.RecoveryReport()
-        names = [each.request for each in ledger.read_accounts([tmp_path], found)]
+        recovery = segments.RecoveryReport()
+        names = [each.request for each in ledger.read_accounts([tmp_path], recovery)]
         assert names == [f"r{n}" for n, end in enumerate(ends) if end <= size]
-        assert bool(found.lost_bytes) == (size > len(segments.SEGMENT_HEADER) and size not in ends)
+        assert bool(recovery.lost_bytes) == (size > len(segments.SEGMENT_HEADER) and size not in ends)
 
 
-def test_a_ledger_with_any_one_byte_flipped_loses_that_record_alone_and_says_so(tmp_path):
+def test_a_damaged_byte_loses_only_its_record_and_is_reported(tmp_path):
     path, data, ends = segment(tmp_path, 3)
     begins = [len(segments.SEGMENT_HEADER), *ends]
-    for at in range(len(data)):
-        path.write_bytes(data[:at] + bytes([data[at] ^ 0x55]) + data[at + 1 :])
-        found = segments.RecoveryReport()
-        names = [each.request for each in ledger.read_accounts([tmp_path], found)]
-        hit = next((n for n in range(3) if begins[n] <= at < begins[n + 1]), None)
-        assert names == [f"r{n}" for n in range(3) if n != hit]
-        assert found.losses
+    for offset in range(len(data)):
+        path.write_bytes(data[:offset] + bytes([data[offset] ^ 0x55]) + data[offset + 1 :])
+        recovery = segments.RecoveryReport()
+        names = [each.request for each in ledger.read_accounts([tmp_path], recovery)]
+        damaged = next((n for n in range(3) if begins[n] <= offset < begins[n + 1]), None)
+        assert names == [f"r{n}" for n in range(3) if n != damaged]
+        assert recovery.losses
 
 
-def test_a_full_disk_loses_accounts_and_nothing_else(tmp_path, monkeypatch):
+def test_a_full_disk_loses_only_accounts(tmp_path, monkeypatch):
     writer = ledger_writer.LedgerWriter(tmp_path, ledger_writer.LedgerBounds(sync_interval_seconds=0.01))
     writer.put(account("r1"))
     until = time.monotonic() + 5
     while not writer.synced and time.monotonic() < until:
         time.sleep(0.01)
-    real = os.write
+    original_write = os.write
 
-    def full(descriptor: int, data: bytes) -> int:
+    def fail_with_full_disk(descriptor: int, data: bytes) -> int:
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", full)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", fail_with_full_disk)
     writer.put(account("r2"))
     while not writer.failed and time.monotonic() < until:
         time.sleep(0.01)
-    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", real)
+    monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.os.write", original_write)
     writer.put(account("r3"))
     writer.close()
     assert (writer.failed, writer.last_error) == (1, "No space left on device")
     assert [each.request for each in ledger.read_accounts([tmp_path])] == ["r1", "r3"]
 
 
-def test_what_there_is_no_room_for_is_counted_and_segments_stay_under_their_bound(tmp_path, monkeypatch):
+def test_dropped_accounts_are_counted_and_segments_stay_within_their_bound(tmp_path, monkeypatch):
     monkeypatch.setattr("winchdyke.latency_attribution.ledger_writer.BATCH_RECORDS", 5)
     writer = ledger_writer.LedgerWriter(tmp_path, ledger_writer.LedgerBounds(max_queued_accounts=0))
     writer.put(account())
@@ -413,7 +433,7 @@
     assert [each.request for each in ledger.read_accounts([tmp_path])][-1] == "r399"
 
 
-KILLED = """
+WRITER_PROGRAM = """
 import sys, time
 sys.path.insert(0, "tests")
 from pathlib import Path
@@ -438,7 +458,9 @@
     draw = random.Random(3)
     for number in range(rounds):
         process = subprocess.Popen(
-            [sys.executable, "-c", KILLED, str(tmp_path), str(number)], stdout=subprocess.PIPE, text=True
+            [sys.executable, "-c", WRITER_PROGRAM, str(tmp_path), str(number)],
+            stdout=subprocess.PIPE,
+            text=True,
         )
         assert process.stdout is not None
         synced = 0
@@ -451,22 +473,22 @@
         process.kill()
         process.wait(5)
         process.stdout.close()
-        found = segments.RecoveryReport()
-        names = {each.request for each in ledger.read_accounts([tmp_path], found)}
-        assert all(f"{number}-{n}" in names for n in range(synced)), found.losses
-        assert render_page(report_data(summarize(ledger.read_accounts([tmp_path]))), found.losses)
+        recovery = segments.RecoveryReport()
+        names = {each.request for each in ledger.read_accounts([tmp_path], recovery)}
+        assert all(f"{number}-{n}" in names for n in range(synced)), recovery.losses
+        assert render_page(report_data(summarize(ledger.read_accounts([tmp_path]))), recovery.losses)
 
 
 @given(st.text(max_size=20), st.text(max_size=20))
 @settings(max_examples=40)
-def test_no_name_becomes_markup(volume, what):
+def test_names_are_escaped_in_the_page(volume, detail):
     summary = Summary()
-    summary.add(account(volume=f"<script>{volume}</script>\n", blame=[("volume", f"<b>{what}", "<i>", 10)]))
-    made = render_page(report_data(summary), [f"<u>{what}"])
-    assert "<script>" not in made and "<b>" not in made and "<i>" not in made and "<u>" not in made
+    summary.add(account(volume=f"<script>{volume}</script>\n", blame=[("volume", f"<b>{detail}", "<i>", 10)]))
+    page = render_page(report_data(summary), [f"<u>{detail}"])
+    assert "<script>" not in page and "<b>" not in page and "<i>" not in page and "<u>" not in page
 
 
-def test_a_course_with_100000_keys_and_many_courses_stay_bounded():
+def test_a_summary_of_many_volumes_holders_and_keys_stays_bounded():
     summary = Summary()
     for number in range(20_000):
         summary.add(
@@ -482,14 +504,14 @@
     assert summary.folded_ns <= summary.queued_ns
 
 
-def test_unusable_ledgers_are_said(tmp_path):
-    for words in (
+def test_unusable_ledgers_and_arguments_are_reported(tmp_path):
+    for arguments in (
         ["report", str(tmp_path)],
         ["report", str(tmp_path / "no.waits")],
         ["explain", "x", str(tmp_path)],
     ):
-        done = CliRunner().invoke(main, ["waits", *words])
-        assert done.exit_code == 1 and done.output.startswith("Error: ")
+        result = CliRunner().invoke(main, ["waits", *arguments])
+        assert result.exit_code == 1 and result.output.startswith("Error: ")
     segment(tmp_path, 1)
     assert (
         "is no time" in CliRunner().invoke(main, ["waits", "report", "--from", "soon", str(tmp_path)]).output
@@ -497,5 +519,5 @@
     assert "no ledger here holds" in CliRunner().invoke(main, ["waits", "explain", "x", str(tmp_path)]).output
 
 
-def test_rig_settings_keep_no_ledger():
+def test_the_rig_has_no_ledger_by_default():
     assert rig_settings().accounts.folder == ""
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,7 +1,7 @@
-"""Stored data that earlier code wrote (tests/data) is read by the present code, value by value.
+"""Data stored by earlier releases (the fixtures in tests/data) must be read with the same values by the current code.
 
-The fixtures were written by tests/data/write_fixtures.py. A test that fails here means that data of an
-earlier release would be lost or read as something else: the code is to be changed then, not the fixture.
+The fixtures were written by tests/data/write_fixtures.py. If a test fails here, data of an earlier release would be lost or
+misread: fix the code, not the fixture.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 from winchdyke.config_rollout import last_known_good
 from winchdyke.config_rollout.change_log import ChangeLogError, Version
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, RolloutState
-from winchdyke.discovery import cache as nodes_disk
+from winchdyke.discovery import cache as endpoint_cache
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus
 from winchdyke.gateway.writeback import WriteBackRecord
 from winchdyke.latency_attribution import ledger, records, segments
 from winchdyke.latency_attribution.ledger import read_queue_snapshot
 from winchdyke.latency_attribution.records import Account, EndpointSum, LatencySum, MinuteSums, VolumeSum
 from winchdyke.latency_attribution.sums import new_histogram
-from winchdyke.membership import member_cache as fleet_disk
+from winchdyke.membership import member_cache
 from winchdyke.writeback.disk import Folder
 from winchdyke.writeback.log import Log, RecoveryReport
 
@@ -39,7 +39,7 @@
 
 
 def copied(kind: str, tmp_path: Path) -> Path:
-    """A copy of one kind of fixture that its owner alone may read, as the readers demand; git does not keep such modes."""
+    """Returns a copy of a fixture with access for its owner alone, as the readers require; git does not store these modes."""
     folder = tmp_path / kind
     shutil.copytree(DATA / kind, folder)
     folder.chmod(0o700)
@@ -48,21 +48,21 @@
     return folder
 
 
-# Changes
+# Change log
 
 
 def settings_text(connections: int) -> str:
-    """The settings of one version in the fixture."""
+    """Returns the settings of one version in the fixture."""
     return f"limits {{\n    connections = {connections}\n}}\n"
 
 
 def difference(old: int, new: int) -> str:
-    """The difference of two versions in the fixture."""
+    """Returns the difference of two versions in the fixture."""
     text = f"limits.connections: {old} -> {new}"
     return f'[{{"path": "limits.connections", "old": {old}, "new": {new}, "text": "{text}"}}]'
 
 
-# Who, what, version, until_ms, note, origin and at_ms of each entry.
+# Actor, action, version, confirm_by_ms, note, origin and activate_at_ms of each entry.
 ENTRIES = [
     ("alice", "proposed", 1, 0.0, "first settings", "test", 0.0),
     ("gateway", "staged", 1, 0.0, "", "", 0.0),
@@ -87,25 +87,32 @@
 LAST_HASH = "e44a4c0519b79c98409d8e83eafdd8a217f99bb05c1a02a77650bb5aa58a1597"
 
 
-def test_the_trail_of_changes_is_read_with_its_archive(tmp_path):
-    """All entries, versions, the chain of hashes, and where the gateway stands."""
-    trail, said = last_known_good.open_change_log(copied("changes", tmp_path))
-    assert said == ""
-    assert trail.verify(archives=True) == []
+def test_the_change_log_is_read_with_its_archive(tmp_path):
+    """Compares all entries, versions, the chain of hashes and the rollout state."""
+    change_log, problem = last_known_good.open_change_log(copied("changes", tmp_path))
+    assert problem == ""
+    assert change_log.verify(archives=True) == []
 
-    entries = trail.all_entries()
+    entries = change_log.all_entries()
     assert [entry.seq for entry in entries] == list(range(1, len(ENTRIES) + 2))
     assert [entry.unix_ms for entry in entries] == [START_MS + 1000 * n for n in range(len(ENTRIES) + 1)]
-    found = [
+    fields = [
         (e.actor, e.action, e.version, e.confirm_by_ms, e.note, e.origin, e.activate_at_ms) for e in entries
     ]
-    assert found[:-1] == ENTRIES
-    assert [entry.seq for entry in trail.archived_entries()] == list(range(1, PRUNED_ENTRIES + 1))
+    assert fields[:-1] == ENTRIES
+    assert [entry.seq for entry in change_log.archived_entries()] == list(range(1, PRUNED_ENTRIES + 1))
     assert entries[PRUNED_ENTRIES - 1].hash == LAST_PRUNED_HASH
     assert entries[-1].hash == LAST_HASH
 
-    who, what, version, until_ms, note, origin, at_ms = found[-1]
-    assert (who, what, version, until_ms, origin, at_ms) == ("gateway", "pruned", 0, 0.0, "", 0.0)
+    actor, action, version, confirm_by_ms, note, origin, activate_at_ms = fields[-1]
+    assert (actor, action, version, confirm_by_ms, origin, activate_at_ms) == (
+        "gateway",
+        "pruned",
+        0,
+        0.0,
+        "",
+        0.0,
+    )
     assert json.loads(note) == {
         "seq": PRUNED_ENTRIES,
         "hash": LAST_PRUNED_HASH,
@@ -123,30 +130,32 @@
         "kept": {"2": "b5a967070f323ecb4619a3540c6a50367324b8267881dd35acc17143a6442400"},
     }
 
-    assert trail.state() == RolloutState(serving=2, staged=4, previous=3, staged_activate_at_ms=ON_HOLD_MS)
-    assert trail.version(2) == Version(2, 1, settings_text(200), difference(100, 200))
-    assert trail.version(3) == Version(3, 2, settings_text(300), difference(200, 300))
-    assert trail.version(4) == Version(4, 2, settings_text(250), difference(200, 250))
+    assert change_log.state() == RolloutState(
+        serving=2, staged=4, previous=3, staged_activate_at_ms=ON_HOLD_MS
+    )
+    assert change_log.version(2) == Version(2, 1, settings_text(200), difference(100, 200))
+    assert change_log.version(3) == Version(3, 2, settings_text(300), difference(200, 300))
+    assert change_log.version(4) == Version(4, 2, settings_text(250), difference(200, 250))
     with pytest.raises(ChangeLogError, match="no version 1"):
-        trail.version(1)
-    archived = trail.archive_paths()[0].read_text(encoding="utf-8").splitlines()
+        change_log.version(1)
+    archived = change_log.archive_paths()[0].read_text(encoding="utf-8").splitlines()
     assert json.loads(archived[0]) == {"version": [1, 0, settings_text(100), "[]"]}
-    assert {path: entry.seq for path, entry in trail.blame().items()} == {"limits.connections": 15}
+    assert {path: entry.seq for path, entry in change_log.blame().items()} == {"limits.connections": 15}
 
 
 def test_the_version_that_was_served_last_is_read(tmp_path):
-    """Its number and text; a checksum that does not fit would give None."""
+    """Compares its number and text; load() returns None if the checksum does not fit."""
     served = last_known_good.load(copied("changes", tmp_path))
     assert served is not None
     assert (served.version, served.text) == (2, settings_text(200))
     assert served.sha256 == "755c96edcfe5b4ae813ba93cbeb9a012a5c996e4df8a739a587db3364a863b83"
 
 
-# Nodes
+# Endpoints
 
 
-def test_both_generations_of_the_node_list_are_read(tmp_path):
-    """Every field of each node."""
+def test_both_generations_of_the_endpoint_list_are_read(tmp_path):
+    """Compares every field of each endpoint."""
     folder = copied("nodes", tmp_path)
     first = CachedEndpoint(
         "192.0.2.1:9000", 0, "east", DiscoveryStatus.USABLE, "on the list", 5.0, "store-1", "boot-1"
@@ -176,15 +185,15 @@
         for number, state in enumerate(("doubtful", "usable", "cold", "draining", "gone", "reused"), 2)
     ]
 
-    newest, said = nodes_disk.load(folder)
-    assert said == []
-    assert newest == nodes_disk.CachedEndpointList(START_MS + 1000, "gateway-1", [first, *others])
-    before = nodes_disk.read_generation(nodes_disk.generation_path(folder, 1))
-    assert before == nodes_disk.CachedEndpointList(START_MS, "gateway-1", [first])
+    newest, problems = endpoint_cache.load(folder)
+    assert problems == []
+    assert newest == endpoint_cache.CachedEndpointList(START_MS + 1000, "gateway-1", [first, *others])
+    previous = endpoint_cache.read_generation(endpoint_cache.generation_path(folder, 1))
+    assert previous == endpoint_cache.CachedEndpointList(START_MS, "gateway-1", [first])
 
 
-def test_the_history_of_nodes_is_read(tmp_path):
-    """All lines, in order, as the command shows them."""
+def test_the_endpoint_history_is_read(tmp_path):
+    """Compares all lines, in order, as the command prints them."""
     folder = copied("nodes-history", tmp_path)
     result = CliRunner().invoke(main, ["nodes", "history", str(folder), "--json"])
     assert result.exit_code == 0, result.output
@@ -200,19 +209,19 @@
     ]
 
 
-# Fleet
+# Membership
 
 
-def test_the_members_of_the_fleet_are_read(tmp_path):
-    """This gateway's name and last life, and the other members in order."""
-    kept, said = fleet_disk.load(copied("fleet", tmp_path))
-    assert said == ""
-    assert kept == fleet_disk.KnownMembers(
+def test_the_known_members_are_read(tmp_path):
+    """Compares this gateway's name and last incarnation, and the other members in order."""
+    known, problem = member_cache.load(copied("fleet", tmp_path))
+    assert problem == ""
+    assert known == member_cache.KnownMembers(
         "gateway-1",
         1_700_000_000_123,
         [
-            fleet_disk.KnownMember("gateway-2", "192.0.2.12:7400"),
-            fleet_disk.KnownMember("gateway-3", "[2001:db8::3]:7400"),
+            member_cache.KnownMember("gateway-2", "192.0.2.12:7400"),
+            member_cache.KnownMember("gateway-3", "[2001:db8::3]:7400"),
         ],
     )
 
@@ -221,7 +230,7 @@
 
 
 def test_keys_of_the_admin_api_are_read(tmp_path):
-    """Ids, persons, times and secrets, and which keys count when."""
+    """Compares ids, owners, times and secrets, and which keys are valid when."""
     path = copied("keys", tmp_path) / "admin-keys.json"
     keys = admin_keys.read_keys(path)
     assert [(key.id, key.who, key.valid_from_ms, key.valid_until_ms) for key in keys] == [
@@ -235,8 +244,8 @@
     assert [key.id for key in ring.valid_keys(START_MS + 1000)] == ["alice-test"]
 
 
-def test_access_keys_are_read_and_their_secrets_opened(tmp_path):
-    """Keys sealed with an older and a newer master key, their rights, and their secrets."""
+def test_access_keys_are_read_and_their_secrets_decrypted(tmp_path):
+    """Keys encrypted with an older and a newer master key; compares their rights and secrets."""
     folder = copied("keys", tmp_path)
     path, master = folder / "access-keys.json", folder / "test-master-keys"
     first, second = access_keys.read_keys(path)
@@ -263,12 +272,12 @@
 
 
 def test_the_write_back_log_is_read(tmp_path):
-    """Which writes are left, what may have been sent, and each field of the records."""
+    """Compares the pending writes, those that may have been sent, and each field of the records."""
     log = Log(Folder(copied("writeback", tmp_path)), SEGMENT_BYTES, 4 * SEGMENT_BYTES)
     try:
         assert log.recovery == RecoveryReport(records=7, torn=[], corrupt=[], bytes=1016)
         assert (log.sequence, log.synced, log.epoch) == (7, 7, 3)
-        assert {sequence: astuple(place) for sequence, place in log.pending_writes.items()} == {
+        assert {sequence: astuple(location) for sequence, location in log.pending_writes.items()} == {
             2: (1, 248, 142),
             4: (2, 72, 388),
         }
@@ -308,7 +317,7 @@
 
 
 def account(number: int) -> Account:
-    """The account of one request in the fixture."""
+    """Returns the account of one request in the fixture."""
     held = 2_000_000 + number
     return Account(
         request=f"request-{number}",
@@ -335,7 +344,7 @@
     )
 
 
-NOTED = Account(
+ACCOUNT_OF_TRACE = Account(
     request="request-noted",
     began_unix_ms=START_MS + 299_992,
     gateway="gateway-1",
@@ -366,15 +375,15 @@
 
 
 def latencies(values: list[int]) -> LatencySum:
-    """Latencies in nanoseconds as a minute keeps them."""
-    made = new_histogram()
+    """Returns the sum of latencies in nanoseconds, as stored for a minute."""
+    histogram = new_histogram()
     for value in values:
-        made.record_value(value // 1000)
-    return LatencySum(len(values), sum(values), made.encode())
+        histogram.record_value(value // 1000)
+    return LatencySum(len(values), sum(values), histogram.encode())
 
 
 def volume_sum(volume: str, numbers: list[int]) -> VolumeSum:
-    """The minute of a volume with the accounts of these numbers."""
+    """Returns the sums of a volume in the minute of the accounts with these numbers."""
     held = sum(2_000_000 + number for number in numbers)
     return VolumeSum(
         volume,
@@ -386,8 +395,8 @@
     )
 
 
-def minute(number: int, numbers: list[int], volumes: list[VolumeSum], firsts: int) -> MinuteSums:
-    """One summed-up minute with the accounts of these numbers; ``volumes`` in the order of their first request."""
+def minute(number: int, numbers: list[int], volumes: list[VolumeSum], retries: int) -> MinuteSums:
+    """Returns the sums of a minute with the accounts of these numbers; ``volumes`` in the order of their first request."""
     count = len(numbers)
     requests = {volume.volume: volume.latency.count for volume in volumes}
     by_held = sorted(volumes, key=lambda volume: -volume.queued_ns)
@@ -423,30 +432,30 @@
         matrix=[(volume.volume, "volume", "volume-9", "export", volume.queued_ns) for volume in by_held],
         folded_ns=0,
         max_omitted_cell_ns=0,
-        retries=firsts,
+        retries=retries,
         slowest=[account(each) for each in numbers],
     )
 
 
-def test_a_ledger_is_read_with_its_summed_up_minutes(tmp_path):
-    """Two minutes of sums, then an account and a note, in order; nothing is lost."""
+def test_a_ledger_is_read_with_its_minute_sums(tmp_path):
+    """Two minutes of sums, then an account and a trace, in order; nothing is lost."""
     folder = copied("ledger", tmp_path)
-    found = segments.RecoveryReport()
-    entries = list(ledger.read_entries([folder], found))
-    assert found == segments.RecoveryReport(records=4, lost_bytes=0, segments=2, losses=[])
+    recovery = segments.RecoveryReport()
+    entries = list(ledger.read_entries([folder], recovery))
+    assert recovery == segments.RecoveryReport(records=4, lost_bytes=0, segments=2, losses=[])
     assert entries == [
         minute(
-            28_333_333, [0, 1, 2], [volume_sum("volume-0", [0, 2]), volume_sum("volume-1", [1])], firsts=1
+            28_333_333, [0, 1, 2], [volume_sum("volume-0", [0, 2]), volume_sum("volume-1", [1])], retries=1
         ),
-        minute(28_333_334, [3, 4], [volume_sum("volume-1", [3]), volume_sum("volume-0", [4])], firsts=0),
+        minute(28_333_334, [3, 4], [volume_sum("volume-1", [3]), volume_sum("volume-0", [4])], retries=0),
         account(7),
-        NOTED,
+        ACCOUNT_OF_TRACE,
     ]
 
 
-def test_what_a_ledger_said_was_held_is_read(tmp_path):
-    """The gateway, the time, and what it held at that moment."""
-    held = records.QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
+def test_the_queue_snapshot_of_a_ledger_is_read(tmp_path):
+    """Compares the gateway, the time, and the requests that were queued then."""
+    queued = records.QueuedGroup(1, "fetch", 3, "window", [("volume", "volume-9", "export", 0.75)])
     assert read_queue_snapshot(copied("ledger", tmp_path)) == records.QueueSnapshot(
-        START_MS, "gateway-1", [held], 0, 0
+        START_MS, "gateway-1", [queued], 0, 0
     )
