--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -291,9 +291,8 @@
                 await it.ask("GET", "/school-1/other-1")
             accounts = close_and_read_ledger(it, tmp_path)
             at_slow = [a for a in accounts if a.attempt_endpoints == [slow.name]]
-            attempt_ms = (
-                min(a.attempt_times_ns[0] for a in at_slow) / 1e6
-            )  # the attempt least disturbed by the host
+            # The attempt least disturbed by the host.
+            attempt_ms = min(a.attempt_times_ns[0] for a in at_slow) / 1e6
             assert attempt_ms == pytest.approx(slow_ms, rel=0.05, abs=2.5), (
                 "the host's own time is up to 2.5 ms"
             )
--- a/winchdyke/latency_attribution/ledger_writer.py
+++ b/winchdyke/latency_attribution/ledger_writer.py
@@ -47,7 +47,7 @@
 
 
 class LedgerWriter:
-    """Writes accounts in a thread of its own. Disk errors lose accounts, which are counted, and have no other effect.
+    """Writes accounts in a thread of its own. A disk error loses accounts, which are counted, and has no other effect.
 
     Attributes:
         dropped: Accounts dropped because the queue was full.
--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -31,9 +31,8 @@
 MIN_BIN_MS = 500.0  # in shorter bins, random variation hides the throughput
 THROUGHPUT_QUANTILE = 0.9  # over an endpoint's bins; the maximum would vary at random
 MAX_TRACKED_KEYS = 200_000
-MAX_RETRY_DELAY_MS = (
-    15_000.0  # a later request counts as a possible retry up to this time after an unserved one
-)
+# A request counts as a possible retry up to this time after an unserved one.
+MAX_RETRY_DELAY_MS = 15_000.0
 MIN_ATTEMPT_MS = 1e-3
 NS_PER_MS = 1e6
 
--- a/winchdyke/latency_attribution/queue_observer.py
+++ b/winchdyke/latency_attribution/queue_observer.py
@@ -104,7 +104,7 @@
 
 
 class QueuedRequest:
-    """One queued request: the reading at the begin of its wait, and a cause of its own if it has one."""
+    """One queued request: the reading at the start of its wait, and a cause of its own if it has one."""
 
     __slots__ = (
         "cause",
--- a/winchdyke/latency_attribution/retention.py
+++ b/winchdyke/latency_attribution/retention.py
@@ -8,9 +8,8 @@
 
 from winchdyke.latency_attribution.segments import SEGMENT_SUFFIX, SUMS_SUFFIX
 
-DETAIL_FRACTION = (
-    0.75  # of the total size, for segments; the rest is for minute sums and the segment being written
-)
+# The part of the total size for segments; the rest is for minute sums and the segment being written.
+DETAIL_FRACTION = 0.75
 
 
 def segments_due(directory: Path, max_total_bytes: int, retention_seconds: float) -> list[Path]:
--- a/winchdyke/writeback/log.py
+++ b/winchdyke/writeback/log.py
@@ -260,7 +260,7 @@
         synced: The last sequence number covered by a successful sync. Records up to it are durable, except those in
             ``failed_sequences``.
         has_spare: Whether a file with the blocks of the next segment exists, in addition to ``total_bytes``.
-        epoch: The number of this process among those that have opened the log; its segments carry it.
+        epoch: The epoch of this process, one more than the highest epoch in the headers of older segments.
     """
 
     def __init__(
@@ -394,7 +394,10 @@
             self._segments[location.segment].pending.discard(sequence)
 
     def _remove_done_segments(self) -> None:
-        """Removes segments without pending writes, the oldest first; the last one stays, as it holds the number."""
+        """Removes segments without pending writes, the oldest first.
+
+        The last segment stays, because the number of the next one is derived from it.
+        """
         for number in sorted(self._segments)[:-1]:
             if self._segments[number].pending:
                 return
