--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -19,7 +19,7 @@
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent / "tests"))
 
 from rig import Rig, rig
-from test_latency_attribution import waits, with_ledger
+from test_latency_attribution import close_and_read_ledger, settings_with_ledger
 
 from winchdyke.latency_attribution.records import Account
 from winchdyke.latency_attribution.report import report_data
@@ -35,7 +35,9 @@
     found = (f"/{volume}/k{n}" for n in range(100_000))
     return [
         path
-        for path, _ in zip((p for p in found if site.where(p) is site.stores[0]), range(count), strict=False)
+        for path, _ in zip(
+            (p for p in found if site.store_of(p) is site.stores[0]), range(count), strict=False
+        )
     ]
 
 
@@ -47,7 +49,7 @@
 ) -> ScenarioResult:
     """Sends requests of a volume, ``spread_ms`` apart, and behind them the victim volume's every 50 ms."""
     sent: dict[str, float] = {}
-    async with rig(with_ledger(folder), unit_ms=unit_ms, cores=CORES) as site:
+    async with rig(settings_with_ledger(folder), unit_ms=unit_ms, cores=CORES) as site:
         other_paths, victim_paths = object_paths(site, volume, count), object_paths(site, VICTIM, 12)
 
         async def ask(path: str, after_ms: float, name: str, **headers: str) -> None:
@@ -71,7 +73,7 @@
                 )
             for number, path in enumerate(victim_paths):
                 group.start_soon(ask, path, 60.0 + 50.0 * number, f"victim-{number}")
-        return site, waits(site, folder), sent
+        return site, close_and_read_ledger(site, folder), sent
 
 
 def compare(
@@ -104,13 +106,13 @@
 
 async def run_slow_node(folder: Path, slow_ms: float) -> tuple[float, float]:
     """Returns the response time (ms) of one slow node, by its own record and by the report."""
-    async with rig(with_ledger(folder), unit_ms=slow_ms / 10) as site:
+    async with rig(settings_with_ledger(folder), unit_ms=slow_ms / 10) as site:
         path = "/school-1/object"
-        node = site.where(path)
+        node = site.store_of(path)
         node.slow = 10.0
         for _ in range(5):
             await site.ask("GET", path)
-        accounts = waits(site, folder)
+        accounts = close_and_read_ledger(site, folder)
         assert report_data(summarize(accounts))["nodes"][0]["node"] == node.name
         received_ms = {event["request"]: event["t"] for event in site.record.seen if event["what"] == "head"}
         served_in_ms = {
