--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -144,14 +144,14 @@
     if got is None:
         return
     told = f"bytes {got[0]}-{got[1]}/{size}"
-    assert ranges.answers(asked, 206, told, got[1] - got[0] + 1)
-    assert not ranges.answers(asked, 206, told, got[1] - got[0] + 2)
+    assert ranges.response_matches(asked, 206, told, got[1] - got[0] + 1)
+    assert not ranges.response_matches(asked, 206, told, got[1] - got[0] + 2)
     if first is not None:
-        assert not ranges.answers(
+        assert not ranges.response_matches(
             asked, 206, f"bytes {got[0] + 1}-{got[1] + 1}/{size + 1}", got[1] - got[0] + 1
         )
-    assert not ranges.answers(None, 206, told, None)
-    assert ranges.answers(asked, 200, None, size), "a store may serve the whole"
+    assert not ranges.response_matches(None, 206, told, None)
+    assert ranges.response_matches(asked, 200, None, size), "a store may serve the whole"
 
 
 @given(
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -531,10 +531,10 @@
 
 
 def test_an_operation_costs_its_bytes_in_units():
-    from winchdyke.object_api.routes import Operation, units
+    from winchdyke.object_api.routes import Operation, estimate_units
 
     put = Operation("put", "v", "k")
-    assert [units(put, size, 1024, 2.0, 8.0) for size in (0, 1, 1024, 1025, 5000, 10**9)] == [
+    assert [estimate_units(put, size, 1024, 2.0, 8.0) for size in (0, 1, 1024, 1025, 5000, 10**9)] == [
         1,
         1,
         1,
@@ -543,8 +543,8 @@
         8,
     ]
     assert (
-        units(put, None, 1024, 2.0, 8.0) == 2.0
-        and units(Operation("delete", "v", "k"), None, 1024, 2.0, 8.0) == 1.0
+        estimate_units(put, None, 1024, 2.0, 8.0) == 2.0
+        and estimate_units(Operation("delete", "v", "k"), None, 1024, 2.0, 8.0) == 1.0
     )
 
 
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -258,4 +258,4 @@
     if operation.part and operation.name == "get":
         # Only the store knows which bytes a part has.
         return head.status in (200, 206) or head.status >= 400
-    return ranges.answers(operation.range, head.status, head.get(b"content-range"), head.length)
+    return ranges.response_matches(operation.range, head.status, head.get(b"content-range"), head.length)
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -316,7 +316,7 @@
         rules = kind.rules
         deadline_ms = min(rules.deadline_ms, operation.time_left_ms or rules.deadline_ms)
         context.time_left_ms = deadline_ms - self.config.limits.answer_margin
-        context.units = routes.units(
+        context.units = routes.estimate_units(
             operation,
             context.source.length,
             kind.unit_bytes,
--- a/winchdyke/gateway/store_request.py
+++ b/winchdyke/gateway/store_request.py
@@ -40,7 +40,7 @@
         (store_protocol.CLASS_HEADER, request.request_class.encode()),
         (store_protocol.UNITS_HEADER, f"{request.units:g}".encode()),
         (store_protocol.SHARD_HEADER, str(shard).encode()),
-        *operation.passed,
+        *operation.forwarded_headers,
     ]
     if config_version:
         headers.append((store_protocol.CONFIG_VERSION_HEADER, str(config_version).encode()))
--- a/winchdyke/gateway/write_back_path.py
+++ b/winchdyke/gateway/write_back_path.py
@@ -81,7 +81,7 @@
             key=operation.key,
             class_name=context.kind.rules.name,
             repeat_key=operation.idempotency_key,
-            passed=list(operation.passed),
+            passed=list(operation.forwarded_headers),
             shard=placement.shard_of(operation.volume, operation.key, context.volume.shards),
             units=context.units,
             etag=etag,
--- a/winchdyke/gateway/writeback.py
+++ b/winchdyke/gateway/writeback.py
@@ -199,7 +199,7 @@
             return False
         if length is None or length > self.settings.record_bytes:
             return False
-        return not any(name.startswith(b"if-") for name, _ in operation.passed)
+        return not any(name.startswith(b"if-") for name, _ in operation.forwarded_headers)
 
     def remembered_etag(self, volume: str, idempotency_key: str) -> str | None:
         """Return the ETag that a write with this key was answered with, even after its store has forgotten the key."""
@@ -311,7 +311,7 @@
             "put",
             record.volume,
             record.key,
-            passed=(*record.passed, condition),
+            forwarded_headers=(*record.passed, condition),
             class_name=record.class_name,
             idempotency_key=record.repeat_key or request_id,
             client_request=record.client_request,
--- a/winchdyke/object_api/ranges.py
+++ b/winchdyke/object_api/ranges.py
@@ -46,7 +46,9 @@
     return ByteRange(first, last)
 
 
-def answers(asked: ByteRange | None, status: int, content_range: str | None, length: int | None) -> bool:
+def response_matches(
+    asked: ByteRange | None, status: int, content_range: str | None, length: int | None
+) -> bool:
     """Whether a store's answer fits what was asked: a 206 is the range asked for, and as long as it says."""
     if status != 206:
         return True
--- a/winchdyke/object_api/routes.py
+++ b/winchdyke/object_api/routes.py
@@ -46,7 +46,7 @@
     after: str = ""
     limit: int = LIST_MOST
     range: ranges.ByteRange | None = None
-    passed: tuple[tuple[bytes, bytes], ...] = ()
+    forwarded_headers: tuple[tuple[bytes, bytes], ...] = ()
     idempotency_key: str = ""
     class_name: str | None = None
     time_left_ms: float | None = None
@@ -208,7 +208,7 @@
     idempotency = head.get(b"idempotency-key") or ""
     if idempotency and not _VISIBLE.fullmatch(idempotency):
         raise RequestError(400, "bad-header", "Idempotency-Key has 1 to 255 visible ASCII characters")
-    passed = tuple((header, value) for header, value in head.headers if header in _PASSED)
+    forwarded_headers = tuple((header, value) for header, value in head.headers if header in _PASSED)
     asked_range = ranges.parse(head.get(b"range")) if name == "get" else None
     return Operation(
         name=name,
@@ -220,7 +220,7 @@
         after=query.get("after", ""),
         limit=_number(query, "limit", LIST_MOST, LIST_MOST),
         range=asked_range,
-        passed=passed,
+        forwarded_headers=forwarded_headers,
         idempotency_key=idempotency,
         class_name=head.get(b"winchdyke-class"),
         time_left_ms=_time_left(head.get(b"winchdyke-time-left")),
@@ -228,7 +228,9 @@
     )
 
 
-def units(operation: Operation, length: int | None, unit_bytes: int, usual: float, largest: float) -> float:
+def estimate_units(
+    operation: Operation, length: int | None, unit_bytes: int, usual: float, largest: float
+) -> float:
     """What an operation counts: its bytes in units, where they are known before; one for what moves none."""
     size: int | None = 0
     if operation.name in ("put", "post", "put-part"):
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -537,15 +537,19 @@
         relay = Relay(self.connection, overrides)
         name = "head" if self.head.method == "HEAD" else "get"
         part = ranges.parse(self.head.get(b"range")) if name == "get" else None
-        passed = requests.conditions(self.head)
+        forwarded_headers = requests.conditions(self.head)
         number = asked.number("partNumber", requests.PART_MOST, 0, 1)
         if number and part is not None:
             raise S3Error("InvalidRequest", "a range and a part number do not go together")
         if part is None:
-            final = await self._do(name, asked.bucket, asked.key, sink=relay, passed=passed, part=number)
+            final = await self._do(
+                name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, part=number
+            )
         else:
             async with self._lane(self.s3.ranges, f"{asked.bucket}/{asked.key}", name):
-                final = await self._do(name, asked.bucket, asked.key, sink=relay, passed=passed, range=part)
+                final = await self._do(
+                    name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, range=part
+                )
         if final.streamed:
             self.outcome = final.outcome
             if final.outcome != "served":
@@ -568,8 +572,8 @@
         if self.head.length is None and self.head.get(b"x-amz-decoded-content-length") is None:
             raise S3Error("MissingContentLength", "Content-Length is missing", 411)
         source, body = self._source()
-        passed = requests.kept(self.head) + requests.conditions(self.head)
-        final = await self._with_body("put", asked, source, passed=passed)
+        forwarded_headers = requests.kept(self.head) + requests.conditions(self.head)
+        final = await self._with_body("put", asked, source, forwarded_headers=forwarded_headers)
         await self._put_answer(final, body, "NoSuchBucket")
 
     async def _with_body(self, name: str, asked: Asked, source: BodySource, **more: object) -> FinalResponse:
@@ -596,7 +600,9 @@
         await self._say(200, b"", told)
 
     async def _DeleteObject(self, asked: Asked) -> None:
-        final = await self._do("delete", asked.bucket, asked.key, passed=requests.conditions(self.head))
+        final = await self._do(
+            "delete", asked.bucket, asked.key, forwarded_headers=requests.conditions(self.head)
+        )
         if final.response is None or final.response.head.status != 404:  # what is not there is deleted
             self._answered(final)
         await self._say(204)
@@ -647,12 +653,16 @@
             b"x-amz-copy-source-if-modified-since": b"if-modified-since",
             b"x-amz-copy-source-if-unmodified-since": b"if-unmodified-since",
         }  # fmt: skip
-        passed = tuple((names[name], value) for name, value in self.head.headers if name in names)
+        forwarded_headers = tuple((names[name], value) for name, value in self.head.headers if name in names)
         pipe, finals = Pipe(), list[FinalResponse]()
 
         async def get() -> None:
             try:
-                finals.append(await self._do("get", bucket, key, sink=pipe, passed=passed, range=part))
+                finals.append(
+                    await self._do(
+                        "get", bucket, key, sink=pipe, forwarded_headers=forwarded_headers, range=part
+                    )
+                )
             finally:
                 pipe.close()
 
@@ -694,7 +704,7 @@
 
         async def put(source: BodySource, head: ResponseHead) -> FinalResponse:
             kept = requests.kept(self.head) if word == "REPLACE" else _kept_of(head)
-            return await self._do("put", asked.bucket, asked.key, source, passed=kept)
+            return await self._do("put", asked.bucket, asked.key, source, forwarded_headers=kept)
 
         head = self._answered(await self._copied(put), "NoSuchBucket")
         told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
@@ -767,7 +777,9 @@
 
     async def _CreateMultipartUpload(self, asked: Asked) -> None:
         self.s3._volumes.add(asked.bucket)
-        final = await self._do("start-upload", asked.bucket, asked.key, passed=requests.kept(self.head))
+        final = await self._do(
+            "start-upload", asked.bucket, asked.key, forwarded_headers=requests.kept(self.head)
+        )
         self._answered(final, "NoSuchBucket")
         assert final.response is not None
         upload = msgspec.json.decode(final.response.body)["uploadId"]
@@ -869,9 +881,14 @@
         body = msgspec.json.encode(
             {"parts": [{"partNumber": part.number, "etag": part.etag} for part in wanted]}
         )
-        passed = requests.conditions(self.head)
+        forwarded_headers = requests.conditions(self.head)
         final = await self._do(
-            "complete-upload", asked.bucket, asked.key, _bytes(body), upload=upload, passed=passed
+            "complete-upload",
+            asked.bucket,
+            asked.key,
+            _bytes(body),
+            upload=upload,
+            forwarded_headers=forwarded_headers,
         )
         if final.response is not None and final.response.head.status == 400:
             raise S3Error("InvalidPart", "a part is not the one that was put: it was put anew meanwhile")
