--- a/fuzz/signatures.py
+++ b/fuzz/signatures.py
@@ -23,7 +23,7 @@
     )
     from winchdyke.http1 import RequestHead
     from winchdyke.s3 import requests, xml
-    from winchdyke.s3.body import Body, Wanted
+    from winchdyke.s3.body import BodyVerifier, ExpectedBody
     from winchdyke.s3.errors import S3Error
 
 NOW_S = 1_369_353_600.0
@@ -66,16 +66,20 @@
         headers_list = [(HEADER_NAMES[line[0] % len(HEADER_NAMES)], line[1:]) for line in lines[1:8] if line]
         head = RequestHead(METHODS[len(rest) % 5], ("/" + _visible_ascii(lines[0])).encode(), headers_list, 0)
         try:
-            asked = requests.read(head, "s3.test")
-            requests.kept(head)
+            asked = requests.parse(head, "s3.test")
+            requests.stored_headers(head)
             requests.copy_source(head)
-            asked.number("partNumber", 10_000, 1)
+            asked.integer("partNumber", 10_000, 1)
         except S3Error as error:
             assert error.text and 400 <= error.status < 600
     elif kind == 2:
-        body = Body(
-            Wanted(
-                "STREAMING-UNSIGNED-PAYLOAD-TRAILER", None, len(rest) // 2, sums={"crc32": None}, packed=True
+        body = BodyVerifier(
+            ExpectedBody(
+                "STREAMING-UNSIGNED-PAYLOAD-TRAILER",
+                None,
+                len(rest) // 2,
+                checksum_values={"crc32": None},
+                aws_chunked=True,
             )
         )
         out = 0
@@ -88,7 +92,7 @@
         else:
             assert out == len(rest) // 2
     else:
-        for read in (xml.completion, xml.deletion):
+        for read in (xml.parse_completion, xml.parse_deletion):
             try:
                 read(rest)
             except S3Error as error:
--- a/tests/test_auth.py
+++ b/tests/test_auth.py
@@ -40,8 +40,8 @@
     is_signed,
     verify,
 )
-from winchdyke.s3.body import Body, Wanted
-from winchdyke.s3.checksums import shown
+from winchdyke.s3.body import BodyVerifier, ExpectedBody
+from winchdyke.s3.checksums import encode_base64
 from winchdyke.s3.errors import S3Error
 
 # The S3 API reference's "Signature Calculations" examples.
@@ -145,7 +145,7 @@
 
     def decode(data: bytes, step: int) -> bytes:
         found = verify(request, find_secret, SIGNED_AT_S)
-        body = Body(Wanted(STREAMING_PAYLOAD, found.chunks, 66560, packed=True))
+        body = BodyVerifier(ExpectedBody(STREAMING_PAYLOAD, found.chunks, 66560, aws_chunked=True))
         out = b"".join(body.feed(data[at : at + step]) for at in range(0, len(data), step))
         assert len(out) < 66560, "the last bytes are held back until the whole body is verified"
         return out + body.finish()
@@ -273,8 +273,8 @@
     data = b"x" * 1000
     digest = hashlib.sha256(data).hexdigest()
 
-    def decode(wanted: Wanted, raw: bytes) -> str:
-        body = Body(wanted)
+    def decode(wanted: ExpectedBody, raw: bytes) -> str:
+        body = BodyVerifier(wanted)
         got = 0
         with pytest.raises(S3Error) as error:
             for at in range(0, len(raw), 100):
@@ -283,15 +283,21 @@
         assert got < 1000, "a store would have received the whole body"
         return error.value.code
 
-    assert decode(Wanted(digest, None, 1000), data[:-1] + b"y") == "XAmzContentSHA256Mismatch"
-    assert decode(Wanted("", None, 1000, md5=b"0" * 16), data) == "BadDigest"
-    assert decode(Wanted("", None, 1000, sums={"crc32": b"0000"}), data) == "BadDigest"
-    assert decode(Wanted("", None, 1000, sums={"crc32c": b"0000"}), data) == "BadDigest"
-    assert decode(Wanted("", None, 1000), data[:-1]) == "IncompleteBody"
+    assert decode(ExpectedBody(digest, None, 1000), data[:-1] + b"y") == "XAmzContentSHA256Mismatch"
+    assert decode(ExpectedBody("", None, 1000, md5=b"0" * 16), data) == "BadDigest"
+    assert decode(ExpectedBody("", None, 1000, checksum_values={"crc32": b"0000"}), data) == "BadDigest"
+    assert decode(ExpectedBody("", None, 1000, checksum_values={"crc32c": b"0000"}), data) == "BadDigest"
+    assert decode(ExpectedBody("", None, 1000), data[:-1]) == "IncompleteBody"
     trailer = b"3e8\r\n" + data + b"\r\n0\r\nx-amz-checksum-crc32:%s\r\n\r\n"
 
-    def wanted() -> Wanted:
-        return Wanted("STREAMING-UNSIGNED-PAYLOAD-TRAILER", None, 1000, sums={"crc32": None}, packed=True)
+    def wanted() -> ExpectedBody:
+        return ExpectedBody(
+            "STREAMING-UNSIGNED-PAYLOAD-TRAILER",
+            None,
+            1000,
+            checksum_values={"crc32": None},
+            aws_chunked=True,
+        )
 
     assert decode(wanted(), trailer % b"AAAAAA==") == "BadDigest"
     assert decode(wanted(), b"3e8\r\n" + data + b"\r\n0\r\n\r\n") == "BadDigest", (
@@ -300,8 +306,8 @@
     assert decode(wanted(), b"3e8\r\n" + data + b"\r\n") == "IncompleteBody"
     assert decode(wanted(), b"zz\r\n" + data) == "MalformedTrailerError"
     assert decode(wanted(), b"3e7\r\n" + data + b"\r\n0\r\n\r\n") == "MalformedTrailerError"
-    body = Body(wanted())
-    good = trailer % shown(zlib.crc32(data).to_bytes(4, "big")).encode()
+    body = BodyVerifier(wanted())
+    good = trailer % encode_base64(zlib.crc32(data).to_bytes(4, "big")).encode()
     assert body.feed(good) + body.finish() == data
 
 
@@ -311,7 +317,7 @@
     found = verify(PUBLISHED["get"], find_secret, SIGNED_AT_S)
     chunks = found.chunks
     marker = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
-    body = Body(Wanted(marker, chunks, 100, sums={"crc32": None}, packed=True))
+    body = BodyVerifier(ExpectedBody(marker, chunks, 100, checksum_values={"crc32": None}, aws_chunked=True))
     try:
         out = body.feed(raw)
         out += body.finish()
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -921,7 +921,7 @@
     named = "".join(
         f"<Part><PartNumber>{n}</PartNumber><ETag>&quot;t{n}&quot;</ETag></Part>" for n in range(1, 10_001)
     )
-    parts = xml.completion(f"<CompleteMultipartUpload>{named}</CompleteMultipartUpload>".encode())
+    parts = xml.parse_completion(f"<CompleteMultipartUpload>{named}</CompleteMultipartUpload>".encode())
     kept = [multipart.Kept(n, 5 * MIB, f'"t{n}"') for n in range(1, 10_001)]
     assert multipart.fits(parts, kept) == 10_000 * 5 * MIB
     with pytest.raises(Exception, match="was not put"):
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -145,17 +145,19 @@
 @s3_command.command("spoken")
 def spoken() -> None:
     """What is and isn't spoken, as the table in the docs."""
-    from winchdyke.s3.requests import NOT_SPOKEN, SPOKEN
+    from winchdyke.s3.requests import SUPPORTED_OPERATIONS, UNSUPPORTED_PARAMETERS
 
     click.echo("| operation | as | right | notes |\n| --- | --- | --- | --- |")
-    for each in SPOKEN:
+    for each in SUPPORTED_OPERATIONS:
         where = {"service": "/", "bucket": "/BUCKET", "object": "/BUCKET/KEY"}[each.level]
-        query = "&".join(each.query)
-        header = f", `{each.header.decode()}`" if each.header else ""
-        right = {"own": ""}.get(each.right, each.right)
+        query = "&".join(each.required_query)
+        header = f", `{each.required_header.decode()}`" if each.required_header else ""
+        right = {"own": ""}.get(each.required_right, each.required_right)
         click.echo(
             f"| {each.name} | `{each.method} {where}{'?' + query if query else ''}`{header} | {right} | {each.notes} |"
         )
     click.echo(
-        "\nNot spoken (501 `NotImplemented`): " + ", ".join(f"`{name}`" for name in sorted(NOT_SPOKEN)) + "."
+        "\nNot spoken (501 `NotImplemented`): "
+        + ", ".join(f"`{name}`" for name in sorted(UNSUPPORTED_PARAMETERS))
+        + "."
     )
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -40,7 +40,7 @@
 from winchdyke.membership.agent import MembershipAgent
 from winchdyke.membership.errors import MembershipError
 from winchdyke.object_api import store_protocol
-from winchdyke.s3.service import S3
+from winchdyke.s3.service import S3Service
 
 __all__ = ["Gateway", "StartError", "serve"]
 
@@ -100,7 +100,7 @@
         self.address = ("", 0)
         self.addresses: list[tuple[str, int]] = []
         self.admin_addresses: list[object] = []
-        self.s3: S3 | None = None
+        self.s3: S3Service | None = None
         self._certificates = composition.load_certificates(config, self.pool)
         self.clients = ClientListeners(
             config.limits, clock, self._certificates, lambda: self.scheduler_loop.settings.max_retry_after_ms
@@ -237,7 +237,7 @@
             for name, address in self.config.listeners
         ]
         if self.config.s3.listen is not None:
-            self.s3 = S3(self.service, self.config.s3)
+            self.s3 = S3Service(self.service, self.config.s3)
             specs.append(ListenerSpec("s3, listen", self.config.s3.listen, self.s3.handle, True))
         return specs
 
--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -29,33 +29,33 @@
 
 
 @dataclass
-class Wanted:
+class ExpectedBody:
     """What a client said of a body. ``length``: its bytes, unpacked; ``sums``: by name, None where a trailer tells it."""
 
     payload: str = ""  # x-amz-content-sha256
     chunks: ChunkSignatureChain | None = None
     length: int | None = None
     md5: bytes | None = None
-    sums: dict[str, bytes | None] = field(default_factory=dict)
-    packed: bool = False
+    checksum_values: dict[str, bytes | None] = field(default_factory=dict)
+    aws_chunked: bool = False
 
 
-class Body:
+class BodyVerifier:
     """Takes in what comes and gives out what may go on."""
 
-    def __init__(self, wanted: Wanted) -> None:
+    def __init__(self, wanted: ExpectedBody) -> None:
         self.wanted = wanted
         self._raw = bytearray()
         self._held = b""
         self._got = 0
         self._left = 0  # of the chunk that is under way
         self._signature = ""
-        self._state = "head" if wanted.packed else "plain"
+        self._state = "head" if wanted.aws_chunked else "plain"
         self._sha = hashlib.sha256() if re.fullmatch(r"[0-9a-f]{64}", wanted.payload) else None
         self._md5 = hashlib.md5(usedforsecurity=False) if wanted.md5 is not None else None
-        self.sums = {name: checksums.MADE[name]() for name in wanted.sums}
+        self.running_checksums = {name: checksums.MADE[name]() for name in wanted.checksum_values}
         self._trailer: list[tuple[str, str]] = []
-        self._signed = wanted.packed and wanted.payload in (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER)
+        self._signed = wanted.aws_chunked and wanted.payload in (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER)
         if self._signed and wanted.chunks is None:
             raise S3Error("AccessDenied", "a body in signed chunks goes with a signed request")
 
@@ -79,7 +79,7 @@
             raise S3Error(
                 "IncompleteBody", f"the body is longer than the {length} bytes that were stated", 400
             )
-        for each in (self._sha, self._md5, *self.sums.values()):
+        for each in (self._sha, self._md5, *self.running_checksums.values()):
             if each is not None:
                 each.update(data)
         if not data:
@@ -158,7 +158,7 @@
     def finish(self) -> bytes:
         """The end has come: the last bytes, where all fits. S3Error where it does not."""
         wanted = self.wanted
-        if wanted.packed:
+        if wanted.aws_chunked:
             self._finish_packed()
         if wanted.length is not None and self._got != wanted.length:
             raise S3Error("IncompleteBody", f"{self._got} bytes came; {wanted.length} were stated", 400)
@@ -166,8 +166,8 @@
             raise S3Error("XAmzContentSHA256Mismatch", "the body's SHA-256 is not x-amz-content-sha256", 400)
         if self._md5 is not None and not hmac.compare_digest(self._md5.digest(), wanted.md5 or b""):
             raise S3Error("BadDigest", "the body's MD5 is not Content-MD5", 400)
-        for name, value in wanted.sums.items():
-            if value is None or not hmac.compare_digest(self.sums[name].digest(), value):
+        for name, value in wanted.checksum_values.items():
+            if value is None or not hmac.compare_digest(self.running_checksums[name].digest(), value):
                 said = "is missing after the body" if value is None else "is not the body's"
                 raise S3Error("BadDigest", f"{checksums.PREFIX}{name} {said}", 400)
         held, self._held = self._held, b""
@@ -187,8 +187,8 @@
             else:
                 lines.append((name, value))
             sum_name = name.removeprefix(checksums.PREFIX)
-            if name.startswith(checksums.PREFIX) and sum_name in self.wanted.sums:
-                self.wanted.sums[sum_name] = checksums.decoded(value) or b""
+            if name.startswith(checksums.PREFIX) and sum_name in self.wanted.checksum_values:
+                self.wanted.checksum_values[sum_name] = checksums.decoded(value) or b""
         if self.wanted.payload == STREAMING_PAYLOAD_TRAILER:
             assert self.wanted.chunks is not None
             try:
--- a/winchdyke/s3/checksums.py
+++ b/winchdyke/s3/checksums.py
@@ -50,6 +50,6 @@
         return None
 
 
-def shown(value: bytes) -> str:
+def encode_base64(value: bytes) -> str:
     """The other way round."""
     return base64.b64encode(value).decode()
--- a/winchdyke/s3/requests.py
+++ b/winchdyke/s3/requests.py
@@ -1,7 +1,7 @@
 """What an S3 request asks for: method, host, path, query and headers in, an :class:`Asked` out. Pure.
 
 Whatever can't be read, or isn't spoken here, raises :class:`winchdyke.s3.errors.S3Error`. The table of what is spoken is made from
-:data:`SPOKEN` (``winchdyke s3 spoken``).
+:data:`SUPPORTED_OPERATIONS` (``winchdyke s3 spoken``).
 """
 
 from __future__ import annotations
@@ -46,14 +46,14 @@
     name: str
     method: str
     level: str  # service, bucket, object
-    right: str  # list, read, write, delete; own: settings decide
-    query: tuple[str, ...] = ()  # must be there
-    also: tuple[str, ...] = ()  # may be there
-    header: bytes = b""  # must be there
+    required_right: str  # list, read, write, delete; own: settings decide
+    required_query: tuple[str, ...] = ()  # must be there
+    optional_query: tuple[str, ...] = ()  # may be there
+    required_header: bytes = b""  # must be there
     notes: str = ""
 
 
-SPOKEN = (
+SUPPORTED_OPERATIONS = (
     Spoken("ListBuckets", "GET", "service", "own", notes="volumes named without a wildcard that the key may use"),
     Spoken("HeadBucket", "HEAD", "bucket", "list"),
     Spoken("CreateBucket", "PUT", "bucket", "list", notes="answers 200 where settings have the volume; they alone make one"),
@@ -79,7 +79,7 @@
     Spoken("CreateMultipartUpload", "POST", "object", "write", ("uploads",)),
     Spoken("CompleteMultipartUpload", "POST", "object", "write", ("uploadId",), notes="atomic; a repeat gets the first one's answer"),
 )  # fmt: skip
-NOT_SPOKEN = {
+UNSUPPORTED_PARAMETERS = {
     "acl", "tagging", "policy", "cors", "lifecycle", "versions", "versionId", "website", "logging", "notification", "torrent",
     "restore", "select", "retention", "legal-hold", "object-lock", "encryption", "replication", "requestPayment", "accelerate",
     "inventory", "analytics", "metrics", "publicAccessBlock", "ownershipControls", "policyStatus", "attributes",
@@ -103,7 +103,7 @@
         """The upload's id; empty where there is none."""
         return self.query.get("uploadId", "")
 
-    def number(self, name: str, most: int, default: int, low: int = 0) -> int:
+    def integer(self, name: str, most: int, default: int, low: int = 0) -> int:
         """A whole number of the query."""
         text = self.query.get(name)
         if text is None or text == "":
@@ -121,7 +121,7 @@
     return name[: -len(end)] if domain and name.endswith(end) else ""
 
 
-def read(head: RequestHead, domain: str = "") -> Asked:
+def parse(head: RequestHead, domain: str = "") -> Asked:
     """The operation that a request's head asks for; ``domain``: whose names under it are buckets."""
     try:
         target = head.target.decode("ascii")
@@ -154,26 +154,28 @@
 
 
 def _which(head: RequestHead, level: str, query: dict[str, str]) -> Spoken:
-    if strange := sorted(name for name in query if name in NOT_SPOKEN):
+    if strange := sorted(name for name in query if name in UNSUPPORTED_PARAMETERS):
         raise S3Error("NotImplemented", f"{strange[0]} is not spoken here")
-    at_level = [spoken for spoken in SPOKEN if spoken.level == level and spoken.method == head.method]
+    at_level = [
+        spoken for spoken in SUPPORTED_OPERATIONS if spoken.level == level and spoken.method == head.method
+    ]
     if not at_level:
         raise S3Error("MethodNotAllowed", f"{head.method} is not taken here")
-    for spoken in sorted(at_level, key=lambda each: (-len(each.query), not each.header)):
-        if not all(name in query for name in spoken.query):
+    for spoken in sorted(at_level, key=lambda each: (-len(each.required_query), not each.required_header)):
+        if not all(name in query for name in spoken.required_query):
             continue
-        if spoken.header and head.get(spoken.header) is None:
+        if spoken.required_header and head.get(spoken.required_header) is None:
             continue
         if spoken.name == "ListObjectsV2" and query["list-type"] != "2":
             raise S3Error("InvalidArgument", f"list-type is {query['list-type']!r}; it is 2")
-        if extra := sorted(set(query) - {*spoken.query, *spoken.also}):
-            code = "NotImplemented" if extra[0] in NOT_SPOKEN else "InvalidArgument"
+        if extra := sorted(set(query) - {*spoken.required_query, *spoken.optional_query}):
+            code = "NotImplemented" if extra[0] in UNSUPPORTED_PARAMETERS else "InvalidArgument"
             raise S3Error(code, f"{extra[0]} does not go with {spoken.name} here")
         return spoken
     raise S3Error("NotImplemented", f"{head.method} as it is asked is not spoken here")
 
 
-def kept(head: RequestHead) -> tuple[tuple[bytes, bytes], ...]:
+def stored_headers(head: RequestHead) -> tuple[tuple[bytes, bytes], ...]:
     """The headers that a store keeps with an object: content headers and user metadata."""
     found = []
     size = 0
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -33,7 +33,7 @@
 from winchdyke.object_api import ranges, routes, store_protocol
 from winchdyke.object_api.answers import RequestError
 from winchdyke.s3 import checksums, listing, multipart, requests, xml
-from winchdyke.s3.body import PACKED, Body, Wanted
+from winchdyke.s3.body import PACKED, BodyVerifier, ExpectedBody
 from winchdyke.s3.errors import S3Error, of_final
 from winchdyke.s3.lanes import Lanes
 from winchdyke.s3.requests import Asked
@@ -131,7 +131,7 @@
             return b""
 
 
-class S3:
+class S3Service:
     """The S3 dialect at one gateway."""
 
     def __init__(self, service: Service, settings: Settings, wall: Callable[[], float] = time.time) -> None:
@@ -229,7 +229,7 @@
 class Call:
     """One request while it is answered."""
 
-    def __init__(self, s3: S3, connection: ClientConnection, head: RequestHead, request: str) -> None:
+    def __init__(self, s3: S3Service, connection: ClientConnection, head: RequestHead, request: str) -> None:
         self.s3, self.connection, self.head, self.request = s3, connection, head, request
         self.service = s3.service
         self.snapshot: ConfigSnapshot = s3.service.snapshot
@@ -243,7 +243,7 @@
 
     async def run(self) -> None:
         """Let in, and answer."""
-        asked = self.asked = requests.read(self.head, self.s3.settings.domain)
+        asked = self.asked = requests.parse(self.head, self.s3.settings.domain)
         self._let_in(asked)
         if asked.bucket and self.snapshot.volume(asked.bucket) is None:
             raise S3Error("NoSuchBucket", f"no volume {asked.bucket!r} is set up here")
@@ -273,7 +273,7 @@
             )
         if not sigv4.is_signed(request):
             word = self.s3.settings.unsigned
-            if word == "all" or (word == "read" and asked.spoken.right in ("read", "list")):
+            if word == "all" or (word == "read" and asked.spoken.required_right in ("read", "list")):
                 self.rights, self.who = ALL, "anyone"
                 if head.get(b"x-amz-content-sha256") in PACKED:
                     self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
@@ -302,7 +302,7 @@
         except sigv4.AuthError as error:
             raise S3Error(error.code, error.text, error.status) from error
         self.rights, self.who = found[0]
-        right = asked.spoken.right
+        right = asked.spoken.required_right
         if right != "own" and asked.spoken.level != "service":
             name = asked.key if asked.spoken.level == "object" else asked.query.get("prefix", "")
             if asked.spoken.name == "DeleteObjects":
@@ -415,15 +415,15 @@
 
     # Bodies
 
-    def _source(self) -> tuple[BodySource, Body]:
+    def _source(self) -> tuple[BodySource, BodyVerifier]:
         """The client's body, unpacked and checked."""
         head = self.head
         payload = head.get(b"x-amz-content-sha256") or self.signed.payload_hash
         if self.signed.payload_hash not in (sigv4.UNSIGNED_PAYLOAD, sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER):
             payload = self.signed.payload_hash
-        packed = payload in PACKED
-        wanted = Wanted(payload, self.signed.chunks, head.length, packed=packed)
-        if packed:
+        aws_chunked = payload in PACKED
+        wanted = ExpectedBody(payload, self.signed.chunks, head.length, aws_chunked=aws_chunked)
+        if aws_chunked:
             text = head.get(b"x-amz-decoded-content-length")
             if text is None or not text.isascii() or not text.isdigit() or len(text) > 15:
                 raise S3Error("MissingContentLength", "x-amz-decoded-content-length is missing", 411)
@@ -437,17 +437,17 @@
             sum_name = name.decode("latin-1").removeprefix(checksums.PREFIX)
             if name.startswith(checksums.PREFIX.encode()) and sum_name not in ("algorithm", "mode", "type"):
                 self._known(sum_name)
-                wanted.sums[sum_name] = checksums.decoded(value.decode("latin-1"))
-                if wanted.sums[sum_name] is None:
+                wanted.checksum_values[sum_name] = checksums.decoded(value.decode("latin-1"))
+                if wanted.checksum_values[sum_name] is None:
                     raise S3Error("InvalidRequest", f"{name.decode()} is not base64")
         if trailer := head.get(b"x-amz-trailer"):
-            if not packed or not payload.endswith("TRAILER"):
+            if not aws_chunked or not payload.endswith("TRAILER"):
                 raise S3Error("InvalidRequest", "x-amz-trailer goes with a body in chunks that has a trailer")
             for each in trailer.split(","):
                 sum_name = each.strip().lower().removeprefix(checksums.PREFIX)
                 self._known(sum_name)
-                wanted.sums[sum_name] = None
-        body = Body(wanted)
+                wanted.checksum_values[sum_name] = None
+        body = BodyVerifier(wanted)
         most, got, over = self.service.config.limits.object_bytes, 0, False
 
         async def read() -> bytes:
@@ -538,7 +538,7 @@
         name = "head" if self.head.method == "HEAD" else "get"
         part = ranges.parse(self.head.get(b"range")) if name == "get" else None
         forwarded_headers = requests.conditions(self.head)
-        number = asked.number("partNumber", requests.PART_MOST, 0, 1)
+        number = asked.integer("partNumber", requests.PART_MOST, 0, 1)
         if number and part is not None:
             raise S3Error("InvalidRequest", "a range and a part number do not go together")
         if part is None:
@@ -572,7 +572,7 @@
         if self.head.length is None and self.head.get(b"x-amz-decoded-content-length") is None:
             raise S3Error("MissingContentLength", "Content-Length is missing", 411)
         source, body = self._source()
-        forwarded_headers = requests.kept(self.head) + requests.conditions(self.head)
+        forwarded_headers = requests.stored_headers(self.head) + requests.conditions(self.head)
         final = await self._with_body("put", asked, source, forwarded_headers=forwarded_headers)
         await self._put_answer(final, body, "NoSuchBucket")
 
@@ -592,11 +592,13 @@
             raise wrong[0]
         return final
 
-    async def _put_answer(self, final: FinalResponse, body: Body, missing: str) -> None:
+    async def _put_answer(self, final: FinalResponse, body: BodyVerifier, missing: str) -> None:
         head = self._answered(final, missing)
         told: Headers = [(b"etag", self._etag(head).encode())]
-        for name, value in body.sums.items():
-            told.append(((checksums.PREFIX + name).encode(), checksums.shown(value.digest()).encode()))
+        for name, value in body.running_checksums.items():
+            told.append(
+                ((checksums.PREFIX + name).encode(), checksums.encode_base64(value.digest()).encode())
+            )
         await self._say(200, b"", told)
 
     async def _DeleteObject(self, asked: Asked) -> None:
@@ -608,7 +610,7 @@
         await self._say(204)
 
     async def _DeleteObjects(self, asked: Asked) -> None:
-        keys, quiet = xml.deletion(await self._document())
+        keys, quiet = xml.parse_deletion(await self._document())
         done: dict[str, S3Error | None] = {}
         places = anyio.CapacityLimiter(AT_ONCE)
 
@@ -703,7 +705,7 @@
             )
 
         async def put(source: BodySource, head: ResponseHead) -> FinalResponse:
-            kept = requests.kept(self.head) if word == "REPLACE" else _kept_of(head)
+            kept = requests.stored_headers(self.head) if word == "REPLACE" else _kept_of(head)
             return await self._do("put", asked.bucket, asked.key, source, forwarded_headers=kept)
 
         head = self._answered(await self._copied(put), "NoSuchBucket")
@@ -721,7 +723,7 @@
     async def _folded(self, asked: Asked, after: str) -> listing.Fold:
         query = asked.query
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
-        most = asked.number("max-keys", requests.LIST_MOST, requests.LIST_MOST)
+        most = asked.integer("max-keys", requests.LIST_MOST, requests.LIST_MOST)
         fold = listing.Fold(prefix, delimiter, most, after)
         if most == 0:
             return fold
@@ -778,7 +780,7 @@
     async def _CreateMultipartUpload(self, asked: Asked) -> None:
         self.s3._volumes.add(asked.bucket)
         final = await self._do(
-            "start-upload", asked.bucket, asked.key, forwarded_headers=requests.kept(self.head)
+            "start-upload", asked.bucket, asked.key, forwarded_headers=requests.stored_headers(self.head)
         )
         self._answered(final, "NoSuchBucket")
         assert final.response is not None
@@ -792,14 +794,14 @@
         return asked.upload
 
     async def _UploadPart(self, asked: Asked) -> None:
-        number, upload = asked.number("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
+        number, upload = asked.integer("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
         source, body = self._source()
         async with self._lane(self.s3.parts, upload, "put-part"):
             final = await self._with_body("put-part", asked, source, upload=upload, part=number)
         await self._put_answer(final, body, "NoSuchUpload")
 
     async def _UploadPartCopy(self, asked: Asked) -> None:
-        number, upload = asked.number("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
+        number, upload = asked.integer("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
 
         async def put(source: BodySource, _: ResponseHead) -> FinalResponse:
             return await self._do("put-part", asked.bucket, asked.key, source, upload=upload, part=number)
@@ -816,8 +818,8 @@
     async def _ListParts(self, asked: Asked) -> None:
         upload = self._upload(asked)
         most, after = (
-            asked.number("max-parts", 1000, 1000),
-            asked.number("part-number-marker", requests.PART_MOST, 0),
+            asked.integer("max-parts", 1000, 1000),
+            asked.integer("part-number-marker", requests.PART_MOST, 0),
         )
         parts = [part for part in await self._parts(asked, upload) if part.partNumber > after]
         shown = parts[:most]
@@ -831,7 +833,7 @@
     async def _ListMultipartUploads(self, asked: Asked) -> None:
         prefix, marker = asked.query.get("prefix", ""), asked.query.get("key-marker", "")
         upload_marker = asked.query.get("upload-id-marker", "")
-        most = asked.number("max-uploads", 1000, 1000)
+        most = asked.integer("max-uploads", 1000, 1000)
         found = [
             upload for upload in await self.uploads(asked.bucket)
             if upload.key.startswith(prefix)
@@ -869,7 +871,7 @@
 
     async def _CompleteMultipartUpload(self, asked: Asked) -> None:
         upload = self._upload(asked)
-        wanted = xml.completion(await self._document())
+        wanted = xml.parse_completion(await self._document())
         try:
             parts = await self._parts(asked, upload)
         except S3Error as error:
--- a/winchdyke/s3/xml.py
+++ b/winchdyke/s3/xml.py
@@ -70,7 +70,7 @@
     etag: str
 
 
-def completion(data: bytes) -> list[Part]:
+def parse_completion(data: bytes) -> list[Part]:
     """The parts of a CompleteMultipartUpload document, as they were given."""
     found = []
     for each in _root(data, "CompleteMultipartUpload").findall("Part"):
@@ -83,7 +83,7 @@
     return found
 
 
-def deletion(data: bytes) -> tuple[list[str], bool]:
+def parse_deletion(data: bytes) -> tuple[list[str], bool]:
     """The keys of a Delete document, and whether only failures are to be told."""
     root = _root(data, "Delete")
     keys = []
