--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -922,10 +922,10 @@
         f"<Part><PartNumber>{n}</PartNumber><ETag>&quot;t{n}&quot;</ETag></Part>" for n in range(1, 10_001)
     )
     parts = xml.parse_completion(f"<CompleteMultipartUpload>{named}</CompleteMultipartUpload>".encode())
-    kept = [multipart.Kept(n, 5 * MIB, f'"t{n}"') for n in range(1, 10_001)]
-    assert multipart.fits(parts, kept) == 10_000 * 5 * MIB
-    with pytest.raises(Exception, match="was not put"):
-        multipart.fits([*parts, xml.Part(10_001, "x")], kept)
+    kept = [multipart.StoredPart(n, 5 * MIB, f'"t{n}"') for n in range(1, 10_001)]
+    assert multipart.validate_completion(parts, kept) == 10_000 * 5 * MIB
+    with pytest.raises(Exception, match="was not uploaded"):
+        multipart.validate_completion([*parts, xml.CompletedPart(10_001, "x")], kept)
 
 
 def test_a_trailing_checksum_that_is_wrong_or_missing_stores_nothing_and_a_right_one_does(tmp_path):
--- a/winchdyke/s3/__init__.py
+++ b/winchdyke/s3/__init__.py
@@ -1,1 +1,1 @@
-"""The S3 dialect of the object API: requests and answers as S3 clients speak them; every step goes through the scheduler."""
+"""The S3 dialect of the object API. Every operation on a store goes through the scheduler."""
--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -1,7 +1,8 @@
-"""A body on its way to a store: unpacked where it is aws-chunked, and checked against all that the client said of it.
+"""Verification of request bodies on their way to a store.
 
-A store acts on a body once its last byte has come. So the last bytes are held back until everything fits: signatures of chunks,
-SHA-256, Content-MD5, checksums in headers and trailers, and the length. Pure: bytes in, checked bytes out.
+An aws-chunked body is decoded first. A store executes a request once it has received the last byte of
+the body. Therefore the last bytes are held back until the whole body is verified: the signatures of the
+chunks, SHA-256, Content-MD5, the checksums in headers and trailers, and the length. Pure: no I/O.
 """
 
 from __future__ import annotations
@@ -21,19 +22,28 @@
 from winchdyke.s3 import checksums
 from winchdyke.s3.errors import S3Error
 
-LINE = 8 * 1024  # of a chunk's head, or a trailer's line
-SIGNED_CHUNK = 16 << 20  # a signed chunk is kept whole until its signature is checked
-TRAILERS = 16
-_HEAD = re.compile(rb"([0-9a-fA-F]{1,12})(?:;chunk-signature=([0-9a-f]{64}))?")
-_TRAILER = re.compile(r"([a-z0-9-]{1,64}):(.{0,4096})")
+MAX_LINE_BYTES = 8 * 1024  # chunk headers and trailer lines
+MAX_SIGNED_CHUNK_BYTES = 16 << 20  # a signed chunk is buffered until its signature is verified
+MAX_TRAILERS = 16
+_CHUNK_HEADER = re.compile(rb"([0-9a-fA-F]{1,12})(?:;chunk-signature=([0-9a-f]{64}))?")
+_TRAILER_LINE = re.compile(r"([a-z0-9-]{1,64}):(.{0,4096})")
 
 
 @dataclass
 class ExpectedBody:
-    """What a client said of a body. ``length``: its bytes, unpacked; ``sums``: by name, None where a trailer tells it."""
-
-    payload: str = ""  # x-amz-content-sha256
-    chunks: ChunkSignatureChain | None = None
+    """The properties of a body that the client declared in the request's headers.
+
+    Attributes:
+        payload_hash: The value of x-amz-content-sha256.
+        signature_chain: Verifies the signatures of the chunks; None: the chunks are not signed.
+        length: Bytes of the decoded body; None: not declared.
+        md5: The digest in Content-MD5; None: not declared.
+        checksum_values: Checksums by algorithm; None: the value follows in a trailer.
+        aws_chunked: Whether the body is in the aws-chunked encoding.
+    """
+
+    payload_hash: str = ""
+    signature_chain: ChunkSignatureChain | None = None
     length: int | None = None
     md5: bytes | None = None
     checksum_values: dict[str, bytes | None] = field(default_factory=dict)
@@ -41,164 +51,193 @@
 
 
 class BodyVerifier:
-    """Takes in what comes and gives out what may go on."""
+    """Decodes and verifies a body piece by piece, and returns the bytes that may be forwarded to the store."""
 
-    def __init__(self, wanted: ExpectedBody) -> None:
-        self.wanted = wanted
-        self._raw = bytearray()
+    def __init__(self, expected: ExpectedBody) -> None:
+        self.expected = expected
+        self._undecoded = bytearray()
         self._held = b""
-        self._got = 0
-        self._left = 0  # of the chunk that is under way
-        self._signature = ""
-        self._state = "head" if wanted.aws_chunked else "plain"
-        self._sha = hashlib.sha256() if re.fullmatch(r"[0-9a-f]{64}", wanted.payload) else None
-        self._md5 = hashlib.md5(usedforsecurity=False) if wanted.md5 is not None else None
-        self.running_checksums = {name: checksums.MADE[name]() for name in wanted.checksum_values}
-        self._trailer: list[tuple[str, str]] = []
-        self._signed = wanted.aws_chunked and wanted.payload in (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER)
-        if self._signed and wanted.chunks is None:
-            raise S3Error("AccessDenied", "a body in signed chunks goes with a signed request")
+        self._received = 0
+        self._chunk_remaining = 0  # bytes of the current chunk that have not been received
+        self._chunk_signature = ""
+        self._state = "chunk header" if expected.aws_chunked else "identity"
+        self._sha256 = hashlib.sha256() if re.fullmatch(r"[0-9a-f]{64}", expected.payload_hash) else None
+        self._md5 = hashlib.md5(usedforsecurity=False) if expected.md5 is not None else None
+        self.running_checksums = {name: checksums.ALGORITHMS[name]() for name in expected.checksum_values}
+        self._trailers: list[tuple[str, str]] = []
+        self._signed_chunks = expected.aws_chunked and expected.payload_hash in (
+            STREAMING_PAYLOAD,
+            STREAMING_PAYLOAD_TRAILER,
+        )
+        if self._signed_chunks and expected.signature_chain is None:
+            raise S3Error("AccessDenied", "a body in signed chunks requires a signed request")
 
     def feed(self, data: bytes | bytearray) -> bytes:
-        """More of the body as it was sent; what may go on. S3Error where it does not fit."""
-        if self._state == "plain":
-            return self._on(bytes(data))
-        self._raw += data
+        """Process bytes of the body as sent by the client, and return the bytes that may be forwarded.
+
+        Raises:
+            S3Error: The body is malformed or longer than declared, or the signature of a chunk is wrong.
+        """
+        if self._state == "identity":
+            return self._accept(bytes(data))
+        self._undecoded += data
         out = []
         try:
-            while piece := self._unpacked():
-                out.append(self._on(piece[0])) if piece[0] else None
+            while piece := self._next_piece():
+                out.append(self._accept(piece[0])) if piece[0] else None
         except AuthError as error:
             raise S3Error(error.code, error.text, error.status) from error
         return b"".join(out)
 
-    def _on(self, data: bytes) -> bytes:
-        self._got += len(data)
-        length = self.wanted.length
-        if length is not None and self._got > length:
+    def _accept(self, data: bytes) -> bytes:
+        self._received += len(data)
+        length = self.expected.length
+        if length is not None and self._received > length:
             raise S3Error(
-                "IncompleteBody", f"the body is longer than the {length} bytes that were stated", 400
+                "IncompleteBody", f"the body is longer than the declared length of {length} bytes", 400
             )
-        for each in (self._sha, self._md5, *self.running_checksums.values()):
-            if each is not None:
-                each.update(data)
+        for checksum in (self._sha256, self._md5, *self.running_checksums.values()):
+            if checksum is not None:
+                checksum.update(data)
         if not data:
             return b""
         ready, self._held = self._held, data
         return ready
 
-    def _line(self) -> bytes | None:
-        at = self._raw.find(b"\r\n")
-        if at < 0:
-            if len(self._raw) > LINE:
-                raise _malformed("a line is longer than any here")
+    def _read_line(self) -> bytes | None:
+        line_end = self._undecoded.find(b"\r\n")
+        if line_end < 0:
+            if len(self._undecoded) > MAX_LINE_BYTES:
+                raise _malformed_body("a chunk header or trailer line is too long")
             return None
-        line = bytes(self._raw[:at])
-        del self._raw[: at + 2]
+        line = bytes(self._undecoded[:line_end])
+        del self._undecoded[: line_end + 2]
         return line
 
-    def _unpacked(self) -> tuple[bytes] | None:
-        """One step: a piece of the payload, an empty one where there is nothing to hand on, None where more must come."""
-        if self._state == "head":
-            line = self._line()
+    def _next_piece(self) -> tuple[bytes] | None:
+        """Decode the next element of the aws-chunked body.
+
+        Returns its payload, empty for headers and trailers; None if more input is needed.
+        """
+        if self._state == "chunk header":
+            line = self._read_line()
             if line is None:
                 return None
-            found = _HEAD.fullmatch(line)
-            if not found or bool(found[2]) != self._signed:
-                raise _malformed("a chunk's head is none")
-            self._left, self._signature = int(found[1], 16), (found[2] or b"").decode()
-            if self._signed and self._left > SIGNED_CHUNK:
-                raise _malformed(f"a signed chunk is larger than {SIGNED_CHUNK} bytes")
-            if self._left == 0:
-                if self._signed:
-                    self._check(b"")
+            chunk_header = _CHUNK_HEADER.fullmatch(line)
+            if not chunk_header or bool(chunk_header[2]) != self._signed_chunks:
+                raise _malformed_body("invalid chunk header")
+            self._chunk_remaining, self._chunk_signature = (
+                int(chunk_header[1], 16),
+                (chunk_header[2] or b"").decode(),
+            )
+            if self._signed_chunks and self._chunk_remaining > MAX_SIGNED_CHUNK_BYTES:
+                raise _malformed_body(f"a signed chunk is larger than {MAX_SIGNED_CHUNK_BYTES} bytes")
+            if self._chunk_remaining == 0:
+                if self._signed_chunks:
+                    self._verify_chunk(b"")
                 self._state = "trailer"
             else:
                 self._state = "data"
             return (b"",)
         if self._state == "data":
-            if not self._raw or (self._signed and len(self._raw) < self._left):
+            if not self._undecoded or (self._signed_chunks and len(self._undecoded) < self._chunk_remaining):
                 return None
-            piece = bytes(self._raw[: self._left])
-            del self._raw[: len(piece)]
-            self._left -= len(piece)
-            if self._signed:
-                self._check(piece)
-            if not self._left:
+            chunk_data = bytes(self._undecoded[: self._chunk_remaining])
+            del self._undecoded[: len(chunk_data)]
+            self._chunk_remaining -= len(chunk_data)
+            if self._signed_chunks:
+                self._verify_chunk(chunk_data)
+            if not self._chunk_remaining:
                 self._state = "end of chunk"
-            return (piece,)
+            return (chunk_data,)
         if self._state == "end of chunk":
-            if len(self._raw) < 2:
+            if len(self._undecoded) < 2:
                 return None
-            if self._raw[:2] != b"\r\n":
-                raise _malformed("a chunk is longer than it says")
-            del self._raw[:2]
-            self._state = "head"
+            if self._undecoded[:2] != b"\r\n":
+                raise _malformed_body("the data of a chunk is longer than its header declares")
+            del self._undecoded[:2]
+            self._state = "chunk header"
             return (b"",)
         if self._state == "trailer":
-            line = self._line()
+            line = self._read_line()
             if line is None:
                 return None
             if not line:
-                self._state = "over"
+                self._state = "complete"
                 return (b"",)
-            found_line = _TRAILER.fullmatch(line.decode("latin-1"))
-            if not found_line or len(self._trailer) >= TRAILERS:
-                raise _malformed("a line after the last chunk is no header")
-            self._trailer.append((found_line[1], found_line[2].strip()))
+            trailer_match = _TRAILER_LINE.fullmatch(line.decode("latin-1"))
+            if not trailer_match or len(self._trailers) >= MAX_TRAILERS:
+                raise _malformed_body("invalid trailer line, or too many trailers")
+            self._trailers.append((trailer_match[1], trailer_match[2].strip()))
             return (b"",)
-        if self._raw:
-            raise _malformed("bytes follow the end of the body")
+        if self._undecoded:
+            raise _malformed_body("bytes follow the end of the body")
         return None
 
-    def _check(self, piece: bytes) -> None:
-        assert self.wanted.chunks is not None
-        self.wanted.chunks.verify_chunk(hashlib.sha256(piece).hexdigest(), self._signature)
+    def _verify_chunk(self, chunk_data: bytes) -> None:
+        assert self.expected.signature_chain is not None
+        self.expected.signature_chain.verify_chunk(
+            hashlib.sha256(chunk_data).hexdigest(), self._chunk_signature
+        )
 
     def finish(self) -> bytes:
-        """The end has come: the last bytes, where all fits. S3Error where it does not."""
-        wanted = self.wanted
-        if wanted.aws_chunked:
-            self._finish_packed()
-        if wanted.length is not None and self._got != wanted.length:
-            raise S3Error("IncompleteBody", f"{self._got} bytes came; {wanted.length} were stated", 400)
-        if self._sha is not None and not hmac.compare_digest(self._sha.hexdigest(), wanted.payload):
-            raise S3Error("XAmzContentSHA256Mismatch", "the body's SHA-256 is not x-amz-content-sha256", 400)
-        if self._md5 is not None and not hmac.compare_digest(self._md5.digest(), wanted.md5 or b""):
-            raise S3Error("BadDigest", "the body's MD5 is not Content-MD5", 400)
-        for name, value in wanted.checksum_values.items():
+        """Verify the complete body, and return the bytes that were held back.
+
+        Raises:
+            S3Error: The body is incomplete, or its length, digest or a checksum differs from the declared one.
+        """
+        expected = self.expected
+        if expected.aws_chunked:
+            self._finish_chunked()
+        if expected.length is not None and self._received != expected.length:
+            raise S3Error(
+                "IncompleteBody",
+                f"{self._received} bytes were received; {expected.length} were declared",
+                400,
+            )
+        if self._sha256 is not None and not hmac.compare_digest(
+            self._sha256.hexdigest(), expected.payload_hash
+        ):
+            raise S3Error(
+                "XAmzContentSHA256Mismatch",
+                "the SHA-256 of the body does not match x-amz-content-sha256",
+                400,
+            )
+        if self._md5 is not None and not hmac.compare_digest(self._md5.digest(), expected.md5 or b""):
+            raise S3Error("BadDigest", "the MD5 of the body does not match Content-MD5", 400)
+        for name, value in expected.checksum_values.items():
             if value is None or not hmac.compare_digest(self.running_checksums[name].digest(), value):
-                said = "is missing after the body" if value is None else "is not the body's"
-                raise S3Error("BadDigest", f"{checksums.PREFIX}{name} {said}", 400)
+                problem = "is missing from the trailers" if value is None else "does not match the body"
+                raise S3Error("BadDigest", f"{checksums.PREFIX}{name} {problem}", 400)
         held, self._held = self._held, b""
         return held
 
-    def _finish_packed(self) -> None:
-        if self._state not in ("over", "trailer") or (
-            self._state == "trailer" and (self._raw or self._trailer)
+    def _finish_chunked(self) -> None:
+        if self._state not in ("complete", "trailer") or (
+            self._state == "trailer" and (self._undecoded or self._trailers)
         ):
-            # The last empty line may be left out where there are no trailers, as some clients do.
+            # Some clients omit the final empty line if there are no trailers.
             raise S3Error("IncompleteBody", "the body ended before its last chunk", 400)
         signature = ""
         lines = []
-        for name, value in self._trailer:
+        for name, value in self._trailers:
             if name == "x-amz-trailer-signature":
                 signature = value
             else:
                 lines.append((name, value))
-            sum_name = name.removeprefix(checksums.PREFIX)
-            if name.startswith(checksums.PREFIX) and sum_name in self.wanted.checksum_values:
-                self.wanted.checksum_values[sum_name] = checksums.decoded(value) or b""
-        if self.wanted.payload == STREAMING_PAYLOAD_TRAILER:
-            assert self.wanted.chunks is not None
+            algorithm = name.removeprefix(checksums.PREFIX)
+            if name.startswith(checksums.PREFIX) and algorithm in self.expected.checksum_values:
+                self.expected.checksum_values[algorithm] = checksums.decode_base64(value) or b""
+        if self.expected.payload_hash == STREAMING_PAYLOAD_TRAILER:
+            assert self.expected.signature_chain is not None
             try:
-                self.wanted.chunks.verify_trailer(lines, signature)
+                self.expected.signature_chain.verify_trailer(lines, signature)
             except AuthError as error:
                 raise S3Error(error.code, error.text, error.status) from error
 
 
-def _malformed(text: str) -> S3Error:
+def _malformed_body(text: str) -> S3Error:
     return S3Error("InvalidChunkSizeError" if "larger" in text else "MalformedTrailerError", text, 400)
 
 
-PACKED = (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER, STREAMING_UNSIGNED_PAYLOAD_TRAILER)
+AWS_CHUNKED_PAYLOADS = (STREAMING_PAYLOAD, STREAMING_PAYLOAD_TRAILER, STREAMING_UNSIGNED_PAYLOAD_TRAILER)
--- a/winchdyke/s3/checksums.py
+++ b/winchdyke/s3/checksums.py
@@ -1,4 +1,4 @@
-"""Checksums of bodies, by the names that S3 has for them. Pure; the work is done by hashlib, zlib and crc32c."""
+"""The checksum algorithms of S3, by their names in headers. Pure; computed by hashlib, zlib and crc32c."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 import crc32c
 
 
-class Sum(Protocol):
-    """A running checksum."""
+class Checksum(Protocol):
+    """A checksum that is updated incrementally."""
 
     def update(self, data: bytes | bytearray, /) -> None:
-        """Take in bytes."""
+        """Add bytes."""
 
     def digest(self) -> bytes:
-        """The value now."""
+        """The checksum of the bytes added so far."""
 
 
 class _Crc:
-    def __init__(self, step: Callable[[bytes, int], int]) -> None:
-        self._step, self._value = step, 0
+    def __init__(self, update_crc: Callable[[bytes, int], int]) -> None:
+        self._update_crc, self._value = update_crc, 0
 
     def update(self, data: bytes | bytearray, /) -> None:
-        self._value = self._step(bytes(data), self._value)
+        self._value = self._update_crc(bytes(data), self._value)
 
     def digest(self) -> bytes:
         return (self._value & 0xFFFFFFFF).to_bytes(4, "big")
 
 
-MADE: dict[str, Callable[[], Sum]] = {
+ALGORITHMS: dict[str, Callable[[], Checksum]] = {
     "crc32": lambda: _Crc(zlib.crc32),
     "crc32c": lambda: _Crc(crc32c.crc32c),
     "sha1": lambda: hashlib.sha1(usedforsecurity=False),
@@ -42,8 +42,8 @@
 PREFIX = "x-amz-checksum-"
 
 
-def decoded(text: str) -> bytes | None:
-    """Base64 as it is in headers; None where it is none."""
+def decode_base64(text: str) -> bytes | None:
+    """Decode the base64 value of a header; None if it is not valid base64."""
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
@@ -51,5 +51,5 @@
 
 
 def encode_base64(value: bytes) -> str:
-    """The other way round."""
+    """Encode a checksum as the value of a header."""
     return base64.b64encode(value).decode()
--- a/winchdyke/s3/lanes.py
+++ b/winchdyke/s3/lanes.py
@@ -1,9 +1,11 @@
-"""How many parts of one upload, and ranges of one object, are handed to the scheduler at once. Pure: no clock, no I/O.
+"""Limits how many parts of one upload, and ranges of one object, are submitted to the scheduler at once.
 
-Each part is a request of its course to the scheduler, which shares room by course. But a client that sends forty parts of one object
-at once fills its course's share with that object, so that all others of the course wait behind it; and forty ranges of one object herd
-on its node. So each upload, and each object that is read in ranges, has a lane: so many at once, the rest wait in turn of arrival at
-the host, within their own deadlines. A lane is only a wait before the scheduler: what it lets through is decided there as all else is.
+The scheduler shares capacity between volumes, and treats each part as a request of its volume. A client that
+sends forty parts of one object at once would fill its volume's share with that object, and all other requests of
+the volume would wait behind it; forty ranges of one object would all go to the same node. Therefore each upload,
+and each object that is read in ranges, has a queue: a limited number of requests are submitted at once, and the
+rest wait in order of arrival at this host, within their own deadlines. Requests that leave the queue are
+scheduled like all others. Pure: no clock, no I/O.
 """
 
 from __future__ import annotations
@@ -14,53 +16,56 @@
 
 
 @dataclass
-class _Lane:
-    out: int = 0
+class _KeyQueue:
+    active: int = 0
     waiting: deque[Callable[[], None]] = field(default_factory=deque)
 
 
-class Lanes:
-    """Lanes by name, each ``wide``. ``go`` is called once a place is free."""
+class KeyQueues:
+    """First-in, first-out queues by key, each with at most ``limit`` active requests."""
 
-    def __init__(self, wide: int) -> None:
-        self.wide = wide
-        self._lanes: dict[str, _Lane] = {}
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self._queues: dict[str, _KeyQueue] = {}
 
-    def enter(self, name: str, go: Callable[[], None]) -> bool:
-        """Whether there is a place at once; else ``go`` is called as soon as there is one."""
-        lane = self._lanes.setdefault(name, _Lane())
-        if lane.out < self.wide and not lane.waiting:
-            lane.out += 1
+    def acquire(self, key: str, on_ready: Callable[[], None]) -> bool:
+        """Take a slot, and return whether one was free.
+
+        If none was, ``on_ready`` is called as soon as a slot has been given to this request.
+        """
+        queue = self._queues.setdefault(key, _KeyQueue())
+        if queue.active < self.limit and not queue.waiting:
+            queue.active += 1
             return True
-        lane.waiting.append(go)
+        queue.waiting.append(on_ready)
         return False
 
-    def leave_queue(self, name: str, go: Callable[[], None]) -> bool:
-        """Give up waiting; False where the place was given already, and has to be given back."""
-        lane = self._lanes.get(name)
-        if lane is None or go not in lane.waiting:
+    def cancel_wait(self, key: str, on_ready: Callable[[], None]) -> bool:
+        """Leave the queue; False if the slot was already given to this request, which must then release it."""
+        queue = self._queues.get(key)
+        if queue is None or on_ready not in queue.waiting:
             return False
-        lane.waiting.remove(go)
-        self._tidy(name, lane)
+        queue.waiting.remove(on_ready)
+        self._remove_if_idle(key, queue)
         return True
 
-    def leave(self, name: str) -> None:
-        """Give a place back: the first one that waits has it."""
-        lane = self._lanes[name]
-        if lane.waiting:
-            lane.waiting.popleft()()
+    def release(self, key: str) -> None:
+        """Give a slot back; the first waiting request gets it."""
+        queue = self._queues[key]
+        if queue.waiting:
+            queue.waiting.popleft()()
         else:
-            lane.out -= 1
-        self._tidy(name, lane)
+            queue.active -= 1
+        self._remove_if_idle(key, queue)
 
-    def _tidy(self, name: str, lane: _Lane) -> None:
-        if not lane.out and not lane.waiting:
-            del self._lanes[name]
+    def _remove_if_idle(self, key: str, queue: _KeyQueue) -> None:
+        if not queue.active and not queue.waiting:
+            del self._queues[key]
 
-    def waits(self, name: str) -> int:
-        """How many wait in a lane."""
-        lane = self._lanes.get(name)
-        return len(lane.waiting) if lane is not None else 0
+    def waiting_count(self, key: str) -> int:
+        """The number of requests that wait for a slot."""
+        queue = self._queues.get(key)
+        return len(queue.waiting) if queue is not None else 0
 
     def __len__(self) -> int:
-        return len(self._lanes)
+        return len(self._queues)
--- a/winchdyke/s3/listing.py
+++ b/winchdyke/s3/listing.py
@@ -1,4 +1,4 @@
-"""Listings as S3 has them: keys folded under a delimiter, in pages. Pure."""
+"""Pages of S3 listings, with keys grouped into common prefixes by a delimiter. Pure."""
 
 from __future__ import annotations
 
@@ -10,62 +10,75 @@
 from winchdyke.object_api.listing import Entry
 from winchdyke.s3.errors import S3Error
 
-LAST = "\U0010ffff"  # sorts behind all that a key may go on with
+LAST_CHARACTER = "\U0010ffff"  # appended to a prefix, it sorts after every key with that prefix
 
 
 @dataclass
-class Fold:
-    """Collects entries in order of key until a page is full; ``after`` is where to go on asking."""
+class ObjectListing:
+    """One page of a listing, collected from entries in order of key until it is full.
+
+    Attributes:
+        after: The key after which the next request to the stores starts.
+        last_name: The last key or common prefix of the page.
+        truncated: Whether more entries follow this page.
+    """
 
     prefix: str
     delimiter: str
-    most: int
+    max_items: int
     after: str = ""
-    keys: list[Entry] = field(default_factory=list)
-    prefixes: list[str] = field(default_factory=list)
-    last: str = ""  # the last key or prefix that was told
-    full: bool = False
+    objects: list[Entry] = field(default_factory=list)
+    common_prefixes: list[str] = field(default_factory=list)
+    last_name: str = ""
+    truncated: bool = False
 
     @property
     def count(self) -> int:
-        """Keys and prefixes together."""
-        return len(self.keys) + len(self.prefixes)
+        """The number of keys and common prefixes."""
+        return len(self.objects) + len(self.common_prefixes)
+
+    def add(self, entries: Iterable[Entry]) -> bool:
+        """Add entries in order of key.
 
-    def take(self, entries: Iterable[Entry]) -> bool:
-        """More entries, in order; whether the rest of a folded prefix is to be skipped (``after`` says to where)."""
+        Returns True if a common prefix was added: the rest of its keys is skipped, and ``after`` is behind them.
+        """
         for entry in entries:
             if entry.key <= self.after and self.after:
                 continue
-            at = entry.key.find(self.delimiter, len(self.prefix)) if self.delimiter else -1
-            name = entry.key[: at + len(self.delimiter)] if at >= 0 else entry.key
-            if self.count >= self.most:
-                self.full = True
+            delimiter_at = entry.key.find(self.delimiter, len(self.prefix)) if self.delimiter else -1
+            name = entry.key[: delimiter_at + len(self.delimiter)] if delimiter_at >= 0 else entry.key
+            if self.count >= self.max_items:
+                self.truncated = True
                 return False
-            self.last = name
-            if at < 0:
-                self.keys.append(entry)
+            self.last_name = name
+            if delimiter_at < 0:
+                self.objects.append(entry)
                 self.after = entry.key
             else:
-                self.prefixes.append(name)
-                self.after = name + LAST
+                self.common_prefixes.append(name)
+                self.after = name + LAST_CHARACTER
                 return True
         return False
 
 
-def token(last: str) -> str:
-    """A continuation token, which tells where the page before ended."""
-    return base64.urlsafe_b64encode(last.encode()).decode()
+def encode_token(last_name: str) -> str:
+    """The continuation token for the page after this key or common prefix."""
+    return base64.urlsafe_b64encode(last_name.encode()).decode()
+
 
+def decode_token(text: str) -> str:
+    """The last key or common prefix of the previous page.
 
-def untoken(text: str) -> str:
-    """Where the page before ended. S3Error where this is none of ours."""
+    Raises:
+        S3Error: The token is not valid.
+    """
     try:
         return base64.b64decode(text.encode(), altchars=b"-_", validate=True).decode()
     except (binascii.Error, ValueError) as error:
-        raise S3Error("InvalidArgument", "the continuation token is none that was given out") from error
+        raise S3Error("InvalidArgument", "the continuation token is invalid") from error
 
 
-def start(after: str, delimiter: str, prefix: str) -> str:
-    """Where to go on after a page that ended at a key or a folded prefix."""
-    folded = delimiter and after.startswith(prefix) and delimiter in after[len(prefix) :]
-    return after + LAST if folded and after.endswith(delimiter) else after
+def resume_after(after: str, delimiter: str, prefix: str) -> str:
+    """The key to start after, for a previous page that ended at a key or a common prefix."""
+    is_common_prefix = delimiter and after.startswith(prefix) and delimiter in after[len(prefix) :]
+    return after + LAST_CHARACTER if is_common_prefix and after.endswith(delimiter) else after
--- a/winchdyke/s3/multipart.py
+++ b/winchdyke/s3/multipart.py
@@ -1,4 +1,4 @@
-"""What decides about uploads in parts: whether a completion fits the parts that a store has, and which uploads are forgotten. Pure."""
+"""Multipart uploads: validates a completion against the stored parts, and selects expired uploads. Pure."""
 
 from __future__ import annotations
 
@@ -7,67 +7,81 @@
 import msgspec
 
 from winchdyke.s3.errors import S3Error
-from winchdyke.s3.xml import Part
+from winchdyke.s3.xml import CompletedPart
 
-LEAST = 5 << 20  # bytes of every part but the last, as S3 has it; a setting may lower it
+MIN_PART_BYTES = 5 << 20  # S3's minimum for every part but the last; a setting may lower it
 
 
-class Kept(msgspec.Struct):
-    """A part as its store has it."""
+class StoredPart(msgspec.Struct):
+    """A part, as stored."""
 
     partNumber: int
     size: int
     etag: str = ""
 
 
-class Parts(msgspec.Struct):
+class StoredParts(msgspec.Struct):
     """The parts of an upload."""
 
-    parts: list[Kept]
+    parts: list[StoredPart]
 
 
 class Upload(msgspec.Struct):
-    """An upload as its store has it; ``since_ms``: Unix time of its start."""
+    """An upload in progress, as stored.
+
+    Attributes:
+        since_ms: Unix time of its start; 0: unknown.
+        touched_ms: Unix time at which a part was last written.
+    """
 
     key: str
     uploadId: str
     since_ms: float = 0.0
-    touched_ms: float = 0.0  # when a part was put last
+    touched_ms: float = 0.0
 
 
 class Uploads(msgspec.Struct):
-    """The uploads of a volume on one store."""
+    """The uploads in progress of a volume on one store."""
 
     uploads: list[Upload]
 
 
-def fits(asked: Sequence[Part], kept: Iterable[Kept], least: int = LEAST) -> int:
-    """The bytes of the object that a completion makes. S3Error where the parts named are not those that were put."""
-    there = {part.partNumber: part for part in kept}
+def validate_completion(
+    requested: Sequence[CompletedPart], stored: Iterable[StoredPart], min_part_bytes: int = MIN_PART_BYTES
+) -> int:
+    """The size in bytes of the completed object.
+
+    Raises:
+        S3Error: The listed parts are out of order, too small, or differ from the stored ones.
+    """
+    stored_by_number = {part.partNumber: part for part in stored}
     size = 0
-    for at, part in enumerate(asked):
-        if at and part.number <= asked[at - 1].number:
+    for index, part in enumerate(requested):
+        if index and part.number <= requested[index - 1].number:
+            raise S3Error(
+                "InvalidPartOrder", f"part {part.number} is listed after part {requested[index - 1].number}"
+            )
+        stored_part = stored_by_number.get(part.number)
+        if stored_part is None:
+            raise S3Error("InvalidPart", f"part {part.number} was not uploaded")
+        if stored_part.etag.strip('"') != part.etag:
             raise S3Error(
-                "InvalidPartOrder", f"part {part.number} is named after part {asked[at - 1].number}"
+                "InvalidPart",
+                f"part {part.number} has a different ETag: it was uploaded again, or the given ETag is wrong",
             )
-        have = there.get(part.number)
-        if have is None:
-            raise S3Error("InvalidPart", f"part {part.number} was not put")
-        if have.etag.strip('"') != part.etag:
-            raise S3Error("InvalidPart", f"part {part.number} has another ETag: it was put anew, or never so")
-        if have.size < least and at < len(asked) - 1:
+        if stored_part.size < min_part_bytes and index < len(requested) - 1:
             raise S3Error(
                 "EntityTooSmall",
-                f"part {part.number} has {have.size} bytes; all but the last have at least {least}",
+                f"part {part.number} has {stored_part.size} bytes; the minimum for all but the last part is {min_part_bytes}",
             )
-        size += have.size
+        size += stored_part.size
     return size
 
 
-def forgotten(uploads: Iterable[Upload], now_ms: float, keep_ms: float) -> list[Upload]:
-    """Those that nobody has touched for so long. One that has no time told is never forgotten."""
+def expired(uploads: Iterable[Upload], now_ms: float, max_idle_ms: float) -> list[Upload]:
+    """The uploads that have been idle for longer than ``max_idle_ms``; never one whose start time is unknown."""
     return [
         upload
         for upload in uploads
-        if upload.since_ms and now_ms - max(upload.since_ms, upload.touched_ms) > keep_ms
+        if upload.since_ms and now_ms - max(upload.since_ms, upload.touched_ms) > max_idle_ms
     ]
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -33,9 +33,9 @@
 from winchdyke.object_api import ranges, routes, store_protocol
 from winchdyke.object_api.answers import RequestError
 from winchdyke.s3 import checksums, listing, multipart, requests, xml
-from winchdyke.s3.body import PACKED, BodyVerifier, ExpectedBody
-from winchdyke.s3.errors import S3Error, of_final
-from winchdyke.s3.lanes import Lanes
+from winchdyke.s3.body import AWS_CHUNKED_PAYLOADS, BodyVerifier, ExpectedBody
+from winchdyke.s3.errors import S3Error, from_final_response
+from winchdyke.s3.queues import KeyQueues
 from winchdyke.s3.requests import Asked
 
 DOCUMENT = (
@@ -138,7 +138,7 @@
         self.service, self.settings, self.wall = service, settings, wall
         self.access = AccessKeyRing(Path(settings.keys), Path(settings.master)) if settings.keys else None
         self._born, self._count = uuid.uuid4().hex[:20], 0
-        self.parts, self.ranges = Lanes(settings.parts_at_once), Lanes(settings.ranges_at_once)
+        self.parts, self.ranges = KeyQueues(settings.parts_at_once), KeyQueues(settings.ranges_at_once)
         self._volumes: set[str] = set()  # that had uploads in parts since this gateway's start
         self._log = structlog.get_logger("s3")
 
@@ -193,7 +193,7 @@
         call = Call(self, InternalCaller(), head, request)  # type: ignore[arg-type]
         done = 0
         try:
-            for upload in multipart.forgotten(
+            for upload in multipart.expired(
                 await call.uploads(volume), self.wall() * 1000, self.settings.upload_keep
             ):
                 final = await call._do("abort-upload", volume, upload.key, upload=upload.uploadId)
@@ -212,7 +212,7 @@
         if connection.disconnected or not connection.codec.can_respond:
             connection.close_after_response = True
             return
-        body = xml.error(
+        body = xml.error_document(
             error.code, error.text, call.head.target.partition(b"?")[0].decode("latin-1"), call.request
         )
         headers: Headers = [
@@ -275,7 +275,7 @@
             word = self.s3.settings.unsigned
             if word == "all" or (word == "read" and asked.spoken.required_right in ("read", "list")):
                 self.rights, self.who = ALL, "anyone"
-                if head.get(b"x-amz-content-sha256") in PACKED:
+                if head.get(b"x-amz-content-sha256") in AWS_CHUNKED_PAYLOADS:
                     self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
                 return
             raise S3Error("AccessDenied", "the request is not signed")
@@ -355,22 +355,22 @@
         return final
 
     @asynccontextmanager
-    async def _lane(self, lanes: Lanes, name: str, kind: str) -> AsyncIterator[None]:
+    async def _queue_slot(self, queues: KeyQueues, name: str, kind: str) -> AsyncIterator[None]:
         """A place in a lane, within the deadline of the class that the operation has."""
         ready = anyio.Event()
         rules = self.snapshot.config.kind_for(kind, None)
         if rules is not None:
             self.end = min(self.end, self.began + rules.rules.deadline_ms)
-        if not lanes.enter(name, ready.set):
+        if not queues.acquire(name, ready.set):
             left = max(0.0, self.end - self.service.clock()) / 1000
             with anyio.move_on_after(left) as late:
                 await ready.wait()
-            if late.cancelled_caught and lanes.leave_queue(name, ready.set):
+            if late.cancelled_caught and queues.cancel_wait(name, ready.set):
                 raise S3Error("SlowDown", "too many parts or ranges of this object at once", 503, 1000.0)
         try:
             yield
         finally:
-            lanes.leave(name)
+            queues.release(name)
 
     def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> ResponseHead:
         """The head of a store's whole answer. S3Error where it says no, or where no store said anything."""
@@ -381,7 +381,9 @@
             raise ClientDisconnectedError  # all that can be said was said
         if final.response is None:
             self.outcome = final.outcome
-            raise of_final(final.status, final.outcome, final.reason, final.text, final.retry_after_ms)
+            raise from_final_response(
+                final.status, final.outcome, final.reason, final.text, final.retry_after_ms
+            )
         head = final.response.head
         if head.status < 300:
             return head
@@ -421,7 +423,7 @@
         payload = head.get(b"x-amz-content-sha256") or self.signed.payload_hash
         if self.signed.payload_hash not in (sigv4.UNSIGNED_PAYLOAD, sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER):
             payload = self.signed.payload_hash
-        aws_chunked = payload in PACKED
+        aws_chunked = payload in AWS_CHUNKED_PAYLOADS
         wanted = ExpectedBody(payload, self.signed.chunks, head.length, aws_chunked=aws_chunked)
         if aws_chunked:
             text = head.get(b"x-amz-decoded-content-length")
@@ -430,23 +432,23 @@
             wanted.length = int(text)
         md5 = head.get(b"content-md5")
         if md5 is not None:
-            wanted.md5 = checksums.decoded(md5)
+            wanted.md5 = checksums.decode_base64(md5)
             if wanted.md5 is None or len(wanted.md5) != 16:
                 raise S3Error("InvalidDigest", "Content-MD5 is no MD5 in base64")
         for name, value in head.headers:
-            sum_name = name.decode("latin-1").removeprefix(checksums.PREFIX)
-            if name.startswith(checksums.PREFIX.encode()) and sum_name not in ("algorithm", "mode", "type"):
-                self._known(sum_name)
-                wanted.checksum_values[sum_name] = checksums.decoded(value.decode("latin-1"))
-                if wanted.checksum_values[sum_name] is None:
+            algorithm = name.decode("latin-1").removeprefix(checksums.PREFIX)
+            if name.startswith(checksums.PREFIX.encode()) and algorithm not in ("algorithm", "mode", "type"):
+                self._known(algorithm)
+                wanted.checksum_values[algorithm] = checksums.decode_base64(value.decode("latin-1"))
+                if wanted.checksum_values[algorithm] is None:
                     raise S3Error("InvalidRequest", f"{name.decode()} is not base64")
         if trailer := head.get(b"x-amz-trailer"):
             if not aws_chunked or not payload.endswith("TRAILER"):
                 raise S3Error("InvalidRequest", "x-amz-trailer goes with a body in chunks that has a trailer")
             for each in trailer.split(","):
-                sum_name = each.strip().lower().removeprefix(checksums.PREFIX)
-                self._known(sum_name)
-                wanted.checksum_values[sum_name] = None
+                algorithm = each.strip().lower().removeprefix(checksums.PREFIX)
+                self._known(algorithm)
+                wanted.checksum_values[algorithm] = None
         body = BodyVerifier(wanted)
         most, got, over = self.service.config.limits.object_bytes, 0, False
 
@@ -470,22 +472,22 @@
 
     @staticmethod
     def _known(name: str) -> None:
-        if name not in checksums.MADE:
-            known = ", ".join(checksums.MADE)
+        if name not in checksums.ALGORITHMS:
+            known = ", ".join(checksums.ALGORITHMS)
             raise S3Error("NotImplemented", f"the checksum {name!r} is not spoken here; {known} are")
 
     async def _document(self) -> bytes:
         """A document that the client sends, checked."""
         source, _ = self._source()
         got = bytearray()
-        if (source.length or 0) > xml.LARGEST:
-            raise S3Error("EntityTooLarge", f"a document has at most {xml.LARGEST} bytes")
+        if (source.length or 0) > xml.MAX_DOCUMENT_BYTES:
+            raise S3Error("EntityTooLarge", f"a document has at most {xml.MAX_DOCUMENT_BYTES} bytes")
         # Guards against a client that sends a document a byte at a time: no deadline of a class counts yet.
         with anyio.move_on_after(self.service.config.limits.stream_idle / 1000) as late:
             while data := await _unwrapped(source.read):
                 got += data
-                if len(got) > xml.LARGEST:
-                    raise S3Error("EntityTooLarge", f"a document has at most {xml.LARGEST} bytes")
+                if len(got) > xml.MAX_DOCUMENT_BYTES:
+                    raise S3Error("EntityTooLarge", f"a document has at most {xml.MAX_DOCUMENT_BYTES} bytes")
         if late.cancelled_caught:
             self.connection.close_after_response = True
             raise S3Error("RequestTimeout", "the document did not arrive in time")
@@ -546,7 +548,7 @@
                 name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, part=number
             )
         else:
-            async with self._lane(self.s3.ranges, f"{asked.bucket}/{asked.key}", name):
+            async with self._queue_slot(self.s3.ranges, f"{asked.bucket}/{asked.key}", name):
                 final = await self._do(
                     name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, range=part
                 )
@@ -720,59 +722,66 @@
         data = await self._whole(final, sink, "NoSuchBucket")
         return msgspec.json.decode(data, type=native.Page)
 
-    async def _folded(self, asked: Asked, after: str) -> listing.Fold:
+    async def _folded(self, asked: Asked, after: str) -> listing.ObjectListing:
         query = asked.query
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
         most = asked.integer("max-keys", requests.LIST_MOST, requests.LIST_MOST)
-        fold = listing.Fold(prefix, delimiter, most, after)
+        fold = listing.ObjectListing(prefix, delimiter, most, after)
         if most == 0:
             return fold
         for _ in range(ROUNDS):
             page = await self._page(
                 asked.bucket, prefix, fold.after, min(requests.LIST_MOST, most - fold.count + 1)
             )
-            skipped = fold.take(page.objects)
-            if fold.full or (page.next is None and not skipped):
+            skipped = fold.add(page.objects)
+            if fold.truncated or (page.next is None and not skipped):
                 return fold
             if not skipped and page.next is not None:
                 fold.after = max(fold.after, page.next)
-        fold.full = True  # as far as it came: the client goes on from there
+        fold.truncated = True  # as far as it came: the client goes on from there
         return fold
 
-    def _told(self, asked: Asked, fold: listing.Fold) -> dict[str, xml.Value]:
+    def _told(self, asked: Asked, fold: listing.ObjectListing) -> dict[str, xml.Value]:
         spell = requests.spelled if asked.query.get("encoding-type") == "url" else str
         if asked.query.get("encoding-type") not in (None, "url"):
             raise S3Error("InvalidArgument", "encoding-type is url")
         return {
             "Name": asked.bucket, "Prefix": spell(fold.prefix), "Delimiter": spell(fold.delimiter) if fold.delimiter else None,
-            "MaxKeys": fold.most, "EncodingType": asked.query.get("encoding-type"), "IsTruncated": fold.full,
+            "MaxKeys": fold.max_items, "EncodingType": asked.query.get("encoding-type"), "IsTruncated": fold.truncated,
             "Contents": [
                 {
                     "Key": spell(entry.key), "LastModified": _iso(entry.modified), "ETag": entry.etag, "Size": entry.size,
                     "StorageClass": "STANDARD",
                 }
-                for entry in fold.keys
+                for entry in fold.objects
             ],
-            "CommonPrefixes": [{"Prefix": spell(each)} for each in fold.prefixes],
+            "CommonPrefixes": [{"Prefix": spell(each)} for each in fold.common_prefixes],
         }  # fmt: skip
 
     async def _ListObjectsV2(self, asked: Asked) -> None:
         given, first = asked.query.get("continuation-token"), asked.query.get("start-after", "")
-        after = listing.untoken(given) if given else first
+        after = listing.decode_token(given) if given else first
         if given:
-            after = listing.start(after, asked.query.get("delimiter", ""), asked.query.get("prefix", ""))
+            after = listing.resume_after(
+                after, asked.query.get("delimiter", ""), asked.query.get("prefix", "")
+            )
         fold = await self._folded(asked, after)
         told = self._told(asked, fold)
         told |= {
             "KeyCount": fold.count, "ContinuationToken": given, "StartAfter": first or None,
-            "NextContinuationToken": listing.token(fold.last or after) if fold.full else None,
+            "NextContinuationToken": listing.encode_token(fold.last_name or after) if fold.truncated else None,
         }  # fmt: skip
         await self._say(200, xml.document("ListBucketResult", told))
 
     async def _ListObjects(self, asked: Asked) -> None:
         marker, delimiter = asked.query.get("marker", ""), asked.query.get("delimiter", "")
-        fold = await self._folded(asked, listing.start(marker, delimiter, asked.query.get("prefix", "")))
-        told = self._told(asked, fold) | {"Marker": marker, "NextMarker": fold.last if fold.full else None}
+        fold = await self._folded(
+            asked, listing.resume_after(marker, delimiter, asked.query.get("prefix", ""))
+        )
+        told = self._told(asked, fold) | {
+            "Marker": marker,
+            "NextMarker": fold.last_name if fold.truncated else None,
+        }
         await self._say(200, xml.document("ListBucketResult", told))
 
     # Uploads in parts
@@ -796,7 +805,7 @@
     async def _UploadPart(self, asked: Asked) -> None:
         number, upload = asked.integer("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
         source, body = self._source()
-        async with self._lane(self.s3.parts, upload, "put-part"):
+        async with self._queue_slot(self.s3.parts, upload, "put-part"):
             final = await self._with_body("put-part", asked, source, upload=upload, part=number)
         await self._put_answer(final, body, "NoSuchUpload")
 
@@ -810,10 +819,12 @@
         told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
         await self._say(200, xml.document("CopyPartResult", told))
 
-    async def _parts(self, asked: Asked, upload: str) -> list[multipart.Kept]:
+    async def _parts(self, asked: Asked, upload: str) -> list[multipart.StoredPart]:
         sink = Collect()
         final = await self._do("list-parts", asked.bucket, asked.key, sink=sink, upload=upload)
-        return msgspec.json.decode(await self._whole(final, sink, "NoSuchUpload"), type=multipart.Parts).parts
+        return msgspec.json.decode(
+            await self._whole(final, sink, "NoSuchUpload"), type=multipart.StoredParts
+        ).parts
 
     async def _ListParts(self, asked: Asked) -> None:
         upload = self._upload(asked)
@@ -879,7 +890,7 @@
                 raise
             parts = None  # it may be complete already: the store knows, and gives the first one's answer
         if parts is not None:
-            multipart.fits(wanted, parts, self.s3.settings.part_least)
+            multipart.validate_completion(wanted, parts, self.s3.settings.part_least)
         body = msgspec.json.encode(
             {"parts": [{"partNumber": part.number, "etag": part.etag} for part in wanted]}
         )
