--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -34,7 +34,7 @@
 from winchdyke.cli.main import main
 from winchdyke.config.model import S3, Listen
 from winchdyke.gateway.daemon import Gateway
-from winchdyke.s3.lanes import Lanes
+from winchdyke.s3.lanes import KeyQueues
 
 MIB = 1 << 20
 ALL = [Right("*", "", ["list", "read", "write", "delete"])]
@@ -706,8 +706,8 @@
     st.integers(1, 3),
 )
 @examples(max_examples=300)
-def test_a_lane_has_so_many_at_once_in_turn_of_arrival_and_none_is_lost(steps, wide):
-    lanes = Lanes(wide)
+def test_key_queues_limit_active_requests_and_serve_waiting_ones_in_order_of_arrival(steps, limit):
+    queues = KeyQueues(limit)
     out: dict[int, list[object]] = {0: [], 1: [], 2: []}
     waiting: dict[int, list[object]] = {0: [], 1: [], 2: []}
     for what, name in steps:
@@ -718,20 +718,20 @@
                 assert waiting[name].pop(0) is mark, "in turn of arrival"
                 out[name].append(mark)
 
-            if lanes.enter(str(name), go):
+            if queues.acquire(str(name), go):
                 assert not waiting[name]
                 out[name].append(mark)
             else:
                 waiting[name].append(mark)
         elif what == "leave" and out[name]:
             out[name].pop()
-            lanes.leave(str(name))
-        assert all(len(each) <= wide for each in out.values())
-        assert all(not waiting[n] or len(out[n]) == wide for n in out), (
+            queues.release(str(name))
+        assert all(len(each) <= limit for each in out.values())
+        assert all(not waiting[n] or len(out[n]) == limit for n in out), (
             "no place is left free while one waits"
         )
-        assert [lanes.waits(str(n)) for n in out] == [len(waiting[n]) for n in out]
-    assert len(lanes) == sum(bool(out[n]) for n in out)
+        assert [queues.waiting_count(str(n)) for n in out] == [len(waiting[n]) for n in out]
+    assert len(queues) == sum(bool(out[n]) for n in out)
 
 
 def test_a_large_upload_leaves_its_courses_other_requests_room(tmp_path):
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -35,7 +35,7 @@
 from winchdyke.s3 import checksums, listing, multipart, requests, xml
 from winchdyke.s3.body import AWS_CHUNKED_PAYLOADS, BodyVerifier, ExpectedBody
 from winchdyke.s3.errors import S3Error, from_final_response
-from winchdyke.s3.queues import KeyQueues
+from winchdyke.s3.lanes import KeyQueues
 from winchdyke.s3.requests import Asked
 
 DOCUMENT = (
