--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -36,7 +36,7 @@
 from winchdyke.s3.body import AWS_CHUNKED_PAYLOADS, BodyVerifier, ExpectedBody
 from winchdyke.s3.errors import S3Error, from_final_response
 from winchdyke.s3.lanes import KeyQueues
-from winchdyke.s3.requests import Asked
+from winchdyke.s3.requests import ParsedRequest
 
 DOCUMENT = (
     16 << 20
@@ -234,7 +234,7 @@
         self.service = s3.service
         self.snapshot: ConfigSnapshot = s3.service.snapshot
         self.began, self._steps = self.service.clock(), 0
-        self.asked: Asked | None = None
+        self.parsed: ParsedRequest | None = None
         self.rights: list[Right] = []
         self.signed = sigv4.VerifiedRequest("", sigv4.UNSIGNED_PAYLOAD)
         self.record = AccessLogRecord(config_version=self.snapshot.version)
@@ -243,37 +243,37 @@
 
     async def run(self) -> None:
         """Let in, and answer."""
-        asked = self.asked = requests.parse(self.head, self.s3.settings.domain)
-        self._let_in(asked)
-        if asked.bucket and self.snapshot.volume(asked.bucket) is None:
-            raise S3Error("NoSuchBucket", f"no volume {asked.bucket!r} is set up here")
-        doing: Callable[[Asked], Awaitable[None]] = getattr(self, "_" + asked.spoken.name)
-        await doing(asked)
+        parsed = self.parsed = requests.parse(self.head, self.s3.settings.domain)
+        self._let_in(parsed)
+        if parsed.bucket and self.snapshot.volume(parsed.bucket) is None:
+            raise S3Error("NoSuchBucket", f"no volume {parsed.bucket!r} is set up here")
+        doing: Callable[[ParsedRequest], Awaitable[None]] = getattr(self, "_" + parsed.operation.name)
+        await doing(parsed)
 
     def ended(self) -> None:
         """Tell those who count, and the log."""
-        asked = self.asked
-        if asked is not None and asked.bucket and self.service.on_request_end is not None:
+        parsed = self.parsed
+        if parsed is not None and parsed.bucket and self.service.on_request_end is not None:
             shard = self.record.request.shard if self.record.request is not None else -1
-            self.service.on_request_end(asked.bucket, shard, self.outcome, self.service.clock() - self.began)
+            self.service.on_request_end(parsed.bucket, shard, self.outcome, self.service.clock() - self.began)
         structlog.get_logger("access").info(
-            "s3", request=self.request, who=self.who, operation=asked.spoken.name if asked else None,
-            bucket=asked.bucket if asked else None, status=self.connection.response_status, code=self.code,
+            "s3", request=self.request, who=self.who, operation=parsed.operation.name if parsed else None,
+            bucket=parsed.bucket if parsed else None, status=self.connection.response_status, code=self.code,
             attempts=self.record.attempt_count, nodes=self.record.endpoints, total_ms=round(self.service.clock() - self.began, 2),
         )  # fmt: skip
 
     # Who it is, and what they may
 
-    def _let_in(self, asked: Asked) -> None:
+    def _let_in(self, parsed: ParsedRequest) -> None:
         head, now = self.head, self.s3.wall()
-        request = sigv4.SignableRequest(head.method, asked.path, asked.raw_query, tuple(head.headers))
-        if "AWSAccessKeyId" in asked.query or (head.get(b"authorization") or "").startswith("AWS "):
+        request = sigv4.SignableRequest(head.method, parsed.path, parsed.raw_query, tuple(head.headers))
+        if "AWSAccessKeyId" in parsed.query or (head.get(b"authorization") or "").startswith("AWS "):
             raise S3Error(
                 "InvalidRequest", "signature version 2 is not spoken: set your client to version 4 (s3v4)"
             )
         if not sigv4.is_signed(request):
             word = self.s3.settings.unsigned
-            if word == "all" or (word == "read" and asked.spoken.required_right in ("read", "list")):
+            if word == "all" or (word == "read" and parsed.operation.required_right in ("read", "list")):
                 self.rights, self.who = ALL, "anyone"
                 if head.get(b"x-amz-content-sha256") in AWS_CHUNKED_PAYLOADS:
                     self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
@@ -302,18 +302,18 @@
         except sigv4.AuthError as error:
             raise S3Error(error.code, error.text, error.status) from error
         self.rights, self.who = found[0]
-        right = asked.spoken.required_right
-        if right != "own" and asked.spoken.level != "service":
-            name = asked.key if asked.spoken.level == "object" else asked.query.get("prefix", "")
-            if asked.spoken.name == "DeleteObjects":
+        right = parsed.operation.required_right
+        if right != "own" and parsed.operation.level != "service":
+            name = parsed.key if parsed.operation.level == "object" else parsed.query.get("prefix", "")
+            if parsed.operation.name == "DeleteObjects":
                 return  # each key by itself
-            bare = asked.spoken.level == "bucket" and asked.spoken.name.startswith(
+            bare = parsed.operation.level == "bucket" and parsed.operation.name.startswith(
                 ("Head", "Create", "GetBucket")
             )
             allowed = (
-                has_rights_in(self.rights, asked.bucket)
+                has_rights_in(self.rights, parsed.bucket)
                 if bare
-                else is_allowed(self.rights, right, asked.bucket, name)
+                else is_allowed(self.rights, right, parsed.bucket, name)
             )
             if not allowed:
                 raise S3Error("AccessDenied", f"this key has no right to {right} here")
@@ -495,7 +495,7 @@
 
     # Buckets
 
-    async def _ListBuckets(self, _: Asked) -> None:
+    async def _ListBuckets(self, _: ParsedRequest) -> None:
         names = sorted(
             rule.pattern for rule in self.snapshot.config.volumes
             if not set("*?[") & set(rule.pattern) and has_rights_in(self.rights, rule.pattern)
@@ -508,49 +508,54 @@
             200, xml.document("ListAllMyBucketsResult", {"Owner": owner, "Buckets": {"Bucket": buckets}})
         )
 
-    async def _HeadBucket(self, _: Asked) -> None:
+    async def _HeadBucket(self, _: ParsedRequest) -> None:
         await self._say(200, b"", [(b"x-amz-bucket-region", b"us-east-1")])
 
-    async def _CreateBucket(self, asked: Asked) -> None:
+    async def _CreateBucket(self, parsed: ParsedRequest) -> None:
         await self._document()
-        await self._say(200, b"", [(b"location", f"/{asked.bucket}".encode())])
+        await self._say(200, b"", [(b"location", f"/{parsed.bucket}".encode())])
 
-    async def _DeleteBucket(self, _: Asked) -> None:
+    async def _DeleteBucket(self, _: ParsedRequest) -> None:
         raise S3Error("AccessDenied", "volumes are made and removed in the gateway's settings alone")
 
-    async def _GetBucketLocation(self, _: Asked) -> None:
+    async def _GetBucketLocation(self, _: ParsedRequest) -> None:
         await self._say(200, xml.document("LocationConstraint", {}))
 
-    async def _GetBucketVersioning(self, _: Asked) -> None:
+    async def _GetBucketVersioning(self, _: ParsedRequest) -> None:
         await self._say(200, xml.document("VersioningConfiguration", {}))
 
     # Objects
 
-    async def _GetObject(self, asked: Asked) -> None:
+    async def _GetObject(self, parsed: ParsedRequest) -> None:
         overrides: Headers = []
-        for name, header in requests.OVERRIDES.items():
-            if name in asked.query:
+        for name, header in requests.RESPONSE_HEADER_PARAMETERS.items():
+            if name in parsed.query:
                 if not self.signed.access_key_id and self.s3.settings.unsigned != "all":
                     raise S3Error("InvalidRequest", "response headers are set by signed requests alone")
-                value = asked.query[name]
+                value = parsed.query[name]
                 if not value.isprintable() or not value.isascii():
                     raise S3Error("InvalidArgument", f"{name} is no value of a header")
                 overrides.append((header, value.encode()))
         relay = Relay(self.connection, overrides)
         name = "head" if self.head.method == "HEAD" else "get"
         part = ranges.parse(self.head.get(b"range")) if name == "get" else None
-        forwarded_headers = requests.conditions(self.head)
-        number = asked.integer("partNumber", requests.PART_MOST, 0, 1)
+        forwarded_headers = requests.conditional_headers(self.head)
+        number = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1)
         if number and part is not None:
             raise S3Error("InvalidRequest", "a range and a part number do not go together")
         if part is None:
             final = await self._do(
-                name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, part=number
+                name, parsed.bucket, parsed.key, sink=relay, forwarded_headers=forwarded_headers, part=number
             )
         else:
-            async with self._queue_slot(self.s3.ranges, f"{asked.bucket}/{asked.key}", name):
+            async with self._queue_slot(self.s3.ranges, f"{parsed.bucket}/{parsed.key}", name):
                 final = await self._do(
-                    name, asked.bucket, asked.key, sink=relay, forwarded_headers=forwarded_headers, range=part
+                    name,
+                    parsed.bucket,
+                    parsed.key,
+                    sink=relay,
+                    forwarded_headers=forwarded_headers,
+                    range=part,
                 )
         if final.streamed:
             self.outcome = final.outcome
@@ -570,15 +575,17 @@
 
     _HeadObject = _GetObject
 
-    async def _PutObject(self, asked: Asked) -> None:
+    async def _PutObject(self, parsed: ParsedRequest) -> None:
         if self.head.length is None and self.head.get(b"x-amz-decoded-content-length") is None:
             raise S3Error("MissingContentLength", "Content-Length is missing", 411)
         source, body = self._source()
-        forwarded_headers = requests.stored_headers(self.head) + requests.conditions(self.head)
-        final = await self._with_body("put", asked, source, forwarded_headers=forwarded_headers)
+        forwarded_headers = requests.stored_headers(self.head) + requests.conditional_headers(self.head)
+        final = await self._with_body("put", parsed, source, forwarded_headers=forwarded_headers)
         await self._put_answer(final, body, "NoSuchBucket")
 
-    async def _with_body(self, name: str, asked: Asked, source: BodySource, **more: object) -> FinalResponse:
+    async def _with_body(
+        self, name: str, parsed: ParsedRequest, source: BodySource, **more: object
+    ) -> FinalResponse:
         wrong: list[S3Error] = []
         read = source.read
 
@@ -589,7 +596,7 @@
                 wrong.append(error.error)
                 raise
 
-        final = await self._do(name, asked.bucket, asked.key, BodySource(noted, source.length), **more)
+        final = await self._do(name, parsed.bucket, parsed.key, BodySource(noted, source.length), **more)
         if wrong:
             raise wrong[0]
         return final
@@ -603,15 +610,15 @@
             )
         await self._say(200, b"", told)
 
-    async def _DeleteObject(self, asked: Asked) -> None:
+    async def _DeleteObject(self, parsed: ParsedRequest) -> None:
         final = await self._do(
-            "delete", asked.bucket, asked.key, forwarded_headers=requests.conditions(self.head)
+            "delete", parsed.bucket, parsed.key, forwarded_headers=requests.conditional_headers(self.head)
         )
         if final.response is None or final.response.head.status != 404:  # what is not there is deleted
             self._answered(final)
         await self._say(204)
 
-    async def _DeleteObjects(self, asked: Asked) -> None:
+    async def _DeleteObjects(self, parsed: ParsedRequest) -> None:
         keys, quiet = xml.parse_deletion(await self._document())
         done: dict[str, S3Error | None] = {}
         places = anyio.CapacityLimiter(AT_ONCE)
@@ -619,9 +626,9 @@
         async def one(key: str) -> None:
             async with places:
                 try:
-                    if not is_allowed(self.rights, "delete", asked.bucket, key):
+                    if not is_allowed(self.rights, "delete", parsed.bucket, key):
                         raise S3Error("AccessDenied", "this key has no right to delete here")
-                    volume, read = routes.volume_and_key(f"/{asked.bucket}/{requests.spelled(key)}")
+                    volume, read = routes.volume_and_key(f"/{parsed.bucket}/{requests.url_encoded(key)}")
                     final = await self._do("delete", volume, read)
                     if final.response is None or final.response.head.status != 404:
                         self._answered(final)
@@ -697,18 +704,18 @@
             raise
         raise AssertionError("a copy ends with an answer or an error")
 
-    async def _CopyObject(self, asked: Asked) -> None:
+    async def _CopyObject(self, parsed: ParsedRequest) -> None:
         word = self.head.get(b"x-amz-metadata-directive") or "COPY"
         if word not in ("COPY", "REPLACE"):
             raise S3Error("InvalidArgument", f"x-amz-metadata-directive is COPY or REPLACE, not {word!r}")
-        if requests.copy_source(self.head)[:2] == (asked.bucket, asked.key) and word == "COPY":
+        if requests.copy_source(self.head)[:2] == (parsed.bucket, parsed.key) and word == "COPY":
             raise S3Error(
                 "InvalidRequest", "a copy onto itself has to change something: REPLACE the metadata"
             )
 
         async def put(source: BodySource, head: ResponseHead) -> FinalResponse:
             kept = requests.stored_headers(self.head) if word == "REPLACE" else _kept_of(head)
-            return await self._do("put", asked.bucket, asked.key, source, forwarded_headers=kept)
+            return await self._do("put", parsed.bucket, parsed.key, source, forwarded_headers=kept)
 
         head = self._answered(await self._copied(put), "NoSuchBucket")
         told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
@@ -722,16 +729,16 @@
         data = await self._whole(final, sink, "NoSuchBucket")
         return msgspec.json.decode(data, type=native.Page)
 
-    async def _folded(self, asked: Asked, after: str) -> listing.ObjectListing:
-        query = asked.query
+    async def _folded(self, parsed: ParsedRequest, after: str) -> listing.ObjectListing:
+        query = parsed.query
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
-        most = asked.integer("max-keys", requests.LIST_MOST, requests.LIST_MOST)
+        most = parsed.integer("max-keys", requests.MAX_LISTED_ITEMS, requests.MAX_LISTED_ITEMS)
         fold = listing.ObjectListing(prefix, delimiter, most, after)
         if most == 0:
             return fold
         for _ in range(ROUNDS):
             page = await self._page(
-                asked.bucket, prefix, fold.after, min(requests.LIST_MOST, most - fold.count + 1)
+                parsed.bucket, prefix, fold.after, min(requests.MAX_LISTED_ITEMS, most - fold.count + 1)
             )
             skipped = fold.add(page.objects)
             if fold.truncated or (page.next is None and not skipped):
@@ -741,13 +748,13 @@
         fold.truncated = True  # as far as it came: the client goes on from there
         return fold
 
-    def _told(self, asked: Asked, fold: listing.ObjectListing) -> dict[str, xml.Value]:
-        spell = requests.spelled if asked.query.get("encoding-type") == "url" else str
-        if asked.query.get("encoding-type") not in (None, "url"):
+    def _told(self, parsed: ParsedRequest, fold: listing.ObjectListing) -> dict[str, xml.Value]:
+        spell = requests.url_encoded if parsed.query.get("encoding-type") == "url" else str
+        if parsed.query.get("encoding-type") not in (None, "url"):
             raise S3Error("InvalidArgument", "encoding-type is url")
         return {
-            "Name": asked.bucket, "Prefix": spell(fold.prefix), "Delimiter": spell(fold.delimiter) if fold.delimiter else None,
-            "MaxKeys": fold.max_items, "EncodingType": asked.query.get("encoding-type"), "IsTruncated": fold.truncated,
+            "Name": parsed.bucket, "Prefix": spell(fold.prefix), "Delimiter": spell(fold.delimiter) if fold.delimiter else None,
+            "MaxKeys": fold.max_items, "EncodingType": parsed.query.get("encoding-type"), "IsTruncated": fold.truncated,
             "Contents": [
                 {
                     "Key": spell(entry.key), "LastModified": _iso(entry.modified), "ETag": entry.etag, "Size": entry.size,
@@ -758,27 +765,27 @@
             "CommonPrefixes": [{"Prefix": spell(each)} for each in fold.common_prefixes],
         }  # fmt: skip
 
-    async def _ListObjectsV2(self, asked: Asked) -> None:
-        given, first = asked.query.get("continuation-token"), asked.query.get("start-after", "")
+    async def _ListObjectsV2(self, parsed: ParsedRequest) -> None:
+        given, first = parsed.query.get("continuation-token"), parsed.query.get("start-after", "")
         after = listing.decode_token(given) if given else first
         if given:
             after = listing.resume_after(
-                after, asked.query.get("delimiter", ""), asked.query.get("prefix", "")
+                after, parsed.query.get("delimiter", ""), parsed.query.get("prefix", "")
             )
-        fold = await self._folded(asked, after)
-        told = self._told(asked, fold)
+        fold = await self._folded(parsed, after)
+        told = self._told(parsed, fold)
         told |= {
             "KeyCount": fold.count, "ContinuationToken": given, "StartAfter": first or None,
             "NextContinuationToken": listing.encode_token(fold.last_name or after) if fold.truncated else None,
         }  # fmt: skip
         await self._say(200, xml.document("ListBucketResult", told))
 
-    async def _ListObjects(self, asked: Asked) -> None:
-        marker, delimiter = asked.query.get("marker", ""), asked.query.get("delimiter", "")
+    async def _ListObjects(self, parsed: ParsedRequest) -> None:
+        marker, delimiter = parsed.query.get("marker", ""), parsed.query.get("delimiter", "")
         fold = await self._folded(
-            asked, listing.resume_after(marker, delimiter, asked.query.get("prefix", ""))
+            parsed, listing.resume_after(marker, delimiter, parsed.query.get("prefix", ""))
         )
-        told = self._told(asked, fold) | {
+        told = self._told(parsed, fold) | {
             "Marker": marker,
             "NextMarker": fold.last_name if fold.truncated else None,
         }
@@ -786,74 +793,74 @@
 
     # Uploads in parts
 
-    async def _CreateMultipartUpload(self, asked: Asked) -> None:
-        self.s3._volumes.add(asked.bucket)
+    async def _CreateMultipartUpload(self, parsed: ParsedRequest) -> None:
+        self.s3._volumes.add(parsed.bucket)
         final = await self._do(
-            "start-upload", asked.bucket, asked.key, forwarded_headers=requests.stored_headers(self.head)
+            "start-upload", parsed.bucket, parsed.key, forwarded_headers=requests.stored_headers(self.head)
         )
         self._answered(final, "NoSuchBucket")
         assert final.response is not None
         upload = msgspec.json.decode(final.response.body)["uploadId"]
-        told: dict[str, xml.Value] = {"Bucket": asked.bucket, "Key": asked.key, "UploadId": upload}
+        told: dict[str, xml.Value] = {"Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload}
         await self._say(200, xml.document("InitiateMultipartUploadResult", told))
 
-    def _upload(self, asked: Asked) -> str:
-        if not routes.is_upload(asked.upload):
+    def _upload(self, parsed: ParsedRequest) -> str:
+        if not routes.is_upload(parsed.upload_id):
             raise S3Error("NoSuchUpload", "no such upload was started here")
-        return asked.upload
+        return parsed.upload_id
 
-    async def _UploadPart(self, asked: Asked) -> None:
-        number, upload = asked.integer("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
+    async def _UploadPart(self, parsed: ParsedRequest) -> None:
+        number, upload = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1), self._upload(parsed)
         source, body = self._source()
         async with self._queue_slot(self.s3.parts, upload, "put-part"):
-            final = await self._with_body("put-part", asked, source, upload=upload, part=number)
+            final = await self._with_body("put-part", parsed, source, upload=upload, part=number)
         await self._put_answer(final, body, "NoSuchUpload")
 
-    async def _UploadPartCopy(self, asked: Asked) -> None:
-        number, upload = asked.integer("partNumber", requests.PART_MOST, 0, 1), self._upload(asked)
+    async def _UploadPartCopy(self, parsed: ParsedRequest) -> None:
+        number, upload = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1), self._upload(parsed)
 
         async def put(source: BodySource, _: ResponseHead) -> FinalResponse:
-            return await self._do("put-part", asked.bucket, asked.key, source, upload=upload, part=number)
+            return await self._do("put-part", parsed.bucket, parsed.key, source, upload=upload, part=number)
 
         head = self._answered(await self._copied(put), "NoSuchUpload")
         told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
         await self._say(200, xml.document("CopyPartResult", told))
 
-    async def _parts(self, asked: Asked, upload: str) -> list[multipart.StoredPart]:
+    async def _parts(self, parsed: ParsedRequest, upload: str) -> list[multipart.StoredPart]:
         sink = Collect()
-        final = await self._do("list-parts", asked.bucket, asked.key, sink=sink, upload=upload)
+        final = await self._do("list-parts", parsed.bucket, parsed.key, sink=sink, upload=upload)
         return msgspec.json.decode(
             await self._whole(final, sink, "NoSuchUpload"), type=multipart.StoredParts
         ).parts
 
-    async def _ListParts(self, asked: Asked) -> None:
-        upload = self._upload(asked)
+    async def _ListParts(self, parsed: ParsedRequest) -> None:
+        upload = self._upload(parsed)
         most, after = (
-            asked.integer("max-parts", 1000, 1000),
-            asked.integer("part-number-marker", requests.PART_MOST, 0),
+            parsed.integer("max-parts", 1000, 1000),
+            parsed.integer("part-number-marker", requests.MAX_PART_NUMBER, 0),
         )
-        parts = [part for part in await self._parts(asked, upload) if part.partNumber > after]
+        parts = [part for part in await self._parts(parsed, upload) if part.partNumber > after]
         shown = parts[:most]
         told: dict[str, xml.Value] = {
-            "Bucket": asked.bucket, "Key": asked.key, "UploadId": upload, "PartNumberMarker": after, "MaxParts": most,
+            "Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload, "PartNumberMarker": after, "MaxParts": most,
             "NextPartNumberMarker": shown[-1].partNumber if shown else after, "IsTruncated": len(parts) > len(shown),
             "Part": [{"PartNumber": part.partNumber, "ETag": part.etag, "Size": part.size} for part in shown],
         }  # fmt: skip
         await self._say(200, xml.document("ListPartsResult", told))
 
-    async def _ListMultipartUploads(self, asked: Asked) -> None:
-        prefix, marker = asked.query.get("prefix", ""), asked.query.get("key-marker", "")
-        upload_marker = asked.query.get("upload-id-marker", "")
-        most = asked.integer("max-uploads", 1000, 1000)
+    async def _ListMultipartUploads(self, parsed: ParsedRequest) -> None:
+        prefix, marker = parsed.query.get("prefix", ""), parsed.query.get("key-marker", "")
+        upload_marker = parsed.query.get("upload-id-marker", "")
+        most = parsed.integer("max-uploads", 1000, 1000)
         found = [
-            upload for upload in await self.uploads(asked.bucket)
+            upload for upload in await self.uploads(parsed.bucket)
             if upload.key.startswith(prefix)
             and ((upload.key, upload.uploadId) > (marker, upload_marker) if upload_marker else upload.key > marker)
         ]  # fmt: skip
         found.sort(key=lambda upload: (upload.key, upload.uploadId))
         shown = found[:most]
         told: dict[str, xml.Value] = {
-            "Bucket": asked.bucket, "KeyMarker": marker, "UploadIdMarker": upload_marker, "MaxUploads": most,
+            "Bucket": parsed.bucket, "KeyMarker": marker, "UploadIdMarker": upload_marker, "MaxUploads": most,
             "IsTruncated": len(found) > len(shown), "Prefix": prefix,
             "NextKeyMarker": shown[-1].key if len(found) > len(shown) else None,
             "NextUploadIdMarker": shown[-1].uploadId if len(found) > len(shown) else None,
@@ -873,18 +880,18 @@
             upload for part in final.shard_bodies for upload in msgspec.json.decode(part, type=multipart.Uploads).uploads
         ]  # fmt: skip
 
-    async def _AbortMultipartUpload(self, asked: Asked) -> None:
+    async def _AbortMultipartUpload(self, parsed: ParsedRequest) -> None:
         self._answered(
-            await self._do("abort-upload", asked.bucket, asked.key, upload=self._upload(asked)),
+            await self._do("abort-upload", parsed.bucket, parsed.key, upload=self._upload(parsed)),
             "NoSuchUpload",
         )
         await self._say(204)
 
-    async def _CompleteMultipartUpload(self, asked: Asked) -> None:
-        upload = self._upload(asked)
+    async def _CompleteMultipartUpload(self, parsed: ParsedRequest) -> None:
+        upload = self._upload(parsed)
         wanted = xml.parse_completion(await self._document())
         try:
-            parts = await self._parts(asked, upload)
+            parts = await self._parts(parsed, upload)
         except S3Error as error:
             if error.code != "NoSuchUpload":
                 raise
@@ -894,11 +901,11 @@
         body = msgspec.json.encode(
             {"parts": [{"partNumber": part.number, "etag": part.etag} for part in wanted]}
         )
-        forwarded_headers = requests.conditions(self.head)
+        forwarded_headers = requests.conditional_headers(self.head)
         final = await self._do(
             "complete-upload",
-            asked.bucket,
-            asked.key,
+            parsed.bucket,
+            parsed.key,
             _bytes(body),
             upload=upload,
             forwarded_headers=forwarded_headers,
@@ -907,7 +914,7 @@
             raise S3Error("InvalidPart", "a part is not the one that was put: it was put anew meanwhile")
         head = self._answered(final, "NoSuchUpload")
         told: dict[str, xml.Value] = {
-            "Location": f"/{asked.bucket}/{requests.spelled(asked.key)}", "Bucket": asked.bucket, "Key": asked.key,
+            "Location": f"/{parsed.bucket}/{requests.url_encoded(parsed.key)}", "Bucket": parsed.bucket, "Key": parsed.key,
             "ETag": self._etag(head),
         }  # fmt: skip
         await self._say(200, xml.document("CompleteMultipartUploadResult", told))
@@ -951,7 +958,7 @@
     return tuple(
         (name, value)
         for name, value in head.headers
-        if name in requests.KEPT or name.startswith(b"x-amz-meta-")
+        if name in requests.STORED_HEADERS or name.startswith(b"x-amz-meta-")
     )
 
 
