--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -503,7 +503,7 @@
             await sent(it, head + data[: 2 * MIB], cut=True)
             listed = await off(lambda: s3.list_parts(**where, UploadId=upload))
             assert [part["PartNumber"] for part in listed["Parts"]] == [1], "half a part is none"
-            assert await it.gateway.s3.forget("school-1") == 0, "it was touched just now"
+            assert await it.gateway.s3.abort_expired_uploads("school-1") == 0, "it was touched just now"
             second = await off(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=2, Body=b"end"))
             parts = [{"PartNumber": 1, "ETag": first["ETag"]}, {"PartNumber": 2, "ETag": second["ETag"]}]
             await off(
@@ -514,11 +514,11 @@
             assert (await off(lambda: s3.get_object(**where)["Body"].read())) == data + b"end"
             left = (await off(lambda: s3.create_multipart_upload(**where)))["UploadId"]
             await off(lambda: s3.upload_part(**where, UploadId=left, PartNumber=1, Body=b"x"))
-            wall = it.gateway.s3.wall
-            it.gateway.s3.wall = lambda: wall() + 61
-            assert await it.gateway.s3.forget("school-1") == 1
+            wall = it.gateway.s3.wall_clock
+            it.gateway.s3.wall_clock = lambda: wall() + 61
+            assert await it.gateway.s3.abort_expired_uploads("school-1") == 1
             assert not any(store.shelf.uploads for store in it.stores)
-            it.gateway.s3.wall = wall
+            it.gateway.s3.wall_clock = wall
             assert (await off(lambda: code(lambda: s3.list_parts(**where, UploadId=left)))) == (
                 "NoSuchUpload",
                 404,
--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -51,7 +51,7 @@
 
 
 class BodyVerifier:
-    """Decodes and verifies a body piece by piece, and returns the bytes that may be forwarded to the store."""
+    """Decodes and verifies a body incrementally, and returns the bytes that may be forwarded to the store."""
 
     def __init__(self, expected: ExpectedBody) -> None:
         self.expected = expected
@@ -184,7 +184,7 @@
         """Verify the complete body, and return the bytes that were held back.
 
         Raises:
-            S3Error: The body is incomplete, or its length, digest or a checksum differs from the declared one.
+            S3Error: The body is incomplete, or its length or a checksum differs from the declared one.
         """
         expected = self.expected
         if expected.aws_chunked:
--- a/winchdyke/s3/errors.py
+++ b/winchdyke/s3/errors.py
@@ -1,4 +1,4 @@
-"""The error responses of the S3 dialect: codes, statuses, and the codes for the gateway's own reasons. Pure."""
+"""S3 error responses: codes, statuses, and the codes for the gateway's own reasons. Pure."""
 
 from __future__ import annotations
 
--- a/winchdyke/s3/lanes.py
+++ b/winchdyke/s3/lanes.py
@@ -1,11 +1,11 @@
 """Limits how many parts of one upload, and ranges of one object, are submitted to the scheduler at once.
 
-The scheduler shares capacity between volumes, and treats each part as a request of its volume. A client that
-sends forty parts of one object at once would fill its volume's share with that object, and all other requests of
-the volume would wait behind it; forty ranges of one object would all go to the same node. Therefore each upload,
-and each object that is read in ranges, has a queue: a limited number of requests are submitted at once, and the
-rest wait in order of arrival at this host, within their own deadlines. Requests that leave the queue are
-scheduled like all others. Pure: no clock, no I/O.
+The scheduler shares capacity between volumes, and treats each part as a request of its volume. A client
+that sends forty parts of one object at once would fill its volume's share with that object, and all other
+requests of the volume would wait behind it; forty ranges of one object would all go to the same node.
+Therefore each upload, and each object that is read in ranges, has a queue: a limited number of requests are
+submitted at once, and the rest wait in order of arrival at this host, within their own deadlines. Requests
+that leave the queue are scheduled like all others. Pure: no clock, no I/O.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
         return False
 
     def cancel_wait(self, key: str, on_ready: Callable[[], None]) -> bool:
-        """Leave the queue; False if the slot was already given to this request, which must then release it."""
+        """Leave the queue; False if this request already got its slot, which must then be released."""
         queue = self._queues.get(key)
         if queue is None or on_ready not in queue.waiting:
             return False
--- a/winchdyke/s3/listing.py
+++ b/winchdyke/s3/listing.py
@@ -40,7 +40,7 @@
     def add(self, entries: Iterable[Entry]) -> bool:
         """Add entries in order of key.
 
-        Returns True if a common prefix was added: the rest of its keys is skipped, and ``after`` is behind them.
+        Returns True if a common prefix was added; ``after`` is then behind all keys with that prefix.
         """
         for entry in entries:
             if entry.key <= self.after and self.after:
--- a/winchdyke/s3/multipart.py
+++ b/winchdyke/s3/multipart.py
@@ -72,14 +72,14 @@
         if stored_part.size < min_part_bytes and index < len(requested) - 1:
             raise S3Error(
                 "EntityTooSmall",
-                f"part {part.number} has {stored_part.size} bytes; the minimum for all but the last part is {min_part_bytes}",
+                f"part {part.number} has {stored_part.size} bytes; all but the last need at least {min_part_bytes}",
             )
         size += stored_part.size
     return size
 
 
 def expired(uploads: Iterable[Upload], now_ms: float, max_idle_ms: float) -> list[Upload]:
-    """The uploads that have been idle for longer than ``max_idle_ms``; never one whose start time is unknown."""
+    """The uploads that were idle for longer than ``max_idle_ms``; never one with an unknown start time."""
     return [
         upload
         for upload in uploads
--- a/winchdyke/s3/requests.py
+++ b/winchdyke/s3/requests.py
@@ -110,7 +110,7 @@
 
     Attributes:
         query: The query parameters, without those of the signature.
-        path: The path as sent. It contains the bucket only if the client put it there and not in the host name.
+        path: The path as sent; without the bucket if the client named it in the host name.
         raw_query: The query string as sent.
     """
 
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -1,7 +1,7 @@
-"""From an S3 client's request to its one final answer: let in, translated, carried through the scheduler, and told as S3 has it.
+"""Handles S3 requests: authorization, translation into operations of the object API, and the S3 response.
 
-Each step that touches a store is an operation of the object API's, with the deadline that is left. Nothing is decided here about
-where and when: that is the scheduler's. What a refusal means to a client is :mod:`winchdyke.s3.errors`.
+Each access to a store is an operation of the object API with the remaining time as its deadline; the
+scheduler decides where and when it is executed. :mod:`winchdyke.s3.errors` maps refusals to S3 errors.
 """
 
 from __future__ import annotations
@@ -38,182 +38,211 @@
 from winchdyke.s3.lanes import KeyQueues
 from winchdyke.s3.requests import ParsedRequest
 
-DOCUMENT = (
-    16 << 20
-)  # bytes of a store's answer that is read whole: the parts of an upload, a page of a listing
-AT_ONCE = 8  # deletes of one request under way together
-PIPE = 4  # pieces of a copy between its reading and its writing
-ROUNDS = 64  # pages asked of the stores for one page of a listing
-SWEEP_MOST_S = 600.0  # between looks for forgotten uploads
-ALL = [Right("*", "", ["list", "read", "write", "delete"])]
+MAX_BUFFERED_RESPONSE_BYTES = 16 << 20  # of a store's response: the parts of an upload, a page of a listing
+MAX_CONCURRENT_DELETES = 8  # of one DeleteObjects request
+PIPE_CAPACITY = 4  # chunks of a copy that have been read from the source and not yet written
+MAX_LISTING_ROUNDS = 64  # pages requested from the stores for one page of an S3 listing
+MAX_SWEEP_INTERVAL_S = 600.0  # between searches for expired uploads
+ALL_RIGHTS = [Right("*", "", ["list", "read", "write", "delete"])]
 
 
-class Collect:
-    """A sink that keeps an answer whole, up to a bound."""
+class BufferSink:
+    """Buffers a complete response up to a size limit; a larger one raises ClientDisconnectedError."""
 
-    def __init__(self, most: int = DOCUMENT) -> None:
-        self.data_, self._most, self.head = bytearray(), most, None
+    def __init__(self, max_bytes: int = MAX_BUFFERED_RESPONSE_BYTES) -> None:
+        self.buffer, self._max_bytes, self.head = bytearray(), max_bytes, None
 
     head: ResponseHead | None
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Take the head."""
+        """Store the head."""
         self.head = head
 
     async def data(self, data: Bytes) -> None:
-        """Take a piece."""
-        self.data_ += data
-        if len(self.data_) > self._most:
+        """Append a chunk of the body."""
+        self.buffer += data
+        if len(self.buffer) > self._max_bytes:
             raise ClientDisconnectedError
 
     async def finish(self) -> None:
-        """The end."""
+        """Do nothing: the buffer is complete."""
 
 
-class Relay:
-    """A sink that hands an object's answer to the client as S3 has it."""
+class RelaySink:
+    """Forwards a store's response to the client, with the response headers that the client overrides."""
 
     def __init__(self, connection: ClientConnection, overrides: Headers) -> None:
-        self._to, self._overrides = connection, overrides
+        self._connection, self._overrides = connection, overrides
 
-    def told(self, head: ResponseHead) -> ResponseHead:
-        """The head with the headers that the client asked for in place of those that are kept."""
-        names = {name for name, _ in self._overrides}
-        headers = [(name, value) for name, value in head.headers if name not in names] + self._overrides
+    def apply_overrides(self, head: ResponseHead) -> ResponseHead:
+        """The head with the client's overrides in place of the stored headers."""
+        overridden = {name for name, _ in self._overrides}
+        headers = [(name, value) for name, value in head.headers if name not in overridden] + self._overrides
         return ResponseHead(head.status, headers, head.length)
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Pass the head on."""
-        await self._to.begin_stream(self.told(head))
+        """Forward the head."""
+        await self._connection.begin_stream(self.apply_overrides(head))
 
     async def data(self, data: Bytes) -> None:
-        """Pass a piece on."""
-        await self._to.data(data)
+        """Forward a chunk of the body."""
+        await self._connection.data(data)
 
     async def finish(self) -> None:
-        """Pass the end on."""
-        await self._to.finish()
+        """Finish the response to the client."""
+        await self._connection.finish()
 
 
-class Pipe:
-    """What is read from one store on its way to another."""
+class CopyPipe:
+    """Streams a response of one store into a request body for another."""
 
     def __init__(self) -> None:
-        self._send, self._receive = anyio.create_memory_object_stream[bytes](PIPE)
-        self.begun, self.head = anyio.Event(), ResponseHead(0, [], None)
-        self.whole = False
+        self._send, self._receive = anyio.create_memory_object_stream[bytes](PIPE_CAPACITY)
+        self.started, self.head = anyio.Event(), ResponseHead(0, [], None)
+        self.complete = False
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """The source is there."""
+        """Store the head of the source, and start the stream."""
         self.head = head
-        self.begun.set()
+        self.started.set()
 
     async def data(self, data: Bytes) -> None:
-        """A piece of it."""
+        """Add a chunk; waits while the pipe is full."""
         await self._send.send(bytes(data))
 
     async def finish(self) -> None:
-        """It is whole."""
-        self.whole = True
+        """Mark the source as complete."""
+        self.complete = True
 
     def close(self) -> None:
-        """Nothing more comes."""
+        """End the stream; incomplete unless finish() was called."""
         self._send.close()
-        self.begun.set()
+        self.started.set()
 
     async def read(self) -> bytes:
-        """The next piece; ProtocolError where the source broke off."""
+        """The next chunk; empty at the end.
+
+        Raises:
+            ProtocolError: The source was cut off.
+        """
         try:
             return await self._receive.receive()
         except anyio.EndOfStream:
-            if not self.whole:
-                raise ProtocolError(500, "body-cut", "what was copied broke off") from None
+            if not self.complete:
+                raise ProtocolError(500, "body-cut", "the source of the copy was cut off") from None
             return b""
 
 
 class S3Service:
-    """The S3 dialect at one gateway."""
-
-    def __init__(self, service: Service, settings: Settings, wall: Callable[[], float] = time.time) -> None:
-        self.service, self.settings, self.wall = service, settings, wall
-        self.access = AccessKeyRing(Path(settings.keys), Path(settings.master)) if settings.keys else None
-        self._born, self._count = uuid.uuid4().hex[:20], 0
-        self.parts, self.ranges = KeyQueues(settings.parts_at_once), KeyQueues(settings.ranges_at_once)
-        self._volumes: set[str] = set()  # that had uploads in parts since this gateway's start
+    """The S3 service of one gateway.
+
+    Attributes:
+        access_keys: The access keys; None: no key file is configured.
+        part_queues: Limits the concurrent parts of each upload, by upload id.
+        range_queues: Limits the concurrent range reads of each object, by bucket and key.
+    """
+
+    def __init__(
+        self, service: Service, settings: Settings, wall_clock: Callable[[], float] = time.time
+    ) -> None:
+        self.service, self.settings, self.wall_clock = service, settings, wall_clock
+        self.access_keys = (
+            AccessKeyRing(Path(settings.keys), Path(settings.master)) if settings.keys else None
+        )
+        self._request_id_prefix, self._request_count = uuid.uuid4().hex[:20], 0
+        self.part_queues, self.range_queues = (
+            KeyQueues(settings.parts_at_once),
+            KeyQueues(settings.ranges_at_once),
+        )
+        self._upload_volumes: set[str] = set()  # volumes with multipart uploads since this gateway started
         self._log = structlog.get_logger("s3")
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
-        """Answer one request; whatever happens, once."""
+        """Handle one request; it gets one response, even after an unexpected exception."""
         service = self.service
-        self._count += 1
-        call = Call(self, connection, head, f"{self._born}{self._count:012x}")
-        told: Headers = [(b"x-amz-request-id", call.request.encode())]
-        if call.snapshot.version:
-            told.append((store_protocol.CONFIG_VERSION_HEADER, str(call.snapshot.version).encode()))
-        connection.begin_request(told, close=service.stopping)
+        self._request_count += 1
+        handler = RequestHandler(
+            self, connection, head, f"{self._request_id_prefix}{self._request_count:012x}"
+        )
+        response_headers: Headers = [(b"x-amz-request-id", handler.request_id.encode())]
+        if handler.snapshot.version:
+            response_headers.append(
+                (store_protocol.CONFIG_VERSION_HEADER, str(handler.snapshot.version).encode())
+            )
+        connection.begin_request(response_headers, close=service.stopping)
         connection.declared_body_bytes = head.length
         service.active_requests += 1
         try:
-            await call.run()
+            await handler.run()
         except S3Error as error:
-            await self._refuse(call, error)
+            await self._respond_error(handler, error)
         except RequestError as error:
             code = {"no-volume": "NoSuchBucket", "too-large": "EntityTooLarge"}.get(
                 error.reason, "InvalidArgument"
             )
-            await self._refuse(call, S3Error(code, str(error)))
+            await self._respond_error(handler, S3Error(code, str(error)))
         except ProtocolError as error:
             code = {413: "EntityTooLarge", 408: "RequestTimeout"}.get(error.status, "IncompleteBody")
-            await self._refuse(call, S3Error(code, str(error), 400))
+            await self._respond_error(handler, S3Error(code, str(error), 400))
         except ClientDisconnectedError:
             connection.close_after_response = True
         except Exception as error:
-            self._log.error("internal", request=call.request, exc_info=error)
-            await self._refuse(
-                call, S3Error("InternalError", "this went wrong inside; see the gateway's log")
+            self._log.error("internal", request=handler.request_id, exc_info=error)
+            await self._respond_error(
+                handler, S3Error("InternalError", "internal error; see the gateway's log")
             )
         finally:
             service.active_requests -= 1
             connection.on_disconnect = None
-            call.ended()
+            handler.report_end()
 
     async def run(self) -> None:
-        """Look for forgotten uploads until cancelled."""
+        """Abort expired uploads periodically until cancelled."""
         while True:
-            await anyio.sleep(min(SWEEP_MOST_S, self.settings.upload_keep / 1000 / 4))
-            for volume in sorted(self._volumes | {rule.pattern for rule in self.service.config.volumes}):
+            await anyio.sleep(min(MAX_SWEEP_INTERVAL_S, self.settings.upload_keep / 1000 / 4))
+            for volume in sorted(
+                self._upload_volumes | {rule.pattern for rule in self.service.config.volumes}
+            ):
                 if not set("*?[") & set(volume):
-                    await self.forget(volume)
+                    await self.abort_expired_uploads(volume)
+
+    async def abort_expired_uploads(self, volume: str) -> int:
+        """Abort the uploads of a volume that have been idle for longer than ``upload_keep``.
 
-    async def forget(self, volume: str) -> int:
-        """Abort the uploads of a volume that nobody has touched for too long; how many. Each step is the scheduler's."""
-        self._count += 1
-        request = f"{self._born}{self._count:012x}"
+        Every operation goes through the scheduler. Returns the number of aborted uploads.
+        """
+        self._request_count += 1
+        request_id = f"{self._request_id_prefix}{self._request_count:012x}"
         head = RequestHead("GET", f"/{volume}?uploads".encode(), [], 0)
-        call = Call(self, InternalCaller(), head, request)  # type: ignore[arg-type]
-        done = 0
+        handler = RequestHandler(self, InternalCaller(), head, request_id)  # type: ignore[arg-type]
+        aborted = 0
         try:
             for upload in multipart.expired(
-                await call.uploads(volume), self.wall() * 1000, self.settings.upload_keep
+                await handler.uploads(volume), self.wall_clock() * 1000, self.settings.upload_keep
             ):
-                final = await call._do("abort-upload", volume, upload.key, upload=upload.uploadId)
-                done += final.response is not None and final.response.head.status == 204
-                self._log.info("forgotten", volume=volume, key=upload.key, upload=upload.uploadId)
+                final = await handler._execute("abort-upload", volume, upload.key, upload=upload.uploadId)
+                aborted += final.response is not None and final.response.head.status == 204
+                self._log.info("upload_expired", volume=volume, key=upload.key, upload=upload.uploadId)
         except (S3Error, RequestError, ClientDisconnectedError) as error:
-            self._log.warning("forgotten", volume=volume, trouble=str(error))  # at the next look
-        return done
-
-    async def _refuse(self, call: Call, error: S3Error) -> None:
-        connection = call.connection
-        call.outcome = (
+            self._log.warning(
+                "upload_expiry_failed", volume=volume, trouble=str(error)
+            )  # retried at the next sweep
+        return aborted
+
+    async def _respond_error(self, handler: RequestHandler, error: S3Error) -> None:
+        connection = handler.connection
+        handler.outcome = (
             "refused" if error.code == "SlowDown" else "failed" if error.status >= 500 else "served"
         )
-        call.code = error.code
+        handler.code = error.code
         if connection.disconnected or not connection.codec.can_respond:
             connection.close_after_response = True
             return
         body = xml.error_document(
-            error.code, error.text, call.head.target.partition(b"?")[0].decode("latin-1"), call.request
+            error.code,
+            error.text,
+            handler.head.target.partition(b"?")[0].decode("latin-1"),
+            handler.request_id,
         )
         headers: Headers = [
             (b"content-type", b"application/xml"),
@@ -223,162 +252,200 @@
             headers.append((b"retry-after", str(max(1, round(error.retry_after_ms / 1000 + 0.49))).encode()))
         if error.status == 304:
             headers, body = [], b""
-        await connection.respond(error.status, headers, b"" if call.head.method == "HEAD" else body)
+        await connection.respond(error.status, headers, b"" if handler.head.method == "HEAD" else body)
+
+
+class RequestHandler:
+    """Handles one S3 request.
 
+    A method ``_NAME`` handles the operation NAME of S3.
 
-class Call:
-    """One request while it is answered."""
+    Attributes:
+        rights: The rights of the request's access key.
+        verified: The result of verifying the signature.
+        record: Attempts and nodes of all operations, for the access log.
+        outcome: The outcome for metrics: "served", "refused" or "failed".
+        code: The S3 error code; empty: none.
+        who: The owner of the access key, for the access log.
+        deadline: The deadline of all operations, on the service's clock; set by the first one.
+    """
 
-    def __init__(self, s3: S3Service, connection: ClientConnection, head: RequestHead, request: str) -> None:
-        self.s3, self.connection, self.head, self.request = s3, connection, head, request
+    def __init__(
+        self, s3: S3Service, connection: ClientConnection, head: RequestHead, request_id: str
+    ) -> None:
+        self.s3, self.connection, self.head, self.request_id = s3, connection, head, request_id
         self.service = s3.service
         self.snapshot: ConfigSnapshot = s3.service.snapshot
-        self.began, self._steps = self.service.clock(), 0
+        self.started_at, self._operation_count = self.service.clock(), 0
         self.parsed: ParsedRequest | None = None
         self.rights: list[Right] = []
-        self.signed = sigv4.VerifiedRequest("", sigv4.UNSIGNED_PAYLOAD)
+        self.verified = sigv4.VerifiedRequest("", sigv4.UNSIGNED_PAYLOAD)
         self.record = AccessLogRecord(config_version=self.snapshot.version)
         self.outcome, self.code, self.who = "served", "", ""
-        self.end = float("inf")
+        self.deadline = float("inf")
 
     async def run(self) -> None:
-        """Let in, and answer."""
+        """Authorize the request, and respond to it."""
         parsed = self.parsed = requests.parse(self.head, self.s3.settings.domain)
-        self._let_in(parsed)
+        self._authorize(parsed)
         if parsed.bucket and self.snapshot.volume(parsed.bucket) is None:
-            raise S3Error("NoSuchBucket", f"no volume {parsed.bucket!r} is set up here")
-        doing: Callable[[ParsedRequest], Awaitable[None]] = getattr(self, "_" + parsed.operation.name)
-        await doing(parsed)
+            raise S3Error("NoSuchBucket", f"no volume {parsed.bucket!r} is configured")
+        handle: Callable[[ParsedRequest], Awaitable[None]] = getattr(self, "_" + parsed.operation.name)
+        await handle(parsed)
 
-    def ended(self) -> None:
-        """Tell those who count, and the log."""
+    def report_end(self) -> None:
+        """Report the finished request to the service's callback and the access log."""
         parsed = self.parsed
         if parsed is not None and parsed.bucket and self.service.on_request_end is not None:
             shard = self.record.request.shard if self.record.request is not None else -1
-            self.service.on_request_end(parsed.bucket, shard, self.outcome, self.service.clock() - self.began)
+            self.service.on_request_end(
+                parsed.bucket, shard, self.outcome, self.service.clock() - self.started_at
+            )
         structlog.get_logger("access").info(
-            "s3", request=self.request, who=self.who, operation=parsed.operation.name if parsed else None,
+            "s3", request=self.request_id, who=self.who, operation=parsed.operation.name if parsed else None,
             bucket=parsed.bucket if parsed else None, status=self.connection.response_status, code=self.code,
-            attempts=self.record.attempt_count, nodes=self.record.endpoints, total_ms=round(self.service.clock() - self.began, 2),
+            attempts=self.record.attempt_count, nodes=self.record.endpoints, total_ms=round(self.service.clock() - self.started_at, 2),
         )  # fmt: skip
 
-    # Who it is, and what they may
+    # Authentication and authorization
 
-    def _let_in(self, parsed: ParsedRequest) -> None:
-        head, now = self.head, self.s3.wall()
+    def _authorize(self, parsed: ParsedRequest) -> None:
+        head, now = self.head, self.s3.wall_clock()
         request = sigv4.SignableRequest(head.method, parsed.path, parsed.raw_query, tuple(head.headers))
         if "AWSAccessKeyId" in parsed.query or (head.get(b"authorization") or "").startswith("AWS "):
             raise S3Error(
-                "InvalidRequest", "signature version 2 is not spoken: set your client to version 4 (s3v4)"
+                "InvalidRequest",
+                "signature version 2 is not supported; configure the client for version 4 (s3v4)",
             )
         if not sigv4.is_signed(request):
-            word = self.s3.settings.unsigned
-            if word == "all" or (word == "read" and parsed.operation.required_right in ("read", "list")):
-                self.rights, self.who = ALL, "anyone"
+            policy = self.s3.settings.unsigned
+            if policy == "all" or (policy == "read" and parsed.operation.required_right in ("read", "list")):
+                self.rights, self.who = ALL_RIGHTS, "anyone"
                 if head.get(b"x-amz-content-sha256") in AWS_CHUNKED_PAYLOADS:
-                    self.signed.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
+                    self.verified.payload_hash = sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER
                 return
             raise S3Error("AccessDenied", "the request is not signed")
-        access = self.s3.access
-        found: list[tuple[list[Right], str]] = []
+        access_keys = self.s3.access_keys
+        identity: list[tuple[list[Right], str]] = []
 
-        def secret_of(name: str) -> str | None:
-            if access is None:
+        def find_secret(access_key_id: str) -> str | None:
+            if access_keys is None:
                 return None
             try:
-                key = access.find(name, now * 1000)
+                key = access_keys.find(access_key_id, now * 1000)
             except AccessKeyFileError as error:
                 self.s3._log.error("keys", trouble=str(error))
                 raise S3Error(
-                    "ServiceUnavailable", "keys can't be looked at now; see the gateway's log"
+                    "ServiceUnavailable", "the access keys cannot be read; see the gateway's log"
                 ) from error
             if key is None:
                 return None
-            found[:] = [(key[0].rights, key[0].who)]
+            identity[:] = [(key[0].rights, key[0].who)]
             return key[1]
 
         try:
-            self.signed = sigv4.verify(request, secret_of, now)
+            self.verified = sigv4.verify(request, find_secret, now)
         except sigv4.AuthError as error:
             raise S3Error(error.code, error.text, error.status) from error
-        self.rights, self.who = found[0]
+        self.rights, self.who = identity[0]
         right = parsed.operation.required_right
         if right != "own" and parsed.operation.level != "service":
-            name = parsed.key if parsed.operation.level == "object" else parsed.query.get("prefix", "")
+            key_or_prefix = (
+                parsed.key if parsed.operation.level == "object" else parsed.query.get("prefix", "")
+            )
             if parsed.operation.name == "DeleteObjects":
-                return  # each key by itself
-            bare = parsed.operation.level == "bucket" and parsed.operation.name.startswith(
+                return  # the rights are checked for each key
+            needs_any_right = parsed.operation.level == "bucket" and parsed.operation.name.startswith(
                 ("Head", "Create", "GetBucket")
             )
             allowed = (
                 has_rights_in(self.rights, parsed.bucket)
-                if bare
-                else is_allowed(self.rights, right, parsed.bucket, name)
+                if needs_any_right
+                else is_allowed(self.rights, right, parsed.bucket, key_or_prefix)
             )
             if not allowed:
-                raise S3Error("AccessDenied", f"this key has no right to {right} here")
+                raise S3Error("AccessDenied", f"this access key has no right to {right} here")
 
-    # Steps
+    # Operations on stores
 
-    async def _do(
+    async def _execute(
         self,
-        name: str,
+        operation_name: str,
         volume: str,
         key: str = "",
         source: BodySource | None = None,
         sink: object = None,
-        **more: object,
+        **options: object,
     ) -> FinalResponse:
-        """One operation of the object API, in the time that is left."""
-        self._steps += 1
-        request = self.request if self._steps == 1 else f"{self.request}.{self._steps}"
+        """Execute one operation of the object API within the remaining time.
+
+        Raises:
+            ClientDisconnectedError: The client disconnected.
+        """
+        self._operation_count += 1
+        operation_id = (
+            self.request_id if self._operation_count == 1 else f"{self.request_id}.{self._operation_count}"
+        )
         now = self.service.clock()
-        left = None if self.end == float("inf") else max(1.0, self.end - now)
-        client = routes.client_request(self.head)
-        operation = routes.Operation(name, volume, key, time_left_ms=left, client_request=client, **more)  # type: ignore[arg-type]
+        time_left_ms = None if self.deadline == float("inf") else max(1.0, self.deadline - now)
+        client_request = routes.client_request(self.head)
+        operation = routes.Operation(
+            operation_name, volume, key, time_left_ms=time_left_ms, client_request=client_request, **options  # type: ignore[arg-type]
+        )  # fmt: skip
         length = source.length if source is not None else 0
         head = RequestHead(operation.store_method, operation.target(), self.head.headers, length)
         record = AccessLogRecord(config_version=self.snapshot.version)
         try:
-            kind, final = await self.service.execute(
-                self.connection, head, operation, request, record, self.snapshot, source or BodySource(_nothing, 0),
-                sink if sink is not None else Collect(),  # type: ignore[arg-type]
+            request_class, final = await self.service.execute(
+                self.connection, head, operation, operation_id, record, self.snapshot, source or BodySource(_read_nothing, 0),
+                sink if sink is not None else BufferSink(),  # type: ignore[arg-type]
             )  # fmt: skip
         finally:
             self.record.attempt_count += record.attempt_count
             self.record.endpoints += record.endpoints
             self.record.request = self.record.request or record.request
-        if self._steps == 1:
-            self.end = self.began + kind.rules.deadline_ms
+        if self._operation_count == 1:
+            self.deadline = self.started_at + request_class.rules.deadline_ms
         if final.outcome == "gone":
             raise ClientDisconnectedError
         return final
 
     @asynccontextmanager
-    async def _queue_slot(self, queues: KeyQueues, name: str, kind: str) -> AsyncIterator[None]:
-        """A place in a lane, within the deadline of the class that the operation has."""
+    async def _queue_slot(
+        self, queues: KeyQueues, queue_key: str, operation_name: str
+    ) -> AsyncIterator[None]:
+        """Wait for a slot of a queue, at most until the deadline of the operation's request class.
+
+        Raises:
+            S3Error: No slot became free before the deadline (SlowDown).
+        """
         ready = anyio.Event()
-        rules = self.snapshot.config.kind_for(kind, None)
-        if rules is not None:
-            self.end = min(self.end, self.began + rules.rules.deadline_ms)
-        if not queues.acquire(name, ready.set):
-            left = max(0.0, self.end - self.service.clock()) / 1000
-            with anyio.move_on_after(left) as late:
+        request_class = self.snapshot.config.kind_for(operation_name, None)
+        if request_class is not None:
+            self.deadline = min(self.deadline, self.started_at + request_class.rules.deadline_ms)
+        if not queues.acquire(queue_key, ready.set):
+            remaining_s = max(0.0, self.deadline - self.service.clock()) / 1000
+            with anyio.move_on_after(remaining_s) as timeout:
                 await ready.wait()
-            if late.cancelled_caught and queues.cancel_wait(name, ready.set):
+            if timeout.cancelled_caught and queues.cancel_wait(queue_key, ready.set):
                 raise S3Error("SlowDown", "too many parts or ranges of this object at once", 503, 1000.0)
         try:
             yield
         finally:
-            queues.release(name)
+            queues.release(queue_key)
+
+    def _successful_head(self, final: FinalResponse, not_found_code: str = "NoSuchKey") -> ResponseHead:
+        """The head of a complete, successful response of a store.
 
-    def _answered(self, final: FinalResponse, missing: str = "NoSuchKey") -> ResponseHead:
-        """The head of a store's whole answer. S3Error where it says no, or where no store said anything."""
+        Raises:
+            S3Error: The store responded with an error, or no store responded.
+            ClientDisconnectedError: The response has already been streamed to the client.
+        """
         if final.streamed:
             self.outcome = final.outcome
             if final.outcome != "served":
                 self.connection.close_after_response = True
-            raise ClientDisconnectedError  # all that can be said was said
+            raise ClientDisconnectedError  # the response has already been sent
         if final.response is None:
             self.outcome = final.outcome
             raise from_final_response(
@@ -387,111 +454,126 @@
         head = final.response.head
         if head.status < 300:
             return head
-        text = {404: missing, 412: "PreconditionFailed", 416: "InvalidRange", 304: "NotModified"}.get(
+        code = {404: not_found_code, 412: "PreconditionFailed", 416: "InvalidRange", 304: "NotModified"}.get(
             head.status
         )
-        if text is None:
-            raise S3Error("InvalidRequest", f"the store answered {head.status}", 400)
-        raise S3Error(text, _WORDS.get(text, text), head.status)
+        if code is None:
+            raise S3Error("InvalidRequest", f"the store responded with status {head.status}", 400)
+        raise S3Error(code, _MESSAGES.get(code, code), head.status)
 
-    async def _whole(self, final: FinalResponse, sink: Collect, missing: str) -> bytes:
-        """The body of an answer that is read whole, however large it came."""
+    async def _complete_body(self, final: FinalResponse, sink: BufferSink, not_found_code: str) -> bytes:
+        """The complete body of a response, whether it was streamed into the sink or not."""
         if final.streamed and final.outcome == "served" and sink.head is not None:
-            return bytes(sink.data_)
+            return bytes(sink.buffer)
         if final.streamed:
-            raise S3Error("InternalError", "a store's answer broke off or is too large")
-        self._answered(final, missing)
+            raise S3Error("InternalError", "a store's response was cut off or is too large")
+        self._successful_head(final, not_found_code)
         assert final.response is not None
         return final.response.body
 
-    async def _say(self, status: int, body: bytes = b"", headers: Headers = []) -> None:  # noqa: B006
-        told: Headers = [*headers]
+    async def _respond(self, status: int, body: bytes = b"", headers: Headers = []) -> None:  # noqa: B006
+        all_headers: Headers = [*headers]
         if status != 204:
-            told.append((b"content-length", str(len(body)).encode()))
+            all_headers.append((b"content-length", str(len(body)).encode()))
         if body:
-            told.append((b"content-type", b"application/xml"))
-        await self.connection.respond(status, told, b"" if self.head.method == "HEAD" else body)
+            all_headers.append((b"content-type", b"application/xml"))
+        await self.connection.respond(status, all_headers, b"" if self.head.method == "HEAD" else body)
 
     def _etag(self, head: ResponseHead) -> str:
         return head.get(b"etag") or ""
 
     # Bodies
 
-    def _source(self) -> tuple[BodySource, BodyVerifier]:
-        """The client's body, unpacked and checked."""
+    def _verified_body(self) -> tuple[BodySource, BodyVerifier]:
+        """The source of the client's body, which decodes and verifies it, and its verifier."""
         head = self.head
-        payload = head.get(b"x-amz-content-sha256") or self.signed.payload_hash
-        if self.signed.payload_hash not in (sigv4.UNSIGNED_PAYLOAD, sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER):
-            payload = self.signed.payload_hash
-        aws_chunked = payload in AWS_CHUNKED_PAYLOADS
-        wanted = ExpectedBody(payload, self.signed.chunks, head.length, aws_chunked=aws_chunked)
+        payload_hash = head.get(b"x-amz-content-sha256") or self.verified.payload_hash
+        if self.verified.payload_hash not in (
+            sigv4.UNSIGNED_PAYLOAD,
+            sigv4.STREAMING_UNSIGNED_PAYLOAD_TRAILER,
+        ):
+            payload_hash = self.verified.payload_hash
+        aws_chunked = payload_hash in AWS_CHUNKED_PAYLOADS
+        expected = ExpectedBody(payload_hash, self.verified.chunks, head.length, aws_chunked=aws_chunked)
         if aws_chunked:
-            text = head.get(b"x-amz-decoded-content-length")
-            if text is None or not text.isascii() or not text.isdigit() or len(text) > 15:
-                raise S3Error("MissingContentLength", "x-amz-decoded-content-length is missing", 411)
-            wanted.length = int(text)
+            decoded_length = head.get(b"x-amz-decoded-content-length")
+            if (
+                decoded_length is None
+                or not decoded_length.isascii()
+                or not decoded_length.isdigit()
+                or len(decoded_length) > 15
+            ):
+                raise S3Error(
+                    "MissingContentLength", "x-amz-decoded-content-length is missing or invalid", 411
+                )
+            expected.length = int(decoded_length)
         md5 = head.get(b"content-md5")
         if md5 is not None:
-            wanted.md5 = checksums.decode_base64(md5)
-            if wanted.md5 is None or len(wanted.md5) != 16:
-                raise S3Error("InvalidDigest", "Content-MD5 is no MD5 in base64")
+            expected.md5 = checksums.decode_base64(md5)
+            if expected.md5 is None or len(expected.md5) != 16:
+                raise S3Error("InvalidDigest", "Content-MD5 is not a base64-encoded MD5")
         for name, value in head.headers:
             algorithm = name.decode("latin-1").removeprefix(checksums.PREFIX)
             if name.startswith(checksums.PREFIX.encode()) and algorithm not in ("algorithm", "mode", "type"):
-                self._known(algorithm)
-                wanted.checksum_values[algorithm] = checksums.decode_base64(value.decode("latin-1"))
-                if wanted.checksum_values[algorithm] is None:
+                self._check_algorithm(algorithm)
+                expected.checksum_values[algorithm] = checksums.decode_base64(value.decode("latin-1"))
+                if expected.checksum_values[algorithm] is None:
                     raise S3Error("InvalidRequest", f"{name.decode()} is not base64")
         if trailer := head.get(b"x-amz-trailer"):
-            if not aws_chunked or not payload.endswith("TRAILER"):
-                raise S3Error("InvalidRequest", "x-amz-trailer goes with a body in chunks that has a trailer")
-            for each in trailer.split(","):
-                algorithm = each.strip().lower().removeprefix(checksums.PREFIX)
-                self._known(algorithm)
-                wanted.checksum_values[algorithm] = None
-        body = BodyVerifier(wanted)
-        most, got, over = self.service.config.limits.object_bytes, 0, False
+            if not aws_chunked or not payload_hash.endswith("TRAILER"):
+                raise S3Error("InvalidRequest", "x-amz-trailer requires an aws-chunked body with trailers")
+            for trailer_name in trailer.split(","):
+                algorithm = trailer_name.strip().lower().removeprefix(checksums.PREFIX)
+                self._check_algorithm(algorithm)
+                expected.checksum_values[algorithm] = None
+        body = BodyVerifier(expected)
+        max_bytes, received, finished = self.service.config.limits.object_bytes, 0, False
 
         async def read() -> bytes:
-            nonlocal got, over
-            while not over:
+            nonlocal received, finished
+            while not finished:
                 data = await self.connection.read_body()
-                got += len(data)
-                if got > most + most // 8:
-                    raise ProtocolError(413, "too-large", f"the object is larger than {most} bytes")
+                received += len(data)
+                if received > max_bytes + max_bytes // 8:
+                    raise ProtocolError(413, "too-large", f"the object is larger than {max_bytes} bytes")
                 try:
                     ready = body.feed(data) if data else body.finish()
                 except S3Error as error:
-                    raise _Wrong(error) from error
-                over = not data
+                    raise _BodyVerificationError(error) from error
+                finished = not data
                 if ready:
                     return ready
             return b""
 
-        return BodySource(read, wanted.length), body
+        return BodySource(read, expected.length), body
 
     @staticmethod
-    def _known(name: str) -> None:
-        if name not in checksums.ALGORITHMS:
-            known = ", ".join(checksums.ALGORITHMS)
-            raise S3Error("NotImplemented", f"the checksum {name!r} is not spoken here; {known} are")
-
-    async def _document(self) -> bytes:
-        """A document that the client sends, checked."""
-        source, _ = self._source()
-        got = bytearray()
+    def _check_algorithm(algorithm: str) -> None:
+        if algorithm not in checksums.ALGORITHMS:
+            supported = ", ".join(checksums.ALGORITHMS)
+            raise S3Error("NotImplemented", f"the checksum {algorithm!r} is not supported; {supported} are")
+
+    async def _read_document(self) -> bytes:
+        """Read and verify the XML document in the request's body."""
+        source, _ = self._verified_body()
+        document = bytearray()
         if (source.length or 0) > xml.MAX_DOCUMENT_BYTES:
-            raise S3Error("EntityTooLarge", f"a document has at most {xml.MAX_DOCUMENT_BYTES} bytes")
-        # Guards against a client that sends a document a byte at a time: no deadline of a class counts yet.
-        with anyio.move_on_after(self.service.config.limits.stream_idle / 1000) as late:
-            while data := await _unwrapped(source.read):
-                got += data
-                if len(got) > xml.MAX_DOCUMENT_BYTES:
-                    raise S3Error("EntityTooLarge", f"a document has at most {xml.MAX_DOCUMENT_BYTES} bytes")
-        if late.cancelled_caught:
+            raise S3Error(
+                "EntityTooLarge", f"an XML document may have at most {xml.MAX_DOCUMENT_BYTES} bytes"
+            )
+        # Guards against a client that sends a document one byte at a time: the deadline of the request class
+        # does not apply yet.
+        with anyio.move_on_after(self.service.config.limits.stream_idle / 1000) as timeout:
+            while data := await _read_unwrapped(source.read):
+                document += data
+                if len(document) > xml.MAX_DOCUMENT_BYTES:
+                    raise S3Error(
+                        "EntityTooLarge", f"an XML document may have at most {xml.MAX_DOCUMENT_BYTES} bytes"
+                    )
+        if timeout.cancelled_caught:
             self.connection.close_after_response = True
-            raise S3Error("RequestTimeout", "the document did not arrive in time")
-        return bytes(got)
+            raise S3Error("RequestTimeout", "the document was not received in time")
+        return bytes(document)
 
     # Buckets
 
@@ -504,25 +586,25 @@
             {"Name": name, "CreationDate": "1970-01-01T00:00:00.000Z"} for name in names
         ]
         owner: xml.Value = {"ID": self.who, "DisplayName": self.who}
-        await self._say(
+        await self._respond(
             200, xml.document("ListAllMyBucketsResult", {"Owner": owner, "Buckets": {"Bucket": buckets}})
         )
 
     async def _HeadBucket(self, _: ParsedRequest) -> None:
-        await self._say(200, b"", [(b"x-amz-bucket-region", b"us-east-1")])
+        await self._respond(200, b"", [(b"x-amz-bucket-region", b"us-east-1")])
 
     async def _CreateBucket(self, parsed: ParsedRequest) -> None:
-        await self._document()
-        await self._say(200, b"", [(b"location", f"/{parsed.bucket}".encode())])
+        await self._read_document()
+        await self._respond(200, b"", [(b"location", f"/{parsed.bucket}".encode())])
 
     async def _DeleteBucket(self, _: ParsedRequest) -> None:
-        raise S3Error("AccessDenied", "volumes are made and removed in the gateway's settings alone")
+        raise S3Error("AccessDenied", "buckets are created and deleted only in the gateway's settings")
 
     async def _GetBucketLocation(self, _: ParsedRequest) -> None:
-        await self._say(200, xml.document("LocationConstraint", {}))
+        await self._respond(200, xml.document("LocationConstraint", {}))
 
     async def _GetBucketVersioning(self, _: ParsedRequest) -> None:
-        await self._say(200, xml.document("VersioningConfiguration", {}))
+        await self._respond(200, xml.document("VersioningConfiguration", {}))
 
     # Objects
 
@@ -530,32 +612,39 @@
         overrides: Headers = []
         for name, header in requests.RESPONSE_HEADER_PARAMETERS.items():
             if name in parsed.query:
-                if not self.signed.access_key_id and self.s3.settings.unsigned != "all":
-                    raise S3Error("InvalidRequest", "response headers are set by signed requests alone")
+                if not self.verified.access_key_id and self.s3.settings.unsigned != "all":
+                    raise S3Error(
+                        "InvalidRequest", "parameters that override response headers require a signed request"
+                    )
                 value = parsed.query[name]
                 if not value.isprintable() or not value.isascii():
-                    raise S3Error("InvalidArgument", f"{name} is no value of a header")
+                    raise S3Error("InvalidArgument", f"{name} is not a valid header value")
                 overrides.append((header, value.encode()))
-        relay = Relay(self.connection, overrides)
+        sink = RelaySink(self.connection, overrides)
         name = "head" if self.head.method == "HEAD" else "get"
-        part = ranges.parse(self.head.get(b"range")) if name == "get" else None
+        byte_range = ranges.parse(self.head.get(b"range")) if name == "get" else None
         forwarded_headers = requests.conditional_headers(self.head)
-        number = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1)
-        if number and part is not None:
-            raise S3Error("InvalidRequest", "a range and a part number do not go together")
-        if part is None:
-            final = await self._do(
-                name, parsed.bucket, parsed.key, sink=relay, forwarded_headers=forwarded_headers, part=number
+        part_number = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1)
+        if part_number and byte_range is not None:
+            raise S3Error("InvalidRequest", "Range and partNumber cannot be combined")
+        if byte_range is None:
+            final = await self._execute(
+                name,
+                parsed.bucket,
+                parsed.key,
+                sink=sink,
+                forwarded_headers=forwarded_headers,
+                part=part_number,
             )
         else:
-            async with self._queue_slot(self.s3.ranges, f"{parsed.bucket}/{parsed.key}", name):
-                final = await self._do(
+            async with self._queue_slot(self.s3.range_queues, f"{parsed.bucket}/{parsed.key}", name):
+                final = await self._execute(
                     name,
                     parsed.bucket,
                     parsed.key,
-                    sink=relay,
+                    sink=sink,
                     forwarded_headers=forwarded_headers,
-                    range=part,
+                    range=byte_range,
                 )
         if final.streamed:
             self.outcome = final.outcome
@@ -566,11 +655,11 @@
             return await self.connection.respond(
                 304, store_protocol.client_headers(final.response.head.headers), b""
             )
-        self._answered(final)
+        self._successful_head(final)
         assert final.response is not None
-        told = relay.told(final.response.head)
+        response_head = sink.apply_overrides(final.response.head)
         await self.connection.respond(
-            told.status, store_protocol.client_headers(told.headers), final.response.body
+            response_head.status, store_protocol.client_headers(response_head.headers), final.response.body
         )
 
     _HeadObject = _GetObject
@@ -578,100 +667,110 @@
     async def _PutObject(self, parsed: ParsedRequest) -> None:
         if self.head.length is None and self.head.get(b"x-amz-decoded-content-length") is None:
             raise S3Error("MissingContentLength", "Content-Length is missing", 411)
-        source, body = self._source()
+        source, body = self._verified_body()
         forwarded_headers = requests.stored_headers(self.head) + requests.conditional_headers(self.head)
-        final = await self._with_body("put", parsed, source, forwarded_headers=forwarded_headers)
-        await self._put_answer(final, body, "NoSuchBucket")
+        final = await self._execute_with_body("put", parsed, source, forwarded_headers=forwarded_headers)
+        await self._respond_to_put(final, body, "NoSuchBucket")
 
-    async def _with_body(
-        self, name: str, parsed: ParsedRequest, source: BodySource, **more: object
+    async def _execute_with_body(
+        self, operation_name: str, parsed: ParsedRequest, source: BodySource, **options: object
     ) -> FinalResponse:
-        wrong: list[S3Error] = []
+        errors: list[S3Error] = []
         read = source.read
 
-        async def noted() -> Bytes:
+        async def read_recording_errors() -> Bytes:
             try:
                 return await read()
-            except _Wrong as error:
-                wrong.append(error.error)
+            except _BodyVerificationError as error:
+                errors.append(error.error)
                 raise
 
-        final = await self._do(name, parsed.bucket, parsed.key, BodySource(noted, source.length), **more)
-        if wrong:
-            raise wrong[0]
+        final = await self._execute(
+            operation_name,
+            parsed.bucket,
+            parsed.key,
+            BodySource(read_recording_errors, source.length),
+            **options,
+        )
+        if errors:
+            raise errors[0]
         return final
 
-    async def _put_answer(self, final: FinalResponse, body: BodyVerifier, missing: str) -> None:
-        head = self._answered(final, missing)
-        told: Headers = [(b"etag", self._etag(head).encode())]
+    async def _respond_to_put(self, final: FinalResponse, body: BodyVerifier, not_found_code: str) -> None:
+        head = self._successful_head(final, not_found_code)
+        headers: Headers = [(b"etag", self._etag(head).encode())]
         for name, value in body.running_checksums.items():
-            told.append(
+            headers.append(
                 ((checksums.PREFIX + name).encode(), checksums.encode_base64(value.digest()).encode())
             )
-        await self._say(200, b"", told)
+        await self._respond(200, b"", headers)
 
     async def _DeleteObject(self, parsed: ParsedRequest) -> None:
-        final = await self._do(
+        final = await self._execute(
             "delete", parsed.bucket, parsed.key, forwarded_headers=requests.conditional_headers(self.head)
         )
-        if final.response is None or final.response.head.status != 404:  # what is not there is deleted
-            self._answered(final)
-        await self._say(204)
+        if final.response is None or final.response.head.status != 404:  # deleting a missing object succeeds
+            self._successful_head(final)
+        await self._respond(204)
 
     async def _DeleteObjects(self, parsed: ParsedRequest) -> None:
-        keys, quiet = xml.parse_deletion(await self._document())
-        done: dict[str, S3Error | None] = {}
-        places = anyio.CapacityLimiter(AT_ONCE)
+        keys, quiet = xml.parse_deletion(await self._read_document())
+        results: dict[str, S3Error | None] = {}
+        limiter = anyio.CapacityLimiter(MAX_CONCURRENT_DELETES)
 
-        async def one(key: str) -> None:
-            async with places:
+        async def delete(key: str) -> None:
+            async with limiter:
                 try:
                     if not is_allowed(self.rights, "delete", parsed.bucket, key):
-                        raise S3Error("AccessDenied", "this key has no right to delete here")
-                    volume, read = routes.volume_and_key(f"/{parsed.bucket}/{requests.url_encoded(key)}")
-                    final = await self._do("delete", volume, read)
+                        raise S3Error("AccessDenied", "this access key has no right to delete here")
+                    volume, parsed_key = routes.volume_and_key(
+                        f"/{parsed.bucket}/{requests.url_encoded(key)}"
+                    )
+                    final = await self._execute("delete", volume, parsed_key)
                     if final.response is None or final.response.head.status != 404:
-                        self._answered(final)
-                    done[key] = None
+                        self._successful_head(final)
+                    results[key] = None
                 except S3Error as error:
-                    done[key] = error
+                    results[key] = error
                 except RequestError as error:
-                    done[key] = S3Error("InvalidArgument", str(error))
+                    results[key] = S3Error("InvalidArgument", str(error))
 
         async with anyio.create_task_group() as group:
             for key in dict.fromkeys(keys):
-                group.start_soon(one, key)
-        told: dict[str, xml.Value] = {
-            "Deleted": [{"Key": key} for key in keys if done[key] is None and not quiet],
+                group.start_soon(delete, key)
+        values: dict[str, xml.Value] = {
+            "Deleted": [{"Key": key} for key in keys if results[key] is None and not quiet],
             "Error": [
                 {"Key": key, "Code": error.code, "Message": error.text}
-                for key in keys for error in [done[key]] if error is not None
+                for key in keys for error in [results[key]] if error is not None
             ],
         }  # fmt: skip
-        await self._say(200, xml.document("DeleteResult", told))
+        await self._respond(200, xml.document("DeleteResult", values))
 
-    async def _copied(
+    async def _copy(
         self, put: Callable[[BodySource, ResponseHead], Awaitable[FinalResponse]]
     ) -> FinalResponse:
-        """What the request names is read from its store and handed to ``put`` as it comes."""
-        bucket, key, part = requests.copy_source(self.head)
+        """Stream the source of the copy from its store into the body of ``put``."""
+        bucket, key, byte_range = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
-            raise S3Error("NoSuchBucket", f"no volume {bucket!r} is set up here")
+            raise S3Error("NoSuchBucket", f"no volume {bucket!r} is configured")
         if not is_allowed(self.rights, "read", bucket, key):
-            raise S3Error("AccessDenied", "this key has no right to read what is copied")
-        names = {
+            raise S3Error("AccessDenied", "this access key has no right to read the source")
+        header_names = {
             b"x-amz-copy-source-if-match": b"if-match", b"x-amz-copy-source-if-none-match": b"if-none-match",
             b"x-amz-copy-source-if-modified-since": b"if-modified-since",
             b"x-amz-copy-source-if-unmodified-since": b"if-unmodified-since",
         }  # fmt: skip
-        forwarded_headers = tuple((names[name], value) for name, value in self.head.headers if name in names)
-        pipe, finals = Pipe(), list[FinalResponse]()
+        forwarded_headers = tuple(
+            (header_names[name], value) for name, value in self.head.headers if name in header_names
+        )
+        pipe, finals = CopyPipe(), list[FinalResponse]()
 
         async def get() -> None:
             try:
                 finals.append(
-                    await self._do(
-                        "get", bucket, key, sink=pipe, forwarded_headers=forwarded_headers, range=part
+                    await self._execute(
+                        "get", bucket, key, sink=pipe, forwarded_headers=forwarded_headers, range=byte_range
                     )
                 )
             finally:
@@ -680,21 +779,21 @@
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(get)
-                await pipe.begun.wait()
-                if pipe.head.status == 0:  # a small one, or none
+                await pipe.started.wait()
+                if pipe.head.status == 0:  # a small source that was not streamed, or an error
                     head = (
-                        self._answered(finals[0])
+                        self._successful_head(finals[0])
                         if finals[0].response is None or finals[0].response.head.status != 304
                         else None
                     )
                     if head is None:
-                        raise S3Error("PreconditionFailed", "what is copied is as it was")
+                        raise S3Error("PreconditionFailed", "the source does not satisfy the copy conditions")
                     assert finals[0].response is not None
-                    return await put(_bytes(finals[0].response.body), head)
-                made = await put(BodySource(pipe.read, pipe.head.length), pipe.head)
-                if not pipe.whole:
+                    return await put(_in_memory_body(finals[0].response.body), head)
+                final = await put(BodySource(pipe.read, pipe.head.length), pipe.head)
+                if not pipe.complete:
                     group.cancel_scope.cancel()
-                return made
+                return final
         except BaseExceptionGroup as group_error:
             found = group_error.subgroup(S3Error)
             while isinstance(found, BaseExceptionGroup):
@@ -702,259 +801,286 @@
             if isinstance(found, S3Error):
                 raise found from None
             raise
-        raise AssertionError("a copy ends with an answer or an error")
+        raise AssertionError("a copy ends with a response or an error")
 
     async def _CopyObject(self, parsed: ParsedRequest) -> None:
-        word = self.head.get(b"x-amz-metadata-directive") or "COPY"
-        if word not in ("COPY", "REPLACE"):
-            raise S3Error("InvalidArgument", f"x-amz-metadata-directive is COPY or REPLACE, not {word!r}")
-        if requests.copy_source(self.head)[:2] == (parsed.bucket, parsed.key) and word == "COPY":
+        directive = self.head.get(b"x-amz-metadata-directive") or "COPY"
+        if directive not in ("COPY", "REPLACE"):
+            raise S3Error(
+                "InvalidArgument", f"x-amz-metadata-directive must be COPY or REPLACE, not {directive!r}"
+            )
+        if requests.copy_source(self.head)[:2] == (parsed.bucket, parsed.key) and directive == "COPY":
             raise S3Error(
-                "InvalidRequest", "a copy onto itself has to change something: REPLACE the metadata"
+                "InvalidRequest",
+                "an object can be copied onto itself only with x-amz-metadata-directive: REPLACE",
             )
 
         async def put(source: BodySource, head: ResponseHead) -> FinalResponse:
-            kept = requests.stored_headers(self.head) if word == "REPLACE" else _kept_of(head)
-            return await self._do("put", parsed.bucket, parsed.key, source, forwarded_headers=kept)
+            stored = (
+                requests.stored_headers(self.head) if directive == "REPLACE" else _stored_headers_of(head)
+            )
+            return await self._execute("put", parsed.bucket, parsed.key, source, forwarded_headers=stored)
 
-        head = self._answered(await self._copied(put), "NoSuchBucket")
-        told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
-        await self._say(200, xml.document("CopyObjectResult", told))
+        head = self._successful_head(await self._copy(put), "NoSuchBucket")
+        values: dict[str, xml.Value] = {
+            "ETag": self._etag(head),
+            "LastModified": _timestamp(self.s3.wall_clock()),
+        }
+        await self._respond(200, xml.document("CopyObjectResult", values))
 
     # Listings
 
-    async def _page(self, volume: str, prefix: str, after: str, limit: int) -> native.Page:
-        sink = Collect()
-        final = await self._do("list", volume, sink=sink, prefix=prefix, after=after, limit=limit)
-        data = await self._whole(final, sink, "NoSuchBucket")
-        return msgspec.json.decode(data, type=native.Page)
+    async def _fetch_page(self, volume: str, prefix: str, after: str, limit: int) -> native.Page:
+        sink = BufferSink()
+        final = await self._execute("list", volume, sink=sink, prefix=prefix, after=after, limit=limit)
+        body = await self._complete_body(final, sink, "NoSuchBucket")
+        return msgspec.json.decode(body, type=native.Page)
 
-    async def _folded(self, parsed: ParsedRequest, after: str) -> listing.ObjectListing:
+    async def _list_objects(self, parsed: ParsedRequest, after: str) -> listing.ObjectListing:
         query = parsed.query
         prefix, delimiter = query.get("prefix", ""), query.get("delimiter", "")
-        most = parsed.integer("max-keys", requests.MAX_LISTED_ITEMS, requests.MAX_LISTED_ITEMS)
-        fold = listing.ObjectListing(prefix, delimiter, most, after)
-        if most == 0:
-            return fold
-        for _ in range(ROUNDS):
-            page = await self._page(
-                parsed.bucket, prefix, fold.after, min(requests.MAX_LISTED_ITEMS, most - fold.count + 1)
+        max_keys = parsed.integer("max-keys", requests.MAX_LISTED_ITEMS, requests.MAX_LISTED_ITEMS)
+        result = listing.ObjectListing(prefix, delimiter, max_keys, after)
+        if max_keys == 0:
+            return result
+        for _ in range(MAX_LISTING_ROUNDS):
+            page = await self._fetch_page(
+                parsed.bucket,
+                prefix,
+                result.after,
+                min(requests.MAX_LISTED_ITEMS, max_keys - result.count + 1),
             )
-            skipped = fold.add(page.objects)
-            if fold.truncated or (page.next is None and not skipped):
-                return fold
+            skipped = result.add(page.objects)
+            if result.truncated or (page.next is None and not skipped):
+                return result
             if not skipped and page.next is not None:
-                fold.after = max(fold.after, page.next)
-        fold.truncated = True  # as far as it came: the client goes on from there
-        return fold
+                result.after = max(result.after, page.next)
+        result.truncated = True  # the client continues from here
+        return result
 
-    def _told(self, parsed: ParsedRequest, fold: listing.ObjectListing) -> dict[str, xml.Value]:
-        spell = requests.url_encoded if parsed.query.get("encoding-type") == "url" else str
+    def _listing_values(self, parsed: ParsedRequest, result: listing.ObjectListing) -> dict[str, xml.Value]:
+        encode = requests.url_encoded if parsed.query.get("encoding-type") == "url" else str
         if parsed.query.get("encoding-type") not in (None, "url"):
-            raise S3Error("InvalidArgument", "encoding-type is url")
+            raise S3Error("InvalidArgument", "encoding-type must be url")
         return {
-            "Name": parsed.bucket, "Prefix": spell(fold.prefix), "Delimiter": spell(fold.delimiter) if fold.delimiter else None,
-            "MaxKeys": fold.max_items, "EncodingType": parsed.query.get("encoding-type"), "IsTruncated": fold.truncated,
+            "Name": parsed.bucket, "Prefix": encode(result.prefix),
+            "Delimiter": encode(result.delimiter) if result.delimiter else None,
+            "MaxKeys": result.max_items, "EncodingType": parsed.query.get("encoding-type"), "IsTruncated": result.truncated,
             "Contents": [
                 {
-                    "Key": spell(entry.key), "LastModified": _iso(entry.modified), "ETag": entry.etag, "Size": entry.size,
+                    "Key": encode(entry.key), "LastModified": _iso_8601(entry.modified), "ETag": entry.etag, "Size": entry.size,
                     "StorageClass": "STANDARD",
                 }
-                for entry in fold.objects
+                for entry in result.objects
             ],
-            "CommonPrefixes": [{"Prefix": spell(each)} for each in fold.common_prefixes],
+            "CommonPrefixes": [{"Prefix": encode(prefix)} for prefix in result.common_prefixes],
         }  # fmt: skip
 
     async def _ListObjectsV2(self, parsed: ParsedRequest) -> None:
-        given, first = parsed.query.get("continuation-token"), parsed.query.get("start-after", "")
-        after = listing.decode_token(given) if given else first
-        if given:
+        token, start_after = parsed.query.get("continuation-token"), parsed.query.get("start-after", "")
+        after = listing.decode_token(token) if token else start_after
+        if token:
             after = listing.resume_after(
                 after, parsed.query.get("delimiter", ""), parsed.query.get("prefix", "")
             )
-        fold = await self._folded(parsed, after)
-        told = self._told(parsed, fold)
-        told |= {
-            "KeyCount": fold.count, "ContinuationToken": given, "StartAfter": first or None,
-            "NextContinuationToken": listing.encode_token(fold.last_name or after) if fold.truncated else None,
+        result = await self._list_objects(parsed, after)
+        values = self._listing_values(parsed, result)
+        values |= {
+            "KeyCount": result.count, "ContinuationToken": token, "StartAfter": start_after or None,
+            "NextContinuationToken": listing.encode_token(result.last_name or after) if result.truncated else None,
         }  # fmt: skip
-        await self._say(200, xml.document("ListBucketResult", told))
+        await self._respond(200, xml.document("ListBucketResult", values))
 
     async def _ListObjects(self, parsed: ParsedRequest) -> None:
         marker, delimiter = parsed.query.get("marker", ""), parsed.query.get("delimiter", "")
-        fold = await self._folded(
+        result = await self._list_objects(
             parsed, listing.resume_after(marker, delimiter, parsed.query.get("prefix", ""))
         )
-        told = self._told(parsed, fold) | {
+        values = self._listing_values(parsed, result) | {
             "Marker": marker,
-            "NextMarker": fold.last_name if fold.truncated else None,
+            "NextMarker": result.last_name if result.truncated else None,
         }
-        await self._say(200, xml.document("ListBucketResult", told))
+        await self._respond(200, xml.document("ListBucketResult", values))
 
-    # Uploads in parts
+    # Multipart uploads
 
     async def _CreateMultipartUpload(self, parsed: ParsedRequest) -> None:
-        self.s3._volumes.add(parsed.bucket)
-        final = await self._do(
+        self.s3._upload_volumes.add(parsed.bucket)
+        final = await self._execute(
             "start-upload", parsed.bucket, parsed.key, forwarded_headers=requests.stored_headers(self.head)
         )
-        self._answered(final, "NoSuchBucket")
+        self._successful_head(final, "NoSuchBucket")
         assert final.response is not None
-        upload = msgspec.json.decode(final.response.body)["uploadId"]
-        told: dict[str, xml.Value] = {"Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload}
-        await self._say(200, xml.document("InitiateMultipartUploadResult", told))
+        upload_id = msgspec.json.decode(final.response.body)["uploadId"]
+        values: dict[str, xml.Value] = {"Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload_id}
+        await self._respond(200, xml.document("InitiateMultipartUploadResult", values))
 
-    def _upload(self, parsed: ParsedRequest) -> str:
+    def _valid_upload_id(self, parsed: ParsedRequest) -> str:
         if not routes.is_upload(parsed.upload_id):
-            raise S3Error("NoSuchUpload", "no such upload was started here")
+            raise S3Error("NoSuchUpload", "the upload does not exist")
         return parsed.upload_id
 
     async def _UploadPart(self, parsed: ParsedRequest) -> None:
-        number, upload = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1), self._upload(parsed)
-        source, body = self._source()
-        async with self._queue_slot(self.s3.parts, upload, "put-part"):
-            final = await self._with_body("put-part", parsed, source, upload=upload, part=number)
-        await self._put_answer(final, body, "NoSuchUpload")
+        part_number, upload_id = (
+            parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1),
+            self._valid_upload_id(parsed),
+        )
+        source, body = self._verified_body()
+        async with self._queue_slot(self.s3.part_queues, upload_id, "put-part"):
+            final = await self._execute_with_body(
+                "put-part", parsed, source, upload=upload_id, part=part_number
+            )
+        await self._respond_to_put(final, body, "NoSuchUpload")
 
     async def _UploadPartCopy(self, parsed: ParsedRequest) -> None:
-        number, upload = parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1), self._upload(parsed)
+        part_number, upload_id = (
+            parsed.integer("partNumber", requests.MAX_PART_NUMBER, 0, 1),
+            self._valid_upload_id(parsed),
+        )
 
         async def put(source: BodySource, _: ResponseHead) -> FinalResponse:
-            return await self._do("put-part", parsed.bucket, parsed.key, source, upload=upload, part=number)
+            return await self._execute(
+                "put-part", parsed.bucket, parsed.key, source, upload=upload_id, part=part_number
+            )
 
-        head = self._answered(await self._copied(put), "NoSuchUpload")
-        told: dict[str, xml.Value] = {"ETag": self._etag(head), "LastModified": _stamp(self.s3.wall())}
-        await self._say(200, xml.document("CopyPartResult", told))
+        head = self._successful_head(await self._copy(put), "NoSuchUpload")
+        values: dict[str, xml.Value] = {
+            "ETag": self._etag(head),
+            "LastModified": _timestamp(self.s3.wall_clock()),
+        }
+        await self._respond(200, xml.document("CopyPartResult", values))
 
-    async def _parts(self, parsed: ParsedRequest, upload: str) -> list[multipart.StoredPart]:
-        sink = Collect()
-        final = await self._do("list-parts", parsed.bucket, parsed.key, sink=sink, upload=upload)
+    async def _list_stored_parts(self, parsed: ParsedRequest, upload_id: str) -> list[multipart.StoredPart]:
+        sink = BufferSink()
+        final = await self._execute("list-parts", parsed.bucket, parsed.key, sink=sink, upload=upload_id)
         return msgspec.json.decode(
-            await self._whole(final, sink, "NoSuchUpload"), type=multipart.StoredParts
+            await self._complete_body(final, sink, "NoSuchUpload"), type=multipart.StoredParts
         ).parts
 
     async def _ListParts(self, parsed: ParsedRequest) -> None:
-        upload = self._upload(parsed)
-        most, after = (
+        upload_id = self._valid_upload_id(parsed)
+        max_parts, after = (
             parsed.integer("max-parts", 1000, 1000),
             parsed.integer("part-number-marker", requests.MAX_PART_NUMBER, 0),
         )
-        parts = [part for part in await self._parts(parsed, upload) if part.partNumber > after]
-        shown = parts[:most]
-        told: dict[str, xml.Value] = {
-            "Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload, "PartNumberMarker": after, "MaxParts": most,
-            "NextPartNumberMarker": shown[-1].partNumber if shown else after, "IsTruncated": len(parts) > len(shown),
-            "Part": [{"PartNumber": part.partNumber, "ETag": part.etag, "Size": part.size} for part in shown],
+        parts = [part for part in await self._list_stored_parts(parsed, upload_id) if part.partNumber > after]
+        page = parts[:max_parts]
+        values: dict[str, xml.Value] = {
+            "Bucket": parsed.bucket, "Key": parsed.key, "UploadId": upload_id, "PartNumberMarker": after, "MaxParts": max_parts,
+            "NextPartNumberMarker": page[-1].partNumber if page else after, "IsTruncated": len(parts) > len(page),
+            "Part": [{"PartNumber": part.partNumber, "ETag": part.etag, "Size": part.size} for part in page],
         }  # fmt: skip
-        await self._say(200, xml.document("ListPartsResult", told))
+        await self._respond(200, xml.document("ListPartsResult", values))
 
     async def _ListMultipartUploads(self, parsed: ParsedRequest) -> None:
         prefix, marker = parsed.query.get("prefix", ""), parsed.query.get("key-marker", "")
         upload_marker = parsed.query.get("upload-id-marker", "")
-        most = parsed.integer("max-uploads", 1000, 1000)
-        found = [
+        max_uploads = parsed.integer("max-uploads", 1000, 1000)
+        matching = [
             upload for upload in await self.uploads(parsed.bucket)
             if upload.key.startswith(prefix)
             and ((upload.key, upload.uploadId) > (marker, upload_marker) if upload_marker else upload.key > marker)
         ]  # fmt: skip
-        found.sort(key=lambda upload: (upload.key, upload.uploadId))
-        shown = found[:most]
-        told: dict[str, xml.Value] = {
-            "Bucket": parsed.bucket, "KeyMarker": marker, "UploadIdMarker": upload_marker, "MaxUploads": most,
-            "IsTruncated": len(found) > len(shown), "Prefix": prefix,
-            "NextKeyMarker": shown[-1].key if len(found) > len(shown) else None,
-            "NextUploadIdMarker": shown[-1].uploadId if len(found) > len(shown) else None,
+        matching.sort(key=lambda upload: (upload.key, upload.uploadId))
+        page = matching[:max_uploads]
+        values: dict[str, xml.Value] = {
+            "Bucket": parsed.bucket, "KeyMarker": marker, "UploadIdMarker": upload_marker, "MaxUploads": max_uploads,
+            "IsTruncated": len(matching) > len(page), "Prefix": prefix,
+            "NextKeyMarker": page[-1].key if len(matching) > len(page) else None,
+            "NextUploadIdMarker": page[-1].uploadId if len(matching) > len(page) else None,
             "Upload": [
-                {"Key": each.key, "UploadId": each.uploadId, "Initiated": _stamp(each.since_ms / 1000)} for each in shown
+                {"Key": upload.key, "UploadId": upload.uploadId, "Initiated": _timestamp(upload.since_ms / 1000)} for upload in page
             ],
         }  # fmt: skip
-        await self._say(200, xml.document("ListMultipartUploadsResult", told))
+        await self._respond(200, xml.document("ListMultipartUploadsResult", values))
 
     async def uploads(self, volume: str) -> list[multipart.Upload]:
-        """The uploads of a volume that are under way, over all its shards."""
-        final = await self._do("list-uploads", volume)
+        """The uploads in progress of a volume, from all its shards."""
+        final = await self._execute("list-uploads", volume)
         if final.shard_bodies is None:
-            self._answered(final, "NoSuchBucket")
-            raise S3Error("InternalError", "the stores told nothing of uploads")
+            self._successful_head(final, "NoSuchBucket")
+            raise S3Error("InternalError", "the stores returned no list of uploads")
         return [
-            upload for part in final.shard_bodies for upload in msgspec.json.decode(part, type=multipart.Uploads).uploads
+            upload for body in final.shard_bodies for upload in msgspec.json.decode(body, type=multipart.Uploads).uploads
         ]  # fmt: skip
 
     async def _AbortMultipartUpload(self, parsed: ParsedRequest) -> None:
-        self._answered(
-            await self._do("abort-upload", parsed.bucket, parsed.key, upload=self._upload(parsed)),
+        self._successful_head(
+            await self._execute(
+                "abort-upload", parsed.bucket, parsed.key, upload=self._valid_upload_id(parsed)
+            ),
             "NoSuchUpload",
         )
-        await self._say(204)
+        await self._respond(204)
 
     async def _CompleteMultipartUpload(self, parsed: ParsedRequest) -> None:
-        upload = self._upload(parsed)
-        wanted = xml.parse_completion(await self._document())
+        upload_id = self._valid_upload_id(parsed)
+        requested = xml.parse_completion(await self._read_document())
         try:
-            parts = await self._parts(parsed, upload)
+            parts = await self._list_stored_parts(parsed, upload_id)
         except S3Error as error:
             if error.code != "NoSuchUpload":
                 raise
-            parts = None  # it may be complete already: the store knows, and gives the first one's answer
+            parts = None  # possibly completed before: then the store repeats the first response
         if parts is not None:
-            multipart.validate_completion(wanted, parts, self.s3.settings.part_least)
+            multipart.validate_completion(requested, parts, self.s3.settings.part_least)
         body = msgspec.json.encode(
-            {"parts": [{"partNumber": part.number, "etag": part.etag} for part in wanted]}
+            {"parts": [{"partNumber": part.number, "etag": part.etag} for part in requested]}
         )
         forwarded_headers = requests.conditional_headers(self.head)
-        final = await self._do(
+        final = await self._execute(
             "complete-upload",
             parsed.bucket,
             parsed.key,
-            _bytes(body),
-            upload=upload,
+            _in_memory_body(body),
+            upload=upload_id,
             forwarded_headers=forwarded_headers,
         )
         if final.response is not None and final.response.head.status == 400:
-            raise S3Error("InvalidPart", "a part is not the one that was put: it was put anew meanwhile")
-        head = self._answered(final, "NoSuchUpload")
-        told: dict[str, xml.Value] = {
+            raise S3Error("InvalidPart", "a part was uploaded again during the completion")
+        head = self._successful_head(final, "NoSuchUpload")
+        values: dict[str, xml.Value] = {
             "Location": f"/{parsed.bucket}/{requests.url_encoded(parsed.key)}", "Bucket": parsed.bucket, "Key": parsed.key,
             "ETag": self._etag(head),
         }  # fmt: skip
-        await self._say(200, xml.document("CompleteMultipartUploadResult", told))
+        await self._respond(200, xml.document("CompleteMultipartUploadResult", values))
 
 
-_WORDS = {
-    "NoSuchKey": "The specified key does not exist.", "NoSuchUpload": "no such upload is under way",
-    "PreconditionFailed": "a condition of the request does not hold", "InvalidRange": "the range is outside of the object",
+_MESSAGES = {
+    "NoSuchKey": "The specified key does not exist.", "NoSuchUpload": "the upload does not exist",
+    "PreconditionFailed": "a precondition of the request is not satisfied", "InvalidRange": "the range is outside the object",
 }  # fmt: skip
 
 
-class _Wrong(ProtocolError):
-    """A body that does not fit: what is under way at a store is broken off."""
+class _BodyVerificationError(ProtocolError):
+    """The client's body failed verification. Aborts the request to the store."""
 
     def __init__(self, error: S3Error) -> None:
         super().__init__(error.status, "body-cut", error.text)
         self.error = error
 
 
-async def _unwrapped(read: Callable[[], Awaitable[Bytes]]) -> Bytes:
+async def _read_unwrapped(read: Callable[[], Awaitable[Bytes]]) -> Bytes:
     try:
         return await read()
-    except _Wrong as wrong:
-        raise wrong.error from None
+    except _BodyVerificationError as error:
+        raise error.error from None
 
 
-async def _nothing() -> bytes:
+async def _read_nothing() -> bytes:
     return b""
 
 
-def _bytes(data: bytes) -> BodySource:
-    left = [data] if data else []
+def _in_memory_body(data: bytes) -> BodySource:
+    remaining = [data] if data else []
 
     async def read() -> bytes:
-        return left.pop() if left else b""
+        return remaining.pop() if remaining else b""
 
     return BodySource(read, len(data))
 
 
-def _kept_of(head: ResponseHead) -> tuple[tuple[bytes, bytes], ...]:
+def _stored_headers_of(head: ResponseHead) -> tuple[tuple[bytes, bytes], ...]:
     return tuple(
         (name, value)
         for name, value in head.headers
@@ -962,11 +1088,11 @@
     )
 
 
-def _iso(text: str) -> str:
+def _iso_8601(text: str) -> str:
     with contextlib.suppress(ValueError, TypeError):
         return parsedate_to_datetime(text).strftime("%Y-%m-%dT%H:%M:%S.000Z")
     return "1970-01-01T00:00:00.000Z"
 
 
-def _stamp(unix_s: float) -> str:
+def _timestamp(unix_s: float) -> str:
     return time.strftime("%Y-%m-%dT%H:%M:%S.000Z", time.gmtime(unix_s))
--- a/winchdyke/s3/xml.py
+++ b/winchdyke/s3/xml.py
@@ -1,4 +1,4 @@
-"""Writes and parses the XML documents of S3. Pure. defusedxml rejects entities and document type declarations."""
+"""Writes and parses the XML documents of S3. Pure. defusedxml rejects entities and doctypes."""
 
 from __future__ import annotations
 
