--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -90,7 +90,7 @@
     Mutant("debts paid by nobody", L, "        self.units -= payment", "        self.units = 0.0"),
     Mutant("small answers not paid for", T, "            self._byte_meter.charge_now(self._volume, excess_units)\n", "            pass\n", test="test_small_reads_of_unknown_size_come_out_of_the_bucket"),
     # Service
-    Mutant("units not counted", "object_api/routes.py", "return min(largest, max(1.0, counted))", "return 1.0", test="test_an_operation_costs_its_bytes_in_units"),
+    Mutant("units not counted", "object_api/routes.py", "return min(max_units, max(1.0, units))", "return 1.0", test="test_an_operation_costs_its_bytes_in_units"),
     Mutant("the client's time not heeded", S, "operation.time_left_ms or rules.deadline_ms", "rules.deadline_ms", rules=(1,)),
     Mutant("stores not told the key of a repeat", "gateway/store_request.py", "if request_class.repeat_safety is api.RepeatSafety.IDEMPOTENCY_KEY:", "if False:"),
     Mutant("served not told as over", X, "finished = served or result.streamed or result.error is not None", "finished = False", rules=(1, 2, 6), test="test_a_store_that_dies_during_a_streamed_response_closes_the_clients_connection"),
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -125,7 +125,7 @@
     ],
 )
 def test_ranges(text, size, want):
-    assert ranges.parse(text).within(size) == want
+    assert ranges.parse(text).resolve(size) == want
 
 
 @pytest.mark.parametrize(
@@ -140,7 +140,7 @@
     if (first is None and last is None) or (first is not None and last is not None and last < first):
         return
     asked = ranges.ByteRange(first, last)
-    got = asked.within(size)
+    got = asked.resolve(size)
     if got is None:
         return
     told = f"bytes {got[0]}-{got[1]}/{size}"
--- a/winchdyke/object_api/__init__.py
+++ b/winchdyke/object_api/__init__.py
@@ -1,1 +1,1 @@
-"""The object API: routes, ranges, listings and answers. Parsing is pure."""
+"""The object API: routes, ranges, listings, error responses, and the protocol with stores."""
--- a/winchdyke/object_api/answers.py
+++ b/winchdyke/object_api/answers.py
@@ -1,4 +1,4 @@
-"""The answers that the gateway makes itself: one error body for all. Pure."""
+"""The gateway's own error responses, which share one body format. Pure."""
 
 from __future__ import annotations
 
@@ -10,11 +10,17 @@
 from winchdyke.http1 import Headers
 
 REQUEST_ID, OUTCOME, REASON = b"x-request-id", b"winchdyke-outcome", b"winchdyke-reason"
-ACKNOWLEDGED = b"winchdyke-acknowledged"  # by what, where no store has it yet
+ACKNOWLEDGED = b"winchdyke-acknowledged"  # what acknowledged a write that no store has executed yet
 
 
 class RequestError(Exception):
-    """A request that is answered without asking the scheduler: its status, reason code and text."""
+    """Ends a request with an error response before it is submitted to the scheduler.
+
+    Attributes:
+        status: The HTTP status.
+        reason: The reason code.
+        allow: The value of the Allow header; empty: no such header.
+    """
 
     def __init__(self, status: int, reason: str, text: str, allow: str = "") -> None:
         super().__init__(text)
@@ -22,7 +28,7 @@
 
 
 class ErrorBody(msgspec.Struct):
-    """The body of every answer that is not the store's."""
+    """The body of every error response that does not come from a store."""
 
     outcome: str
     reason: str
@@ -39,10 +45,15 @@
     text: str,
     retry_after_ms: float | None = None,
 ) -> tuple[int, Headers, bytes]:
-    """Status, headers and body. ``Retry-After`` is in whole seconds, rounded up; the body has milliseconds."""
-    after = None if retry_after_ms is None else max(0.0, retry_after_ms)
+    """Build an error response: its status, headers and body.
+
+    ``Retry-After`` is in whole seconds, rounded up; the body has milliseconds.
+    """
+    retry_delay_ms = None if retry_after_ms is None else max(0.0, retry_after_ms)
     body = (
-        msgspec.json.encode(ErrorBody(outcome, reason, request, text or HTTPStatus(status).phrase, after))
+        msgspec.json.encode(
+            ErrorBody(outcome, reason, request, text or HTTPStatus(status).phrase, retry_delay_ms)
+        )
         + b"\n"
     )
     headers: Headers = [
@@ -51,6 +62,6 @@
         (OUTCOME, outcome.encode()),
         (REASON, reason.encode()),
     ]
-    if after is not None:
-        headers.append((b"retry-after", str(math.ceil(after / 1000)).encode()))
+    if retry_delay_ms is not None:
+        headers.append((b"retry-after", str(math.ceil(retry_delay_ms / 1000)).encode()))
     return status, headers, body
--- a/winchdyke/object_api/listing.py
+++ b/winchdyke/object_api/listing.py
@@ -1,4 +1,4 @@
-"""The listing of a volume, merged from its shards. Pure."""
+"""Merges the listings of a volume's shards. Pure."""
 
 from __future__ import annotations
 
@@ -8,31 +8,43 @@
 
 
 class Entry(msgspec.Struct):
-    """An object: its key, its bytes and its entity tag."""
+    """An object in a listing.
+
+    Attributes:
+        size: Its size in bytes.
+        modified: The time of its last change, in the format of Last-Modified; empty: not reported.
+    """
 
     key: str
     size: int
     etag: str
-    modified: str = ""  # as in Last-Modified, where the store tells it
+    modified: str = ""
 
 
 class Page(msgspec.Struct):
-    """A part of a listing in order of key; ``next`` is where the following page begins after, or None at the end."""
+    """A page of a listing in order of key.
+
+    Attributes:
+        next: The key after which the next page begins; None: this is the last page.
+    """
 
     objects: list[Entry]
     next: str | None = None
 
 
 def merge(pages: list[Page], limit: int) -> Page:
-    """One page of all shards. Nothing is shown past where a shard's page ends: what follows there is not told yet."""
+    """Merge one page of each shard into one page of at most ``limit`` objects.
+
+    The page ends at the first end of a shard's page, because that shard may have further keys behind it.
+    """
     bounds = [page.next for page in pages if page.next is not None]
     bound = min(bounds) if bounds else None
-    found: list[Entry] = []
-    more = bound is not None
+    merged: list[Entry] = []
+    truncated = bound is not None
     for entry in heapq.merge(*(page.objects for page in pages), key=lambda entry: entry.key):
-        if (bound is not None and entry.key > bound) or len(found) == limit:
-            more = True
+        if (bound is not None and entry.key > bound) or len(merged) == limit:
+            truncated = True
             break
-        if not found or found[-1].key != entry.key:
-            found.append(entry)
-    return Page(found, (found[-1].key if found else bound) if more else None)
+        if not merged or merged[-1].key != entry.key:
+            merged.append(entry)
+    return Page(merged, (merged[-1].key if merged else bound) if truncated else None)
--- a/winchdyke/object_api/ranges.py
+++ b/winchdyke/object_api/ranges.py
@@ -5,20 +5,25 @@
 import re
 from dataclasses import dataclass
 
-_ONE = re.compile(r"bytes\s*=\s*(\d*)\s*-\s*(\d*)")
-_CONTENT = re.compile(r"bytes (\d+)-(\d+)/(\d+|\*)")
+_RANGE = re.compile(r"bytes\s*=\s*(\d*)\s*-\s*(\d*)")
+_CONTENT_RANGE = re.compile(r"bytes (\d+)-(\d+)/(\d+|\*)")
 
 
 @dataclass(frozen=True, slots=True)
 class ByteRange:
-    """``first`` to ``last``, both counted in; ``last`` None: open-ended; ``first`` None: a suffix of ``last`` bytes."""
+    """A range of bytes.
+
+    Attributes:
+        first: The first byte; None: the range is the last ``last`` bytes of the object.
+        last: The last byte, inclusive; None: to the end of the object.
+    """
 
     first: int | None
     last: int | None
 
     @property
     def length(self) -> int | None:
-        """How many bytes are asked for at the most; None where the object's size decides."""
+        """The maximum number of bytes; None if it depends on the object's size."""
         if self.first is None:
             return self.last
         return None if self.last is None else self.last - self.first + 1
@@ -26,8 +31,8 @@
     def __str__(self) -> str:
         return f"bytes={'' if self.first is None else self.first}-{'' if self.last is None else self.last}"
 
-    def within(self, size: int) -> tuple[int, int] | None:
-        """First and last byte in an object of a size; None where the range can't be satisfied (416)."""
+    def resolve(self, size: int) -> tuple[int, int] | None:
+        """The first and last byte in an object of this size; None if the range is not satisfiable (416)."""
         if self.first is None:
             return (max(0, size - (self.last or 0)), size - 1) if self.last and size else None
         if self.first >= size:
@@ -36,29 +41,38 @@
 
 
 def parse(text: str | None) -> ByteRange | None:
-    """The one range that is asked for; None where there is none, several or no valid one: then the whole is served."""
-    found = _ONE.fullmatch(text.strip()) if text else None
-    if not found or not (found[1] or found[2]) or len(found[1]) > 18 or len(found[2]) > 18:
+    """Parse the value of a Range header.
+
+    Returns None if it is missing, invalid or names several ranges; the whole object is then served.
+    """
+    match = _RANGE.fullmatch(text.strip()) if text else None
+    if not match or not (match[1] or match[2]) or len(match[1]) > 18 or len(match[2]) > 18:
         return None
-    first, last = (int(part) if part else None for part in found.groups())
+    first, last = (int(part) if part else None for part in match.groups())
     if first is not None and last is not None and last < first:
         return None
     return ByteRange(first, last)
 
 
 def response_matches(
-    asked: ByteRange | None, status: int, content_range: str | None, length: int | None
+    requested: ByteRange | None, status: int, content_range: str | None, length: int | None
 ) -> bool:
-    """Whether a store's answer fits what was asked: a 206 is the range asked for, and as long as it says."""
+    """Whether a store's response matches the requested range.
+
+    A 206 response must have the requested range, and the length that its Content-Range states. Other statuses
+    always match.
+    """
     if status != 206:
         return True
-    found = _CONTENT.fullmatch(content_range or "")
-    if asked is None or not found:
+    match = _CONTENT_RANGE.fullmatch(content_range or "")
+    if requested is None or not match:
         return False
-    first, last = int(found[1]), int(found[2])
-    whole = None if found[3] == "*" else int(found[3])
+    first, last = int(match[1]), int(match[2])
+    size = None if match[3] == "*" else int(match[3])
     if last < first or (length is not None and length != last - first + 1):
         return False
-    if whole is not None:
-        return asked.within(whole) == (first, last)
-    return asked.first is None or (first == asked.first and (asked.last is None or last <= asked.last))
+    if size is not None:
+        return requested.resolve(size) == (first, last)
+    return requested.first is None or (
+        first == requested.first and (requested.last is None or last <= requested.last)
+    )
--- a/winchdyke/object_api/sinks.py
+++ b/winchdyke/object_api/sinks.py
@@ -1,4 +1,4 @@
-"""Where an answer goes that is too large to be held whole."""
+"""The interface for consumers of streamed responses."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Sink(Protocol):
-    """Takes an answer as it comes."""
+    """Consumes a response as it is received, for responses that are too large to be buffered."""
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Take the head of an answer whose body follows."""
+        """Receive the head; the body follows."""
 
     async def data(self, data: Bytes) -> None:
-        """Take a piece of it."""
+        """Receive a chunk of the body."""
 
     async def finish(self) -> None:
-        """The answer is whole."""
+        """Receive the end of the complete response."""
--- a/winchdyke/object_api/store_protocol.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -1,4 +1,4 @@
-"""The headers that gateways and stores exchange beside plain HTTP. Pure; the page is ``docs/store-protocol.md``."""
+"""The headers that gateways and stores add to HTTP, documented in ``docs/store-protocol.md``. Pure."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from winchdyke.discovery.records import EndpointEvidence
 from winchdyke.http1 import Headers, ResponseHead
 
-# Of a request to a store.
+# Headers of requests to stores.
 REQUEST_HEADER = b"winchdyke-request"
 ATTEMPT_HEADER = b"winchdyke-attempt"
 GATEWAY_HEADER = b"winchdyke-gateway"
 CLASS_HEADER = b"winchdyke-class"
 UNITS_HEADER = b"winchdyke-units"
 SHARD_HEADER = b"winchdyke-shard"
-CONFIG_VERSION_HEADER = b"winchdyke-version"  # of the settings that a request was accepted under
+CONFIG_VERSION_HEADER = b"winchdyke-version"  # the settings version under which the request was accepted
 IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
 ORDER_KEY_HEADER = b"winchdyke-order-key"
 
-# Of a store's response: what became of the request, use, load, and the store's own state.
+# Headers of responses from stores: execution of the request, usage, load, and the state of the store.
 NOT_RUN_HEADER = b"winchdyke-not-run"
 USED_PERCENT_HEADER = b"winchdyke-used-percent"
 FROM_OTHERS_HEADER = b"winchdyke-from-others"
@@ -30,7 +30,7 @@
 DRAINING_HEADER = b"winchdyke-draining"
 EVIDENCE_HEADERS = (STORE_HEADER, BOOT_HEADER, UPTIME_HEADER, DRAINING_HEADER)
 
-IDENTITY_PATH = b"/-/store"  # a store reports its own state here, and does no work for it
+IDENTITY_PATH = b"/-/store"  # a store reports its state here, without executing an operation
 MAX_EVIDENCE_CHARACTERS = 200
 HOP_BY_HOP_HEADERS = {
     b"connection",
@@ -47,13 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReport:
-    """What a store's response reports.
+    """The report in a store's response.
 
     Attributes:
-        volume_usage_percent: The volume's use over all gateways, in percent of its expected rate; None: not reported.
+        volume_usage_percent: The volume's usage over all gateways, in percent of its expected rate;
+            None: not reported.
         units_via_other_gateways: Units that the shard served to the volume through other gateways.
         load_report: Values of the load report, in the order of the settings.
-        evidence: What the store reports of itself; None: nothing.
+        evidence: The store's report of its own state; None: not reported.
     """
 
     volume_usage_percent: float | None = None
@@ -63,7 +64,7 @@
 
 
 def read_report(head: ResponseHead) -> EndpointReport:
-    """The report in a response's head. Values that can't be read count as not reported."""
+    """Read the report in the head of a response. Invalid values count as not reported."""
     volume_usage_percent: float | None = None
     units_via_other_gateways: float | None = None
     load_report: tuple[float, ...] = ()
@@ -93,7 +94,7 @@
 
 
 def client_headers(headers: Headers) -> Headers:
-    """The headers of a store's response that are for the client."""
+    """The headers of a store's response that are forwarded to the client."""
     dropped = HOP_BY_HOP_HEADERS
     for name, value in headers:
         if name == b"connection":
@@ -122,7 +123,7 @@
 
 
 def _numbers(text: str) -> tuple[float, ...]:
-    """The numbers of a list; none where one of them can't be read."""
+    """The numbers of a comma-separated list; empty if any of them is invalid."""
     numbers = [_number(part) for part in text.split(",")]
     readable = tuple(number for number in numbers if number is not None)
     return readable if len(readable) == len(numbers) else ()
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -916,7 +916,7 @@
         await self._respond(200, xml.document("InitiateMultipartUploadResult", values))
 
     def _valid_upload_id(self, parsed: ParsedRequest) -> str:
-        if not routes.is_upload(parsed.upload_id):
+        if not routes.is_valid_upload_id(parsed.upload_id):
             raise S3Error("NoSuchUpload", "the upload does not exist")
         return parsed.upload_id
 
