--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""The object API's pure parts, and what they make on sockets: paths, ranges, placement, listings, uploads."""
+"""The object API: paths, ranges, placement, listings and uploads, in pure functions and through a gateway."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def parsed(method: str, target: bytes, *headers: tuple[bytes, bytes]) -> routes.Operation:
+def parse_request(method: str, target: bytes, *headers: tuple[bytes, bytes]) -> routes.Operation:
     return routes.parse(RequestHead(method, target, list(headers), 0))
 
 
@@ -41,8 +41,8 @@
         ("DELETE", b"/v/k?uploadId=u1", "abort-upload"),
     ],
 )
-def test_operations(method, target, name):
-    assert parsed(method, target).name == name
+def test_methods_and_queries_select_operations(method, target, name):
+    assert parse_request(method, target).name == name
 
 
 @pytest.mark.parametrize(
@@ -79,36 +79,36 @@
         ("GET", b"/v?limit=1&limit=2", 400, "bad-query"),
     ],
 )
-def test_odd_requests_are_refused_with_a_reason(method, target, status, reason):
+def test_invalid_requests_are_rejected_with_a_reason(method, target, status, reason):
     with pytest.raises(RequestError) as caught:
-        parsed(method, target)
+        parse_request(method, target)
     assert (caught.value.status, caught.value.reason) == (status, reason)
 
 
 @pytest.mark.parametrize("value", [b"0", b"-3", b"soon", b"1e9999", b"4", b"nan"])
-def test_the_clients_time_left(value):
+def test_time_left_must_be_a_positive_duration(value):
     if value == b"4":
-        assert parsed("GET", b"/v/k", (b"winchdyke-time-left", value)).time_left_ms == 4.0
+        assert parse_request("GET", b"/v/k", (b"winchdyke-time-left", value)).time_left_ms == 4.0
         return
     with pytest.raises(RequestError):
-        parsed("GET", b"/v/k", (b"winchdyke-time-left", value))
+        parse_request("GET", b"/v/k", (b"winchdyke-time-left", value))
 
 
 @given(KEYS)
-def test_a_key_survives_the_way_to_the_store(key):
+def test_a_key_is_unchanged_in_the_request_to_the_store(key):
     from urllib.parse import quote, unquote
 
     if len(key.encode()) > 1024:
         return
-    operation = parsed("GET", f"/v/{quote(key, safe='')}".encode())
+    operation = parse_request("GET", f"/v/{quote(key, safe='')}".encode())
     assert operation.key == key
     assert unquote(operation.target().decode().removeprefix("/v/")) == key
 
 
-def test_the_longest_key_and_one_of_other_scripts_are_taken():
-    assert len(parsed("GET", b"/v/" + b"k" * 1024).key) == 1024
-    assert parsed("GET", b"/v/%C5%A1kola/%E8%A9%A6%E9%A8%93").key == "škola/試験"
-    assert parsed("GET", b"/v/a%2Fb").key == "a/b", "an escaped slash is the slash"
+def test_the_longest_key_and_keys_in_other_scripts_are_accepted():
+    assert len(parse_request("GET", b"/v/" + b"k" * 1024).key) == 1024
+    assert parse_request("GET", b"/v/%C5%A1kola/%E8%A9%A6%E9%A8%93").key == "škola/試験"
+    assert parse_request("GET", b"/v/a%2Fb").key == "a/b", "an escaped slash is decoded"
 
 
 @pytest.mark.parametrize(
@@ -124,64 +124,67 @@
         ("bytes=0-", 0, None),
     ],
 )
-def test_ranges(text, size, want):
+def test_ranges_resolve_to_first_and_last_byte(text, size, want):
     assert ranges.parse(text).resolve(size) == want
 
 
 @pytest.mark.parametrize(
     "text", [None, "", "bytes=", "bytes=-", "bytes=5-3", "bytes=0-1,4-5", "lines=0-1", "bytes=a-b"]
 )
-def test_what_is_no_single_range_is_passed_over(text):
+def test_invalid_and_multiple_ranges_are_ignored(text):
     assert ranges.parse(text) is None
 
 
 @given(st.one_of(st.none(), st.integers(0, 50)), st.one_of(st.none(), st.integers(0, 50)), st.integers(1, 40))
-def test_a_stores_range_must_be_the_one_that_was_asked_for(first, last, size):
+def test_a_partial_response_must_have_the_requested_range(first, last, size):
     if (first is None and last is None) or (first is not None and last is not None and last < first):
         return
-    asked = ranges.ByteRange(first, last)
-    got = asked.resolve(size)
-    if got is None:
+    requested = ranges.ByteRange(first, last)
+    resolved = requested.resolve(size)
+    if resolved is None:
         return
-    told = f"bytes {got[0]}-{got[1]}/{size}"
-    assert ranges.response_matches(asked, 206, told, got[1] - got[0] + 1)
-    assert not ranges.response_matches(asked, 206, told, got[1] - got[0] + 2)
+    content_range = f"bytes {resolved[0]}-{resolved[1]}/{size}"
+    assert ranges.response_matches(requested, 206, content_range, resolved[1] - resolved[0] + 1)
+    assert not ranges.response_matches(requested, 206, content_range, resolved[1] - resolved[0] + 2)
     if first is not None:
         assert not ranges.response_matches(
-            asked, 206, f"bytes {got[0] + 1}-{got[1] + 1}/{size + 1}", got[1] - got[0] + 1
+            requested,
+            206,
+            f"bytes {resolved[0] + 1}-{resolved[1] + 1}/{size + 1}",
+            resolved[1] - resolved[0] + 1,
         )
-    assert not ranges.response_matches(None, 206, told, None)
-    assert ranges.response_matches(asked, 200, None, size), "a store may serve the whole"
+    assert not ranges.response_matches(None, 206, content_range, None)
+    assert ranges.response_matches(requested, 200, None, size), "a store may respond with the whole object"
 
 
 @given(
     st.lists(st.lists(st.integers(0, 40), unique=True, max_size=12), min_size=1, max_size=5),
     st.integers(1, 6),
 )
-def test_pages_of_a_merged_listing_show_every_key_once_in_order(shards, limit):
-    taken: set[int] = set()
-    stores = []
+def test_pages_of_a_merged_listing_contain_every_key_once_in_order(shards, limit):
+    used: set[int] = set()
+    keys_by_store = []
     for keys in shards:
-        stores.append(sorted(f"k{key:02}" for key in keys if key not in taken))
-        taken |= set(keys)
+        keys_by_store.append(sorted(f"k{key:02}" for key in keys if key not in used))
+        used |= set(keys)
     shown: list[str] = []
     after = ""
     for _ in range(60):
         pages = []
-        for keys in stores:
-            left = [key for key in keys if key > after]
-            page = [listing.Entry(key, 1, "") for key in left[:limit]]
-            pages.append(listing.Page(page, left[limit - 1] if len(left) > limit else None))
+        for keys in keys_by_store:
+            remaining = [key for key in keys if key > after]
+            page = [listing.Entry(key, 1, "") for key in remaining[:limit]]
+            pages.append(listing.Page(page, remaining[limit - 1] if len(remaining) > limit else None))
         page = listing.merge(pages, limit)
         shown += [entry.key for entry in page.objects]
         if page.next is None:
             break
         assert page.next > after
         after = page.next
-    assert shown == sorted(f"k{key:02}" for key in taken)
+    assert shown == sorted(f"k{key:02}" for key in used)
 
 
-def test_keys_spread_over_shards_and_a_new_shard_takes_only_its_part():
+def test_keys_are_spread_over_shards_and_a_new_shard_takes_only_its_share():
     keys = [f"key-{number}" for number in range(4000)]
     four, five = [0, 1, 2, 3], [0, 1, 2, 3, 9]
     counts = Counter(shard_of("v", key, four) for key in keys)
@@ -194,14 +197,14 @@
     ]
 
 
-def test_a_placed_name_says_its_shard_and_a_foreign_one_does_not_lead_astray():
+def test_a_placed_key_names_its_shard_and_an_unknown_shard_is_ignored():
     assert shard_of("v", placed_key("0" * 32, 3), [1, 3]) == 3
     assert shard_of("v", placed_key("0" * 32, 7), [1, 3]) in (1, 3)
     with pytest.raises(ValueError, match="no shards"):
         shard_of("v", "k", [])
 
 
-def test_conditions_and_ranges_on_sockets():
+def test_conditional_requests_and_ranges_through_the_gateway():
     @run_async
     async def run():
         async with rig() as it:
@@ -214,8 +217,8 @@
             assert (part.status, part.body, part.headers["content-range"]) == (206, b"234", "bytes 2-4/10")
             assert (await it.ask("GET", "/school-1/k", range="bytes=7-")).body == b"789"
             assert (await it.ask("GET", "/school-1/k", range="bytes=-2")).body == b"89"
-            out = await it.ask("GET", "/school-1/k", range="bytes=10-")
-            assert (out.status, out.headers["content-range"]) == (416, "bytes */10")
+            beyond_the_end = await it.ask("GET", "/school-1/k", range="bytes=10-")
+            assert (beyond_the_end.status, beyond_the_end.headers["content-range"]) == (416, "bytes */10")
             assert (await it.ask("GET", "/school-1/k", range="bytes=2-4", if_range='"old"')).status == 200
             assert (await it.ask("GET", "/school-1/k", range="bytes=0-1,4-5")).status == 200
             head = await it.ask("HEAD", "/school-1/k")
@@ -228,7 +231,7 @@
     run()
 
 
-def test_an_upload_in_parts():
+def test_a_multipart_upload():
     @run_async
     async def run():
         async with rig() as it:
@@ -249,28 +252,28 @@
     run()
 
 
-def test_a_new_object_goes_where_the_scheduler_puts_it_and_is_found_and_listed():
+def test_a_posted_object_is_placed_by_the_scheduler_and_can_be_read_and_listed():
     @run_async
     async def run():
         async with rig() as it:
-            places = [
+            locations = [
                 (await it.ask("POST", "/school-1", b"mine %d" % n)).headers["location"] for n in range(6)
             ]
-            for number, place in enumerate(places):
-                assert (await it.ask("GET", place)).body == b"mine %d" % number
-            assert len({place.rpartition("~")[2] for place in places}) > 1
+            for number, location in enumerate(locations):
+                assert (await it.ask("GET", location)).body == b"mine %d" % number
+            assert len({location.rpartition("~")[2] for location in locations}) > 1
             first = json.loads((await it.ask("GET", "/school-1?limit=4")).body)
             rest = json.loads((await it.ask("GET", f"/school-1?limit=4&after={first['next']}")).body)
             keys = [entry["key"] for entry in first["objects"] + rest["objects"]]
-            assert keys == sorted(place.removeprefix("/school-1/") for place in places)
+            assert keys == sorted(location.removeprefix("/school-1/") for location in locations)
             it.stores[0].kill()
             refused = await it.ask("GET", "/school-1", winchdyke_time_left="300ms")
-            assert refused.status == 503, "a part of a listing is not passed off as the whole"
+            assert refused.status == 503, "an incomplete listing must not look complete"
 
     run()
 
 
-def test_a_new_object_that_stores_turn_away_goes_to_another_and_is_found_there():
+def test_a_posted_object_that_stores_shed_is_stored_on_another_store():
     @run_async
     async def run():
         async with rig(stores=2) as it:
