--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -1,9 +1,10 @@
-"""What the S3 dialect and its signatures cost: small reads and parts of 8 MiB, against a pass-through that decides nothing.
+"""Measures the cost of the S3 dialect and its signatures, with small reads and parts of 8 MiB.
 
 python benchmarks/s3.py [--rounds 3] [--seconds 2]
 
-One gateway with an S3 listener, the pass-through of the same HTTP parts, and lean stores, in one run; requests are signed before it.
-Told are medians, and ratios taken round by round: machines are shared and noisy.
+One run has a gateway with an S3 listener, a pass-through proxy for comparison that uses the same HTTP code and
+makes no decisions, and lean stores. Requests are signed before the measurement. The output shows medians, and
+ratios that are computed for each round, because machines are shared and noisy.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from pathlib import Path
 
 import anyio
-import gateway as plain
+import gateway as gateway_benchmark
 from lean import Client
 
 from winchdyke.auth.keys import Right, add_master_key, create_key, write_keys
@@ -30,152 +31,190 @@
 from winchdyke.standins.record import Record
 
 HERE = Path(__file__).parent
-PART, MOVES, CONNECTIONS = 8 << 20, 8, 16
-HASHED = hashlib.sha256(bytes(PART)).hexdigest()
-EMPTY = hashlib.sha256(b"").hexdigest()
-
-
-async def client(port: int, file: Path, connections: int, seconds: float) -> dict[str, float]:
-    """A closed loop over requests in a file, each a head and a body's length; or, with one connection, each once."""
-    requests = json.loads(file.read_text())
-    bad = done = 0
-    began = time.perf_counter()
-
-    async def turn(first: int) -> None:
-        nonlocal bad, done
-        one = (await asyncio.get_running_loop().create_connection(Client, "127.0.0.1", port))[1]
-        number = first * 7
-        while (seconds and time.perf_counter() < began + seconds) or (not seconds and number < len(requests)):
-            head, size = requests[number % len(requests)]
-            status = await one.ask(head.encode(), size)
-            number, done, bad = number + 1, done + 1, bad + (status >= 400)
-
-    await asyncio.gather(*(turn(number) for number in range(connections)))
-    return {"done": done, "bad": bad, "seconds": time.perf_counter() - began}
-
-
-def heads(kind: str, how: str, host: str, access: tuple[str, str]) -> list[tuple[str, int]]:
-    """Raw requests: small reads, or parts read and written."""
-    found = []
-    for number in range(256 if how == "small" else MOVES):
-        method, size = ("PUT", PART) if how == "put" else ("GET", 0)
-        path = f"/v/k-{number}" if how == "small" else "/v/big-8" if how == "get" else "/v/put-8"
-        query = "partNumber=1&uploadId=u1" if how == "put" and kind != "pass" else ""
-        lines = [f"{method} {path}{'?' + query if query else ''} HTTP/1.1", f"content-length: {size}"]
-        if kind in ("pass", "unsigned"):
+PART_BYTES, PARTS_PER_RUN, CONNECTIONS = 8 << 20, 8, 16
+PART_SHA256 = hashlib.sha256(bytes(PART_BYTES)).hexdigest()
+EMPTY_SHA256 = hashlib.sha256(b"").hexdigest()
+
+
+async def client(port: int, request_file: Path, connections: int, seconds: float) -> dict[str, float]:
+    """Send the requests of a file, each a head and the length of a body, in a closed loop.
+
+    With ``seconds`` 0, each connection sends the rest of the list once.
+    """
+    requests = json.loads(request_file.read_text())
+    errors = completed = 0
+    started_at = time.perf_counter()
+
+    async def run_connection(index: int) -> None:
+        nonlocal errors, completed
+        connection = (await asyncio.get_running_loop().create_connection(Client, "127.0.0.1", port))[1]
+        position = index * 7
+        while (seconds and time.perf_counter() < started_at + seconds) or (
+            not seconds and position < len(requests)
+        ):
+            head, body_bytes = requests[position % len(requests)]
+            status = await connection.ask(head.encode(), body_bytes)
+            position, completed, errors = position + 1, completed + 1, errors + (status >= 400)
+
+    await asyncio.gather(*(run_connection(index) for index in range(connections)))
+    return {"done": completed, "bad": errors, "seconds": time.perf_counter() - started_at}
+
+
+def raw_requests_of(
+    target: str, workload: str, host: str, access_key: tuple[str, str]
+) -> list[tuple[str, int]]:
+    """The heads and body lengths of small reads, reads of parts, or writes of parts."""
+    raw_requests = []
+    for number in range(256 if workload == "small" else PARTS_PER_RUN):
+        method, body_bytes = ("PUT", PART_BYTES) if workload == "put" else ("GET", 0)
+        path = f"/v/k-{number}" if workload == "small" else "/v/big-8" if workload == "get" else "/v/put-8"
+        query = "partNumber=1&uploadId=u1" if workload == "put" and target != "pass" else ""
+        lines = [f"{method} {path}{'?' + query if query else ''} HTTP/1.1", f"content-length: {body_bytes}"]
+        if target in ("pass", "unsigned"):
             lines.append(f"host: {host}")
         else:
-            payload = EMPTY if how != "put" else HASHED if kind == "signed, hashed" else UNSIGNED_PAYLOAD
-            signed = sign(method, host, path, query, payload, *access, time.time())
-            lines += [f"{name.decode()}: {value.decode()}" for name, value in signed]
-        found.append(("\r\n".join(lines) + "\r\n\r\n", size))
-    return found
-
-
-def measured(
-    targets: dict[str, tuple[int, int]], access: tuple[str, str], rounds: int, seconds: float, where: Path
+            payload_hash = (
+                EMPTY_SHA256
+                if workload != "put"
+                else PART_SHA256
+                if target == "signed, hashed"
+                else UNSIGNED_PAYLOAD
+            )
+            headers = sign(method, host, path, query, payload_hash, *access_key, time.time())
+            lines += [f"{name.decode()}: {value.decode()}" for name, value in headers]
+        raw_requests.append(("\r\n".join(lines) + "\r\n\r\n", body_bytes))
+    return raw_requests
+
+
+def measure(
+    targets: dict[str, tuple[int, int]],
+    access_key: tuple[str, str],
+    rounds: int,
+    seconds: float,
+    folder: Path,
 ):
-    """All figures by what was measured and by target."""
-    found: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
-    for turn in range(rounds + 1):
-        for how in ("small", "get", "put"):
-            for kind, (port, pid) in targets.items():
-                file = where / "requests"
-                file.write_text(json.dumps(heads(kind, how, f"127.0.0.1:{port}", access)))
-                small = how == "small"
-                words = [str(port), str(file), str(CONNECTIONS if small else 1), str(seconds if small else 0)]
-                before = plain.cpu_s(pid)
-                done = subprocess.run(
-                    [sys.executable, str(HERE / "s3.py"), "client", *words],
+    """Measure all workloads on all targets; returns the values of all rounds by figure and target."""
+    figures: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
+    for round_number in range(rounds + 1):
+        for workload in ("small", "get", "put"):
+            for target, (port, pid) in targets.items():
+                request_file = folder / "requests"
+                request_file.write_text(
+                    json.dumps(raw_requests_of(target, workload, f"127.0.0.1:{port}", access_key))
+                )
+                small = workload == "small"
+                arguments = [
+                    str(port),
+                    str(request_file),
+                    str(CONNECTIONS if small else 1),
+                    str(seconds if small else 0),
+                ]
+                cpu_before = gateway_benchmark.cpu_s(pid)
+                result = subprocess.run(
+                    [sys.executable, str(HERE / "s3.py"), "client", *arguments],
                     capture_output=True,
                     text=True,
                     check=True,
                 )
-                run, cpu = json.loads(done.stdout), plain.cpu_s(pid) - before
-                if not turn:
+                client_run, cpu_s = json.loads(result.stdout), gateway_benchmark.cpu_s(pid) - cpu_before
+                if not round_number:
                     continue  # warm-up
-                found["answers that were errors"][kind].append(run["bad"])
+                figures["error responses"][target].append(client_run["bad"])
                 if small:
-                    found["small reads/s"][kind].append(run["done"] / run["seconds"])
-                    found["CPU us a small read"][kind].append(cpu * 1e6 / run["done"])
+                    figures["small reads/s"][target].append(client_run["done"] / client_run["seconds"])
+                    figures["CPU us per small read"][target].append(cpu_s * 1e6 / client_run["done"])
                 else:
-                    mib = run["done"] * PART / 2**20
-                    found[f"MiB/s of parts, {how}"][kind].append(mib / run["seconds"])
-                    found[f"CPU us a MiB, {how}"][kind].append(cpu * 1e6 / mib)
-    return found
+                    transferred_mib = client_run["done"] * PART_BYTES / 2**20
+                    figures[f"MiB/s of parts, {workload}"][target].append(
+                        transferred_mib / client_run["seconds"]
+                    )
+                    figures[f"CPU us per MiB, {workload}"][target].append(cpu_s * 1e6 / transferred_mib)
+    return figures
 
 
-async def run(rounds: int, seconds: float, where: Path):
-    """Start all, and measure."""
+async def run(rounds: int, seconds: float, folder: Path):
+    """Start all processes, and measure."""
     processes: list[subprocess.Popen] = []
     try:
-        stores = [plain.start_process(str(HERE / "lean.py"), "store") for _ in range(plain.STORES)]
+        stores = [
+            gateway_benchmark.start_process(str(HERE / "lean.py"), "store")
+            for _ in range(gateway_benchmark.STORES)
+        ]
         processes += [process for process, _ in stores]
         ports = [port for _, port in stores]
-        passing, pass_port = plain.start_process(str(HERE / "passthrough.py"), *map(str, ports))
-        processes.append(passing)
-        add_master_key(where / "master")
-        key, secret = create_key("bench", [Right("*", "", ["read", "write", "list"])], where / "master", 0.0)
-        write_keys(where / "keys", [key])
+        passthrough, passthrough_port = gateway_benchmark.start_process(
+            str(HERE / "passthrough.py"), *map(str, ports)
+        )
+        processes.append(passthrough)
+        add_master_key(folder / "master")
+        key, secret = create_key("bench", [Right("*", "", ["read", "write", "list"])], folder / "master", 0.0)
+        write_keys(folder / "keys", [key])
         async with anyio.create_task_group() as group:
             listing = ListService(Record())
             await listing.start(group)
             for shard, port in enumerate(ports):
                 await listing.set(f"127.0.0.1:{port}", "ready", shard, "hall")
-            text = plain.SETTINGS.format(
-                port_file=where / "port", list_port=listing.port, last=plain.STORES - 1, log="none"
+            settings = gateway_benchmark.SETTINGS.format(
+                port_file=folder / "port",
+                list_port=listing.port,
+                last=gateway_benchmark.STORES - 1,
+                log="none",
             ).replace("put post delete", "put post delete put-part")
-            text += f"\n[s3]\nlisten = 127.0.0.1:0\nkeys = {where}/keys\nmaster = {where}/master\nunsigned = all\n"
-            (where / "bench.ini").write_text(text)
-            command = [sys.executable, "-m", "winchdyke", "serve", "-c", str(where / "bench.ini")]
-            with (where / "log").open("wb") as out:
-                serving = subprocess.Popen(command, stdout=out, stderr=out)
-            processes.append(serving)
+            settings += f"\n[s3]\nlisten = 127.0.0.1:0\nkeys = {folder}/keys\nmaster = {folder}/master\nunsigned = all\n"
+            (folder / "bench.ini").write_text(settings)
+            command = [sys.executable, "-m", "winchdyke", "serve", "-c", str(folder / "bench.ini")]
+            with (folder / "log").open("wb") as log_file:
+                gateway = subprocess.Popen(command, stdout=log_file, stderr=log_file)
+            processes.append(gateway)
             with anyio.fail_after(30):
-                while not (where / "port").exists():
+                while not (folder / "port").exists():
                     await anyio.sleep(0.02)
-            port = int((where / "port.s3").read_text().strip().rpartition(":")[2])
+            port = int((folder / "port.s3").read_text().strip().rpartition(":")[2])
             await anyio.sleep(0.5)
-            mine = port, serving.pid
+            gateway_target = port, gateway.pid
             targets = {
-                "pass": (pass_port, passing.pid),
-                "unsigned": mine,
-                "signed": mine,
-                "signed, hashed": mine,
+                "pass": (passthrough_port, passthrough.pid),
+                "unsigned": gateway_target,
+                "signed": gateway_target,
+                "signed, hashed": gateway_target,
             }
-            access = key.id, secret
-            found = await anyio.to_thread.run_sync(measured, targets, access, rounds, seconds, where)
+            access_key = key.id, secret
+            figures = await anyio.to_thread.run_sync(measure, targets, access_key, rounds, seconds, folder)
             group.cancel_scope.cancel()
-        return found
+        return figures
     finally:
         for process in processes:
             process.kill()
 
 
 def main() -> None:
-    """Measure and print; or be a client of a run."""
+    """Measure and print the figures; or run as a client process of a measurement."""
     if sys.argv[1:2] == ["client"]:
         port, file, connections, seconds = sys.argv[2:]
         print(json.dumps(asyncio.run(client(int(port), Path(file), int(connections), float(seconds)))))
         return
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("--rounds", type=int, default=3)
-    asked.add_argument("--seconds", type=float, default=2.0)
-    given = asked.parse_args()
-    with tempfile.TemporaryDirectory(prefix="winchdyke-s3-") as where:
-        found = anyio.run(run, given.rounds, given.seconds, Path(where))
-    for what, by in found.items():
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--rounds", type=int, default=3)
+    parser.add_argument("--seconds", type=float, default=2.0)
+    options = parser.parse_args()
+    with tempfile.TemporaryDirectory(prefix="winchdyke-s3-") as folder:
+        figures = anyio.run(run, options.rounds, options.seconds, Path(folder))
+    for figure, by_target in figures.items():
         print(
-            f"{what:26}"
-            + "  ".join(f"{kind}: {statistics.median(values):10.1f}" for kind, values in by.items())
+            f"{figure:26}"
+            + "  ".join(
+                f"{target}: {statistics.median(values):10.1f}" for target, values in by_target.items()
+            )
         )
-        for kind in ("unsigned", "signed", "signed, hashed"):
-            ratios = [a / b for a, b in zip(by[kind], by["pass"], strict=True) if b]
+        for target in ("unsigned", "signed", "signed, hashed"):
+            ratios = [a / b for a, b in zip(by_target[target], by_target["pass"], strict=True) if b]
             if ratios:
                 print(
-                    f"    {kind} / pass {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
+                    f"    {target} / pass {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
                 )
-        ratios = [a / b for a, b in zip(by["signed"], by["unsigned"], strict=True) if b]
+        ratios = [a / b for a, b in zip(by_target["signed"], by_target["unsigned"], strict=True) if b]
         if ratios:
             print(
                 f"    signed / unsigned {statistics.median(ratios):.2f} ({min(ratios):.2f} to {max(ratios):.2f})"
