--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -2,8 +2,8 @@
 
 python benchmarks/s3.py [--rounds 3] [--seconds 2]
 
-One run has a gateway with an S3 listener, a pass-through proxy for comparison that uses the same HTTP code and
-makes no decisions, and lean stores. Requests are signed before the measurement. The output shows medians, and
+One run has a gateway with an S3 listener, a pass-through proxy for comparison that uses the same HTTP code
+and makes no decisions, and lean stores. Requests are signed before the measurement. The output shows medians, and
 ratios that are computed for each round, because machines are shared and noisy.
 """
 
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -1,12 +1,16 @@
-"""Uploads in parts through troubles and killed gateways: each request answered once and in time, each object back byte for byte.
+"""Tests multipart uploads during store faults and gateway kills.
+
+Each request must get one response in time, and each object must be read back unchanged.
 
 python benchmarks/uploads.py [--seeds 10] [--uploads 100] [--kills 20]
 
-Two gateway processes and eight stand-in stores. Stores slow down, take a request and say nothing, reset, shed, die and start anew; a
-gateway is killed with SIGKILL and started again, so many times a run. Clients put objects of three parts, all at once, at either
-gateway; they repeat what is not answered or may be repeated, as S3 clients do; one in five gives its upload up. Judged from the
-clients and the stores alone. Wrong is: an answer after the class's deadline, a second answer, an object that is not as it was
-sent, a part of an upload that was given up, an upload that nobody completes and that is still there once it is to be forgotten.
+A run has two gateway processes and eight stand-in stores. Stores become slow, accept a request without
+responding, reset connections, shed requests, die and restart; gateways are killed with SIGKILL and restarted a
+number of times. Clients upload objects of three parts concurrently through either gateway, and repeat requests
+that got no response or are safe to repeat, as S3 clients do; one in five aborts its upload. Violations are
+determined from the clients and the stores alone: a response after the deadline of the request class, a second
+response, an object that differs from the one sent, a remaining part of an aborted upload, and an uncompleted
+upload that exists after its expiry.
 """
 
 from __future__ import annotations
@@ -33,16 +37,16 @@
 from winchdyke.standins.wire import LOST, Peer
 
 DEADLINE_S = 3.0
-SLACK_S = 0.25  # on a busy machine, between the gateway's last word and the client's clock
-KEEP_S = 60.0  # the shortest that settings take
-PART = 60_000
-TROUBLES = (
+TOLERANCE_S = 0.25  # on a busy machine, between the end of the response and the client's clock
+UPLOAD_KEEP_S = 60.0  # the minimum that the settings accept
+MIN_PART_BYTES = 60_000
+FAULTS = (
     "silence", "reset-after-run", "die-mid-request", "shed", "error", "slow", "die-mid-answer", "kill",
 )  # fmt: skip
 
 
 def settings(folder: Path, index: int, list_port: int) -> str:
-    """The embedded settings, with an S3 listener for anyone."""
+    """The default settings, with an S3 listener that accepts unsigned requests."""
     text = resources.files("winchdyke.config").joinpath("defaults.ini").read_text()
     text = text.replace("[gateway]\n", f"[gateway]\nport_file = {folder}/port-{index}\n", 1)
     lines = [line for line in text.splitlines() if not line.startswith("port_file =") or str(folder) in line]
@@ -56,138 +60,150 @@
     """One run with one seed."""
 
     def __init__(self, folder: Path, seed: int, uploads: int, kills: int) -> None:
-        self.folder, self.draw = folder, random.Random(seed)
+        self.folder, self.random = folder, random.Random(seed)
         self.uploads, self.kills = uploads, kills
-        self.record, self.list = Record(), ListService(Record())
+        self.record, self.list_service = Record(), ListService(Record())
         self.stores: list[Store] = []
         self.gateways: dict[int, Process] = {}
-        self.wrong: list[str] = []
+        self.violations: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.given_up: set[str] = set()
-        self.slowest = 0.0
-
-    async def start(self, index: int) -> None:
-        """A gateway process; back once it listens."""
-        port = self.folder / f"port-{index}"
-        port.unlink(missing_ok=True)
-        file = self.folder / f"g{index}.ini"
-        file.write_text(settings(self.folder, index, self.list.port))
-        with open(self.folder / f"log-{index}", "ab") as log:
+        self.aborted: set[str] = set()
+        self.slowest_s = 0.0
+
+    async def start_gateway(self, index: int) -> None:
+        """Start a gateway process, and wait until it listens."""
+        port_file = self.folder / f"port-{index}"
+        port_file.unlink(missing_ok=True)
+        settings_file = self.folder / f"g{index}.ini"
+        settings_file.write_text(settings(self.folder, index, self.list_service.port))
+        with open(self.folder / f"log-{index}", "ab") as log_file:
             self.gateways[index] = await anyio.open_process(
-                [sys.executable, "-m", "winchdyke", "serve", "-c", str(file)], stdout=log, stderr=log
+                [sys.executable, "-m", "winchdyke", "serve", "-c", str(settings_file)],
+                stdout=log_file,
+                stderr=log_file,
             )
         with anyio.fail_after(30):
-            while not port.exists():
+            while not port_file.exists():
                 await anyio.sleep(0.01)
 
     async def ask(
         self, index: int, method: str, target: str, body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """One request and its answer; status 0 where the gateway was gone."""
-        began = time.monotonic()
-        status, headers, got = 0, {}, b""
+        """Send one request, and return the response.
+
+        The status is 0 if the gateway was not running, cut the connection or did not respond in time.
+        """
+        started_at = time.monotonic()
+        status, headers, response_body = 0, {}, b""
         self.counts["requests"] += 1
         try:
             host, _, port = (self.folder / f"port-{index}.s3").read_text().strip().rpartition(":")
             peer = Peer(await anyio.connect_tcp(host, int(port)), h11.CLIENT)
         except OSError:
-            self.counts["no gateway"] += 1
+            self.counts["gateway not running"] += 1
             await anyio.sleep(0.05)
             return 0, {}, b""
         try:
-            fields = [("host", "x"), ("content-length", str(len(body)))]
-            data = [h11.Data(data=body)] if body else []
+            request_headers = [("host", "x"), ("content-length", str(len(body)))]
+            body_events = [h11.Data(data=body)] if body else []
             await peer.send(
-                h11.Request(method=method, target=target, headers=fields), *data, h11.EndOfMessage()
+                h11.Request(method=method, target=target, headers=request_headers),
+                *body_events,
+                h11.EndOfMessage(),
             )
             with anyio.fail_after(DEADLINE_S + 5):
                 while not isinstance(event := await peer.event(), h11.EndOfMessage):
                     if isinstance(event, h11.Response):
                         if status:
-                            self.wrong.append(f"two answers to {method} {target}")
+                            self.violations.append(f"two responses to {method} {target}")
                         status = event.status_code
                         headers = {name.decode(): value.decode() for name, value in event.headers}
                     elif isinstance(event, h11.Data):
-                        got += event.data
+                        response_body += event.data
                     elif isinstance(event, h11.ConnectionClosed):
                         raise anyio.EndOfStream
         except (*LOST, h11.RemoteProtocolError):
-            if self.gateways[index].returncode is None and index not in self.dying:
-                self.counts["cut"] += 1
+            if self.gateways[index].returncode is None and index not in self.gateways_being_killed:
+                self.counts["connections cut"] += 1
             status = 0
         except TimeoutError:
-            self.wrong.append(f"no answer to {method} {target}")
+            self.violations.append(f"no response to {method} {target}")
             status = 0
         finally:
             await anyio.aclose_forcefully(peer.stream)
-        took = time.monotonic() - began
-        self.slowest = max(self.slowest, took if status else 0.0)
-        # A completion and a copy are several requests to stores, all within the first one's deadline.
-        if status and took > DEADLINE_S + SLACK_S:
-            self.wrong.append(f"{method} {target}: answered {status} after {took:.2f} s")
-        self.counts[f"answers {status}"] += 1
-        return status, headers, got
-
-    dying: frozenset[int] = frozenset()
-
-    async def insist(
-        self, method: str, target: str, body: bytes = b"", done: tuple[int, ...] = (200, 204)
+        duration_s = time.monotonic() - started_at
+        self.slowest_s = max(self.slowest_s, duration_s if status else 0.0)
+        # A completion or a copy consists of several requests to stores, all within the deadline of the first.
+        if status and duration_s > DEADLINE_S + TOLERANCE_S:
+            self.violations.append(f"{method} {target}: response {status} after {duration_s:.2f} s")
+        self.counts[f"responses {status}"] += 1
+        return status, headers, response_body
+
+    gateways_being_killed: frozenset[int] = frozenset()
+
+    async def ask_until_done(
+        self, method: str, target: str, body: bytes = b"", expected_statuses: tuple[int, ...] = (200, 204)
     ) -> tuple[int, dict[str, str], bytes]:
-        """Ask either gateway until one of these answers comes."""
+        """Send a request to either gateway until the response has an expected status."""
         for attempt in range(80):
-            answer = await self.ask(self.draw.randrange(2), method, target, body)
-            if answer[0] in done:
-                return answer
-            await anyio.sleep(min(1.0, 0.05 * 2 ** min(attempt, 4)) * self.draw.uniform(0.5, 1.0))
-        self.wrong.append(f"{method} {target}: never done, at last {answer[0]} {answer[2][:200]!r}")
-        return answer
-
-    async def one(self, number: int) -> None:
-        """One upload, and its object read back."""
-        await anyio.sleep(self.draw.uniform(0.0, 3.0))
+            response = await self.ask(self.random.randrange(2), method, target, body)
+            if response[0] in expected_statuses:
+                return response
+            await anyio.sleep(min(1.0, 0.05 * 2 ** min(attempt, 4)) * self.random.uniform(0.5, 1.0))
+        self.violations.append(
+            f"{method} {target}: never completed, last response {response[0]} {response[2][:200]!r}"
+        )
+        return response
+
+    async def upload_object(self, number: int) -> None:
+        """Upload an object in parts, and read it back; or abort the upload."""
+        await anyio.sleep(self.random.uniform(0.0, 3.0))
         key = f"/school-{number % 4}/object-{number}"
-        parts = [os.urandom(PART + self.draw.randrange(PART)) for _ in range(3)]
-        _, _, made = await self.insist("POST", key + "?uploads")
-        found = re.search(rb"<UploadId>([^<]+)</UploadId>", made)
-        if not found:
+        parts = [os.urandom(MIN_PART_BYTES + self.random.randrange(MIN_PART_BYTES)) for _ in range(3)]
+        _, _, response = await self.ask_until_done("POST", key + "?uploads")
+        upload_id_match = re.search(rb"<UploadId>([^<]+)</UploadId>", response)
+        if not upload_id_match:
             return
-        upload = found[1].decode()
-        tags: dict[int, str] = {}
+        upload_id = upload_id_match[1].decode()
+        etags: dict[int, str] = {}
 
-        async def put(at: int, body: bytes) -> None:
-            status, headers, _ = await self.insist(
-                "PUT", f"{key}?partNumber={at}&uploadId={upload}", body, (200, 404)
+        async def put_part(part_number: int, body: bytes) -> None:
+            status, headers, _ = await self.ask_until_done(
+                "PUT", f"{key}?partNumber={part_number}&uploadId={upload_id}", body, (200, 404)
             )
-            tags[at] = headers.get("etag", "")
-            if status == 404 and upload not in self.given_up:
-                self.wrong.append(f"part {at} of {key}: the upload is gone")
+            etags[part_number] = headers.get("etag", "")
+            if status == 404 and upload_id not in self.aborted:
+                self.violations.append(f"part {part_number} of {key}: the upload does not exist")
 
         async with anyio.create_task_group() as group:
-            for at, part in enumerate(parts, 1):
-                group.start_soon(put, at, part)
-            if self.draw.random() < 0.2:
-                await anyio.sleep(self.draw.uniform(0.0, 0.5))
-                self.given_up.add(upload)
-                await self.insist("DELETE", f"{key}?uploadId={upload}", b"", (204, 404))
-        if upload in self.given_up:
-            self.counts["given up"] += 1
+            for part_number, part in enumerate(parts, 1):
+                group.start_soon(put_part, part_number, part)
+            if self.random.random() < 0.2:
+                await anyio.sleep(self.random.uniform(0.0, 0.5))
+                self.aborted.add(upload_id)
+                await self.ask_until_done("DELETE", f"{key}?uploadId={upload_id}", b"", (204, 404))
+        if upload_id in self.aborted:
+            self.counts["aborted"] += 1
             return
-        named = "".join(
-            f"<Part><PartNumber>{at}</PartNumber><ETag>{escape(tags[at])}</ETag></Part>" for at in tags
+        listed = "".join(
+            f"<Part><PartNumber>{part_number}</PartNumber><ETag>{escape(etags[part_number])}</ETag></Part>"
+            for part_number in etags
         )
-        document = f"<CompleteMultipartUpload>{''.join(sorted(re.findall('<Part>.*?</Part>', named)))}</CompleteMultipartUpload>"
-        await self.insist("POST", f"{key}?uploadId={upload}", document.encode())
-        _, _, got = await self.insist("GET", key)
-        if got != b"".join(parts):
-            self.wrong.append(f"{key}: {len(got)} bytes back, not the {sum(map(len, parts))} that were sent")
+        document = f"<CompleteMultipartUpload>{''.join(sorted(re.findall('<Part>.*?</Part>', listed)))}</CompleteMultipartUpload>"
+        await self.ask_until_done("POST", f"{key}?uploadId={upload_id}", document.encode())
+        _, _, stored = await self.ask_until_done("GET", key)
+        if stored != b"".join(parts):
+            self.violations.append(
+                f"{key}: {len(stored)} bytes read back, not the {sum(map(len, parts))} that were sent"
+            )
         self.counts["objects"] += 1
 
-    async def troubles(self) -> None:
-        """Stores in trouble, until cancelled."""
+    async def inject_faults(self) -> None:
+        """Inject faults into stores until cancelled."""
         while True:
-            await anyio.sleep(self.draw.uniform(0.01, 0.06))
-            store = self.draw.choice(self.stores)
-            what = self.draw.choice(
+            await anyio.sleep(self.random.uniform(0.01, 0.06))
+            store = self.random.choice(self.stores)
+            fault = self.random.choice(
                 (
                     "silence",
                     "reset-after-run",
@@ -199,73 +215,73 @@
                     "kill",
                 )
             )
-            self.counts["trouble " + what] += 1
-            if what == "slow":
-                store.slow = self.draw.choice((1.0, 4.0))
-            elif what == "kill":
-                if store.up and self.draw.random() < 0.3:
+            self.counts["fault " + fault] += 1
+            if fault == "slow":
+                store.slow = self.random.choice((1.0, 4.0))
+            elif fault == "kill":
+                if store.up and self.random.random() < 0.3:
                     store.kill()
                     await anyio.sleep(0.3)
                     await store.start(self.group)
             elif len(store.tricks) < 2:
-                store.tricks.append(what)
+                store.tricks.append(fault)
 
     @staticmethod
-    async def end(process: Process) -> None:
-        """Kill a gateway."""
+    async def kill(process: Process) -> None:
+        """Kill a gateway process."""
         if process.returncode is None:
             process.kill()
         await process.wait()
         await process.aclose()
 
-    async def killing(self) -> None:
-        """Gateways killed and started again, one after another."""
+    async def kill_gateways(self) -> None:
+        """Kill and restart gateways, one at a time."""
         for _ in range(self.kills):
-            await anyio.sleep(self.draw.uniform(0.1, 0.5))
-            index = self.draw.randrange(2)
-            self.dying = frozenset((index,))
-            await self.end(self.gateways[index])
+            await anyio.sleep(self.random.uniform(0.1, 0.5))
+            index = self.random.randrange(2)
+            self.gateways_being_killed = frozenset((index,))
+            await self.kill(self.gateways[index])
             self.counts["kills"] += 1
-            await self.start(index)
-            self.dying = frozenset()
+            await self.start_gateway(index)
+            self.gateways_being_killed = frozenset()
 
     async def run(self) -> None:
-        """Play it, and judge."""
+        """Run all uploads, and check the stores."""
         async with anyio.create_task_group() as group:
             self.group = group
-            await self.list.start(group)
+            await self.list_service.start(group)
             for shard in range(8):
                 store = Store(
                     Spec(shard, unit_ms=1.0, cores=4), Shelf(), Rack(), Meter(), self.record, seed=shard
                 )
                 self.stores.append(store)
                 await store.start(group)
-                await self.list.set(store.name, "ready", shard, "hall-a")
+                await self.list_service.set(store.name, "ready", shard, "hall-a")
             try:
                 for index in range(2):
-                    await self.start(index)
-                with anyio.CancelScope() as trouble:
-                    async with anyio.create_task_group() as inner:
-                        inner.start_soon(self.troubles)
-                        async with anyio.create_task_group() as work:
+                    await self.start_gateway(index)
+                with anyio.CancelScope() as faults_scope:
+                    async with anyio.create_task_group() as faults_group:
+                        faults_group.start_soon(self.inject_faults)
+                        async with anyio.create_task_group() as uploads_group:
                             for number in range(self.uploads):
-                                work.start_soon(self.one, number)
-                            work.start_soon(self.killing)
-                        trouble.cancel()
-                self._judge()
+                                uploads_group.start_soon(self.upload_object, number)
+                            uploads_group.start_soon(self.kill_gateways)
+                        faults_scope.cancel()
+                self._check_stores()
             finally:
                 with anyio.CancelScope(shield=True):
                     for process in self.gateways.values():
-                        await self.end(process)
+                        await self.kill(process)
                 group.cancel_scope.cancel()
 
-    def _judge(self) -> None:
+    def _check_stores(self) -> None:
         for store in self.stores:
             for upload in store.shelf.uploads:
-                if upload in self.given_up:
-                    self.wrong.append(f"a part of {upload}, which was given up, is there still")
+                if upload in self.aborted:
+                    self.violations.append(f"a part of the aborted upload {upload} still exists")
                 else:
-                    self.counts["uploads whose start was not heard of"] += 1  # forgotten after upload_keep
+                    self.counts["uploads whose start got no response"] += 1  # they expire after upload_keep
         effects = Counter(
             (seen["request"], seen["object"]) for seen in self.record.seen
             if seen["what"] == "effect" and seen["method"] == "PUT"
@@ -273,8 +289,8 @@
         self.counts["effects"] = sum(effects.values())
 
 
-def played(seed: int, uploads: int, kills: int) -> Run:
-    """One run."""
+def run_seed(seed: int, uploads: int, kills: int) -> Run:
+    """Run one seed."""
     with tempfile.TemporaryDirectory() as folder:
         run = Run(Path(folder), seed, uploads, kills)
         anyio.run(run.run)
@@ -282,30 +298,32 @@
 
 
 def main() -> None:
-    """All seeds, and what was wrong."""
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("--seeds", type=int, default=10)
-    asked.add_argument("--first", type=int, default=1)
-    asked.add_argument("--uploads", type=int, default=100)
-    asked.add_argument("--kills", type=int, default=20)
-    given = asked.parse_args()
+    """Run all seeds, and print the counts and the violations."""
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seeds", type=int, default=10)
+    parser.add_argument("--first", type=int, default=1)
+    parser.add_argument("--uploads", type=int, default=100)
+    parser.add_argument("--kills", type=int, default=20)
+    options = parser.parse_args()
     counts: Counter[str] = Counter()
-    wrong: list[str] = []
-    slowest = 0.0
-    for seed in range(given.first, given.first + given.seeds):
-        run = played(seed, given.uploads, given.kills)
+    violations: list[str] = []
+    slowest_s = 0.0
+    for seed in range(options.first, options.first + options.seeds):
+        run = run_seed(seed, options.uploads, options.kills)
         print(
-            f"seed {seed}: {run.counts['objects']} objects, {run.counts['kills']} kills, {len(run.wrong)} wrong",
+            f"seed {seed}: {run.counts['objects']} objects, {run.counts['kills']} kills, {len(run.violations)} violations",
             flush=True,
         )
         counts += run.counts
-        wrong += run.wrong
-        slowest = max(slowest, run.slowest)
+        violations += run.violations
+        slowest_s = max(slowest_s, run.slowest_s)
     print(", ".join(f"{name} {count}" for name, count in sorted(counts.items())))
-    print(f"slowest answer {slowest:.2f} s; {len(wrong)} wrong")
-    for text in wrong[:20]:
+    print(f"slowest response {slowest_s:.2f} s; {len(violations)} violations")
+    for text in violations[:20]:
         print(" ", text)
-    raise SystemExit(bool(wrong))
+    raise SystemExit(bool(violations))
 
 
 if __name__ == "__main__":
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -816,9 +816,9 @@
     """A short run of benchmarks/uploads.py, which runs ten seeds of 100 uploads and 20 kills."""
     from benchmarks import uploads
 
-    run = uploads.played(3, 8, 1)
-    assert run.wrong == [] and run.counts["kills"] == 1 and run.counts["objects"] >= 4
-    assert run.counts["objects"] + run.counts["given up"] == 8
+    run = uploads.run_seed(3, 8, 1)
+    assert run.violations == [] and run.counts["kills"] == 1 and run.counts["objects"] >= 4
+    assert run.counts["objects"] + run.counts["aborted"] == 8
 
 
 def test_large_parts_count_towards_the_limit_of_their_volume(tmp_path):
