--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -37,7 +37,7 @@
 
 
 async def client(port: int, request_file: Path, connections: int, seconds: float) -> dict[str, float]:
-    """Send the requests of a file, each a head and the length of a body, in a closed loop.
+    """Sends the requests of a file, each a head and the length of a body, in a closed loop.
 
     With ``seconds`` 0, each connection sends the rest of the list once.
     """
@@ -93,7 +93,7 @@
     seconds: float,
     folder: Path,
 ):
-    """Measure all workloads on all targets; returns the values of all rounds by figure and target."""
+    """Measures all workloads on all targets; returns the values of all rounds by figure and target."""
     figures: dict[str, dict[str, list[float]]] = defaultdict(lambda: defaultdict(list))
     for round_number in range(rounds + 1):
         for workload in ("small", "get", "put"):
@@ -133,7 +133,7 @@
 
 
 async def run(rounds: int, seconds: float, folder: Path):
-    """Start all processes, and measure."""
+    """Starts all processes, and measures."""
     processes: list[subprocess.Popen] = []
     try:
         stores = [
@@ -188,7 +188,7 @@
 
 
 def main() -> None:
-    """Measure and print the figures; or run as a client process of a measurement."""
+    """Measures and prints the figures; or runs as a client process of a measurement."""
     if sys.argv[1:2] == ["client"]:
         port, file, connections, seconds = sys.argv[2:]
         print(json.dumps(asyncio.run(client(int(port), Path(file), int(connections), float(seconds)))))
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -71,7 +71,7 @@
         self.slowest_s = 0.0
 
     async def start_gateway(self, index: int) -> None:
-        """Start a gateway process, and wait until it listens."""
+        """Starts a gateway process, and waits until it listens."""
         port_file = self.folder / f"port-{index}"
         port_file.unlink(missing_ok=True)
         settings_file = self.folder / f"g{index}.ini"
@@ -89,7 +89,7 @@
     async def ask(
         self, index: int, method: str, target: str, body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send one request, and return the response.
+        """Sends one request, and returns the response.
 
         The status is 0 if the gateway was not running, cut the connection or did not respond in time.
         """
@@ -144,7 +144,7 @@
     async def ask_until_done(
         self, method: str, target: str, body: bytes = b"", expected_statuses: tuple[int, ...] = (200, 204)
     ) -> tuple[int, dict[str, str], bytes]:
-        """Send a request to either gateway until the response has an expected status."""
+        """Sends a request to either gateway until the response has an expected status."""
         for attempt in range(80):
             response = await self.ask(self.random.randrange(2), method, target, body)
             if response[0] in expected_statuses:
@@ -156,7 +156,7 @@
         return response
 
     async def upload_object(self, number: int) -> None:
-        """Upload an object in parts, and read it back; or abort the upload."""
+        """Uploads an object in parts, and reads it back; or aborts the upload."""
         await anyio.sleep(self.random.uniform(0.0, 3.0))
         key = f"/school-{number % 4}/object-{number}"
         parts = [os.urandom(MIN_PART_BYTES + self.random.randrange(MIN_PART_BYTES)) for _ in range(3)]
@@ -199,7 +199,7 @@
         self.counts["objects"] += 1
 
     async def inject_faults(self) -> None:
-        """Inject faults into stores until cancelled."""
+        """Injects faults into stores until cancelled."""
         while True:
             await anyio.sleep(self.random.uniform(0.01, 0.06))
             store = self.random.choice(self.stores)
@@ -228,14 +228,14 @@
 
     @staticmethod
     async def kill(process: Process) -> None:
-        """Kill a gateway process."""
+        """Kills a gateway process."""
         if process.returncode is None:
             process.kill()
         await process.wait()
         await process.aclose()
 
     async def kill_gateways(self) -> None:
-        """Kill and restart gateways, one at a time."""
+        """Kills and restarts gateways, one at a time."""
         for _ in range(self.kills):
             await anyio.sleep(self.random.uniform(0.1, 0.5))
             index = self.random.randrange(2)
@@ -246,7 +246,7 @@
             self.gateways_being_killed = frozenset()
 
     async def run(self) -> None:
-        """Run all uploads, and check the stores."""
+        """Runs all uploads, and checks the stores."""
         async with anyio.create_task_group() as group:
             self.group = group
             await self.list_service.start(group)
@@ -290,7 +290,7 @@
 
 
 def run_seed(seed: int, uploads: int, kills: int) -> Run:
-    """Run one seed."""
+    """Runs one seed."""
     with tempfile.TemporaryDirectory() as folder:
         run = Run(Path(folder), seed, uploads, kills)
         anyio.run(run.run)
@@ -298,7 +298,7 @@
 
 
 def main() -> None:
-    """Run all seeds, and print the counts and the violations."""
+    """Runs all seeds, and prints the counts and the violations."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -236,16 +236,16 @@
     async def run():
         async with rig() as it:
             upload = json.loads((await it.ask("POST", "/school-1/big?uploads")).body)["uploadId"]
-            where = f"/school-1/big?uploadId={upload}"
+            upload_url = f"/school-1/big?uploadId={upload}"
             for number, data in ((2, b"second"), (1, b"first "), (3, b"unwanted")):
-                assert (await it.ask("PUT", f"{where}&partNumber={number}", data)).status == 200
-            listed = json.loads((await it.ask("GET", where)).body)["parts"]
+                assert (await it.ask("PUT", f"{upload_url}&partNumber={number}", data)).status == 200
+            listed = json.loads((await it.ask("GET", upload_url)).body)["parts"]
             assert [part["partNumber"] for part in listed] == [1, 2, 3]
-            assert (await it.ask("POST", where, b'{"parts": [2, 1]}')).status == 400
+            assert (await it.ask("POST", upload_url, b'{"parts": [2, 1]}')).status == 400
             assert (await it.ask("GET", "/school-1/big")).status == 404
-            assert (await it.ask("POST", where, b'{"parts": [1, 2]}')).status == 201
+            assert (await it.ask("POST", upload_url, b'{"parts": [1, 2]}')).status == 201
             assert (await it.ask("GET", "/school-1/big")).body == b"first second"
-            assert (await it.ask("GET", where)).status == 404
+            assert (await it.ask("GET", upload_url)).status == 404
             other = json.loads((await it.ask("POST", "/school-1/big?uploads")).body)["uploadId"]
             assert (await it.ask("DELETE", f"/school-1/big?uploadId={other}")).status == 204
 
@@ -279,9 +279,9 @@
         async with rig(stores=2) as it:
             for store in it.stores:
                 store.tricks.append("shed")
-            answer = await it.ask("POST", "/school-1", b"mine")
-            assert answer.status == 201
+            response = await it.ask("POST", "/school-1", b"mine")
+            assert response.status == 201
             assert it.outcomes == ["SHED", "SHED", "SERVED"]
-            assert (await it.ask("GET", answer.headers["location"])).body == b"mine"
+            assert (await it.ask("GET", response.headers["location"])).body == b"mine"
 
     run()
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -254,54 +254,59 @@
         assert got.getvalue() == data
         s3.copy({"Bucket": "school-1", "Key": "big"}, "contest-1", "copied", Config=config)
         assert s3.get_object(Bucket="contest-1", Key="copied")["Body"].read() == data
-        where = {"Bucket": "school-1", "Key": "parts"}
-        upload = s3.create_multipart_upload(**where)["UploadId"]
+        target = {"Bucket": "school-1", "Key": "parts"}
+        upload = s3.create_multipart_upload(**target)["UploadId"]
         tags = {}
         for number in (1, 2, 4):
-            tags[number] = s3.upload_part(**where, UploadId=upload, PartNumber=number, Body=data[: 5 * MIB])[
+            tags[number] = s3.upload_part(**target, UploadId=upload, PartNumber=number, Body=data[: 5 * MIB])[
                 "ETag"
             ]
-        listed = s3.list_parts(**where, UploadId=upload, MaxParts=2)
+        listed = s3.list_parts(**target, UploadId=upload, MaxParts=2)
         assert [part["PartNumber"] for part in listed["Parts"]] == [1, 2] and listed["IsTruncated"]
-        rest = s3.list_parts(**where, UploadId=upload, PartNumberMarker=2)
+        rest = s3.list_parts(**target, UploadId=upload, PartNumberMarker=2)
         assert [part["PartNumber"] for part in rest["Parts"]] == [4]
         uploads = s3.list_multipart_uploads(Bucket="school-1")["Uploads"]
         assert [(each["Key"], each["UploadId"]) for each in uploads] == [("parts", upload)]
 
         def complete(*parts: tuple[int, str]) -> Any:
             listed_parts = {"Parts": [{"PartNumber": number, "ETag": tag} for number, tag in parts]}
-            return s3.complete_multipart_upload(**where, UploadId=upload, MultipartUpload=listed_parts)
+            return s3.complete_multipart_upload(**target, UploadId=upload, MultipartUpload=listed_parts)
 
         assert error_code(lambda: complete((1, tags[1]), (3, tags[1]))) == ("InvalidPart", 400)
         assert error_code(lambda: complete((2, tags[2]), (1, tags[1]))) == ("InvalidPartOrder", 400)
         assert error_code(lambda: complete((1, '"00"'))) == ("InvalidPart", 400)
-        tags[2] = s3.upload_part(**where, UploadId=upload, PartNumber=2, Body=b"small")["ETag"]
+        tags[2] = s3.upload_part(**target, UploadId=upload, PartNumber=2, Body=b"small")["ETag"]
         assert error_code(lambda: complete((1, tags[1]), (2, tags[2]), (4, tags[4]))) == (
             "EntityTooSmall",
             400,
         )
-        assert error_code(lambda: s3.get_object(**where)) == ("NoSuchKey", 404), (
+        assert error_code(lambda: s3.get_object(**target)) == ("NoSuchKey", 404), (
             "the object exists before the upload is complete"
         )
         first = complete((1, tags[1]), (2, tags[2]))
-        assert s3.get_object(**where)["Body"].read() == data[: 5 * MIB] + b"small"
+        assert s3.get_object(**target)["Body"].read() == data[: 5 * MIB] + b"small"
         assert complete((1, tags[1]), (2, tags[2]))["ETag"] == first["ETag"], (
             "a repeated completion must get the first response"
         )
-        assert error_code(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"x")) == (
+        assert error_code(lambda: s3.upload_part(**target, UploadId=upload, PartNumber=1, Body=b"x")) == (
+            "NoSuchUpload",
+            404,
+        )
+        other = s3.create_multipart_upload(**target)["UploadId"]
+        s3.upload_part(**target, UploadId=other, PartNumber=1, Body=b"")
+        s3.abort_multipart_upload(**target, UploadId=other)
+        assert error_code(lambda: s3.abort_multipart_upload(**target, UploadId=other)) == (
             "NoSuchUpload",
             404,
         )
-        other = s3.create_multipart_upload(**where)["UploadId"]
-        s3.upload_part(**where, UploadId=other, PartNumber=1, Body=b"")
-        s3.abort_multipart_upload(**where, UploadId=other)
-        assert error_code(lambda: s3.abort_multipart_upload(**where, UploadId=other)) == ("NoSuchUpload", 404)
         assert "Uploads" not in s3.list_multipart_uploads(Bucket="school-1")
-        assert error_code(lambda: s3.upload_part(**where, UploadId="no/such", PartNumber=1, Body=b"x")) == (
+        assert error_code(lambda: s3.upload_part(**target, UploadId="no/such", PartNumber=1, Body=b"x")) == (
             "NoSuchUpload",
             404,
         )
-        assert error_code(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=10_001, Body=b"x")) == (
+        assert error_code(
+            lambda: s3.upload_part(**target, UploadId=upload, PartNumber=10_001, Body=b"x")
+        ) == (
             "InvalidArgument",
             400,
         )
@@ -378,7 +383,7 @@
 
 
 async def send_raw(it: Rig, data: bytes, disconnect: bool = False) -> bytes:
-    """Send bytes to the S3 listener, and return the response; nothing if the client disconnects first."""
+    """Sends bytes to the S3 listener, and returns the response; nothing if the client disconnects first."""
     host, port = it.gateway.addresses[-1]
     stream = await anyio.connect_tcp(host, port)
     received = b""
@@ -506,39 +511,41 @@
 ):
     keys = AccessKeys(tmp_path)
     data = os.urandom(5 * MIB)
-    where = {"Bucket": "school-1", "Key": "k"}
+    target = {"Bucket": "school-1", "Key": "k"}
 
     @run_async
     async def run():
         async with rig(s3_settings(keys, upload_keep=60_000.0), unit_ms=0.02) as it:
             s3 = boto_client(it, keys)
-            upload = (await in_thread(lambda: s3.create_multipart_upload(**where)))["UploadId"]
-            first = await in_thread(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=1, Body=data))
+            upload = (await in_thread(lambda: s3.create_multipart_upload(**target)))["UploadId"]
+            first = await in_thread(
+                lambda: s3.upload_part(**target, UploadId=upload, PartNumber=1, Body=data)
+            )
             head = signed_request(it, keys, "PUT", f"/school-1/k?partNumber=2&uploadId={upload}", data)
             await send_raw(it, head + data[: 2 * MIB], disconnect=True)
-            listed = await in_thread(lambda: s3.list_parts(**where, UploadId=upload))
+            listed = await in_thread(lambda: s3.list_parts(**target, UploadId=upload))
             assert [part["PartNumber"] for part in listed["Parts"]] == [1], "an incomplete part is not stored"
             assert await it.gateway.s3.abort_expired_uploads("school-1") == 0, (
                 "the upload was active just now"
             )
             second = await in_thread(
-                lambda: s3.upload_part(**where, UploadId=upload, PartNumber=2, Body=b"end")
+                lambda: s3.upload_part(**target, UploadId=upload, PartNumber=2, Body=b"end")
             )
             parts = [{"PartNumber": 1, "ETag": first["ETag"]}, {"PartNumber": 2, "ETag": second["ETag"]}]
             await in_thread(
                 lambda: s3.complete_multipart_upload(
-                    **where, UploadId=upload, MultipartUpload={"Parts": parts}
+                    **target, UploadId=upload, MultipartUpload={"Parts": parts}
                 )
             )
-            assert (await in_thread(lambda: s3.get_object(**where)["Body"].read())) == data + b"end"
-            left = (await in_thread(lambda: s3.create_multipart_upload(**where)))["UploadId"]
-            await in_thread(lambda: s3.upload_part(**where, UploadId=left, PartNumber=1, Body=b"x"))
+            assert (await in_thread(lambda: s3.get_object(**target)["Body"].read())) == data + b"end"
+            left = (await in_thread(lambda: s3.create_multipart_upload(**target)))["UploadId"]
+            await in_thread(lambda: s3.upload_part(**target, UploadId=left, PartNumber=1, Body=b"x"))
             wall = it.gateway.s3.wall_clock
             it.gateway.s3.wall_clock = lambda: wall() + 61
             assert await it.gateway.s3.abort_expired_uploads("school-1") == 1
             assert not any(store.shelf.uploads for store in it.stores)
             it.gateway.s3.wall_clock = wall
-            assert (await in_thread(lambda: error_code(lambda: s3.list_parts(**where, UploadId=left)))) == (
+            assert (await in_thread(lambda: error_code(lambda: s3.list_parts(**target, UploadId=left)))) == (
                 "NoSuchUpload",
                 404,
             )
@@ -549,7 +556,7 @@
 @pytest.mark.parametrize("trick", ["silence", "reset-after-run", "die-mid-request", "shed"])
 def test_a_part_is_retried_after_a_store_fault_and_stored_once(tmp_path, trick):
     keys = AccessKeys(tmp_path)
-    where = {"Bucket": "school-1", "Key": "k"}
+    target = {"Bucket": "school-1", "Key": "k"}
 
     @run_async
     async def run():
@@ -562,21 +569,21 @@
         )
         async with rig(dataclasses.replace(config, kinds=kinds), unit_ms=0.1) as it:
             s3 = boto_client(it, keys)
-            upload = (await in_thread(lambda: s3.create_multipart_upload(**where)))["UploadId"]
+            upload = (await in_thread(lambda: s3.create_multipart_upload(**target)))["UploadId"]
             store = it.store_of("/school-1/k")
             store.tricks.append(trick)
             tag = (
                 await in_thread(
-                    lambda: s3.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"x" * 100_000)
+                    lambda: s3.upload_part(**target, UploadId=upload, PartNumber=1, Body=b"x" * 100_000)
                 )
             )["ETag"]
             assert store.shelf.uploads[upload][2] == {1: b"x" * 100_000}
             store.tricks.append(trick)
             parts = {"Parts": [{"PartNumber": 1, "ETag": tag}]}
             completed = await in_thread(
-                lambda: s3.complete_multipart_upload(**where, UploadId=upload, MultipartUpload=parts)
+                lambda: s3.complete_multipart_upload(**target, UploadId=upload, MultipartUpload=parts)
             )
-            got = await in_thread(lambda: s3.get_object(**where))
+            got = await in_thread(lambda: s3.get_object(**target))
             assert got["ETag"] == completed["ETag"] and got["ContentLength"] == 100_000
 
     run()
@@ -584,7 +591,7 @@
 
 def test_two_gateways_complete_one_upload_and_a_part_replaced_meanwhile_is_reported(tmp_path):
     keys = AccessKeys(tmp_path)
-    where = {"Bucket": "school-1", "Key": "k"}
+    target = {"Bucket": "school-1", "Key": "k"}
 
     @run_async
     async def run():
@@ -600,10 +607,10 @@
                 "s3", endpoint_url=f"http://{host}:{port}", aws_access_key_id=keys.key.id, aws_secret_access_key=keys.secret,
                 region_name="us-east-1",
             )  # fmt: skip
-            upload = (await in_thread(lambda: one.create_multipart_upload(**where)))["UploadId"]
+            upload = (await in_thread(lambda: one.create_multipart_upload(**target)))["UploadId"]
             tag = (
                 await in_thread(
-                    lambda: two.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"a" * 1000)
+                    lambda: two.upload_part(**target, UploadId=upload, PartNumber=1, Body=b"a" * 1000)
                 )
             )["ETag"]
             listed = {"Parts": [{"PartNumber": 1, "ETag": tag}]}
@@ -611,7 +618,7 @@
 
             async def complete(s3: Any) -> None:
                 completed = await in_thread(
-                    lambda: s3.complete_multipart_upload(**where, UploadId=upload, MultipartUpload=listed)
+                    lambda: s3.complete_multipart_upload(**target, UploadId=upload, MultipartUpload=listed)
                 )
                 etags.append(completed["ETag"])
 
@@ -625,14 +632,14 @@
                 if s["what"] == "effect" and "uploadId" in s["query"] and s["method"] == "POST"
             ]
             assert (
-                effects and (await in_thread(lambda: one.get_object(**where)["Body"].read())) == b"a" * 1000
+                effects and (await in_thread(lambda: one.get_object(**target)["Body"].read())) == b"a" * 1000
             )
             # The part is replaced between the list of the parts and the completion: the store rejects the
             # completion, and the object stays unchanged.
-            upload = (await in_thread(lambda: one.create_multipart_upload(**where)))["UploadId"]
+            upload = (await in_thread(lambda: one.create_multipart_upload(**target)))["UploadId"]
             tag = (
                 await in_thread(
-                    lambda: one.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"b" * 1000)
+                    lambda: one.upload_part(**target, UploadId=upload, PartNumber=1, Body=b"b" * 1000)
                 )
             )["ETag"]
             store = it.store_of("/school-1/k")
@@ -645,9 +652,9 @@
 
             store._multipart = changed
             listed = {"Parts": [{"PartNumber": 1, "ETag": tag}]}
-            call = lambda: one.complete_multipart_upload(**where, UploadId=upload, MultipartUpload=listed)  # noqa: E731
+            call = lambda: one.complete_multipart_upload(**target, UploadId=upload, MultipartUpload=listed)  # noqa: E731
             assert (await in_thread(lambda: error_code(call)))[0] == "InvalidPart"
-            assert (await in_thread(lambda: one.get_object(**where)["Body"].read())) == b"a" * 1000
+            assert (await in_thread(lambda: one.get_object(**target)["Body"].read())) == b"a" * 1000
 
     run()
 
@@ -770,7 +777,7 @@
     Sixteen parts of one object are sent at once; with one part at a time, other requests wait far less.
     """
     keys = AccessKeys(tmp_path)
-    where = {"Bucket": "school-1", "Key": "big"}
+    target = {"Bucket": "school-1", "Key": "big"}
     longest_wait_s: dict[int, float] = {}
 
     async def wait_during_an_upload(parts_at_once: int) -> float:
@@ -778,7 +785,7 @@
             s3_settings(keys, parts_at_once=parts_at_once, part_least=1), unit_ms=12.0, cores=1
         ) as it:
             s3 = boto_client(it, keys, max_pool_connections=40)
-            upload = (await in_thread(lambda: s3.create_multipart_upload(**where)))["UploadId"]
+            upload = (await in_thread(lambda: s3.create_multipart_upload(**target)))["UploadId"]
             store = it.store_of("/school-1/big")
             name = next(f"k{n}" for n in range(100) if it.store_of(f"/school-1/k{n}") is store)
             waits_s = []
@@ -786,7 +793,7 @@
             async def part(number: int) -> None:
                 data = b"x" * 400_000
                 await in_thread(
-                    lambda: s3.upload_part(**where, UploadId=upload, PartNumber=number, Body=data)
+                    lambda: s3.upload_part(**target, UploadId=upload, PartNumber=number, Body=data)
                 )
 
             async def put_others() -> None:
@@ -840,15 +847,15 @@
         config = dataclasses.replace(config, plans=(*config.plans, small), volumes=volumes)
         async with rig(config, unit_ms=0.02) as it:
             s3 = boto_client(it, keys, max_pool_connections=20)
-            where = {"Bucket": "school-1", "Key": "big"}
-            upload = (await in_thread(lambda: s3.create_multipart_upload(**where)))["UploadId"]
+            target = {"Bucket": "school-1", "Key": "big"}
+            upload = (await in_thread(lambda: s3.create_multipart_upload(**target)))["UploadId"]
             unit = it.gateway.config.kind_for("put-part", None).unit_bytes
             data = b"x" * (64 * unit)
             began = time.perf_counter()
 
             async def part(number: int) -> None:
                 await in_thread(
-                    lambda: s3.upload_part(**where, UploadId=upload, PartNumber=number, Body=data)
+                    lambda: s3.upload_part(**target, UploadId=upload, PartNumber=number, Body=data)
                 )
 
             async with anyio.create_task_group() as group:
@@ -1004,7 +1011,7 @@
 
 def test_two_uploads_of_one_key_do_not_mix(tmp_path):
     keys = AccessKeys(tmp_path)
-    where = {"Bucket": "school-1", "Key": "k"}
+    target = {"Bucket": "school-1", "Key": "k"}
 
     @run_async
     async def run():
@@ -1012,20 +1019,20 @@
             s3 = boto_client(it, keys)
 
             def calls() -> None:
-                ids = [s3.create_multipart_upload(**where)["UploadId"] for _ in range(2)]
+                ids = [s3.create_multipart_upload(**target)["UploadId"] for _ in range(2)]
                 parts: list[list[dict[str, Any]]] = [[], []]
                 for number in (1, 2):
                     for index in (0, 1):
                         body = bytes([65 + index]) * 1000
-                        tag = s3.upload_part(**where, UploadId=ids[index], PartNumber=number, Body=body)[
+                        tag = s3.upload_part(**target, UploadId=ids[index], PartNumber=number, Body=body)[
                             "ETag"
                         ]
                         parts[index].append({"PartNumber": number, "ETag": tag})
                 for index in (1, 0):
                     s3.complete_multipart_upload(
-                        **where, UploadId=ids[index], MultipartUpload={"Parts": parts[index]}
+                        **target, UploadId=ids[index], MultipartUpload={"Parts": parts[index]}
                     )
-                    assert s3.get_object(**where)["Body"].read() == bytes([65 + index]) * 2000
+                    assert s3.get_object(**target)["Body"].read() == bytes([65 + index]) * 2000
 
             await in_thread(calls)
 
--- a/winchdyke/object_api/answers.py
+++ b/winchdyke/object_api/answers.py
@@ -45,7 +45,7 @@
     text: str,
     retry_after_ms: float | None = None,
 ) -> tuple[int, Headers, bytes]:
-    """Build an error response: its status, headers and body.
+    """Builds an error response: its status, headers and body.
 
     ``Retry-After`` is in whole seconds, rounded up; the body has milliseconds.
     """
--- a/winchdyke/object_api/listing.py
+++ b/winchdyke/object_api/listing.py
@@ -33,7 +33,7 @@
 
 
 def merge(pages: list[Page], limit: int) -> Page:
-    """Merge one page of each shard into one page of at most ``limit`` objects.
+    """Merges one page of each shard into one page of at most ``limit`` objects.
 
     The page ends at the first end of a shard's page, because that shard may have further keys behind it.
     """
--- a/winchdyke/object_api/ranges.py
+++ b/winchdyke/object_api/ranges.py
@@ -41,7 +41,7 @@
 
 
 def parse(text: str | None) -> ByteRange | None:
-    """Parse the value of a Range header.
+    """Parses the value of a Range header.
 
     Returns None if it is missing, invalid or names several ranges; the whole object is then served.
     """
--- a/winchdyke/object_api/routes.py
+++ b/winchdyke/object_api/routes.py
@@ -99,7 +99,7 @@
 
 
 def volume_and_key(raw: str) -> tuple[str, str]:
-    """Split a path as sent into volume and key; the key is empty if the path names only a volume.
+    """Splits a path as sent into volume and key; the key is empty if the path names only a volume.
 
     Raises:
         RequestError: The volume's name or the key is invalid.
@@ -220,7 +220,7 @@
 
 
 def parse(head: RequestHead) -> Operation:
-    """Parse the head of a request.
+    """Parses the head of a request.
 
     Raises:
         RequestError: The request is invalid.
@@ -264,7 +264,7 @@
 def estimate_units(
     operation: Operation, length: int | None, unit_bytes: int, usual_units: float, max_units: float
 ) -> float:
-    """Estimate the cost of an operation in units, from 1 to ``max_units``.
+    """Estimates the cost of an operation in units, from 1 to ``max_units``.
 
     It is the transferred bytes in units of ``unit_bytes``, ``usual_units`` if the size is not known in advance,
     and one for operations that transfer no object data.
--- a/winchdyke/object_api/sinks.py
+++ b/winchdyke/object_api/sinks.py
@@ -11,10 +11,10 @@
     """Consumes a response as it is received, for responses that are too large to be buffered."""
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Receive the head; the body follows."""
+        """Receives the head; the body follows."""
 
     async def data(self, data: Bytes) -> None:
-        """Receive a chunk of the body."""
+        """Receives a chunk of the body."""
 
     async def finish(self) -> None:
-        """Receive the end of the complete response."""
+        """Receives the end of the complete response."""
--- a/winchdyke/object_api/store_protocol.py
+++ b/winchdyke/object_api/store_protocol.py
@@ -64,7 +64,7 @@
 
 
 def read_report(head: ResponseHead) -> EndpointReport:
-    """Read the report in the head of a response. Invalid values count as not reported."""
+    """Reads the report in the head of a response. Invalid values count as not reported."""
     volume_usage_percent: float | None = None
     units_via_other_gateways: float | None = None
     load_report: tuple[float, ...] = ()
--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -73,7 +73,7 @@
             raise S3Error("AccessDenied", "a body in signed chunks requires a signed request")
 
     def feed(self, data: bytes | bytearray) -> bytes:
-        """Process bytes of the body as sent by the client, and return the bytes that may be forwarded.
+        """Processes bytes of the body as sent by the client, and returns the bytes that may be forwarded.
 
         Raises:
             S3Error: The body is malformed or longer than declared, or the signature of a chunk is wrong.
@@ -115,7 +115,7 @@
         return line
 
     def _next_piece(self) -> tuple[bytes] | None:
-        """Decode the next element of the aws-chunked body.
+        """Decodes the next element of the aws-chunked body.
 
         Returns its payload, empty for headers and trailers; None if more input is needed.
         """
@@ -181,7 +181,7 @@
         )
 
     def finish(self) -> bytes:
-        """Verify the complete body, and return the bytes that were held back.
+        """Verifies the complete body, and returns the bytes that were held back.
 
         Raises:
             S3Error: The body is incomplete, or its length or a checksum differs from the declared one.
--- a/winchdyke/s3/checksums.py
+++ b/winchdyke/s3/checksums.py
@@ -16,7 +16,7 @@
     """A checksum that is updated incrementally."""
 
     def update(self, data: bytes | bytearray, /) -> None:
-        """Add bytes."""
+        """Adds bytes."""
 
     def digest(self) -> bytes:
         """The checksum of the bytes added so far."""
@@ -43,7 +43,7 @@
 
 
 def decode_base64(text: str) -> bytes | None:
-    """Decode the base64 value of a header; None if it is not valid base64."""
+    """Decodes the base64 value of a header; None if it is not valid base64."""
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
@@ -51,5 +51,5 @@
 
 
 def encode_base64(value: bytes) -> str:
-    """Encode a checksum as the value of a header."""
+    """Encodes a checksum as the value of a header."""
     return base64.b64encode(value).decode()
--- a/winchdyke/s3/errors.py
+++ b/winchdyke/s3/errors.py
@@ -9,7 +9,7 @@
     "PreconditionFailed": 412, "InvalidRange": 416, "InternalError": 500, "NotImplemented": 501, "SlowDown": 503,
     "ServiceUnavailable": 503, "RequestTimeout": 400, "EntityTooLarge": 400,
 }  # fmt: skip  # all others: 400
-CODE_BY_REASON = {  # S3 error codes for the gateway's reason codes, used if no store answered
+CODE_BY_REASON = {  # S3 error codes for the gateway's reason codes, used if no store responded
     "body-cut": "IncompleteBody", "body-slow": "RequestTimeout", "too-large": "EntityTooLarge", "no-volume": "NoSuchBucket",
     "no-class": "NotImplemented", "key-in-use": "OperationAborted", "bad-path": "InvalidArgument", "internal": "InternalError",
 }  # fmt: skip
--- a/winchdyke/s3/lanes.py
+++ b/winchdyke/s3/lanes.py
@@ -29,7 +29,7 @@
         self._queues: dict[str, _KeyQueue] = {}
 
     def acquire(self, key: str, on_ready: Callable[[], None]) -> bool:
-        """Take a slot, and return whether one was free.
+        """Takes a slot, and returns whether one was free.
 
         If none was, ``on_ready`` is called as soon as a slot has been given to this request.
         """
@@ -41,7 +41,7 @@
         return False
 
     def cancel_wait(self, key: str, on_ready: Callable[[], None]) -> bool:
-        """Leave the queue; False if this request already got its slot, which must then be released."""
+        """Leaves the queue; False if this request already got its slot, which must then be released."""
         queue = self._queues.get(key)
         if queue is None or on_ready not in queue.waiting:
             return False
@@ -50,7 +50,7 @@
         return True
 
     def release(self, key: str) -> None:
-        """Give a slot back; the first waiting request gets it."""
+        """Gives a slot back; the first waiting request gets it."""
         queue = self._queues[key]
         if queue.waiting:
             queue.waiting.popleft()()
--- a/winchdyke/s3/listing.py
+++ b/winchdyke/s3/listing.py
@@ -38,7 +38,7 @@
         return len(self.objects) + len(self.common_prefixes)
 
     def add(self, entries: Iterable[Entry]) -> bool:
-        """Add entries in order of key.
+        """Adds entries in order of key.
 
         Returns True if a common prefix was added; ``after`` is then behind all keys with that prefix.
         """
--- a/winchdyke/s3/requests.py
+++ b/winchdyke/s3/requests.py
@@ -149,7 +149,7 @@
 
 
 def parse(head: RequestHead, domain: str = "") -> ParsedRequest:
-    """Parse the head of a request.
+    """Parses the head of a request.
 
     Args:
         head: The request's head.
@@ -274,5 +274,5 @@
 
 
 def url_encoded(text: str) -> str:
-    """Encode a key as in listings with encoding-type=url."""
+    """Encodes a key as in listings with encoding-type=url."""
     return quote(text, safe="/-_.~*")
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -55,17 +55,17 @@
     head: ResponseHead | None
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Store the head."""
+        """Stores the head."""
         self.head = head
 
     async def data(self, data: Bytes) -> None:
-        """Append a chunk of the body."""
+        """Appends a chunk of the body."""
         self.buffer += data
         if len(self.buffer) > self._max_bytes:
             raise ClientDisconnectedError
 
     async def finish(self) -> None:
-        """Do nothing: the buffer is complete."""
+        """Does nothing: the buffer is complete."""
 
 
 class RelaySink:
@@ -81,15 +81,15 @@
         return ResponseHead(head.status, headers, head.length)
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Forward the head."""
+        """Forwards the head."""
         await self._connection.begin_stream(self.apply_overrides(head))
 
     async def data(self, data: Bytes) -> None:
-        """Forward a chunk of the body."""
+        """Forwards a chunk of the body."""
         await self._connection.data(data)
 
     async def finish(self) -> None:
-        """Finish the response to the client."""
+        """Finishes the response to the client."""
         await self._connection.finish()
 
 
@@ -102,20 +102,20 @@
         self.complete = False
 
     async def begin_stream(self, head: ResponseHead) -> None:
-        """Store the head of the source, and start the stream."""
+        """Stores the head of the source, and starts the stream."""
         self.head = head
         self.started.set()
 
     async def data(self, data: Bytes) -> None:
-        """Add a chunk; waits while the pipe is full."""
+        """Adds a chunk; waits while the pipe is full."""
         await self._send.send(bytes(data))
 
     async def finish(self) -> None:
-        """Mark the source as complete."""
+        """Marks the source as complete."""
         self.complete = True
 
     def close(self) -> None:
-        """End the stream; incomplete unless finish() was called."""
+        """Ends the stream; incomplete unless finish() was called."""
         self._send.close()
         self.started.set()
 
@@ -158,7 +158,7 @@
         self._log = structlog.get_logger("s3")
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
-        """Handle one request; it gets one response, even after an unexpected exception."""
+        """Handles one request; it gets one response, even after an unexpected exception."""
         service = self.service
         self._request_count += 1
         handler = RequestHandler(
@@ -197,7 +197,7 @@
             handler.report_end()
 
     async def run(self) -> None:
-        """Abort expired uploads periodically until cancelled."""
+        """Aborts expired uploads periodically until cancelled."""
         while True:
             await anyio.sleep(min(MAX_SWEEP_INTERVAL_S, self.settings.upload_keep / 1000 / 4))
             for volume in sorted(
@@ -207,7 +207,7 @@
                     await self.abort_expired_uploads(volume)
 
     async def abort_expired_uploads(self, volume: str) -> int:
-        """Abort the uploads of a volume that have been idle for longer than ``upload_keep``.
+        """Aborts the uploads of a volume that have been idle for longer than ``upload_keep``.
 
         Every operation goes through the scheduler. Returns the number of aborted uploads.
         """
@@ -285,7 +285,7 @@
         self.deadline = float("inf")
 
     async def run(self) -> None:
-        """Authorize the request, and respond to it."""
+        """Authorizes the request, and responds to it."""
         parsed = self.parsed = requests.parse(self.head, self.s3.settings.domain)
         self._authorize(parsed)
         if parsed.bucket and self.snapshot.volume(parsed.bucket) is None:
@@ -294,7 +294,7 @@
         await handle(parsed)
 
     def report_end(self) -> None:
-        """Report the finished request to the service's callback and the access log."""
+        """Reports the finished request to the service's callback and the access log."""
         parsed = self.parsed
         if parsed is not None and parsed.bucket and self.service.on_request_end is not None:
             shard = self.record.request.shard if self.record.request is not None else -1
@@ -377,7 +377,7 @@
         sink: object = None,
         **options: object,
     ) -> FinalResponse:
-        """Execute one operation of the object API within the remaining time.
+        """Executes one operation of the object API within the remaining time.
 
         Raises:
             ClientDisconnectedError: The client disconnected.
@@ -414,7 +414,7 @@
     async def _queue_slot(
         self, queues: KeyQueues, queue_key: str, operation_name: str
     ) -> AsyncIterator[None]:
-        """Wait for a slot of a queue, at most until the deadline of the operation's request class.
+        """Holds a slot of a queue; waits for it at most until the deadline of the operation's request class.
 
         Raises:
             S3Error: No slot became free before the deadline (SlowDown).
@@ -554,7 +554,7 @@
             raise S3Error("NotImplemented", f"the checksum {algorithm!r} is not supported; {supported} are")
 
     async def _read_document(self) -> bytes:
-        """Read and verify the XML document in the request's body."""
+        """Reads and verifies the XML document in the request's body."""
         source, _ = self._verified_body()
         document = bytearray()
         if (source.length or 0) > xml.MAX_DOCUMENT_BYTES:
@@ -750,7 +750,7 @@
     async def _copy(
         self, put: Callable[[BodySource, ResponseHead], Awaitable[FinalResponse]]
     ) -> FinalResponse:
-        """Stream the source of the copy from its store into the body of ``put``."""
+        """Streams the source of the copy from its store into the body of ``put``."""
         bucket, key, byte_range = requests.copy_source(self.head)
         if self.snapshot.volume(bucket) is None:
             raise S3Error("NoSuchBucket", f"no volume {bucket!r} is configured")
