--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -25,7 +25,7 @@
 from winchdyke.config import defaults, parse
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, clock
-from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
+from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
 from winchdyke.standins.wire import LOST, Peer
 
 SIZE, CLIENTS, STORES, UNIT = 16 << 20, 3, 8, 64 * 1024
@@ -97,7 +97,7 @@
             listing = ListService(record)
             await listing.start(group)
             for shard in range(STORES):
-                store = Store(Spec(shard, unit_ms=0.05), Shelf(), rack, meter, record, seed=shard)
+                store = Store(Spec(shard, unit_ms=0.05), ObjectStore(), rack, meter, record, seed=shard)
                 await store.start(group)
                 await listing.set(store.name, "ready", shard, "hall-a")
             try:
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -29,7 +29,7 @@
 
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
+from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
 from winchdyke.standins.wire import LOST, Peer
 
 DEADLINE_S = 3.0
@@ -236,7 +236,7 @@
             await self.list.start(group)
             for shard in range(8):
                 store = Store(
-                    Spec(shard, unit_ms=1.0, cores=4), Shelf(), Rack(), Meter(), self.record, seed=shard
+                    Spec(shard, unit_ms=1.0, cores=4), ObjectStore(), Rack(), Meter(), self.record, seed=shard
                 )
                 self.stores.append(store)
                 await store.start(group)
@@ -261,7 +261,7 @@
 
     def _judge(self) -> None:
         for store in self.stores:
-            for upload in store.shelf.uploads:
+            for upload in store.object_store.uploads:
                 if upload in self.given_up:
                     self.wrong.append(f"a part of {upload}, which was given up, is there still")
                 else:
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
+from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
 from winchdyke.standins.wire import LOST, Peer
 
 logs.configure("none")
@@ -213,7 +213,7 @@
         for shard in range(stores):
             store = Store(
                 Spec(shard, unit_ms=unit_ms, **spec),
-                Shelf(),
+                ObjectStore(),
                 running.rack,
                 running.meter,
                 running.record,
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -163,7 +163,7 @@
             reply = await it.ask("PUT", READ, b"x" * 900_000)
             assert it.outcomes == ["CONNECTION_RESET", "SERVED"]
             assert reply.status == 201
-            assert len(it.store_of(READ).shelf.objects["school-1", "object"][0]) == 900_000
+            assert len(it.store_of(READ).object_store.objects["school-1", "object"][0]) == 900_000
 
     run()
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -37,7 +37,7 @@
 
 def stored(it: Rig, volume: str, key: str) -> bytes | None:
     """Return the stored content of an object; None: its store has no such object."""
-    found = it.store_of(f"/{volume}/{key}").shelf.objects.get((volume, key))
+    found = it.store_of(f"/{volume}/{key}").object_store.objects.get((volume, key))
     return found[0] if found else None
 
 
@@ -119,7 +119,7 @@
             write_back = it.gateway.write_back
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
             await it.until(lambda: stored(it, "school-1", "a") == b"mine")
-            store.shelf.objects["school-1", "a"] = (b"other", '"other"')
+            store.object_store.objects["school-1", "a"] = (b"other", '"other"')
             await it.until(lambda: bool(write_back.quarantined), 15)
             assert stored(it, "school-1", "a") == b"other" and effects(it, "a") == 1
             assert "something else" in next(iter(write_back.quarantined.values()))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -81,7 +81,7 @@
             assert it.outcomes == ["CANCELLED"]
             await it.until(lambda: not it.gateway.service.active_requests)
             assert not it.gateway.scheduler_loop.open_requests
-            assert ("school-1", "cut") not in it.store_of("/school-1/cut").shelf.objects
+            assert ("school-1", "cut") not in it.store_of("/school-1/cut").object_store.objects
             assert it.gateway.service.bodies.used_bytes == 0
 
     run()
@@ -96,7 +96,7 @@
             )
             assert _head(got)[0] == 201
             assert b" 400 " in got.split(b"\r\n\r\n", 1)[1]
-            assert it.store_of("/school-1/long").shelf.objects["school-1", "long"][0] == b"abc"
+            assert it.store_of("/school-1/long").object_store.objects["school-1", "long"][0] == b"abc"
 
     run()
 
@@ -108,7 +108,7 @@
             head = b"PUT /school-1/c HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n"
             status, headers = _head(await it.raw(head + b"3\r\nabc\r\nzz\r\n"))
             assert (status, headers["winchdyke-reason"]) == (400, "body-cut")
-            assert not it.store_of("/school-1/c").shelf.objects
+            assert not it.store_of("/school-1/c").object_store.objects
 
     run()
 
@@ -411,7 +411,7 @@
             it.store_of(READ).tricks.extend(["reset-after-run", "shed"])
             it.rack.known.clear()
             assert (await it.ask("PUT", READ, body)).status in (200, 201)
-            assert it.store_of(READ).shelf.objects["school-1", "object"][0] == body
+            assert it.store_of(READ).object_store.objects["school-1", "object"][0] == body
 
     run()
 
@@ -515,7 +515,7 @@
             )
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
-            fresh = type(old)(old.spec, old.shelf, it.rack, it.meter, it.record)
+            fresh = type(old)(old.spec, old.object_store, it.rack, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
             await it.until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -577,7 +577,7 @@
             await it.ask("GET", "/school-1/other")
             assert classes() == ["submit", "export", "fetch"]
             await it.ask("PUT", "/any/old/thing", b"old")
-            assert ("any", "old/thing") in it.stores[7].shelf.objects
+            assert ("any", "old/thing") in it.stores[7].object_store.objects
             assert (await it.ask("GET", "/any/old/thing")).body == b"old"
             assert len(it.gateway.addresses) == 2
             stream = await anyio.connect_tcp(*it.gateway.addresses[1])
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -398,8 +398,8 @@
                 put = partial(s3.put_object, Bucket="school-1", Key="w", Body=data, **wrong)
                 assert (await off(partial(code, put)))[0] == "BadDigest"
             for store in it.stores:
-                assert not store.shelf.objects and not any(
-                    parts for *_, parts in store.shelf.uploads.values()
+                assert not store.object_store.objects and not any(
+                    parts for *_, parts in store.object_store.uploads.values()
                 )
 
     run()
@@ -517,7 +517,7 @@
             wall = it.gateway.s3.wall
             it.gateway.s3.wall = lambda: wall() + 61
             assert await it.gateway.s3.forget("school-1") == 1
-            assert not any(store.shelf.uploads for store in it.stores)
+            assert not any(store.object_store.uploads for store in it.stores)
             it.gateway.s3.wall = wall
             assert (await off(lambda: code(lambda: s3.list_parts(**where, UploadId=left)))) == (
                 "NoSuchUpload",
@@ -549,7 +549,7 @@
             tag = (
                 await off(lambda: s3.upload_part(**where, UploadId=upload, PartNumber=1, Body=b"x" * 100_000))
             )["ETag"]
-            assert store.shelf.uploads[upload][2] == {1: b"x" * 100_000}
+            assert store.object_store.uploads[upload][2] == {1: b"x" * 100_000}
             store.tricks.append(trick)
             parts = {"Parts": [{"PartNumber": 1, "ETag": tag}]}
             done = await off(
@@ -612,7 +612,7 @@
 
             def changed(asked: Any, job: Any) -> None:
                 if asked.method == "POST" and "uploadId" in asked.query:
-                    store.shelf.uploads[upload][2][1] = b"other"
+                    store.object_store.uploads[upload][2][1] = b"other"
                 apply(asked, job)
 
             store._multipart = changed
@@ -693,7 +693,7 @@
         async with rig(with_s3(keys, domain="s3.test", unsigned="all")) as it:
             put = b"PUT /k HTTP/1.1\r\nhost: school-1.s3.test:99\r\ncontent-length: 1\r\n\r\nx"
             assert b"200" in await sent(it, put)
-            assert ("school-1", "k") in it.store_of("/school-1/k").shelf.objects
+            assert ("school-1", "k") in it.store_of("/school-1/k").object_store.objects
 
     run()
 
@@ -763,7 +763,7 @@
                     group.start_soon(part, number)
                 await anyio.sleep(0.1)
                 group.start_soon(beside)
-            assert len(store.shelf.uploads[upload][2]) == 16
+            assert len(store.object_store.uploads[upload][2]) == 16
             return max(waits)
 
     @run_async
@@ -814,7 +814,7 @@
                     group.start_soon(part, number)
             took = time.perf_counter() - began
             assert took > (12 * 64 - 100 - 64) / 400 * 0.9, "a burst and one part ahead of the limit"
-            assert len(it.store_of("/school-1/big").shelf.uploads[upload][2]) == 12
+            assert len(it.store_of("/school-1/big").object_store.uploads[upload][2]) == 12
 
     run()
 
@@ -910,7 +910,7 @@
                 await off(lambda: s3.put_object(Bucket="school-1", Key="other", Body=b"x"))
                 assert time.perf_counter() - began < 2
             assert len(found) == 3
-            assert ("school-1", "k") not in it.store_of("/school-1/k").shelf.objects
+            assert ("school-1", "k") not in it.store_of("/school-1/k").object_store.objects
 
     run()
 
@@ -947,9 +947,9 @@
                     f"x-amz-decoded-content-length: {len(data)}\r\nx-amz-trailer: x-amz-checksum-crc32\r\n\r\n"
                 )
                 assert said in await sent(it, head.encode() + body), name
-            kept = [key for store in it.stores for _, key in store.shelf.objects]
+            kept = [key for store in it.stores for _, key in store.object_store.objects]
             assert kept == ["right"]
-            assert it.store_of("/school-1/right").shelf.objects["school-1", "right"][0] == data
+            assert it.store_of("/school-1/right").object_store.objects["school-1", "right"][0] == data
 
     run()
 
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -62,7 +62,7 @@
     out: Path | None,
 ) -> None:
     """Run stores and print their addresses: ADDRESS SHARD, a line each."""
-    from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
+    from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
 
     record = Record()
 
@@ -71,7 +71,7 @@
         async with anyio.create_task_group() as group:
             for shard in shards:
                 spec = Spec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
-                made = Store(spec, Shelf(), rack, meter, record, seed=shard)
+                made = Store(spec, ObjectStore(), rack, meter, record, seed=shard)
                 await made.start(group, cold)
                 made.slow, made.lost_share = slow, lose
                 click.echo(f"{made.name} {shard}")
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -25,7 +25,7 @@
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, Seen, clock
-from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
+from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
 
 START_S = 15.0
 WARM_UP_S = 0.3
@@ -92,7 +92,7 @@
         )
         return text + "".join(f"peer {name} {{\n    address = {at}\n}}\n" for name, at in peers.items())
 
-    def _store(self, shard: int, shelf: Shelf, number: int) -> Store:
+    def _store(self, shard: int, object_store: ObjectStore, number: int) -> Store:
         day = self.day
         speed = day.speeds[shard % len(day.speeds)] if day.speeds else 1.0
         spec = Spec(
@@ -102,7 +102,7 @@
             fall_window_ms=day.rules.fall_window, cold_units=day.rules.cold_units,
         )  # fmt: skip
         return Store(
-            spec, shelf, self.racks[shard % 2], self.meter, self.record, seed=day.seed * 1000 + number
+            spec, object_store, self.racks[shard % 2], self.meter, self.record, seed=day.seed * 1000 + number
         )
 
     async def start(self) -> None:
@@ -112,7 +112,7 @@
             self.record.note("day", "clock", unix_ms=time.time() * 1000)
             await self._start_links()
         for shard in range(self.day.stores):
-            store = self._store(shard, Shelf(), shard)
+            store = self._store(shard, ObjectStore(), shard)
             self.stores.append(store)
             await store.start(self.group)
             await self.list.set(store.name, "ready", shard, store.spec.zone)
@@ -242,7 +242,7 @@
         self.group.start_soon(self.list.set, store.name, "ready", store.spec.shard, store.spec.zone, started)
 
     async def _deploy(self, event: script.Event) -> None:
-        """Replace stores a few at a time: drain, end, and a cold successor at another port with the same shelf."""
+        """Replace stores a few at a time: drain, end, and a cold successor at another port with the same objects."""
         step = max(1, int(event.size))
         steps = [event.on[at : at + step] for at in range(0, len(event.on), step)]
         gap = max(0.1, event.length / 1000 / len(steps) - DRAIN_NOTICE_S - 0.3)
@@ -254,7 +254,7 @@
             for at in batch:
                 old = self.stores[at]
                 old.kill()
-                fresh = self._store(old.spec.shard, old.shelf, len(self.stores) + at)
+                fresh = self._store(old.spec.shard, old.object_store, len(self.stores) + at)
                 self.stores[at] = fresh
                 await fresh.start(self.group, cold=True)
                 started = time.time() * 1000
@@ -342,10 +342,10 @@
     async def _reused(self, old: Store, span: float) -> None:
         """Another store takes an address for a while; the one that was there goes on at a new one."""
         old.kill()
-        other = self._store(old.spec.shard, Shelf(), 900 + old.spec.shard)
+        other = self._store(old.spec.shard, ObjectStore(), 900 + old.spec.shard)
         other.port, other.stranger = old.port, True
         await other.start(self.group)
-        fresh = self._store(old.spec.shard, old.shelf, old.seed - self.day.seed * 1000)
+        fresh = self._store(old.spec.shard, old.object_store, old.seed - self.day.seed * 1000)
         self.stores[self.stores.index(old)] = fresh
         await fresh.start(self.group, cold=True)
         started = time.time() * 1000
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -1,6 +1,6 @@
 """A stand-in store: cores, a queue in turn of arrival, cold starts, dropped repeats, and faults on demand.
 
-Its objects lie on a :class:`Shelf` that outlives it. The protocol is ``docs/store-protocol.md``.
+Its objects lie on a :class:`ObjectStore` that outlives it. The protocol is ``docs/store-protocol.md``.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 @dataclass
-class Shelf:
+class ObjectStore:
     """The objects and uploads of one shard."""
 
     objects: dict[tuple[str, str], tuple[bytes, str]] = field(default_factory=dict)
@@ -162,9 +162,15 @@
     """One store process. ``start`` it in a task group; ``kill`` and start it again as often as wished."""
 
     def __init__(
-        self, spec: Spec, shelf: Shelf, rack: Rack, meter: Meter, record: Record, seed: int = 0
+        self, spec: Spec, object_store: ObjectStore, rack: Rack, meter: Meter, record: Record, seed: int = 0
     ) -> None:
-        self.spec, self.shelf, self.rack, self.meter, self.record = spec, shelf, rack, meter, record
+        self.spec, self.object_store, self.rack, self.meter, self.record = (
+            spec,
+            object_store,
+            rack,
+            meter,
+            record,
+        )
         self.random, self.seed = random.Random(seed), seed
         self.stranger = False  # nothing that is sent here is meant for it
         self.port, self.started_unix_ms, self.cold = 0, 0.0, False
@@ -471,8 +477,8 @@
         elif asked.method == "PUT":
             self._put(asked, job)
         elif asked.method == "DELETE":
-            found = self.shelf.objects.pop((asked.volume, asked.key), None)
-            self.shelf.kept.pop((asked.volume, asked.key), None)
+            found = self.object_store.objects.pop((asked.volume, asked.key), None)
+            self.object_store.kept.pop((asked.volume, asked.key), None)
             self._answer(job, 204 if found else 404)
         else:
             self._get(asked, job)
@@ -497,7 +503,7 @@
 
     def _put(self, asked: Asked, job: Job, tag: str = "", keep: list[tuple[str, str]] | None = None) -> None:
         where = (asked.volume, asked.key)
-        have = self.shelf.objects.get(where)
+        have = self.object_store.objects.get(where)
         wanted, unless = asked.headers.get("if-match"), asked.headers.get("if-none-match")
         if (wanted and (not have or wanted not in ("*", have[1]))) or (
             unless and have and unless in ("*", have[1])
@@ -506,9 +512,12 @@
             return
         data = bytes(asked.body)
         tag = tag or f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"'
-        self.shelf.objects[where] = (data, tag)
-        self.shelf.sizes.pop(where, None)
-        self.shelf.kept[where] = [*(keep or self._kept(asked)), ("last-modified", formatdate(usegmt=True))]
+        self.object_store.objects[where] = (data, tag)
+        self.object_store.sizes.pop(where, None)
+        self.object_store.kept[where] = [
+            *(keep or self._kept(asked)),
+            ("last-modified", formatdate(usegmt=True)),
+        ]
         self._answer(
             job,
             200 if have else 201,
@@ -517,7 +526,7 @@
         )
 
     def _get(self, asked: Asked, job: Job) -> None:
-        have = self.shelf.objects.get((asked.volume, asked.key))
+        have = self.object_store.objects.get((asked.volume, asked.key))
         if have is None:
             self._answer(job, 404)
             return
@@ -530,7 +539,7 @@
             self._answer(job, 304, b"", [("etag", tag)])
             job.headers = [("etag", tag)]
             return
-        kept = self.shelf.kept.get((asked.volume, asked.key), [])
+        kept = self.object_store.kept.get((asked.volume, asked.key), [])
         headers = [("etag", tag), ("accept-ranges", "bytes"), *kept]
         if not any(name == "content-type" for name, _ in kept):
             headers.append(("content-type", "application/octet-stream"))
@@ -538,7 +547,7 @@
         if "partNumber" in asked.query:
             number, sizes = (
                 int(asked.query["partNumber"]),
-                self.shelf.sizes.get((asked.volume, asked.key), [len(data)]),
+                self.object_store.sizes.get((asked.volume, asked.key), [len(data)]),
             )
             if number > len(sizes):
                 self._answer(job, 416, b"", [("content-range", f"bytes */{len(data)}")])
@@ -564,21 +573,21 @@
         self._answer(job, 200, data, headers)
 
     def _multipart(self, asked: Asked, job: Job) -> None:
-        uploads, upload = self.shelf.uploads, asked.query.get("uploadId", "")
+        uploads, upload = self.object_store.uploads, asked.query.get("uploadId", "")
         if "uploads" in asked.query:
-            self.shelf.made += 1
-            upload = f"u{self.spec.shard}-{self.shelf.made}"
+            self.object_store.made += 1
+            upload = f"u{self.spec.shard}-{self.object_store.made}"
             uploads[upload] = (asked.volume, asked.key, {})
             now = time.time() * 1000
-            self.shelf.begun[upload] = (now, now, self._kept(asked))
+            self.object_store.begun[upload] = (now, now, self._kept(asked))
             self._json(job, 200, {"uploadId": upload})
             return
-        if asked.method == "POST" and self.shelf.done.get(upload, ("", "", ""))[:2] == (
+        if asked.method == "POST" and self.object_store.done.get(upload, ("", "", ""))[:2] == (
             asked.volume,
             asked.key,
         ):
             # A repeat of a completion, by whoever: the first one's answer.
-            self._answer(job, 200, b"", [("etag", self.shelf.done[upload][2])])
+            self._answer(job, 200, b"", [("etag", self.object_store.done[upload][2])])
             return
         if upload not in uploads or uploads[upload][:2] != (asked.volume, asked.key):
             self._json(job, 404, {"message": "no such upload"})
@@ -587,8 +596,8 @@
         if asked.method == "PUT":
             data = bytes(asked.body)
             parts[int(asked.query["partNumber"])] = data
-            began, _, kept = self.shelf.begun[upload]
-            self.shelf.begun[upload] = (began, time.time() * 1000, kept)
+            began, _, kept = self.object_store.begun[upload]
+            self.object_store.begun[upload] = (began, time.time() * 1000, kept)
             self._answer(
                 job, 200, b"", [("etag", f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"')]
             )
@@ -604,7 +613,7 @@
                 },
             )
         elif asked.method == "DELETE":
-            del uploads[upload], self.shelf.begun[upload]
+            del uploads[upload], self.object_store.begun[upload]
             self._answer(job, 204)
         else:
             try:
@@ -629,28 +638,36 @@
             asked.body = bytearray(b"".join(parts[number] for number in wanted))
             whole = _md5(b"".join(tags[number].digest() for number in wanted)).hexdigest()
             tag = f'"{whole}-{len(wanted)}"'
-            self._put(asked, job, tag, self.shelf.begun[upload][2])
+            self._put(asked, job, tag, self.object_store.begun[upload][2])
             if job.status != 412:
-                self.shelf.sizes[asked.volume, asked.key] = [len(parts[number]) for number in wanted]
-                del uploads[upload], self.shelf.begun[upload]
-                self.shelf.done[upload] = (asked.volume, asked.key, tag)
+                self.object_store.sizes[asked.volume, asked.key] = [len(parts[number]) for number in wanted]
+                del uploads[upload], self.object_store.begun[upload]
+                self.object_store.done[upload] = (asked.volume, asked.key, tag)
 
     def _uploads(self, asked: Asked, job: Job) -> None:
         found = [
-            {"key": key, "uploadId": upload, "since_ms": self.shelf.begun[upload][0], "touched_ms": self.shelf.begun[upload][1]}
-            for upload, (volume, key, _) in sorted(self.shelf.uploads.items())
+            {
+                "key": key,
+                "uploadId": upload,
+                "since_ms": self.object_store.begun[upload][0],
+                "touched_ms": self.object_store.begun[upload][1],
+            }
+            for upload, (volume, key, _) in sorted(self.object_store.uploads.items())
             if volume == asked.volume
-        ]  # fmt: skip
+        ]
         self._json(job, 200, {"uploads": found})
 
     def _list(self, asked: Asked, job: Job) -> None:
         prefix, after = asked.query.get("prefix", ""), asked.query.get("after", "")
         limit = int(asked.query.get("limit", "1000"))
-        here = {key: value for (volume, key), value in self.shelf.objects.items() if volume == asked.volume}
+        here = {
+            key: value for (volume, key), value in self.object_store.objects.items() if volume == asked.volume
+        }
         keys = sorted(key for key in here if key.startswith(prefix) and key > after)
         shown = keys[:limit]
         dates = {
-            key: dict(self.shelf.kept.get((asked.volume, key), [])).get("last-modified", "") for key in shown
+            key: dict(self.object_store.kept.get((asked.volume, key), [])).get("last-modified", "")
+            for key in shown
         }
         objects = [
             {"key": key, "size": len(here[key][0]), "etag": here[key][1], "modified": dates[key]}
