--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -30,7 +30,7 @@
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
 from winchdyke.standins.wire import Peer
 
 
@@ -68,7 +68,9 @@
         record, stores = Record(), ListService(Record())
         await stores.start(group)
         for shard in range(8):
-            store = Store(Spec(shard, unit_ms=0.5), ObjectStore(), Rack(), Meter(), record, seed=shard)
+            store = Store(
+                Spec(shard, unit_ms=0.5), ObjectStore(), DeduplicationGroup(), Meter(), record, seed=shard
+            )
             await store.start(group)
             await stores.set(store.name, "ready", shard, "hall-a")
         gateway = Gateway(dataclasses.replace(base, nodes=dataclasses.replace(base.nodes, port=stores.port)))
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -409,7 +409,7 @@
         async with rig() as it:
             body = bytes(range(256)) * 12_000
             it.store_of(READ).tricks.extend(["reset-after-run", "shed"])
-            it.rack.known.clear()
+            it.deduplication_group.answers.clear()
             assert (await it.ask("PUT", READ, body)).status in (200, 201)
             assert it.store_of(READ).object_store.objects["school-1", "object"][0] == body
 
@@ -515,7 +515,7 @@
             )
             before = len(it.ended)
             assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
-            fresh = type(old)(old.spec, old.object_store, it.rack, it.meter, it.record)
+            fresh = type(old)(old.spec, old.object_store, it.deduplication_group, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
             await it.until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -18,14 +18,20 @@
     """Start a list service and stores that it lists; the service's port."""
     from winchdyke.standins.nodelist import ListService
     from winchdyke.standins.record import Record
-    from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
+    from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
 
-    record, meter, racks = Record(), Meter(), {"rack-a": Rack(), "rack-b": Rack()}
+    record, meter, deduplication_groups = (
+        Record(),
+        Meter(),
+        {"rack-a": DeduplicationGroup(), "rack-b": DeduplicationGroup()},
+    )
     listing = ListService(record)
     await listing.start(group)
     for shard in range(count):
         rack = "rack-a" if shard < count // 2 else "rack-b"
-        store = Store(Spec(shard, rack=rack), ObjectStore(), racks[rack], meter, record, seed=shard)
+        store = Store(
+            Spec(shard, rack=rack), ObjectStore(), deduplication_groups[rack], meter, record, seed=shard
+        )
         await store.start(group)
         await listing.set(store.name, "ready", shard, store.spec.zone)
 
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -62,16 +62,16 @@
     out: Path | None,
 ) -> None:
     """Run stores and print their addresses: ADDRESS SHARD, a line each."""
-    from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
+    from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
 
     record = Record()
 
     async def run() -> None:
-        meter, rack = Meter(), Rack()
+        meter, deduplication_group = Meter(), DeduplicationGroup()
         async with anyio.create_task_group() as group:
             for shard in shards:
                 spec = Spec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
-                made = Store(spec, ObjectStore(), rack, meter, record, seed=shard)
+                made = Store(spec, ObjectStore(), deduplication_group, meter, record, seed=shard)
                 await made.start(group, cold)
                 made.slow, made.lost_share = slow, lose
                 click.echo(f"{made.name} {shard}")
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -25,7 +25,7 @@
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, Seen, clock
-from winchdyke.standins.store import Meter, ObjectStore, Rack, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
 
 START_S = 15.0
 WARM_UP_S = 0.3
@@ -53,7 +53,7 @@
         self.day, self.where, self.group, self.more, self.program = day, where, group, more, program
         self.record = Record()
         self.list = ListService(self.record)
-        self.meter, self.racks = Meter(), [Rack(), Rack()]
+        self.meter, self.deduplication_groups = Meter(), [DeduplicationGroup(), DeduplicationGroup()]
         self.stores: list[Store] = []
         self.processes: dict[int, Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
@@ -102,7 +102,12 @@
             fall_window_ms=day.rules.fall_window, cold_units=day.rules.cold_units,
         )  # fmt: skip
         return Store(
-            spec, object_store, self.racks[shard % 2], self.meter, self.record, seed=day.seed * 1000 + number
+            spec,
+            object_store,
+            self.deduplication_groups[shard % 2],
+            self.meter,
+            self.record,
+            seed=day.seed * 1000 + number,
         )
 
     async def start(self) -> None:
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -87,11 +87,11 @@
     made: int = 0
 
 
-class Rack:
+class DeduplicationGroup:
     """What the stores of a rack remember together: the answers to keyed requests, for a stated time."""
 
     def __init__(self) -> None:
-        self.known: dict[str, tuple[float, Job]] = {}
+        self.answers: dict[str, tuple[float, Job]] = {}
 
 
 class Meter:
@@ -162,12 +162,18 @@
     """One store process. ``start`` it in a task group; ``kill`` and start it again as often as wished."""
 
     def __init__(
-        self, spec: Spec, object_store: ObjectStore, rack: Rack, meter: Meter, record: Record, seed: int = 0
+        self,
+        spec: Spec,
+        object_store: ObjectStore,
+        deduplication_group: DeduplicationGroup,
+        meter: Meter,
+        record: Record,
+        seed: int = 0,
     ) -> None:
-        self.spec, self.object_store, self.rack, self.meter, self.record = (
+        self.spec, self.object_store, self.deduplication_group, self.meter, self.record = (
             spec,
             object_store,
-            rack,
+            deduplication_group,
             meter,
             record,
         )
@@ -405,7 +411,7 @@
         return True
 
     def _admit(self, asked: Asked, trick: str) -> Job | None:
-        now, known = clock(), self.rack.known
+        now, known = clock(), self.deduplication_group.answers
         for key in [key for key, (until, _) in known.items() if until < now]:
             del known[key]
         memory = f"{asked.volume}\0{asked.repeat_key}" if asked.repeat_key else ""
