--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -25,7 +25,7 @@
 from winchdyke.config import defaults, parse
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, clock
-from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 SIZE, CLIENTS, STORES, UNIT = 16 << 20, 3, 8, 64 * 1024
@@ -90,7 +90,12 @@
     protocol: str, gateways: int, seconds: float
 ) -> tuple[list[tuple[float, float]], Counter[int]]:
     """Return the transfers as (ms since the start, units), and the counts of the clients' statuses."""
-    record, meter, deduplication_group, statuses = Record(), Meter(), DeduplicationGroup(), Counter[int]()
+    record, meter, deduplication_group, statuses = (
+        Record(),
+        UsageMeter(),
+        DeduplicationGroup(),
+        Counter[int](),
+    )
     processes: list[subprocess.Popen[bytes]] = []
     with tempfile.TemporaryDirectory(prefix="winchdyke-limits-") as folder:
         async with anyio.create_task_group() as group:
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -30,7 +30,7 @@
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 from winchdyke.standins.wire import Peer
 
 
@@ -69,7 +69,12 @@
         await stores.start(group)
         for shard in range(8):
             store = Store(
-                Spec(shard, unit_ms=0.5), ObjectStore(), DeduplicationGroup(), Meter(), record, seed=shard
+                Spec(shard, unit_ms=0.5),
+                ObjectStore(),
+                DeduplicationGroup(),
+                UsageMeter(),
+                record,
+                seed=shard,
             )
             await store.start(group)
             await stores.set(store.name, "ready", shard, "hall-a")
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -29,7 +29,7 @@
 
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 DEADLINE_S = 3.0
@@ -239,7 +239,7 @@
                     Spec(shard, unit_ms=1.0, cores=4),
                     ObjectStore(),
                     DeduplicationGroup(),
-                    Meter(),
+                    UsageMeter(),
                     self.record,
                     seed=shard,
                 )
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 logs.configure("none")
@@ -82,7 +82,7 @@
     """
 
     def __init__(self) -> None:
-        self.record, self.meter, self.deduplication_group = Record(), Meter(), DeduplicationGroup()
+        self.record, self.meter, self.deduplication_group = Record(), UsageMeter(), DeduplicationGroup()
         self.list = ListService(self.record)
         self.stores: list[Store] = []
         self.ended: list[api.AttemptEnded] = []
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -18,11 +18,11 @@
     """Start a list service and stores that it lists; the service's port."""
     from winchdyke.standins.nodelist import ListService
     from winchdyke.standins.record import Record
-    from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 
     record, meter, deduplication_groups = (
         Record(),
-        Meter(),
+        UsageMeter(),
         {"rack-a": DeduplicationGroup(), "rack-b": DeduplicationGroup()},
     )
     listing = ListService(record)
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -62,12 +62,12 @@
     out: Path | None,
 ) -> None:
     """Run stores and print their addresses: ADDRESS SHARD, a line each."""
-    from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 
     record = Record()
 
     async def run() -> None:
-        meter, deduplication_group = Meter(), DeduplicationGroup()
+        meter, deduplication_group = UsageMeter(), DeduplicationGroup()
         async with anyio.create_task_group() as group:
             for shard in shards:
                 spec = Spec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -25,7 +25,7 @@
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, Seen, clock
-from winchdyke.standins.store import DeduplicationGroup, Meter, ObjectStore, Spec, Store
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
 
 START_S = 15.0
 WARM_UP_S = 0.3
@@ -53,7 +53,7 @@
         self.day, self.where, self.group, self.more, self.program = day, where, group, more, program
         self.record = Record()
         self.list = ListService(self.record)
-        self.meter, self.deduplication_groups = Meter(), [DeduplicationGroup(), DeduplicationGroup()]
+        self.meter, self.deduplication_groups = UsageMeter(), [DeduplicationGroup(), DeduplicationGroup()]
         self.stores: list[Store] = []
         self.processes: dict[int, Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -94,7 +94,7 @@
         self.answers: dict[str, tuple[float, Job]] = {}
 
 
-class Meter:
+class UsageMeter:
     """Units served for each volume through everything, by finished period."""
 
     def __init__(self, period_ms: float = 500.0) -> None:
@@ -166,7 +166,7 @@
         spec: Spec,
         object_store: ObjectStore,
         deduplication_group: DeduplicationGroup,
-        meter: Meter,
+        meter: UsageMeter,
         record: Record,
         seed: int = 0,
     ) -> None:
