--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -25,7 +25,7 @@
 from winchdyke.config import defaults, parse
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, clock
-from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 SIZE, CLIENTS, STORES, UNIT = 16 << 20, 3, 8, 64 * 1024
@@ -103,7 +103,12 @@
             await listing.start(group)
             for shard in range(STORES):
                 store = Store(
-                    Spec(shard, unit_ms=0.05), ObjectStore(), deduplication_group, meter, record, seed=shard
+                    StoreSpec(shard, unit_ms=0.05),
+                    ObjectStore(),
+                    deduplication_group,
+                    meter,
+                    record,
+                    seed=shard,
                 )
                 await store.start(group)
                 await listing.set(store.name, "ready", shard, "hall-a")
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -30,7 +30,7 @@
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 from winchdyke.standins.wire import Peer
 
 
@@ -69,7 +69,7 @@
         await stores.start(group)
         for shard in range(8):
             store = Store(
-                Spec(shard, unit_ms=0.5),
+                StoreSpec(shard, unit_ms=0.5),
                 ObjectStore(),
                 DeduplicationGroup(),
                 UsageMeter(),
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -29,7 +29,7 @@
 
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 DEADLINE_S = 3.0
@@ -236,7 +236,7 @@
             await self.list.start(group)
             for shard in range(8):
                 store = Store(
-                    Spec(shard, unit_ms=1.0, cores=4),
+                    StoreSpec(shard, unit_ms=1.0, cores=4),
                     ObjectStore(),
                     DeduplicationGroup(),
                     UsageMeter(),
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -18,7 +18,7 @@
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
-from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 from winchdyke.standins.wire import LOST, Peer
 
 logs.configure("none")
@@ -212,7 +212,7 @@
         await running.list.start(group)
         for shard in range(stores):
             store = Store(
-                Spec(shard, unit_ms=unit_ms, **spec),
+                StoreSpec(shard, unit_ms=unit_ms, **spec),
                 ObjectStore(),
                 running.deduplication_group,
                 running.meter,
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -18,7 +18,7 @@
     """Start a list service and stores that it lists; the service's port."""
     from winchdyke.standins.nodelist import ListService
     from winchdyke.standins.record import Record
-    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 
     record, meter, deduplication_groups = (
         Record(),
@@ -30,7 +30,7 @@
     for shard in range(count):
         rack = "rack-a" if shard < count // 2 else "rack-b"
         store = Store(
-            Spec(shard, rack=rack), ObjectStore(), deduplication_groups[rack], meter, record, seed=shard
+            StoreSpec(shard, rack=rack), ObjectStore(), deduplication_groups[rack], meter, record, seed=shard
         )
         await store.start(group)
         await listing.set(store.name, "ready", shard, store.spec.zone)
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -62,7 +62,7 @@
     out: Path | None,
 ) -> None:
     """Run stores and print their addresses: ADDRESS SHARD, a line each."""
-    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+    from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 
     record = Record()
 
@@ -70,7 +70,7 @@
         meter, deduplication_group = UsageMeter(), DeduplicationGroup()
         async with anyio.create_task_group() as group:
             for shard in shards:
-                spec = Spec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
+                spec = StoreSpec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
                 made = Store(spec, ObjectStore(), deduplication_group, meter, record, seed=shard)
                 await made.start(group, cold)
                 made.slow, made.lost_share = slow, lose
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -25,7 +25,7 @@
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, Seen, clock
-from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Spec, Store, UsageMeter
+from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 
 START_S = 15.0
 WARM_UP_S = 0.3
@@ -95,7 +95,7 @@
     def _store(self, shard: int, object_store: ObjectStore, number: int) -> Store:
         day = self.day
         speed = day.speeds[shard % len(day.speeds)] if day.speeds else 1.0
-        spec = Spec(
+        spec = StoreSpec(
             shard, rack=f"rack-{shard % 2}", cores=day.cores, speed=speed, unit_ms=day.unit_ms, queue=day.queue,
             memory_ms=max((kind.memory for kind in day.classes), default=0.0) or 4000.0,
             cold_from=day.rules.cold_from, warm_ms=day.rules.warm_after, fall_multiple=day.rules.fall_multiple,
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True)
-class Spec:
+class StoreSpec:
     """What a store can do and what it promises. Times in milliseconds."""
 
     shard: int
@@ -163,7 +163,7 @@
 
     def __init__(
         self,
-        spec: Spec,
+        spec: StoreSpec,
         object_store: ObjectStore,
         deduplication_group: DeduplicationGroup,
         meter: UsageMeter,
