--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -26,7 +26,7 @@
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record, clock
 from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
-from winchdyke.standins.wire import LOST, Peer
+from winchdyke.standins.wire import CONNECTION_ERRORS, Peer
 
 SIZE, CLIENTS, STORES, UNIT = 16 << 20, 3, 8, 64 * 1024
 START_S = 15.0
@@ -45,7 +45,7 @@
                 for _ in range(SIZE // len(piece)):
                     await peer.send(h11.Data(data=piece))
                 await peer.send(h11.EndOfMessage())
-            except (*LOST, h11.LocalProtocolError):
+            except (*CONNECTION_ERRORS, h11.LocalProtocolError):
                 pass  # the response came before the end of the body
 
         group.start_soon(send)
@@ -71,7 +71,7 @@
                 status, wait = await _put(peer, f"/other/{name}-{number}")
             finally:
                 await anyio.aclose_forcefully(peer.stream)
-        except LOST:
+        except CONNECTION_ERRORS:
             status, wait = 0, 0.2
         statuses[status] += 1
         if status >= 500:
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -26,7 +26,7 @@
 from winchdyke.model.world import Course, Scene, World, accounts
 from winchdyke.placement import shard_of
 from winchdyke.standins.record import clock
-from winchdyke.standins.wire import LOST
+from winchdyke.standins.wire import CONNECTION_ERRORS
 
 UNIT_MS = 10.0
 
@@ -64,7 +64,7 @@
             try:
                 await it.ask("GET", where, peer=own, winchdyke_class=request.request_class)
                 free.append(own)
-            except LOST:
+            except CONNECTION_ERRORS:
                 await anyio.aclose_forcefully(own.stream)
 
         async def slowing() -> None:
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -30,7 +30,7 @@
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
-from winchdyke.standins.wire import LOST, Peer
+from winchdyke.standins.wire import CONNECTION_ERRORS, Peer
 
 DEADLINE_S = 3.0
 SLACK_S = 0.25  # on a busy machine, between the gateway's last word and the client's clock
@@ -111,7 +111,7 @@
                         got += event.data
                     elif isinstance(event, h11.ConnectionClosed):
                         raise anyio.EndOfStream
-        except (*LOST, h11.RemoteProtocolError):
+        except (*CONNECTION_ERRORS, h11.RemoteProtocolError):
             if self.gateways[index].returncode is None and index not in self.dying:
                 self.counts["cut"] += 1
             status = 0
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -19,7 +19,7 @@
 from winchdyke.standins.nodelist import ListService
 from winchdyke.standins.record import Record
 from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
-from winchdyke.standins.wire import LOST, Peer
+from winchdyke.standins.wire import CONNECTION_ERRORS, Peer
 
 logs.configure("none")
 INI = resources.files("winchdyke.config").joinpath("defaults.ini").read_text()
@@ -145,7 +145,7 @@
                 await peer.stream.send(data)
                 while True:
                     received += await peer.stream.receive()
-            except LOST:
+            except CONNECTION_ERRORS:
                 await anyio.aclose_forcefully(peer.stream)
         return received
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -13,7 +13,7 @@
 from winchdyke import interface as api
 from winchdyke.gateway.pool import ConnectError, ConnectionPool
 from winchdyke.scheduling import Scheduler
-from winchdyke.standins.wire import LOST
+from winchdyke.standins.wire import CONNECTION_ERRORS
 
 READ = "/school-1/object"
 SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
@@ -175,7 +175,7 @@
             await it.ask("PUT", READ, b"x" * 900_000)
             it.ended.clear()
             it.store_of(READ).tricks.append("die-mid-answer")
-            with pytest.raises(LOST):
+            with pytest.raises(CONNECTION_ERRORS):
                 await it.ask("GET", READ)
             await it.until(lambda: bool(it.ended))
             assert it.outcomes == ["CONNECTION_RESET"]
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -13,7 +13,7 @@
 
 from winchdyke import interface as api
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
-from winchdyke.standins.wire import LOST
+from winchdyke.standins.wire import CONNECTION_ERRORS
 
 READ = "/school-1/object"
 SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
@@ -432,7 +432,7 @@
                 await it.until(lambda: it.gateway.service.active_requests + len(got) == 200)
                 it.gateway.stop()
                 await it.until(lambda: it.gateway.service.stopping)
-                with pytest.raises((OSError, *LOST)):
+                with pytest.raises((OSError, *CONNECTION_ERRORS)):
                     while True:  # a connection may still be in the backlog while the listener closes
                         peer = await it.connect()
                         await peer.stream.send(b"GET / HTTP/1.1\r\n")
--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -19,7 +19,7 @@
 from anyio.abc import TaskGroup
 
 from winchdyke.standins.record import Record, clock
-from winchdyke.standins.wire import LOST, Peer
+from winchdyke.standins.wire import CONNECTION_ERRORS, Peer
 
 GRACE_MS = 1500.0  # how long a client listens past its time, to see what comes late
 
@@ -122,7 +122,7 @@
                     self.record.note("client", "unreachable", **told)
                     return 0, 0.0
                 status, wait = await self._exchange(peer, wish, key, told)
-            except LOST as error:
+            except CONNECTION_ERRORS as error:
                 self.record.note("client", "cut", error=type(error).__name__, **told)
         if scope.cancelled_caught:
             self.record.note("client", "gave-up", **told)
--- a/winchdyke/standins/wire.py
+++ b/winchdyke/standins/wire.py
@@ -11,7 +11,7 @@
 import h11
 from anyio.abc import SocketAttribute, SocketListener, SocketStream
 
-LOST = (
+CONNECTION_ERRORS = (
     anyio.EndOfStream,
     anyio.BrokenResourceError,
     anyio.ClosedResourceError,
@@ -27,7 +27,7 @@
         self.stream, self.h11 = stream, h11.Connection(role, max_incomplete_event_size=256 * 1024)
 
     async def event(self) -> h11.Event:
-        """The next event; LOST where the peer is gone in the middle."""
+        """The next event; CONNECTION_ERRORS where the peer is gone in the middle."""
         while True:
             event = self.h11.next_event()
             if event is h11.NEED_DATA:
@@ -80,7 +80,7 @@
     async def one(stream: SocketStream) -> None:
         try:
             await serve(stream)
-        except (*LOST, ExceptionGroup):
+        except (*CONNECTION_ERRORS, ExceptionGroup):
             pass
         finally:
             with anyio.CancelScope(shield=True):
