--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -198,7 +198,7 @@
     """A real process: 200 requests are out or held as it is told to stop."""
     from winchdyke.days.judge import Judge
     from winchdyke.days.run import Fleet
-    from winchdyke.standins.clients import Clients, Wish
+    from winchdyke.standins.clients import Clients, PlannedRequest
 
     day = msgspec.structs.replace(script.quiet_day(1), gateways=1, unit_ms=200.0, cores=4, volumes=[])
     volume = script.Volume("course", "contest", list(range(8)), [0], 0.0)
@@ -209,7 +209,10 @@
             fleet = Fleet(day, where, group)
             await fleet.start()
             clients = Clients(fleet.record, lambda index: fleet.addresses[index], 1)
-            wishes = [Wish(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1) for n in range(200)]
+            wishes = [
+                PlannedRequest(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1)
+                for n in range(200)
+            ]
             async with anyio.create_task_group() as both:
                 clients.start(both, wishes)
                 # Until the gateway has what is needed to fill its windows; the rest is in its queues by then.
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -14,7 +14,7 @@
 from winchdyke.days.script import CLASSES, Class, Day, Event, Plan, Rules, Volume
 from winchdyke.gateway.scheduler_loop import SchedulerLoop
 from winchdyke.placement import shard_of
-from winchdyke.standins.clients import Clients, Wish
+from winchdyke.standins.clients import Clients, PlannedRequest
 
 DAY = Day(
     "made", 1, 2, 2, 10_000.0, CLASSES, [Plan("basic", 4.0, limit=10.0, limit_burst=20.0, slack=2.0)],
@@ -315,7 +315,7 @@
             chilly = [key for key in map(str, range(400)) if shard_of("plain", key, range(8)) == 1]
             keys = lambda n: chilly[n % 20] if n % 4 == 1 else f"k{n % 40}"  # noqa: E731
             wishes = [
-                Wish(
+                PlannedRequest(
                     at=3.0 * n, gateway=0, method="PUT", path=f"/plain/{keys(n)}", size=64, class_name=("once", "turns")[n % 2],
                     patience=900.0, deadline=900.0, keyed=bool(n % 2), tries=1,
                 )
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -120,7 +120,7 @@
     gateways: tuple[str, ...], rate: float, seconds: float, volume: str, seed: int, out: Path | None
 ) -> None:
     """Load gateways: a third writes, two thirds reads, open loop; prints what came of it."""
-    from winchdyke.standins.clients import Clients, Wish
+    from winchdyke.standins.clients import Clients, PlannedRequest
 
     addresses = [_address(gateway) for gateway in gateways]
     record, draw = Record(), random.Random(seed)
@@ -128,7 +128,9 @@
     while (at := at + draw.expovariate(rate) * 1000) < seconds * 1000:
         write = draw.random() < 1 / 3
         path, where = f"/{volume}/object-{draw.randrange(50)}", draw.randrange(len(addresses))
-        wishes.append(Wish(at, where, "PUT" if write else "GET", path, 1024 if write else 0, keyed=write))
+        wishes.append(
+            PlannedRequest(at, where, "PUT" if write else "GET", path, 1024 if write else 0, keyed=write)
+        )
     began = time.monotonic()
     anyio.run(Clients(record, lambda index: addresses[index], seed).run, wishes)
     answers = [seen for seen in record.seen if seen["what"] == "answer"]
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from winchdyke.standins.clients import Wish
+from winchdyke.standins.clients import PlannedRequest
 
 Trouble = Literal[
     "deploy", "silent", "lost", "slow", "pauses", "neighbour", "crash", "burst", "gateway-kill", "list-down",
@@ -320,7 +320,7 @@
     return next((e for e in day.events if e.kind == kind and e.at <= at < e.at + e.length), None)
 
 
-def _wish(day: Day, volume: Volume, at: float, draw: random.Random) -> Wish:
+def _wish(day: Day, volume: Volume, at: float, draw: random.Random) -> PlannedRequest:
     kind = draw.choices(day.classes, [kind.share for kind in day.classes])[0]
     hurry = _active(day, "hurry", at)
     patience = kind.deadline * (draw.uniform(hurry.size, 3 * hurry.size) if hurry else 1.0)
@@ -340,11 +340,11 @@
     if not kind.writes:
         first = draw.randrange(512)
         asked = (first, first + draw.randrange(1, 256)) if draw.random() < 0.2 else None
-        return Wish(method="GET", path=path, range=asked, **common)
+        return PlannedRequest(method="GET", path=path, range=asked, **common)
     if kind.name == "turns":
         path = f"/{volume.name}/turn-{number % 3}"
     method, path = ("POST", f"/{volume.name}") if kind.new else ("PUT", path)
-    return Wish(
+    return PlannedRequest(
         method=method,
         path=path,
         size=size,
@@ -354,10 +354,10 @@
     )
 
 
-def wishes(day: Day) -> list[Wish]:
+def wishes(day: Day) -> list[PlannedRequest]:
     """All that the clients of a day want, drawn from its seed: Poisson arrivals by volume, bursts on top."""
     draw = random.Random(f"{day.name}/{day.seed}/traffic")
-    found: list[Wish] = []
+    found: list[PlannedRequest] = []
     for at, volume in enumerate(day.volumes):
         now = 0.0
         while True:
@@ -380,13 +380,13 @@
     reader = next(kind for kind in day.classes if not kind.writes)
     leaves = [event for event in day.events if event.kind.startswith("leave-")]
     if leaves:
-        found.append(Wish(0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, keyed=True))
+        found.append(PlannedRequest(0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, keyed=True))
     for event in leaves:
         method, name = ("PUT", writer.name) if event.kind == "leave-upload" else ("GET", reader.name)
         path = f"{big}-{event.at:.0f}" if method == "PUT" else big
         leave = event.kind.removeprefix("leave-")
         found.append(
-            Wish(
+            PlannedRequest(
                 event.at,
                 gateway,
                 method,
@@ -403,7 +403,7 @@
     return sorted(found, key=lambda wish: wish.at)
 
 
-def _large(day: Day, event: Event, writer: Class, reader: Class) -> list[Wish]:
+def _large(day: Day, event: Event, writer: Class, reader: Class) -> list[PlannedRequest]:
     """Objects of many units at every gateway at once, and reads of one of them, whole and in a range."""
     volume, size = day.volumes[event.on[0]], int(event.size) * UNIT_BYTES
     found = []
@@ -412,7 +412,7 @@
             path = f"/{volume.name}/large-{event.at:.0f}-{gateway}-{number}"
             over_s3 = number >= 2
             found.append(
-                Wish(
+                PlannedRequest(
                     event.at,
                     gateway,
                     "PUT",
@@ -427,7 +427,7 @@
             asked = (0, size // 2 - 1) if number % 2 else None
             path = f"/{volume.name}/large-{event.at:.0f}-{gateway}-0"
             found.append(
-                Wish(
+                PlannedRequest(
                     event.at + 900,
                     gateway,
                     "GET",
--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True)
-class Wish:
+class PlannedRequest:
     """One thing that a client wants; times in milliseconds. ``leave`` makes it go halfway: upload or download."""
 
     at: float
@@ -68,7 +68,7 @@
         self._idle: defaultdict[tuple[str, int], list[Peer]] = defaultdict(list)
         self._number = 0
 
-    async def run(self, wishes: Sequence[Wish]) -> None:
+    async def run(self, wishes: Sequence[PlannedRequest]) -> None:
         """Carry out wishes at their times, counted from now; ends when all are over."""
         began = anyio.current_time()
         async with anyio.create_task_group() as group:
@@ -79,11 +79,11 @@
             for peer in line:
                 await anyio.aclose_forcefully(peer.stream)
 
-    def start(self, group: TaskGroup, wishes: Sequence[Wish]) -> None:
+    def start(self, group: TaskGroup, wishes: Sequence[PlannedRequest]) -> None:
         """The same, in a task group."""
         group.start_soon(self.run, wishes)
 
-    async def _wish(self, wish: Wish) -> None:
+    async def _wish(self, wish: PlannedRequest) -> None:
         until = clock() + wish.deadline
         self._number += 1
         key = f"wish-{self._number}"
@@ -102,7 +102,7 @@
                 return  # told to come back when nobody wants it any more
             await anyio.sleep(wait / 1000)
 
-    async def once(self, wish: Wish, key: str, number: int = 0) -> tuple[int, float]:
+    async def once(self, wish: PlannedRequest, key: str, number: int = 0) -> tuple[int, float]:
         """One try: its status (0: none) and how long to stay away, in milliseconds."""
         host, port = (self.s3 if wish.s3 else self.address)(wish.gateway)
         me = f"{key}.{number}"
@@ -148,7 +148,9 @@
         except OSError:
             return None
 
-    async def _exchange(self, peer: Peer, wish: Wish, key: str, told: dict[str, Any]) -> tuple[int, float]:
+    async def _exchange(
+        self, peer: Peer, wish: PlannedRequest, key: str, told: dict[str, Any]
+    ) -> tuple[int, float]:
         body = content(wish.path, wish.size) if wish.method in ("PUT", "POST") else b""
         headers = [
             ("host", "gateway"), ("x-request-id", told["client"]),
@@ -204,7 +206,7 @@
         return head.status_code, wait
 
     @staticmethod
-    def _right(wish: Wish, status: int, got: bytes) -> bool:
+    def _right(wish: PlannedRequest, status: int, got: bytes) -> bool:
         if wish.method != "GET" or status not in (200, 206) or "?" in wish.path:
             return True
         if status == 206:
