--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -82,7 +82,7 @@
     Returns their measured and reported sums (ms), the fraction blamed on the volume, and the number of
     requests.
     """
-    received_ms = {event["client"]: event["t"] for event in site.record.seen if event["what"] == "head"}
+    received_ms = {event["client"]: event["t"] for event in site.record.entries if event["what"] == "head"}
     measured_ms = reported_ms = 0.0
     blame: Counter[str] = Counter()
     count = 0
@@ -112,10 +112,12 @@
             await site.ask("GET", path)
         accounts = waits(site, folder)
         assert report_data(summarize(accounts))["nodes"][0]["node"] == node.name
-        received_ms = {event["request"]: event["t"] for event in site.record.seen if event["what"] == "head"}
+        received_ms = {
+            event["request"]: event["t"] for event in site.record.entries if event["what"] == "head"
+        }
         served_in_ms = {
             event["request"]: event["t"] - received_ms[event["request"]]
-            for event in site.record.seen
+            for event in site.record.entries
             if event["what"] == "answered"
         }
         best = min(
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -133,7 +133,7 @@
             group.cancel_scope.cancel()
     moved = [
         (seen["t"] - began, math.ceil(seen["bytes"] / UNIT))
-        for seen in record.seen
+        for seen in record.entries
         if seen["what"] == "whole" and seen["bytes"]
     ]
     return moved, statuses
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -272,7 +272,7 @@
                 else:
                     self.counts["uploads whose start was not heard of"] += 1  # forgotten after upload_keep
         effects = Counter(
-            (seen["request"], seen["object"]) for seen in self.record.seen
+            (seen["request"], seen["object"]) for seen in self.record.entries
             if seen["what"] == "effect" and seen["method"] == "PUT"
         )  # fmt: skip
         self.counts["effects"] = sum(effects.values())
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -338,6 +338,6 @@
             it.group.start_soon(release_connection)
             reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
             assert it.outcomes == ["NOT_SENT", "SERVED"] and reply.status == 201
-            assert len([seen for seen in it.record.seen if seen["what"] == "whole"]) == 1
+            assert len([seen for seen in it.record.entries if seen["what"] == "whole"]) == 1
 
     run()
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -31,7 +31,7 @@
     """Return how many writes of an object took effect at stores."""
     return sum(
         seen["what"] == "effect" and seen["object"] == key and seen["method"] == "PUT"
-        for seen in it.record.seen
+        for seen in it.record.entries
     )
 
 
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -350,7 +350,7 @@
                 assert it.gateway.service.snapshot.version == 2
                 stop = True
             assert set(versions.values()) == {"1", "2", "3", "4"}
-            heads = [seen for seen in it.record.seen if seen["what"] == "head"]
+            heads = [seen for seen in it.record.entries if seen["what"] == "head"]
             assert len(heads) > 50
             assert all(str(seen["version"]) == versions[seen["client"]] for seen in heads)
             assert "in the chain" in await cli("verify", folder)
@@ -388,11 +388,11 @@
                     )
                 )
                 await anyio.to_thread.run_sync(lambda: run_changes("apply", str(tmp_path), "2"))
-                since = it.record.seen[-1]["t"]
+                since = it.record.entries[-1]["t"]
                 await anyio.sleep(2.0)
                 stop = True
-            late = [seen for seen in it.record.seen if seen["what"] == "head" and seen["t"] > since + 50]
-            span = (it.record.seen[-1]["t"] - since) / 1000
+            late = [seen for seen in it.record.entries if seen["what"] == "head" and seen["t"] > since + 50]
+            span = (it.record.entries[-1]["t"] - since) / 1000
             assert 10 <= len(late) <= 8 + 10 * span + 2
 
     run()
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -580,7 +580,7 @@
             assert volume is not None and after.headers["winchdyke-version"] == "2"
             if it.gateway.service.snapshot.config.volume("school-1") is None:
                 assert after.reason == "no-volume"
-            heads = [seen for seen in it.record.seen if seen["what"] == "head"]
+            heads = [seen for seen in it.record.entries if seen["what"] == "head"]
             assert {
                 str(seen["version"]) for seen in heads if seen["request"] == answer.headers["x-request-id"]
             } <= {"1"}
@@ -620,7 +620,7 @@
             assert len(told) == len(answers) and set(told.values()) == {"1", "3"}
             assert {answer.status for answer in answers} <= {404, 503, 504}
             assert it.gateway.scheduler_loop.counts["faults"] == 0
-            heads = [seen for seen in it.record.seen if seen["what"] == "head"]
+            heads = [seen for seen in it.record.entries if seen["what"] == "head"]
             assert all(str(seen["version"]) == told[seen["request"]] for seen in heads)
             volumes = it.gateway.scheduler_loop._scheduler.quotas
             assert {volumes[f"contest-{number}"].plan.name for number in range(3)} == {"basic"}
@@ -652,13 +652,13 @@
                 await anyio.sleep(0.6)
                 await stage_change(it, "volume", "school-*", "plan=small")
                 await wait_until_served(it, 2)
-                since = it.record.seen[-1]["t"]
+                since = it.record.entries[-1]["t"]
                 await anyio.sleep(1.5)
                 stop = True
             assert it.gateway.scheduler_loop._scheduler.quotas["school-1"].plan.name == "small"
-            heads = [seen for seen in it.record.seen if seen["what"] == "head"]
+            heads = [seen for seen in it.record.entries if seen["what"] == "head"]
             late = [seen for seen in heads if seen["t"] > since + 50]
-            span = (it.record.seen[-1]["t"] - since) / 1000
+            span = (it.record.entries[-1]["t"] - since) / 1000
             assert 5 <= len(late) <= 8 + 20 * span + 2
             assert len([seen for seen in heads if seen["t"] <= since]) > 2 * len(late), (
                 "the old plan admitted the burst"
@@ -767,7 +767,7 @@
                 each.rollout.wall_clock_ms = lambda offset=offset: time.time() * 1000 + offset
             stop = False
             changed: dict[int, float] = {}
-            began = it.record.seen[-1]["t"]
+            began = it.record.entries[-1]["t"]
 
             async def load(gateway: Gateway, number: int) -> None:
                 from rig import Peer, h11, reply
@@ -783,7 +783,7 @@
                     )
                     await reply(peer)
                     if gateway.service.snapshot.version == 2 and id(gateway) not in changed:
-                        changed[id(gateway)] = it.record.seen[-1]["t"]
+                        changed[id(gateway)] = it.record.entries[-1]["t"]
                 await anyio.aclose_forcefully(peer.stream)
 
             async with anyio.create_task_group() as group:
@@ -801,13 +801,15 @@
                 await anyio.to_thread.run_sync(all_of_them)
                 await it.until(lambda: len(changed) == 3, 15)
                 await anyio.sleep(0.5)
-                last_change = it.record.seen[-1]["t"]
+                last_change = it.record.entries[-1]["t"]
                 if new > old:
                     await anyio.sleep(4.5)
                 stop = True
             first, last = min(changed.values()), max(changed.values())
             assert 1500 < last - first < 3000, "the gateways changed over 2 s apart, as their clocks differ"
-            heads = [seen for seen in it.record.seen if seen["what"] == "head" and seen["volume"] == "other"]
+            heads = [
+                seen for seen in it.record.entries if seen["what"] == "head" and seen["volume"] == "other"
+            ]
             between = [seen["t"] for seen in heads if first <= seen["t"] <= last]
             units = sum(seen["units"] for seen in heads if first <= seen["t"] <= last)
             assert units <= 9 + least * (last - first) / 1000 * 1.05 + 3, (units, len(between))
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -218,13 +218,13 @@
                 # Until the gateway has what is needed to fill its windows; the rest is in its queues by then.
                 with anyio.fail_after(10):
                     while (
-                        sum(seen["what"] == "head" for seen in fleet.record.seen) < 24
-                        or sum(seen["what"] == "try" for seen in fleet.record.seen) < 200
+                        sum(seen["what"] == "head" for seen in fleet.record.entries) < 24
+                        or sum(seen["what"] == "try" for seen in fleet.record.entries) < 200
                     ):
                         await anyio.sleep(0.02)
                 await anyio.sleep(0.25)
-                tries = sum(seen["what"] == "try" for seen in fleet.record.seen)
-                over = sum(seen["what"] == "answer" for seen in fleet.record.seen)
+                tries = sum(seen["what"] == "try" for seen in fleet.record.entries)
+                over = sum(seen["what"] == "answer" for seen in fleet.record.entries)
                 assert (tries, over < 190) == (200, True)
                 await fleet.stop()
             group.cancel_scope.cancel()
@@ -232,7 +232,7 @@
 
     with tempfile.TemporaryDirectory() as where:
         fleet = anyio.run(play, Path(where))
-    verdict = Judge(day, fleet.record.seen).verdict()
+    verdict = Judge(day, fleet.record.entries).verdict()
     assert fleet.ends == [0]
     assert verdict.kept, report(day, verdict)
     assert verdict.figures["served"] + verdict.figures["refused"] + verdict.figures["failed"] == 200
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -403,7 +403,7 @@
             other_store.kill()
             other_store.identity = "another-store"
             await other_store.start(it.group)
-            recorded_before = len(it.record.seen)
+            recorded_before = len(it.record.entries)
             started_at = anyio.current_time()
             await restart_from_cache(it, tmp_path)
             paths = {it.store_of(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
@@ -415,12 +415,16 @@
             ]
             assert statuses == [503, 503]
             assert {(await it.ask("GET", paths[shard])).status for shard in range(2, 8)} == {404}
-            requested = [seen["who"] for seen in it.record.seen[recorded_before:] if seen["what"] == "head"]
+            requested = [
+                seen["who"] for seen in it.record.entries[recorded_before:] if seen["what"] == "head"
+            ]
             assert other_store.name not in requested and stopped.name not in requested
             # Unconfirmed endpoints are checked one at a time, in random order: this one may be the last.
             known = it.gateway.discovery.view.endpoints
             await it.until(lambda: known[other_store.name].status is DiscoveryStatus.ADDRESS_REUSED)
-            requested = [seen["who"] for seen in it.record.seen[recorded_before:] if seen["what"] == "head"]
+            requested = [
+                seen["who"] for seen in it.record.entries[recorded_before:] if seen["what"] == "head"
+            ]
             assert other_store.name not in requested and stopped.name not in requested
 
     run()
@@ -441,12 +445,12 @@
                 lambda: it.gateway.discovery.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
             )
             await anyio.sleep(0.1)
-            recorded_before = len(it.record.seen)
+            recorded_before = len(it.record.entries)
             for _ in range(5):
                 await it.ask("GET", "/school-1/object", winchdyke_time_left="100ms")
             assert not [
                 seen
-                for seen in it.record.seen[recorded_before:]
+                for seen in it.record.entries[recorded_before:]
                 if seen["who"] == store.name and seen["what"] == "head"
             ]
             await anyio.sleep(1.2)
@@ -513,7 +517,7 @@
             assert not restarted_store.fallen
             assert [
                 seen
-                for seen in it.record.seen
+                for seen in it.record.entries
                 if seen["what"] == "head" and seen["who"] == restarted_store.name
             ]
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -153,7 +153,7 @@
                 await peer.reset()
             await it.until(lambda: not it.gateway.scheduler_loop.open_requests)
             await anyio.sleep(0.05)  # requests in transit when the client disconnected have arrived by now
-            heads = [seen["client"] for seen in it.record.seen if seen["what"] == "head"]
+            heads = [seen["client"] for seen in it.record.entries if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some requests were queued and are never sent"
             await it.until(lambda: not it.gateway.service.active_requests)
             # Attempts in flight are awaited, so that the concurrency limit accounts for them; nothing else is sent.
@@ -161,7 +161,7 @@
                 event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
             )
             await anyio.sleep(0.2)
-            assert [seen["client"] for seen in it.record.seen if seen["what"] == "head"] == heads
+            assert [seen["client"] for seen in it.record.entries if seen["what"] == "head"] == heads
             assert (await it.ask("GET", READ)).status in (200, 404)
 
     run()
@@ -256,7 +256,7 @@
             assert sorted(answer.status for answer in answers) == [201, 409]
             assert {answer.reason for answer in answers} == {"ok", "key-in-use"}
             await put()
-            assert len([seen for seen in it.record.seen if seen["what"] == "effect"]) == 1
+            assert len([seen for seen in it.record.entries if seen["what"] == "effect"]) == 1
             assert len({answer.headers["x-request-id"] for answer in answers}) == 3, (
                 "the gateway assigns the request ids"
             )
@@ -605,7 +605,7 @@
     @run_async
     async def run():
         async with rig(unit_ms=1500.0) as it:
-            heads = lambda: [seen["client"] for seen in it.record.seen if seen["what"] == "head"]  # noqa: E731
+            heads = lambda: [seen["client"] for seen in it.record.entries if seen["what"] == "head"]  # noqa: E731
             first = await it.connect()
             ordered = [
                 ("host", "t"),
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -323,7 +323,7 @@
             ]  # fmt: skip
             clients = Clients(it.record, lambda _: it.gateway.address, 1)
             await clients.run(wishes)
-            verdict = Judge(day, it.record.seen).verdict()
+            verdict = Judge(day, it.record.entries).verdict()
             assert {ruling.rule for ruling in verdict.rulings if not ruling.kept} >= {2, 3, 4, 5, 6, 7}
 
     run()
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -571,7 +571,7 @@
             '\npool last {\n    shards = 7\n}\n\nroute old {\n    key = "old/"\n    pool = last\n}\n'
         )
         async with rig(loading.load_text(text, "made").config) as it:
-            classes = lambda: [seen["class"] for seen in it.record.seen if seen["what"] == "head"]  # noqa: E731
+            classes = lambda: [seen["class"] for seen in it.record.entries if seen["what"] == "head"]  # noqa: E731
             await it.ask("PUT", "/school-1/export/a", b"x")
             await it.ask("GET", "/school-1/export/a")
             await it.ask("GET", "/school-1/other")
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -477,7 +477,9 @@
                 for number, path in enumerate(mine):
                     group.start_soon(ask, path, 0.1 + 0.05 * number)
             it.gateway.ledger.close()
-            came = {each["client"]: each["t"] for each in reversed(it.record.seen) if each["what"] == "head"}
+            came = {
+                each["client"]: each["t"] for each in reversed(it.record.entries) if each["what"] == "head"
+            }
             found = [
                 a
                 for a in merge_accounts(ledger.read_accounts([tmp_path]))
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -104,7 +104,7 @@
             worker = Worker(asked, 0, 1)
             worker.log = []
             seen = await worker.run()
-            rows = beside(worker.log, it.record.seen)
+            rows = beside(worker.log, it.record.entries)
             assert rows["put"].attempts == len(rows["put"].waited) and rows["upload"].attempts >= 5 * len(
                 rows["upload"].waited
             )
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -209,7 +209,7 @@
 
 def bytes_in(it: Rig) -> int:
     """Return the bytes of the bodies that the stores received completely."""
-    return sum(seen["bytes"] for seen in it.record.seen if seen["what"] == "whole")
+    return sum(seen["bytes"] for seen in it.record.entries if seen["what"] == "whole")
 
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
@@ -366,7 +366,7 @@
             )
             assert moved[0] / UNIT <= RATE * took + BURST + 3 * 20 + 16
             assert moved[0] / UNIT >= RATE * took * 0.3, "the uploads were paced, not blocked"
-            assert not any(seen["what"] == "effect" for seen in it.record.seen), (
+            assert not any(seen["what"] == "effect" for seen in it.record.entries), (
                 "a refused upload has no effect at a store"
             )
 
@@ -385,7 +385,7 @@
             await peer.send(request, h11.Data(data=b"x" * (size * 3 // 4)))
             byte_meter = it.gateway.service.byte_meter
             await it.until(lambda: byte_meter.debt_units("school-1") > 250)
-            await it.until(lambda: any(seen["what"] == "head" for seen in it.record.seen))
+            await it.until(lambda: any(seen["what"] == "head" for seen in it.record.entries))
             await anyio.sleep(0.1)
             before = byte_meter.debt_units("school-1")
             await peer.reset()
@@ -557,7 +557,7 @@
                     "PUT", f"/{volume}/same", b"x", winchdyke_class="turns", idempotency_key="i"
                 )
                 assert answer.status < 300
-            told = [seen["order"] for seen in it.record.seen if seen["what"] == "head"]
+            told = [seen["order"] for seen in it.record.entries if seen["what"] == "head"]
             assert told == ["contest-1/same", "contest-2/same"]
 
     run()
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -598,7 +598,7 @@
             assert len(answers) == 4 and len(set(answers)) == 1
             effects = [
                 s
-                for s in it.record.seen
+                for s in it.record.entries
                 if s["what"] == "effect" and "uploadId" in s["query"] and s["method"] == "POST"
             ]
             assert effects and (await off(lambda: one.get_object(**where)["Body"].read())) == b"a" * 1000
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -226,10 +226,10 @@
         config = dataclasses.replace(config, tls=Tls(stores=str(other_issuer.path)))
         async with rig(config, unit_ms=0.2, secure=context) as it:
             answer = await it.ask("GET", "/school-1/k", winchdyke_time_left="500ms")
-            assert answer.status == 503 and it.record.seen, (
+            assert answer.status == 503 and it.record.entries, (
                 "nothing is sent to a store with an untrusted certificate"
             )
-            assert not [seen for seen in it.record.seen if seen["what"] == "head"]
+            assert not [seen for seen in it.record.entries if seen["what"] == "head"]
 
     run()
     with pytest.raises(TlsError, match="stores' issuers"):
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -38,7 +38,7 @@
     async def forget() -> None:
         while True:
             await anyio.sleep(5)
-            record.seen.clear()
+            record.entries.clear()
 
     group.start_soon(forget)
     return listing.port
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -133,8 +133,8 @@
         )
     began = time.monotonic()
     anyio.run(Clients(record, lambda index: addresses[index], seed).run, wishes)
-    answers = [seen for seen in record.seen if seen["what"] == "answer"]
-    starts = {seen["client"]: seen["t"] for seen in record.seen if seen["what"] == "try"}
+    answers = [seen for seen in record.entries if seen["what"] == "answer"]
+    starts = {seen["client"]: seen["t"] for seen in record.entries if seen["what"] == "try"}
     waits = sorted(seen["t"] - starts[seen["client"]] for seen in answers)
     click.echo(f"{len(starts)} tries in {time.monotonic() - began:.1f} s")
     for name in sorted({(seen["status"], seen["reason"]) for seen in answers}):
@@ -142,7 +142,7 @@
             f"  {name[0]} {name[1]}: {sum((seen['status'], seen['reason']) == name for seen in answers)}"
         )
     for what in ("cut", "gave-up", "unreachable"):
-        if count := sum(seen["what"] == what for seen in record.seen):
+        if count := sum(seen["what"] == what for seen in record.entries):
             click.echo(f"  {what}: {count}")
     if waits:
         click.echo(f"  p50 {waits[len(waits) // 2]:.1f} ms, p99 {waits[int(len(waits) * 0.99)]:.1f} ms")
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -24,7 +24,7 @@
 from winchdyke.standins.clients import Clients
 from winchdyke.standins.links import Fault, Links
 from winchdyke.standins.nodelist import ListService
-from winchdyke.standins.record import Record, Seen, clock
+from winchdyke.standins.record import Entry, Record, clock
 from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 
 START_S = 15.0
@@ -423,7 +423,7 @@
 
 async def play(
     day: script.Day, where: Path, more: str = "", program: tuple[str, ...] = PROGRAM
-) -> tuple[list[Seen], list[int]]:
+) -> tuple[list[Entry], list[int]]:
     """Play a day: what was seen, and how the gateways ended. Logs and settings stay in ``where``."""
     async with anyio.create_task_group() as group:
         fleet = Fleet(day, where, group, more, program)
@@ -452,12 +452,12 @@
                 if process.returncode is None:
                     process.kill()
             group.cancel_scope.cancel()
-    return fleet.record.seen, fleet.ends
+    return fleet.record.entries, fleet.ends
 
 
 def run_day(
     day: script.Day, keep: Path | None = None, more: str = "", program: tuple[str, ...] = PROGRAM
-) -> tuple[Verdict, list[Seen], list[int]]:
+) -> tuple[Verdict, list[Entry], list[int]]:
     """Play a day in a folder of its own and judge it. DayError where it could not be played.
 
     The folder stays where it was asked for, where a rule was broken, where a gateway did not end well, and where the day could
--- a/winchdyke/standins/record.py
+++ b/winchdyke/standins/record.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-Seen = dict[str, Any]
+Entry = dict[str, Any]
 
 
 def clock() -> float:
@@ -19,16 +19,16 @@
     """A list of what was seen. ``what`` names the kind of entry, ``who`` the stand-in that saw it."""
 
     def __init__(self) -> None:
-        self.seen: list[Seen] = []
+        self.entries: list[Entry] = []
 
-    def note(self, who: str, what: str, **more: Any) -> Seen:
+    def note(self, who: str, what: str, **more: Any) -> Entry:
         """Write down something seen now."""
         entry = {"t": clock(), "who": who, "what": what, **more}
-        self.seen.append(entry)
+        self.entries.append(entry)
         return entry
 
     def save(self, path: Path) -> None:
         """Write it as JSON lines."""
         with path.open("w", encoding="utf-8") as file:
-            for entry in self.seen:
+            for entry in self.entries:
                 file.write(json.dumps(entry, separators=(",", ":")) + "\n")
