--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,7 +23,7 @@
 from winchdyke.discovery.records import CachedEndpoint, DiscoveryStatus, EndpointEvidence, ListedEndpoint
 from winchdyke.model.checker import explore
 from winchdyke.model.discovery import DiscoveryModel
-from winchdyke.standins.dns import Dns
+from winchdyke.standins.dns import DnsServer
 
 READY, DRAINING = interface.EndpointStatus.READY, interface.EndpointStatus.DRAINING
 NAMES = [f"10.0.0.{n}:7" for n in range(6)]
@@ -566,7 +566,7 @@
                 f'{{"name": "{s.name}", "state": "ready", "shard": {s.spec.shard}}}' for s in it.stores[:4]
             )
             file.write_text(f'{{"token": "", "form": "full", "nodes": [{nodes}]')
-            server = Dns()
+            server = DnsServer()
             await server.start(it.group)
             server.records = {
                 f"{s.spec.shard}.stores.test": [(1, 1, s.port, "127.0.0.1.")] for s in it.stores
--- a/winchdyke/standins/dns.py
+++ b/winchdyke/standins/dns.py
@@ -9,11 +9,11 @@
 from anyio.abc import TaskGroup
 
 
-class Dns:
+class DnsServer:
     """``records`` maps a name to its SRV records as (priority, weight, port, target); ``silent`` says nothing."""
 
     def __init__(self) -> None:
-        self.port, self.silent, self.asked = 0, False, 0
+        self.port, self.silent, self.query_count = 0, False, 0
         self.records: dict[str, list[tuple[int, int, int, str]]] = {}
 
     async def start(self, group: TaskGroup) -> None:
@@ -24,7 +24,7 @@
         async def run() -> None:
             async with socket:
                 async for data, where in socket:
-                    self.asked += 1
+                    self.query_count += 1
                     if not self.silent:
                         await socket.sendto(self._answer(data), *where)
 
