--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -210,7 +210,7 @@
             await fleet.start()
             clients = Clients(fleet.record, lambda index: fleet.addresses[index], 1)
             wishes = [
-                PlannedRequest(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1)
+                PlannedRequest(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", max_tries=1)
                 for n in range(200)
             ]
             async with anyio.create_task_group() as both:
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -317,7 +317,7 @@
             wishes = [
                 PlannedRequest(
                     at=3.0 * n, gateway=0, method="PUT", path=f"/plain/{keys(n)}", size=64, class_name=("once", "turns")[n % 2],
-                    patience=900.0, deadline=900.0, keyed=bool(n % 2), tries=1,
+                    patience=900.0, deadline=900.0, has_idempotency_key=bool(n % 2), max_tries=1,
                 )
                 for n in range(240)
             ]  # fmt: skip
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -129,7 +129,9 @@
         write = draw.random() < 1 / 3
         path, where = f"/{volume}/object-{draw.randrange(50)}", draw.randrange(len(addresses))
         wishes.append(
-            PlannedRequest(at, where, "PUT" if write else "GET", path, 1024 if write else 0, keyed=write)
+            PlannedRequest(
+                at, where, "PUT" if write else "GET", path, 1024 if write else 0, has_idempotency_key=write
+            )
         )
     began = time.monotonic()
     anyio.run(Clients(record, lambda index: addresses[index], seed).run, wishes)
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -329,14 +329,14 @@
     size = draw.choice((1, 1, 2, 2, 3, 4, 8)) * UNIT_BYTES - draw.randrange(UNIT_BYTES // 2)
     common: dict[str, Any] = {
         "at": at, "gateway": draw.choice(volume.gateways), "class_name": kind.name, "patience": min(patience, kind.deadline),
-        "deadline": kind.deadline, "hurry": draw.random() < 0.3,
+        "deadline": kind.deadline, "ignores_retry_after": draw.random() < 0.3,
     }  # fmt: skip
     over_s3 = day.s3_share > 0 and kind.name in (day.classes[0].name, day.classes[1].name)
     if over_s3 and draw.random() < day.s3_share:
         # Its class is the operation's, its time the class's: this dialect has no words for others.
         common |= {"s3": True, "patience": kind.deadline}
         if kind.writes and draw.random() < 0.15:
-            common |= {"spoilt": True}
+            common |= {"has_wrong_checksum": True}
     if not kind.writes:
         first = draw.randrange(512)
         asked = (first, first + draw.randrange(1, 256)) if draw.random() < 0.2 else None
@@ -348,8 +348,8 @@
         method=method,
         path=path,
         size=size,
-        keyed=kind.effect == "keyed" and "s3" not in common,
-        repeatable=kind.effect == "idempotent",
+        has_idempotency_key=kind.effect == "keyed" and "s3" not in common,
+        is_repeatable=kind.effect == "idempotent",
         **common,
     )
 
@@ -380,7 +380,11 @@
     reader = next(kind for kind in day.classes if not kind.writes)
     leaves = [event for event in day.events if event.kind.startswith("leave-")]
     if leaves:
-        found.append(PlannedRequest(0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, keyed=True))
+        found.append(
+            PlannedRequest(
+                0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, has_idempotency_key=True
+            )
+        )
     for event in leaves:
         method, name = ("PUT", writer.name) if event.kind == "leave-upload" else ("GET", reader.name)
         path = f"{big}-{event.at:.0f}" if method == "PUT" else big
@@ -393,8 +397,8 @@
                 path,
                 BIG_BYTES,
                 class_name=name,
-                leave=leave,
-                keyed=method == "PUT",
+                abort_phase=leave,
+                has_idempotency_key=method == "PUT",
             )
         )
     for event in day.events:
@@ -419,8 +423,8 @@
                     path,
                     size,
                     class_name=writer.name,
-                    keyed=not over_s3,
-                    tries=1,
+                    has_idempotency_key=not over_s3,
+                    max_tries=1,
                     s3=over_s3,
                 )
             )
@@ -435,7 +439,7 @@
                     size,
                     asked,
                     class_name=reader.name,
-                    tries=1,
+                    max_tries=1,
                     s3=over_s3,
                 )
             )
--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -44,13 +44,13 @@
     class_name: str = ""
     patience: float = 3000.0
     deadline: float = 3000.0
-    keyed: bool = False
-    repeatable: bool = True
-    leave: str = ""
-    tries: int = 2
-    hurry: bool = False
+    has_idempotency_key: bool = False
+    is_repeatable: bool = True
+    abort_phase: str = ""
+    max_tries: int = 2
+    ignores_retry_after: bool = False
     s3: bool = False  # over the S3 dialect
-    spoilt: bool = False  # a body that is not the one whose sum is stated; S3 alone
+    has_wrong_checksum: bool = False  # a body that is not the one whose sum is stated; S3 alone
 
 
 class Clients:
@@ -87,18 +87,18 @@
         until = clock() + wish.deadline
         self._number += 1
         key = f"wish-{self._number}"
-        for number in range(wish.tries):
+        for number in range(wish.max_tries):
             # A client of the S3 dialect has no word for its time: it waits as long as the class has.
             left = wish.patience if wish.s3 else min(wish.patience, until - clock())
             if until - clock() < 20 or left < 20:
                 return
             status, wait = await self.once(replace(wish, patience=left), key, number)
-            if wish.leave or 0 < status < 500:
+            if wish.abort_phase or 0 < status < 500:
                 return
-            if not wish.repeatable and status != 503:
+            if not wish.is_repeatable and status != 503:
                 return
             wait = wait if wait else self.random.uniform(0, 100)
-            if number + 1 == wish.tries or clock() + wait > until - 20:
+            if number + 1 == wish.max_tries or clock() + wait > until - 20:
                 return  # told to come back when nobody wants it any more
             await anyio.sleep(wait / 1000)
 
@@ -109,10 +109,12 @@
         began = clock()
         told: dict[str, Any] = {
             "client": me, "gateway": wish.gateway, "class": wish.class_name, "method": wish.method, "path": wish.path,
-            "s3": wish.s3, "spoilt": wish.spoilt,
+            "s3": wish.s3, "spoilt": wish.has_wrong_checksum,
         }  # fmt: skip
         deadline = began + wish.patience
-        self.record.note("client", "try", deadline=deadline, patience=wish.patience, leave=wish.leave, **told)
+        self.record.note(
+            "client", "try", deadline=deadline, patience=wish.patience, leave=wish.abort_phase, **told
+        )
         peer: Peer | None = None
         status, wait = 0, 0.0
         with anyio.move_on_after((wish.patience + GRACE_MS) / 1000) as scope:
@@ -157,13 +159,13 @@
             ("winchdyke-time-left", f"{wish.patience:.0f}ms"),
         ]  # fmt: skip
         headers += [("winchdyke-class", wish.class_name)] if wish.class_name else []
-        headers += [("idempotency-key", key)] if wish.keyed else []
+        headers += [("idempotency-key", key)] if wish.has_idempotency_key else []
         headers += [("range", f"bytes={wish.range[0]}-{wish.range[1]}")] if wish.range else []
         headers += [("content-length", str(len(body)))] if wish.method in ("PUT", "POST") else []
-        if wish.spoilt:
+        if wish.has_wrong_checksum:
             headers.append(("content-md5", base64.b64encode(hashlib.md5(body + b"!").digest()).decode()))
         request = h11.Request(method=wish.method, target=wish.path, headers=headers)
-        if wish.leave == "upload":
+        if wish.abort_phase == "upload":
             await peer.send(request, h11.Data(data=body[: len(body) // 2]))
             await anyio.sleep(0.03)
             self.record.note("client", "left", **told)
@@ -179,7 +181,7 @@
                 head = event
             elif isinstance(event, h11.Data):
                 got += event.data
-                if wish.leave == "download" and len(got) > 1024:
+                if wish.abort_phase == "download" and len(got) > 1024:
                     self.record.note("client", "left", **told)
                     await peer.reset()
                     return 0, 0.0
@@ -196,9 +198,9 @@
             reason=fields.get("winchdyke-reason", "-"), request=fields.get("x-request-id", "-"), **told,
         )  # fmt: skip
         wait = 0.0
-        if head.status_code == 503 and wish.s3 and not wish.hurry:
+        if head.status_code == 503 and wish.s3 and not wish.ignores_retry_after:
             wait = 1000.0 * float(fields.get("retry-after", "0"))
-        elif head.status_code == 503 and not wish.hurry:
+        elif head.status_code == 503 and not wish.ignores_retry_after:
             try:
                 wait = float(json.loads(bytes(got)).get("retry_after_ms") or 0.0)
             except ValueError:
