--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -113,7 +113,7 @@
 
     @run_async
     async def run():
-        async with rig(config(tmp_path), memory_ms=100.0) as it:
+        async with rig(config(tmp_path), deduplication_window_ms=100.0) as it:
             store = it.store_of("/school-1/a")
             store.tricks.extend(["", "silence"])
             write_back = it.gateway.write_back
@@ -130,7 +130,7 @@
 def test_a_late_retry_is_answered_from_the_remembered_idempotency_key(tmp_path):
     @run_async
     async def run():
-        async with rig(config(tmp_path), memory_ms=50.0) as it:
+        async with rig(config(tmp_path), deduplication_window_ms=50.0) as it:
             first = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
             await wait_until_drained(it)
             await anyio.sleep(0.2)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -468,7 +468,11 @@
     @run_async
     async def run():
         async with rig(
-            cold_from=0.1, warm_ms=4000.0, fall_window_ms=300.0, cold_units=9.0, unit_ms=2.0
+            cold_start_capacity=0.1,
+            warm_up_ms=4000.0,
+            overload_window_ms=300.0,
+            min_overload_units=9.0,
+            unit_ms=2.0,
         ) as it:
             from winchdyke.gateway.daemon import Gateway
 
--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -298,9 +298,9 @@
             config,
             make_scheduler_loop=wrong,
             unit_ms=30.0,
-            cold_from=0.1,
-            warm_ms=5000.0,
-            fall_window_ms=300.0,
+            cold_start_capacity=0.1,
+            warm_up_ms=5000.0,
+            overload_window_ms=300.0,
         ) as it:
             it.gateway.pool.verify_identity = None  # or the store's own word on its drain would stop it
             draining, cold, losing = it.stores[0], it.stores[1], it.stores[2]
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -97,9 +97,9 @@
         speed = day.speeds[shard % len(day.speeds)] if day.speeds else 1.0
         spec = StoreSpec(
             shard, rack=f"rack-{shard % 2}", cores=day.cores, speed=speed, unit_ms=day.unit_ms, queue=day.queue,
-            memory_ms=max((kind.memory for kind in day.classes), default=0.0) or 4000.0,
-            cold_from=day.rules.cold_from, warm_ms=day.rules.warm_after, fall_multiple=day.rules.fall_multiple,
-            fall_window_ms=day.rules.fall_window, cold_units=day.rules.cold_units,
+            deduplication_window_ms=max((kind.memory for kind in day.classes), default=0.0) or 4000.0,
+            cold_start_capacity=day.rules.cold_from, warm_up_ms=day.rules.warm_after, overload_factor=day.rules.fall_multiple,
+            overload_window_ms=day.rules.fall_window, min_overload_units=day.rules.cold_units,
         )  # fmt: skip
         return Store(
             spec,
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -54,15 +54,15 @@
     speed: float = 1.0
     unit_ms: float = 8.0
     queue: int = 64
-    memory_ms: float = 4000.0
-    cold_from: float = 0.2
-    warm_ms: float = 10_000.0
-    fall_multiple: float = 3.0
-    fall_window_ms: float = 1500.0
-    cold_units: float = 9.0
+    deduplication_window_ms: float = 4000.0
+    cold_start_capacity: float = 0.2
+    warm_up_ms: float = 10_000.0
+    overload_factor: float = 3.0
+    overload_window_ms: float = 1500.0
+    min_overload_units: float = 9.0
     meter_ms: float = 500.0
-    usual_rate: float = 40.0
-    secure: ssl.SSLContext | None = None  # spoken to over TLS alone
+    typical_units_per_s: float = 40.0
+    tls_context: ssl.SSLContext | None = None  # spoken to over TLS alone
 
     @property
     def power(self) -> float:
@@ -108,10 +108,10 @@
         for old in [period for period in sums if period < clock() // self.period - 4]:
             del sums[old]
 
-    def percent(self, volume: str, usual_rate: float) -> int:
+    def percent(self, volume: str, typical_units_per_s: float) -> int:
         """The last finished period's units, in percent of the usual rate."""
         done = self._sums[volume].get(int(clock() // self.period) - 1, 0.0)
-        return round(100 * done * 1000 / self.period / usual_rate)
+        return round(100 * done * 1000 / self.period / typical_units_per_s)
 
 
 @dataclass
@@ -239,21 +239,25 @@
     def power(self) -> float:
         """Units a second at this moment, as the rule on cold stores counts."""
         age = clock() - self._born
-        if age >= self.spec.warm_ms:
+        if age >= self.spec.warm_up_ms:
             return self.spec.power
-        part = self.spec.cold_from + (1 - self.spec.cold_from) * age / self.spec.warm_ms
+        part = (
+            self.spec.cold_start_capacity + (1 - self.spec.cold_start_capacity) * age / self.spec.warm_up_ms
+        )
         return self.spec.power * part
 
     def _pressed(self, units: float) -> bool:
         """Count what a cold store is sent; whether it has now fallen over."""
         spec, now = self.spec, clock()
-        if now - self._born >= spec.warm_ms:
+        if now - self._born >= spec.warm_up_ms:
             return False
         self._sent.append((now, units))
-        while self._sent and self._sent[0][0] < now - spec.fall_window_ms:
+        while self._sent and self._sent[0][0] < now - spec.overload_window_ms:
             self._sent.popleft()
         sent = sum(part for _, part in self._sent)
-        most = max(spec.cold_units, spec.fall_multiple * self.power() * spec.fall_window_ms / 1000)
+        most = max(
+            spec.min_overload_units, spec.overload_factor * self.power() * spec.overload_window_ms / 1000
+        )
         if sent > self._peak * most:
             self._peak = sent / most
             self.record.note(self.name, "pressed", part=self._peak)
@@ -264,9 +268,9 @@
         return self.fallen
 
     async def _serve(self, stream: SocketStream) -> None:
-        if self.spec.secure is not None:
+        if self.spec.tls_context is not None:
             wrapped = await TLSStream.wrap(
-                stream, server_side=True, ssl_context=self.spec.secure, standard_compatible=False
+                stream, server_side=True, ssl_context=self.spec.tls_context, standard_compatible=False
             )
             stream = wrapped  # type: ignore[assignment]
         peer = Peer(stream, h11.SERVER)
@@ -312,7 +316,7 @@
         if not self.tells:
             return []
         up = clock() - self._born if self.cold else clock() - self._since + LONG_MS
-        cold = up < self.spec.warm_ms
+        cold = up < self.spec.warm_up_ms
         if self.draining or cold:
             self.record.note(self.name, "said", gateway=asked.gateway, drains=self.draining, cold=cold)
         said = [
@@ -422,7 +426,7 @@
             return None
         job = Job()
         if memory:
-            known[memory] = (now + self.spec.memory_ms, job)
+            known[memory] = (now + self.spec.deduplication_window_ms, job)
         self._jobs.start_soon(self._work, asked, job, trick)
         return job
 
@@ -459,7 +463,7 @@
         others = self._others[asked.volume].setdefault(asked.gateway, 0.0)
         self._others[asked.volume][asked.gateway] = 0.0
         load = f"{min(1.0, self._running / self.spec.cores):.2f},{self._waiting}"
-        used = self.meter.percent(asked.volume, self.spec.usual_rate)
+        used = self.meter.percent(asked.volume, self.spec.typical_units_per_s)
         return [
             ("winchdyke-used-percent", str(used)), ("winchdyke-from-others", f"{others:g}"), ("winchdyke-load", load),
         ]  # fmt: skip
