--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -107,7 +107,7 @@
     async with rig(with_ledger(folder), unit_ms=slow_ms / 10) as site:
         path = "/school-1/object"
         node = site.where(path)
-        node.slow = 10.0
+        node.slowdown = 10.0
         for _ in range(5):
             await site.ask("GET", path)
         accounts = waits(site, folder)
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -70,7 +70,7 @@
         async def slowing() -> None:
             for number, factor in chosen.slow:
                 await anyio.sleep((began + chosen.slow_from_ms - clock()) / 1000)
-                it.stores[number].slow = factor
+                it.stores[number].slowdown = factor
 
         async with anyio.create_task_group() as group:
             group.start_soon(slowing)
--- a/benchmarks/uploads.py
+++ b/benchmarks/uploads.py
@@ -201,7 +201,7 @@
             )
             self.counts["trouble " + what] += 1
             if what == "slow":
-                store.slow = self.draw.choice((1.0, 4.0))
+                store.slowdown = self.draw.choice((1.0, 4.0))
             elif what == "kill":
                 if store.up and self.draw.random() < 0.3:
                     store.kill()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -518,7 +518,7 @@
                 for gateway in gateways:
                     for _ in range(3):
                         group.start_soon(send_requests, gateway)
-            assert not restarted_store.fallen
+            assert not restarted_store.overloaded
             assert [
                 seen
                 for seen in it.record.entries
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -272,7 +272,7 @@
     async def run():
         async with rig(with_ledger(tmp_path), unit_ms=slow_ms / 10) as it:
             slow = it.store_of("/school-1/object")
-            slow.slow = 10.0
+            slow.slowdown = 10.0
             for _ in range(max(6, int(400 / slow_ms))):
                 await it.ask("GET", "/school-1/object")
                 await it.ask("GET", "/school-1/other-1")
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -320,7 +320,7 @@
             for _ in range(3):
                 for path in paths.values():
                     await it.ask("GET", path)
-            node.slow, node.slow_for = 30.0, "school-1"
+            node.slowdown, node.slow_volume_prefix = 30.0, "school-1"
             for _ in range(3):
                 for path in paths.values():
                     await it.ask("GET", path)
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -73,7 +73,7 @@
                 spec = StoreSpec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
                 made = Store(spec, ObjectStore(), deduplication_group, meter, record, seed=shard)
                 await made.start(group, cold)
-                made.slow, made.lost_share = slow, lose
+                made.slowdown, made.lost_share = slow, lose
                 click.echo(f"{made.name} {shard}")
 
     _until_stopped(run, record, out)
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -196,10 +196,10 @@
                 store.lost_share = 0.0
         elif event.kind == "slow":
             for store in stores:
-                store.slow = event.size
+                store.slowdown = event.size
             await anyio.sleep(span)
             for store in stores:
-                store.slow = 1.0
+                store.slowdown = 1.0
         elif event.kind == "trick":
             for store in stores:
                 store.trick, store.trick_share = event.how, event.size
@@ -233,12 +233,12 @@
                 if event.kind == "pauses":
                     store.paused_until = clock() + event.size
                 else:
-                    store.slow = 1 / max(0.1, 1 - event.size)
+                    store.slowdown = 1 / max(0.1, 1 - event.size)
             gap = draw.uniform(1000, 2500) if event.kind == "pauses" else draw.uniform(500, 1500)
             await anyio.sleep(gap / 1000)
             if event.kind == "neighbour":
                 for store in stores:
-                    store.slow = 1.0
+                    store.slowdown = 1.0
                 await anyio.sleep(gap / 1000)
 
     async def _restart(self, store: Store) -> None:
@@ -348,7 +348,7 @@
         """Another store takes an address for a while; the one that was there goes on at a new one."""
         old.kill()
         other = self._store(old.spec.shard, ObjectStore(), 900 + old.spec.shard)
-        other.port, other.stranger = old.port, True
+        other.port, other.is_other_store = old.port, True
         await other.start(self.group)
         fresh = self._store(old.spec.shard, old.object_store, old.seed - self.day.seed * 1000)
         self.stores[self.stores.index(old)] = fresh
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -178,13 +178,13 @@
             record,
         )
         self.random, self.seed = random.Random(seed), seed
-        self.stranger = False  # nothing that is sent here is meant for it
+        self.is_other_store = False  # nothing that is sent here is meant for it
         self.port, self.started_unix_ms, self.cold = 0, 0.0, False
-        self.slow, self.lost_share, self.lost_how = 1.0, 0.0, "silence"
+        self.slowdown, self.lost_share, self.lost_how = 1.0, 0.0, "silence"
         self.trick, self.trick_share = "", 0.0  # played on a part of the requests
-        self.slow_for = ""  # only volumes whose names begin so are served slowly
-        self.silent = self.draining = self.fallen = False
-        self.identity, self.boot, self.tells = f"store-{spec.shard}-{seed}", "", True
+        self.slow_volume_prefix = ""  # only volumes whose names begin so are served slowly
+        self.silent = self.draining = self.overloaded = False
+        self.identity, self.boot, self.reports_identity = f"store-{spec.shard}-{seed}", "", True
         self.paused_until = self._since = 0.0
         self.tricks: deque[str] = deque()
         self._born = -1e18
@@ -211,15 +211,15 @@
         self.port = port_of(listener)
         self.cold, self._born = cold, clock() if cold else -1e18
         self.boot, self._since = uuid.uuid4().hex[:12], clock()
-        self.silent = self.draining = self.fallen = False
-        self.slow, self.lost_share, self.paused_until = 1.0, 0.0, 0.0
+        self.silent = self.draining = self.overloaded = False
+        self.slowdown, self.lost_share, self.paused_until = 1.0, 0.0, 0.0
         self.trick, self.trick_share = "", 0.0
         self._waiting = self._running = 0
         self._turns.clear()
         self._sent.clear()
         self._peak = 0.0  # the most that it was sent while cold, as a part of what makes it fall over
         self._scope = anyio.CancelScope()
-        self.record.note(self.name, "up", cold=cold, shard=self.spec.shard, stranger=self.stranger)
+        self.record.note(self.name, "up", cold=cold, shard=self.spec.shard, stranger=self.is_other_store)
 
         async def run(scope: anyio.CancelScope) -> None:
             with scope:
@@ -264,8 +264,8 @@
         if sent > most:
             by: defaultdict[str, float] = defaultdict(float)
             self.record.note(self.name, "fallen", sent=sent, most=most, by=by)
-            self.fallen = True
-        return self.fallen
+            self.overloaded = True
+        return self.overloaded
 
     async def _serve(self, stream: SocketStream) -> None:
         if self.spec.tls_context is not None:
@@ -283,10 +283,10 @@
             if not isinstance(event, h11.Request):
                 return
             asked = Asked(event)
-            if event.target == b"/-/store" and not (self.silent or self.fallen):
+            if event.target == b"/-/store" and not (self.silent or self.overloaded):
                 await self._who(peer, asked)
                 continue
-            if self.silent or self.fallen:
+            if self.silent or self.overloaded:
                 self.record.note(self.name, "unheard", **asked.told())
                 await anyio.sleep_forever()
             trick = self.tricks.popleft() if self.tricks else ""
@@ -313,7 +313,7 @@
 
     def _self(self, asked: Asked) -> list[tuple[str, str]]:
         """What every answer tells of the store: identity, start, age, whether it drains."""
-        if not self.tells:
+        if not self.reports_identity:
             return []
         up = clock() - self._born if self.cold else clock() - self._since + LONG_MS
         cold = up < self.spec.warm_up_ms
@@ -363,7 +363,7 @@
             await peer.send(h11.Response(status_code=503, headers=headers), h11.EndOfMessage())
             return early
         await job.done.wait()
-        while self.silent or self.fallen or clock() < self.paused_until:
+        while self.silent or self.overloaded or clock() < self.paused_until:
             await anyio.sleep(0.005)
         return await self._say(peer, asked, job, trick)
 
@@ -441,7 +441,7 @@
         self._waiting -= 1
         self.record.note(self.name, "run", **asked.told())
         power = self.power() / self.spec.power
-        slow = self.slow if asked.volume.startswith(self.slow_for) else 1.0
+        slow = self.slowdown if asked.volume.startswith(self.slow_volume_prefix) else 1.0
         await anyio.sleep(asked.units * self.spec.unit_ms / self.spec.speed / power * slow / 1000)
         while clock() < self.paused_until:
             await anyio.sleep(0.005)
