--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -583,7 +583,7 @@
     @run_async
     async def run():
         async with rig(listing=False) as it:
-            it.list.keep_old_copy()
+            it.list.serve_cached_copy()
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.list.start(it.group)
             await it.until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -120,7 +120,7 @@
             async with running_agents(one, two):
                 for agent in (one, two):
                     group.start_soon(gateway_seeds(agent, service).run)
-                await wait_until(lambda: service.refused >= 2)
+                await wait_until(lambda: service.error_count >= 2)
                 assert member_states(one) == member_states(two) == {} and two.status()["alone"]
                 service.failing = ""
                 await service.set(address_text(one), "ready", 0, "")
--- a/winchdyke/standins/nodelist.py
+++ b/winchdyke/standins/nodelist.py
@@ -22,7 +22,7 @@
         self.record = record
         self.port = 0
         self.failing = ""  # "": well; "error": answers 500; "silence": says nothing; "down": not listening
-        self.refused = 0  # calls answered with an error
+        self.error_count = 0  # calls answered with an error
         self.late_ms = 0.0
         self.by_index = False
         self._old: tuple[int, list[dict[str, Any]]] | None = None
@@ -66,7 +66,7 @@
         self._news.set()
         self._news = anyio.Event()
 
-    def keep_old_copy(self, keep: bool = True) -> None:
+    def serve_cached_copy(self, keep: bool = True) -> None:
         """From now on tell the list as it is now, as a cached copy, to whoever asks for the whole."""
         entries = [dict(entry) for entry in self._entries.values() if entry["state"] != "gone"]
         self._old = (self._version, entries) if keep else None
@@ -82,7 +82,7 @@
         if self.failing == "silence":
             await anyio.sleep_forever()
         if self.failing == "error":
-            self.refused += 1
+            self.error_count += 1
             await self._say(peer, 500, b"")
             return
         since = query.get("since", "")
