--- a/tests/test_membership_processes.py
+++ b/tests/test_membership_processes.py
@@ -140,7 +140,7 @@
             b.setblocking(False)
             links = Links(["a", "b"], 1, Record(), lambda name: b.getsockname()[1] if name == "b" else 0)
             await links.start()
-            links.set([("a", "b")], fault)
+            links.set_fault([("a", "b")], fault)
             host, port = links.peers("a")["b"].split(":")
             received = 0
             for number in range(300):
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -379,10 +379,10 @@
             "no-tcp": Fault(streams=False),
         }[how]  # fmt: skip
         before = {pair: links.links[pair].fault for pair in pairs}
-        links.set(pairs, fault)
+        links.set_fault(pairs, fault)
         await anyio.sleep(span)
         for was in set(before.values()):
-            links.set([pair for pair, each in before.items() if each == was], was)
+            links.set_fault([pair for pair, each in before.items() if each == was], was)
 
     async def _stop_gateway(self, index: int, span: float) -> None:
         process = self.processes[index]
--- a/winchdyke/standins/links.py
+++ b/winchdyke/standins/links.py
@@ -192,7 +192,7 @@
         """Where a gateway reaches the others."""
         return {to: f"127.0.0.1:{link.port}" for (sender, to), link in self.links.items() if sender == name}
 
-    def set(self, pairs: list[tuple[str, str]], fault: Fault) -> None:
+    def set_fault(self, pairs: list[tuple[str, str]], fault: Fault) -> None:
         """From now on these links do this."""
         for pair in pairs:
             self.links[pair].fault = fault
