--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -18,7 +18,7 @@
 from winchdyke.load.beside import beside, text
 from winchdyke.load.report import Seen
 from winchdyke.load.run import Asked, Worker
-from winchdyke.load.schedule import Mix, wishes
+from winchdyke.load.schedule import Mix, plan_requests
 
 
 @given(st.integers(0, 99), st.integers(1, 5))
@@ -26,9 +26,10 @@
 def test_the_times_are_drawn_beforehand_and_workers_share_the_rate(seed, workers):
     mix = Mix({"get": 3.0, "range": 1.0})
     parts = [
-        list(wishes(seed, 200.0, 20_000.0, mix, ["a", "b"], 50, 1000, n, workers)) for n in range(workers)
+        list(plan_requests(seed, 200.0, 20_000.0, mix, ["a", "b"], 50, 1000, n, workers))
+        for n in range(workers)
     ]
-    again = list(wishes(seed, 200.0, 20_000.0, mix, ["a", "b"], 50, 1000, 0, workers))
+    again = list(plan_requests(seed, 200.0, 20_000.0, mix, ["a", "b"], 50, 1000, 0, workers))
     assert parts[0] == again
     total = sum(map(len, parts))
     assert 3600 < total < 4400, "4,000 are due; five standard deviations are 316"
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -1,4 +1,4 @@
-"""A worker of a load run: sends each wish at its time over kept connections, natively or as an S3 client."""
+"""A worker of a load run: sends each planned request at its time over kept connections, natively or as an S3 client."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from winchdyke.auth.sigv4 import sign
 from winchdyke.load.report import Seen
-from winchdyke.load.schedule import Mix, Wish, wishes
+from winchdyke.load.schedule import Mix, PlannedRequest, plan_requests
 
 LOST = (
     anyio.EndOfStream,
@@ -101,7 +101,7 @@
         began = time.perf_counter()
         places = anyio.Semaphore(CONNECTIONS)
         async with anyio.create_task_group() as group:
-            for wish in wishes(
+            for wish in plan_requests(
                 self.asked.seed, self.asked.rate, self.asked.length_ms, self.asked.mix, self.asked.volumes,
                 self.asked.objects, self.asked.size, self.number, self.workers,
             ):  # fmt: skip
@@ -115,7 +115,7 @@
         self.seen.seconds = time.perf_counter() - began
         return self.seen
 
-    async def _one(self, wish: Wish, due: float, places: anyio.Semaphore) -> None:
+    async def _one(self, wish: PlannedRequest, due: float, places: anyio.Semaphore) -> None:
         self.seen.late.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
         outcome = "no answer in time"
         self._count += 1
@@ -139,7 +139,7 @@
             }
             self.log.append(line)
 
-    async def _do(self, wish: Wish, name: str) -> str:
+    async def _do(self, wish: PlannedRequest, name: str) -> str:
         mine = [(b"x-request-id", name.encode())]
         path = f"/{wish.volume}/{wish.key}"
         if wish.operation == "list":
--- a/winchdyke/load/schedule.py
+++ b/winchdyke/load/schedule.py
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class PlannedRequest:
     """One request: its time from the run's start (ms), what, on which object, how large; ``part`` of ``size`` for a range."""
 
     at: float
@@ -48,10 +48,10 @@
     first: int = 0
 
 
-def wishes(
+def plan_requests(
     seed: int, rate: float, length_ms: float, mix: Mix, volumes: list[str], objects: int, size: int, worker: int = 0,
     workers: int = 1,
-) -> Iterator[Wish]:  # fmt: skip
+) -> Iterator[PlannedRequest]:  # fmt: skip
     """One worker's share of a run: Poisson arrivals of ``rate`` requests a second over all workers. Objects are drawn by a
     Zipf-like law, so that some are hot.
     """
@@ -68,4 +68,4 @@
             f"load-{number}" if operation != "upload" else f"load-upload-{worker}-{draw.getrandbits(48):012x}"
         )
         first = draw.randrange(size) if operation == "range" else 0
-        yield Wish(now, operation, draw.choice(volumes), key, size, first)
+        yield PlannedRequest(now, operation, draw.choice(volumes), key, size, first)
