--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -17,7 +17,7 @@
 from winchdyke.cli.main import main
 from winchdyke.load.beside import beside, text
 from winchdyke.load.report import Seen
-from winchdyke.load.run import Asked, Worker
+from winchdyke.load.run import RunSettings, Worker
 from winchdyke.load.schedule import Mix, plan_requests
 
 
@@ -68,7 +68,7 @@
         async with rig(unit_ms=0.5) as it:
             host, port = it.gateway.address
             mix = Mix({"get": 1.0})
-            asked = Asked(
+            asked = RunSettings(
                 f"http://{host}:{port}", 100.0, 2000.0, mix, ["school-1"], 50, 1000, 1, False, ("", ""), 5.0
             )
             worker = Worker(asked, 0, 1)
@@ -99,7 +99,7 @@
         async with rig(with_s3(keys), unit_ms=0.02) as it:
             mix = Mix.read("get=4,range=2,put=4,upload=0.5,list=1")
             access = (keys.key.id, keys.secret)
-            asked = Asked(
+            asked = RunSettings(
                 address(it), 40.0, 1500.0, mix, ["school-1", "contest-1"], 5, 20_000, 2, True, access, 10.0
             )
             worker = Worker(asked, 0, 1)
@@ -114,7 +114,7 @@
             outcomes = seen.data()["outcomes"]
             assert set(outcomes) == {"get", "range", "put", "upload", "list"}
             assert all(set(each) == {"served"} for each in outcomes.values()), outcomes
-            wrong = Asked(
+            wrong = RunSettings(
                 address(it), 40.0, 300.0, Mix.read("put"), ["school-1"], 5, 100, 2, True, ("x", "y"), 10.0
             )
             told = (await Worker(wrong, 0, 1).run()).data()["outcomes"]
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -12,9 +12,9 @@
 
 
 def _work(words: tuple[Any, ...], number: int, workers: int, out: Any, logged: bool) -> None:
-    from winchdyke.load.run import Asked, Worker
+    from winchdyke.load.run import RunSettings, Worker
 
-    worker = Worker(Asked(*words), number, workers)
+    worker = Worker(RunSettings(*words), number, workers)
     worker.log = [] if logged else None
     anyio.run(worker.run)
     out.send((worker.seen.packed(), worker.log or []))
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Asked:
+class RunSettings:
     """One run. ``access``: an S3 key and its secret; empty for the object API, or S3 without a signature."""
 
     url: str
@@ -85,15 +85,15 @@
 class Worker:
     """One process's part of a run."""
 
-    def __init__(self, asked: Asked, number: int, workers: int) -> None:
-        self.asked, self.number, self.workers = asked, number, workers
-        parts = urlsplit(asked.url)
+    def __init__(self, settings: RunSettings, number: int, workers: int) -> None:
+        self.settings, self.number, self.workers = settings, number, workers
+        parts = urlsplit(settings.url)
         self.host, self.port = parts.hostname or "", parts.port or 80
         self.seen = Seen()
         self._idle: list[_Connection] = []
         self.log: list[dict[str, object]] | None = None  # a line for each request, where it is wanted
         self._count = 0
-        self._body = hashlib.shake_256(str(asked.seed).encode()).digest(max(asked.size, 1))
+        self._body = hashlib.shake_256(str(settings.seed).encode()).digest(max(settings.size, 1))
         self._part = self._body[:1] * PART_BYTES
 
     async def run(self) -> Seen:
@@ -102,8 +102,8 @@
         places = anyio.Semaphore(CONNECTIONS)
         async with anyio.create_task_group() as group:
             for wish in plan_requests(
-                self.asked.seed, self.asked.rate, self.asked.length_ms, self.asked.mix, self.asked.volumes,
-                self.asked.objects, self.asked.size, self.number, self.workers,
+                self.settings.seed, self.settings.rate, self.settings.length_ms, self.settings.mix, self.settings.volumes,
+                self.settings.objects, self.settings.size, self.number, self.workers,
             ):  # fmt: skip
                 left = began + wish.at / 1000 - time.perf_counter()
                 if left > 0:
@@ -119,9 +119,9 @@
         self.seen.late.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
         outcome = "no answer in time"
         self._count += 1
-        name = f"load-{self.asked.seed}-{self.number}-{self._count}"
+        name = f"load-{self.settings.seed}-{self.number}-{self._count}"
         try:
-            with anyio.move_on_after(self.asked.patience_s):
+            with anyio.move_on_after(self.settings.patience_s):
                 outcome = await self._do(wish, name)
         except LOST:
             outcome = "cut"
@@ -143,7 +143,7 @@
         mine = [(b"x-request-id", name.encode())]
         path = f"/{wish.volume}/{wish.key}"
         if wish.operation == "list":
-            query = "list-type=2&max-keys=100" if self.asked.s3 else "limit=100"
+            query = "list-type=2&max-keys=100" if self.settings.s3 else "limit=100"
             return self._outcome(*(await self._ask("GET", f"/{wish.volume}", query, b"", mine))[:2])
         if wish.operation == "put":
             return self._outcome(*(await self._ask("PUT", path, "", self._body, mine))[:2])
@@ -158,7 +158,7 @@
 
     async def _upload(self, path: str, mine: list[tuple[bytes, bytes]]) -> str:
         status, headers, body = await self._ask(
-            "POST", path, "uploads=" if self.asked.s3 else "uploads", b"", mine
+            "POST", path, "uploads=" if self.settings.s3 else "uploads", b"", mine
         )
         found = re.search(rb'<UploadId>([^<]+)<|"uploadId": ?"([^"]+)"', body)
         if status != 200 or not found:
@@ -176,7 +176,7 @@
             )
         document = (
             f"<CompleteMultipartUpload>{''.join(named)}</CompleteMultipartUpload>".encode()
-            if self.asked.s3
+            if self.settings.s3
             else b""
         )
         status, headers, _ = await self._ask("POST", path, f"uploadId={upload}", document, mine)
@@ -195,9 +195,15 @@
     ) -> tuple[int, dict[str, str], bytes]:  # fmt: skip
         host = f"{self.host}:{self.port}"
         headers = [(b"host", host.encode())]
-        if self.asked.access[0]:
+        if self.settings.access[0]:
             headers = sign(
-                method, host, path, query, hashlib.sha256(body).hexdigest(), *self.asked.access, time.time()
+                method,
+                host,
+                path,
+                query,
+                hashlib.sha256(body).hexdigest(),
+                *self.settings.access,
+                time.time(),
             )
         headers += [(b"content-length", str(len(body)).encode()), *more]
         target = path + (f"?{query}" if query else "")
