--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -16,7 +16,7 @@
 
 from winchdyke.cli.main import main
 from winchdyke.load.beside import beside, text
-from winchdyke.load.report import Seen
+from winchdyke.load.report import Results
 from winchdyke.load.run import RunSettings, Worker
 from winchdyke.load.schedule import Mix, plan_requests
 
@@ -43,15 +43,15 @@
 
 
 def test_what_several_processes_saw_is_put_together():
-    parts = [Seen(), Seen()]
-    for number, seen in enumerate(parts):
+    parts = [Results(), Results()]
+    for number, results in enumerate(parts):
         for ms in range(1, 101):
-            seen.add("get", f"v{number}", "served", float(ms + 100 * number))
-        seen.add("get", "v", "refused", 5.0)
-        seen.late.record_value(1000)
-    whole = Seen()
-    for seen in parts:
-        whole.merge(json.loads(json.dumps(seen.packed())))
+            results.add("get", f"v{number}", "served", float(ms + 100 * number))
+        results.add("get", "v", "refused", 5.0)
+        results.late.record_value(1000)
+    whole = Results()
+    for results in parts:
+        whole.merge(json.loads(json.dumps(results.packed())))
     data = whole.data()
     assert data["outcomes"] == {"get": {"served": 200, "refused": 2}}
     assert data["latency_ms"]["get"]["p50"] == pytest.approx(100, rel=0.01)
@@ -79,14 +79,14 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(stall)
-                seen = await worker.run()
-            found = seen.data()
+                results = await worker.run()
+            found = results.data()
             asked_for = sum(found["outcomes"]["get"].values())
             assert 150 < asked_for < 260, "what the stall held up was sent after it"
             assert found["latency_ms"]["get"]["p90"] > 150, (
                 "a tenth and more of the times came within the stall"
             )
-            assert found["sent_late_ms"]["p99"] > 150 and "was behind" in seen.text()
+            assert found["sent_late_ms"]["p99"] > 150 and "was behind" in results.text()
 
     run()
 
@@ -104,14 +104,14 @@
             )
             worker = Worker(asked, 0, 1)
             worker.log = []
-            seen = await worker.run()
+            results = await worker.run()
             rows = beside(worker.log, it.record.entries)
             assert rows["put"].attempts == len(rows["put"].waited) and rows["upload"].attempts >= 5 * len(
                 rows["upload"].waited
             )
             assert all(0 < row.told()["store share"] < 1 for row in rows.values() if row.waited)
             assert "store p99" in text(rows)
-            outcomes = seen.data()["outcomes"]
+            outcomes = results.data()["outcomes"]
             assert set(outcomes) == {"get", "range", "put", "upload", "list"}
             assert all(set(each) == {"served"} for each in outcomes.values()), outcomes
             wrong = RunSettings(
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -17,7 +17,7 @@
     worker = Worker(RunSettings(*words), number, workers)
     worker.log = [] if logged else None
     anyio.run(worker.run)
-    out.send((worker.seen.packed(), worker.log or []))
+    out.send((worker.results.packed(), worker.log or []))
 
 
 @click.command("load")
@@ -83,7 +83,7 @@
 
     from winchdyke.config import units
     from winchdyke.durable_files import PrivateFileError, read_private_file
-    from winchdyke.load.report import Seen
+    from winchdyke.load.report import Results
     from winchdyke.load.schedule import Mix
 
     try:
@@ -99,7 +99,7 @@
     words = (
         url, rate, asked[1], asked[0], volumes.split(","), objects, asked[2], seed, s3, (access, word), asked[3] / 1000,
     )  # fmt: skip
-    seen, logged = Seen(), []
+    results, logged = Results(), []
     context = multiprocessing.get_context("spawn")
     running = []
     for number in range(processes):
@@ -111,11 +111,11 @@
     for process, mine in running:
         try:
             packed, lines = mine.recv()
-            seen.merge(packed)
+            results.merge(packed)
             logged += lines
         except EOFError:
             click.echo("a worker ended without a word; its requests are not counted", err=True)
         process.join()
     if log is not None:
         log.write_text("".join(json.dumps(line) + "\n" for line in logged))
-    click.echo(json.dumps(seen.data()) if as_json else seen.text())
+    click.echo(json.dumps(results.data()) if as_json else results.text())
--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -17,7 +17,7 @@
 
 
 @dataclass
-class Seen:
+class Results:
     """All that one worker saw, or several together."""
 
     taken: dict[tuple[str, str], Any] = field(
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -13,7 +13,7 @@
 import h11
 
 from winchdyke.auth.sigv4 import sign
-from winchdyke.load.report import Seen
+from winchdyke.load.report import Results
 from winchdyke.load.schedule import Mix, PlannedRequest, plan_requests
 
 LOST = (
@@ -89,14 +89,14 @@
         self.settings, self.number, self.workers = settings, number, workers
         parts = urlsplit(settings.url)
         self.host, self.port = parts.hostname or "", parts.port or 80
-        self.seen = Seen()
+        self.results = Results()
         self._idle: list[_Connection] = []
         self.log: list[dict[str, object]] | None = None  # a line for each request, where it is wanted
         self._count = 0
         self._body = hashlib.shake_256(str(settings.seed).encode()).digest(max(settings.size, 1))
         self._part = self._body[:1] * PART_BYTES
 
-    async def run(self) -> Seen:
+    async def run(self) -> Results:
         """To the end of all that was sent."""
         began = time.perf_counter()
         places = anyio.Semaphore(CONNECTIONS)
@@ -112,11 +112,11 @@
                 group.start_soon(self._one, wish, began + wish.at / 1000, places)
         for connection in self._idle:
             await anyio.aclose_forcefully(connection.stream)
-        self.seen.seconds = time.perf_counter() - began
-        return self.seen
+        self.results.seconds = time.perf_counter() - began
+        return self.results
 
     async def _one(self, wish: PlannedRequest, due: float, places: anyio.Semaphore) -> None:
-        self.seen.late.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
+        self.results.late.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
         outcome = "no answer in time"
         self._count += 1
         name = f"load-{self.settings.seed}-{self.number}-{self._count}"
@@ -128,7 +128,7 @@
         finally:
             places.release()
         ms = (time.perf_counter() - due) * 1000
-        self.seen.add(wish.operation, wish.volume, outcome, ms)
+        self.results.add(wish.operation, wish.volume, outcome, ms)
         if self.log is not None:
             line = {
                 "id": name,
@@ -217,7 +217,7 @@
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(connection.stream)
             raise
-        self.seen.bytes += len(got) + len(body)
+        self.results.bytes += len(got) + len(body)
         if connection.ready():
             self._idle.append(connection)
         else:
