--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -48,11 +48,11 @@
         for ms in range(1, 101):
             results.add("get", f"v{number}", "served", float(ms + 100 * number))
         results.add("get", "v", "refused", 5.0)
-        results.late.record_value(1000)
+        results.send_delays.record_value(1000)
     whole = Results()
     for results in parts:
-        whole.merge(json.loads(json.dumps(results.packed())))
-    data = whole.data()
+        whole.merge(json.loads(json.dumps(results.pack())))
+    data = whole.figures()
     assert data["outcomes"] == {"get": {"served": 200, "refused": 2}}
     assert data["latency_ms"]["get"]["p50"] == pytest.approx(100, rel=0.01)
     assert data["latency_ms"]["get"]["p100"] == pytest.approx(200, rel=0.01)
@@ -80,7 +80,7 @@
             async with anyio.create_task_group() as group:
                 group.start_soon(stall)
                 results = await worker.run()
-            found = results.data()
+            found = results.figures()
             asked_for = sum(found["outcomes"]["get"].values())
             assert 150 < asked_for < 260, "what the stall held up was sent after it"
             assert found["latency_ms"]["get"]["p90"] > 150, (
@@ -111,13 +111,13 @@
             )
             assert all(0 < row.told()["store share"] < 1 for row in rows.values() if row.waited)
             assert "store p99" in text(rows)
-            outcomes = results.data()["outcomes"]
+            outcomes = results.figures()["outcomes"]
             assert set(outcomes) == {"get", "range", "put", "upload", "list"}
             assert all(set(each) == {"served"} for each in outcomes.values()), outcomes
             wrong = RunSettings(
                 address(it), 40.0, 300.0, Mix.read("put"), ["school-1"], 5, 100, 2, True, ("x", "y"), 10.0
             )
-            told = (await Worker(wrong, 0, 1).run()).data()["outcomes"]
+            told = (await Worker(wrong, 0, 1).run()).figures()["outcomes"]
             assert set(told["put"]) == {"answered 403"}
 
     run()
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -17,7 +17,7 @@
     worker = Worker(RunSettings(*words), number, workers)
     worker.log = [] if logged else None
     anyio.run(worker.run)
-    out.send((worker.results.packed(), worker.log or []))
+    out.send((worker.results.pack(), worker.log or []))
 
 
 @click.command("load")
@@ -118,4 +118,4 @@
         process.join()
     if log is not None:
         log.write_text("".join(json.dumps(line) + "\n" for line in logged))
-    click.echo(json.dumps(results.data()) if as_json else results.text())
+    click.echo(json.dumps(results.figures()) if as_json else results.text())
--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -20,11 +20,11 @@
 class Results:
     """All that one worker saw, or several together."""
 
-    taken: dict[tuple[str, str], Any] = field(
+    latencies: dict[tuple[str, str], Any] = field(
         default_factory=dict
     )  # operation, volume: latency from its time, us
     outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)  # operation, outcome
-    late: Any = field(default_factory=_histogram)  # how late the tool sent, us
+    send_delays: Any = field(default_factory=_histogram)  # how late the tool sent, us
     bytes: int = 0
     seconds: float = 0.0
 
@@ -33,37 +33,37 @@
         self.outcomes[operation, outcome] += 1
         if outcome == "served":
             where = operation, volume
-            if where not in self.taken:
-                self.taken[where] = _histogram()
-            self.taken[where].record_value(max(LOWEST_US, min(HIGHEST_US, int(taken_ms * 1000))))
+            if where not in self.latencies:
+                self.latencies[where] = _histogram()
+            self.latencies[where].record_value(max(LOWEST_US, min(HIGHEST_US, int(taken_ms * 1000))))
 
-    def packed(self) -> dict[str, Any]:
+    def pack(self) -> dict[str, Any]:
         """As plain values, to be sent to another process."""
         return {
-            "taken": [[*where, each.encode().decode()] for where, each in self.taken.items()],
+            "taken": [[*where, each.encode().decode()] for where, each in self.latencies.items()],
             "outcomes": [[*where, count] for where, count in self.outcomes.items()],
-            "late": self.late.encode().decode(), "bytes": self.bytes, "seconds": self.seconds,
+            "late": self.send_delays.encode().decode(), "bytes": self.bytes, "seconds": self.seconds,
         }  # fmt: skip
 
     def merge(self, packed: dict[str, Any]) -> None:
         """Put what another process saw to this."""
         for operation, volume, text in packed["taken"]:
-            if (operation, volume) not in self.taken:
-                self.taken[operation, volume] = _histogram()
-            self.taken[operation, volume].decode_and_add(text.encode())
+            if (operation, volume) not in self.latencies:
+                self.latencies[operation, volume] = _histogram()
+            self.latencies[operation, volume].decode_and_add(text.encode())
         for operation, outcome, count in packed["outcomes"]:
             self.outcomes[operation, outcome] += count
-        self.late.decode_and_add(packed["late"].encode())
+        self.send_delays.decode_and_add(packed["late"].encode())
         self.bytes += packed["bytes"]
         self.seconds = max(self.seconds, packed["seconds"])
 
     def _by_operation(self) -> dict[str, Any]:
         found: dict[str, Any] = {}
-        for (operation, _), each in self.taken.items():
+        for (operation, _), each in self.latencies.items():
             found.setdefault(operation, _histogram()).add(each)
         return found
 
-    def data(self) -> dict[str, Any]:
+    def figures(self) -> dict[str, Any]:
         """All figures, as plain values; latencies in ms."""
 
         def told(each: Any) -> dict[str, float]:
@@ -74,14 +74,14 @@
         for (operation, outcome), count in sorted(self.outcomes.items()):
             outcomes.setdefault(operation, {})[outcome] = count
         return {
-            "seconds": self.seconds, "bytes": self.bytes, "outcomes": outcomes, "sent_late_ms": told(self.late),
+            "seconds": self.seconds, "bytes": self.bytes, "outcomes": outcomes, "sent_late_ms": told(self.send_delays),
             "latency_ms": {name: told(each) for name, each in sorted(self._by_operation().items())},
-            "by_volume_ms": {f"{op} {volume}": told(each) for (op, volume), each in sorted(self.taken.items())},
+            "by_volume_ms": {f"{op} {volume}": told(each) for (op, volume), each in sorted(self.latencies.items())},
         }  # fmt: skip
 
     def text(self) -> str:
         """The same for people."""
-        data = self.data()
+        data = self.figures()
         asked = sum(sum(each.values()) for each in data["outcomes"].values())
         seconds = max(1e-9, self.seconds)
         lines = [
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -116,7 +116,7 @@
         return self.results
 
     async def _one(self, wish: PlannedRequest, due: float, places: anyio.Semaphore) -> None:
-        self.results.late.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
+        self.results.send_delays.record_value(max(1, int((time.perf_counter() - due) * 1e6)))
         outcome = "no answer in time"
         self._count += 1
         name = f"load-{self.settings.seed}-{self.number}-{self._count}"
