--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -15,7 +15,7 @@
 from test_s3 import Keys, address, with_s3
 
 from winchdyke.cli.main import main
-from winchdyke.load.beside import beside, text
+from winchdyke.load.beside import compare, format_table
 from winchdyke.load.report import Results
 from winchdyke.load.run import RunSettings, Worker
 from winchdyke.load.schedule import Mix, plan_requests
@@ -105,12 +105,12 @@
             worker = Worker(asked, 0, 1)
             worker.log = []
             results = await worker.run()
-            rows = beside(worker.log, it.record.entries)
+            rows = compare(worker.log, it.record.entries)
             assert rows["put"].attempts == len(rows["put"].waited) and rows["upload"].attempts >= 5 * len(
                 rows["upload"].waited
             )
-            assert all(0 < row.told()["store share"] < 1 for row in rows.values() if row.waited)
-            assert "store p99" in text(rows)
+            assert all(0 < row.figures()["store share"] < 1 for row in rows.values() if row.waited)
+            assert "store p99" in format_table(rows)
             outcomes = results.figures()["outcomes"]
             assert set(outcomes) == {"get", "range", "put", "upload", "list"}
             assert all(set(each) == {"served"} for each in outcomes.values()), outcomes
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -177,4 +177,4 @@
             raise click.ClickException(f"{path} can't be read as lines of JSON: {error}") from None
 
     seen = [line for path in records for line in lines(path)]
-    click.echo(beside.text(beside.beside(lines(log), seen)))
+    click.echo(beside.format_table(beside.compare(lines(log), seen)))
--- a/winchdyke/load/beside.py
+++ b/winchdyke/load/beside.py
@@ -24,7 +24,7 @@
     attempts: int = 0
     unanswered: int = 0  # attempts
 
-    def told(self) -> dict[str, float]:
+    def figures(self) -> dict[str, float]:
         """Its figures."""
         count = len(self.waited)
         return {
@@ -49,7 +49,7 @@
     return found
 
 
-def beside(clients: Iterable[Line], stores: Iterable[Line]) -> dict[str, Row]:
+def compare(clients: Iterable[Line], stores: Iterable[Line]) -> dict[str, Row]:
     """By operation."""
     heads: dict[tuple[str, int], Line] = {}
     spans: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
@@ -75,11 +75,11 @@
     return dict(rows)
 
 
-def text(rows: dict[str, Row]) -> str:
+def format_table(rows: dict[str, Row]) -> str:
     """For people."""
     names = ("requests", "attempts", "unanswered", "p50", "p99", "store p50", "store p99", "store share")
     lines = [f"{'':8}" + "".join(f"{name:>13}" for name in names)]
     for operation, row in sorted(rows.items()):
-        told = row.told()
-        lines.append(f"{operation:8}" + "".join(f"{told[name]:13.2f}" for name in names))
+        figures = row.figures()
+        lines.append(f"{operation:8}" + "".join(f"{figures[name]:13.2f}" for name in names))
     return "\n".join([*lines, "ms; attempts and store share are for each request"])
