--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -1,6 +1,6 @@
-"""A stand-in store: cores, a queue in turn of arrival, cold starts, dropped repeats, and faults on demand.
+"""An emulated store: cores, a first-come-first-served queue, cold starts, deduplication of retries, and faults on demand.
 
-Its objects lie on a :class:`ObjectStore` that outlives it. The protocol is ``docs/store-protocol.md``.
+Its objects are in an :class:`ObjectStore` that outlives the store process. The protocol is ``docs/store-protocol.md``.
 """
 
 from __future__ import annotations
@@ -26,8 +26,8 @@
 from winchdyke.standins.record import Record, clock
 from winchdyke.standins.wire import Peer, accept_all, listen, port_of
 
-LONG_MS = 3_600_000.0  # up for, where its start was not cold
-KEPT = (
+WARM_UPTIME_MS = 3_600_000.0  # added to the reported uptime of a store that was started warm
+STORED_HEADERS = (
     "content-type",
     "content-disposition",
     "content-encoding",
@@ -45,7 +45,20 @@
 
 @dataclass(frozen=True)
 class StoreSpec:
-    """What a store can do and what it promises. Times in milliseconds."""
+    """Capacity, cold-start behaviour and limits of an emulated store. Times in milliseconds.
+
+    Attributes:
+        cores: Number of requests that are served at the same time.
+        speed: Speed relative to a store that needs ``unit_ms`` for one unit on one core.
+        queue: Number of requests that may wait for a core; more are shed.
+        deduplication_window_ms: Time for which the response of a request with an idempotency key is repeated.
+        cold_start_capacity: Fraction of the warm capacity at a cold start; capacity grows linearly until ``warm_up_ms``.
+        overload_factor: A cold store fails for good once it receives more than this multiple of its current capacity
+            within ``overload_window_ms``.
+        min_overload_units: Units within that window that never make it fail.
+        typical_units_per_s: Usual rate of a volume; reported usage is in percent of it.
+        tls_context: TLS settings; None: plain TCP.
+    """
 
     shard: int
     zone: str = "hall-a"
@@ -62,61 +75,67 @@
     min_overload_units: float = 9.0
     meter_ms: float = 500.0
     typical_units_per_s: float = 40.0
-    tls_context: ssl.SSLContext | None = None  # spoken to over TLS alone
+    tls_context: ssl.SSLContext | None = None
 
     @property
-    def power(self) -> float:
-        """Units a second when warm."""
+    def warm_capacity(self) -> float:
+        """Units per second once warm."""
         return self.cores * self.speed * 1000 / self.unit_ms
 
 
 @dataclass
 class ObjectStore:
-    """The objects and uploads of one shard."""
+    """The objects and multipart uploads of one shard.
+
+    Attributes:
+        objects: Content and ETag, by volume and key.
+        uploads: Volume, key and received parts of each open upload.
+        headers: Stored headers, by volume and key.
+        part_sizes: Sizes of the parts of an object that was uploaded in parts, by volume and key.
+        upload_states: Start and time of the last part (Unix time in ms), and headers for the object, by upload.
+        completed_uploads: Volume, key and ETag, by upload.
+        upload_count: Number of uploads that have been created.
+    """
 
     objects: dict[tuple[str, str], tuple[bytes, str]] = field(default_factory=dict)
     uploads: dict[str, tuple[str, str, dict[int, bytes]]] = field(default_factory=dict)
-    kept: dict[tuple[str, str], list[tuple[str, str]]] = field(default_factory=dict)  # headers of objects
-    sizes: dict[tuple[str, str], list[int]] = field(
-        default_factory=dict
-    )  # of the parts that an object was made of
-    begun: dict[str, tuple[float, float, list[tuple[str, str]]]] = field(default_factory=dict)  # of uploads
-    done: dict[str, tuple[str, str, str]] = field(
-        default_factory=dict
-    )  # completed uploads: whose, and the tag
-    made: int = 0
+    headers: dict[tuple[str, str], list[tuple[str, str]]] = field(default_factory=dict)
+    part_sizes: dict[tuple[str, str], list[int]] = field(default_factory=dict)
+    upload_states: dict[str, tuple[float, float, list[tuple[str, str]]]] = field(default_factory=dict)
+    completed_uploads: dict[str, tuple[str, str, str]] = field(default_factory=dict)
+    upload_count: int = 0
 
 
 class DeduplicationGroup:
-    """What the stores of a rack remember together: the answers to keyed requests, for a stated time."""
+    """Responses to requests with an idempotency key, shared by the stores of a rack until they expire."""
 
     def __init__(self) -> None:
-        self.answers: dict[str, tuple[float, Job]] = {}
+        self.answers: dict[str, tuple[float, WorkItem]] = {}
 
 
 class UsageMeter:
-    """Units served for each volume through everything, by finished period."""
+    """Units served to each volume by all stores, in periods of fixed length."""
 
     def __init__(self, period_ms: float = 500.0) -> None:
         self.period = period_ms
         self._sums: defaultdict[str, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
 
     def add(self, volume: str, units: float) -> None:
-        """Count units served now."""
+        """Add units that are served now."""
         sums = self._sums[volume]
         sums[int(clock() // self.period)] += units
         for old in [period for period in sums if period < clock() // self.period - 4]:
             del sums[old]
 
     def percent(self, volume: str, typical_units_per_s: float) -> int:
-        """The last finished period's units, in percent of the usual rate."""
+        """Return the rate in the last complete period, in percent of the typical rate."""
         done = self._sums[volume].get(int(clock() // self.period) - 1, 0.0)
         return round(100 * done * 1000 / self.period / typical_units_per_s)
 
 
 @dataclass
-class Job:
-    """One request's work, and its answer once done."""
+class WorkItem:
+    """A request in execution, and its response once ``done`` is set."""
 
     status: int = 500
     headers: list[tuple[str, str]] = field(default_factory=list)
@@ -124,8 +143,8 @@
     done: anyio.Event = field(default_factory=anyio.Event)
 
 
-class Asked:
-    """A request as the store read it."""
+class ParsedRequest:
+    """A request as parsed by the store."""
 
     def __init__(self, event: h11.Request) -> None:
         self.method = event.method.decode()
@@ -138,11 +157,11 @@
         }
         self.units = float(self.headers.get("winchdyke-units", "1"))
         self.gateway = self.headers.get("winchdyke-gateway", "-")
-        self.repeat_key = self.headers.get("idempotency-key", "")
+        self.idempotency_key = self.headers.get("idempotency-key", "")
         self.body = bytearray()
 
-    def told(self) -> dict[str, Any]:
-        """What identifies it in the record."""
+    def record_fields(self) -> dict[str, Any]:
+        """Return the fields that identify the request in the record."""
         return {
             "request": self.headers.get("winchdyke-request", "-"),
             "attempt": int(self.headers.get("winchdyke-attempt", "0")),
@@ -150,7 +169,7 @@
             "client": self.headers.get("x-request-id", "-"),
             "class": self.headers.get("winchdyke-class", "-"),
             "order": self.headers.get("winchdyke-order-key", ""),
-            "repeat_key": self.repeat_key,
+            "repeat_key": self.idempotency_key,
             "volume": self.volume,
             "units": self.units,
             "method": self.method,
@@ -159,7 +178,22 @@
 
 
 class Store:
-    """One store process. ``start`` it in a task group; ``kill`` and start it again as often as wished."""
+    """An emulated store process. It is started in a task group, and may be killed and started again any number of times.
+
+    Attributes:
+        is_other_store: Whether the store has taken the address of another one, so that no request is meant for it.
+        slowdown: Factor by which service takes longer.
+        slow_volume_prefix: ``slowdown`` applies only to volumes whose names start with this.
+        lost_share: Fraction of responses that are lost.
+        lost_how: ``silence`` (the connection stays open without a response) or ``reset``.
+        trick: A fault of :data:`TRICKS` that is applied to the fraction ``trick_share`` of requests.
+        tricks: Faults for the next requests, one each, in order; "": none. They go before ``trick``.
+        silent: Whether the store accepts connections without answering requests.
+        draining: Whether the store reports a drain and sheds all requests.
+        overloaded: Whether a cold store has failed from too much load; it then answers nothing until its next start.
+        reports_identity: Whether responses carry the identity headers.
+        paused_until: Time until which no request completes and no response is sent, in milliseconds of the record's clock.
+    """
 
     def __init__(
         self,
@@ -178,92 +212,95 @@
             record,
         )
         self.random, self.seed = random.Random(seed), seed
-        self.is_other_store = False  # nothing that is sent here is meant for it
+        self.is_other_store = False
         self.port, self.started_unix_ms, self.cold = 0, 0.0, False
         self.slowdown, self.lost_share, self.lost_how = 1.0, 0.0, "silence"
-        self.trick, self.trick_share = "", 0.0  # played on a part of the requests
-        self.slow_volume_prefix = ""  # only volumes whose names begin so are served slowly
+        self.trick, self.trick_share = "", 0.0
+        self.slow_volume_prefix = ""
         self.silent = self.draining = self.overloaded = False
         self.identity, self.boot, self.reports_identity = f"store-{spec.shard}-{seed}", "", True
-        self.paused_until = self._since = 0.0
+        self.paused_until = self._started_ms = 0.0
         self.tricks: deque[str] = deque()
-        self._born = -1e18
+        self._cold_started_ms = -1e18
         self._scope: anyio.CancelScope | None = None
         self._sent: deque[tuple[float, float]] = deque()
         self._peak = 0.0
-        self._others: defaultdict[str, defaultdict[str, float]] = defaultdict(lambda: defaultdict(float))
+        self._units_from_others: defaultdict[str, defaultdict[str, float]] = defaultdict(
+            lambda: defaultdict(float)
+        )
         self._waiting = self._running = 0
-        self._turns: deque[anyio.Event] = deque()
+        self._core_waiters: deque[anyio.Event] = deque()
 
     @property
     def name(self) -> str:
-        """Its address."""
+        """Its address, which is also its name in the endpoint list."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def up(self) -> bool:
-        """Whether its process runs."""
+        """Whether the process is running."""
         return self._scope is not None
 
     async def start(self, group: TaskGroup, cold: bool = False) -> None:
-        """Listen, at the port it had before; a cold start has a part of its power at first."""
+        """Listen on the previous port, if any; after a cold start the store has reduced capacity at first."""
         listener = await listen(self.port)
         self.port = port_of(listener)
-        self.cold, self._born = cold, clock() if cold else -1e18
-        self.boot, self._since = uuid.uuid4().hex[:12], clock()
+        self.cold, self._cold_started_ms = cold, clock() if cold else -1e18
+        self.boot, self._started_ms = uuid.uuid4().hex[:12], clock()
         self.silent = self.draining = self.overloaded = False
         self.slowdown, self.lost_share, self.paused_until = 1.0, 0.0, 0.0
         self.trick, self.trick_share = "", 0.0
         self._waiting = self._running = 0
-        self._turns.clear()
+        self._core_waiters.clear()
         self._sent.clear()
-        self._peak = 0.0  # the most that it was sent while cold, as a part of what makes it fall over
+        # Highest load received while cold, as a fraction of the load that makes the store fail.
+        self._peak = 0.0
         self._scope = anyio.CancelScope()
         self.record.note(self.name, "up", cold=cold, shard=self.spec.shard, stranger=self.is_other_store)
 
         async def run(scope: anyio.CancelScope) -> None:
             with scope:
-                async with anyio.create_task_group() as jobs:
-                    self._jobs = jobs
+                async with anyio.create_task_group() as tasks:
+                    self._tasks = tasks
                     await accept_all(listener, self._serve)
 
         group.start_soon(run, self._scope)
 
     def kill(self) -> None:
-        """End the process at once: work is lost, connections break."""
+        """Stop the process at once: requests in execution are lost and connections are closed."""
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
             self.record.note(self.name, "down")
 
-    def power(self) -> float:
-        """Units a second at this moment, as the rule on cold stores counts."""
-        age = clock() - self._born
+    def capacity(self) -> float:
+        """Return the current capacity in units per second, which grows linearly after a cold start."""
+        age = clock() - self._cold_started_ms
         if age >= self.spec.warm_up_ms:
-            return self.spec.power
-        part = (
+            return self.spec.warm_capacity
+        fraction = (
             self.spec.cold_start_capacity + (1 - self.spec.cold_start_capacity) * age / self.spec.warm_up_ms
         )
-        return self.spec.power * part
+        return self.spec.warm_capacity * fraction
 
-    def _pressed(self, units: float) -> bool:
-        """Count what a cold store is sent; whether it has now fallen over."""
+    def _overloads(self, units: float) -> bool:
+        """Record units received by a cold store, and return whether the store has failed from overload."""
         spec, now = self.spec, clock()
-        if now - self._born >= spec.warm_up_ms:
+        if now - self._cold_started_ms >= spec.warm_up_ms:
             return False
         self._sent.append((now, units))
         while self._sent and self._sent[0][0] < now - spec.overload_window_ms:
             self._sent.popleft()
-        sent = sum(part for _, part in self._sent)
-        most = max(
-            spec.min_overload_units, spec.overload_factor * self.power() * spec.overload_window_ms / 1000
+        sent = sum(received for _, received in self._sent)
+        limit = max(
+            spec.min_overload_units, spec.overload_factor * self.capacity() * spec.overload_window_ms / 1000
         )
-        if sent > self._peak * most:
-            self._peak = sent / most
+        if sent > self._peak * limit:
+            self._peak = sent / limit
             self.record.note(self.name, "pressed", part=self._peak)
-        if sent > most:
+        if sent > limit:
             by: defaultdict[str, float] = defaultdict(float)
-            self.record.note(self.name, "fallen", sent=sent, most=most, by=by)
+            self.record.note(self.name, "fallen", sent=sent, most=limit, by=by)
             self.overloaded = True
         return self.overloaded
 
@@ -282,118 +319,122 @@
             event = await peer.event()
             if not isinstance(event, h11.Request):
                 return
-            asked = Asked(event)
+            request = ParsedRequest(event)
             if event.target == b"/-/store" and not (self.silent or self.overloaded):
-                await self._who(peer, asked)
+                await self._answer_identity_check(peer, request)
                 continue
             if self.silent or self.overloaded:
-                self.record.note(self.name, "unheard", **asked.told())
+                self.record.note(self.name, "unheard", **request.record_fields())
                 await anyio.sleep_forever()
             trick = self.tricks.popleft() if self.tricks else ""
             if not trick and self.trick_share and self.random.random() < self.trick_share:
                 trick = self.trick
-            self.record.note(self.name, "head", trick=trick, reused=served > 0, **asked.told())
-            if self._pressed(asked.units):
+            self.record.note(self.name, "head", trick=trick, reused=served > 0, **request.record_fields())
+            if self._overloads(request.units):
                 await anyio.sleep_forever()
-            if await self._one(peer, asked, trick):
+            if await self._serve_request(peer, request, trick):
                 return
             served += 1
             peer.h11.start_next_cycle()
             if trick == "close-idle":
                 return
 
-    async def _who(self, peer: Peer, asked: Asked) -> None:
-        """Say who it is; no work is done for it, and no trick used."""
+    async def _answer_identity_check(self, peer: Peer, request: ParsedRequest) -> None:
+        """Answer an identity check, which needs no core and uses up no fault."""
         while not isinstance(await peer.event(), h11.EndOfMessage):
             pass
-        self.record.note(self.name, "who", gateway=asked.gateway)
-        headers = [("content-length", "0"), *self._self(asked)]
+        self.record.note(self.name, "who", gateway=request.gateway)
+        headers = [("content-length", "0"), *self._identity_headers(request)]
         await peer.send(h11.Response(status_code=204, headers=headers), h11.EndOfMessage())
         peer.h11.start_next_cycle()
 
-    def _self(self, asked: Asked) -> list[tuple[str, str]]:
-        """What every answer tells of the store: identity, start, age, whether it drains."""
+    def _identity_headers(self, request: ParsedRequest) -> list[tuple[str, str]]:
+        """Return the headers of each response that describe the store: identity, boot ID, uptime, and whether it drains."""
         if not self.reports_identity:
             return []
-        up = clock() - self._born if self.cold else clock() - self._since + LONG_MS
+        up = clock() - self._cold_started_ms if self.cold else clock() - self._started_ms + WARM_UPTIME_MS
         cold = up < self.spec.warm_up_ms
         if self.draining or cold:
-            self.record.note(self.name, "said", gateway=asked.gateway, drains=self.draining, cold=cold)
-        said = [
+            self.record.note(self.name, "said", gateway=request.gateway, drains=self.draining, cold=cold)
+        headers = [
             ("winchdyke-store", self.identity),
             ("winchdyke-boot", self.boot),
             ("winchdyke-up-ms", f"{up:.0f}"),
         ]
-        return said + ([("winchdyke-draining", "1")] if self.draining else [])
+        return headers + ([("winchdyke-draining", "1")] if self.draining else [])
 
-    async def _body(self, peer: Peer, asked: Asked, trick: str) -> bool:
+    async def _read_body(self, peer: Peer, request: ParsedRequest, trick: str) -> bool:
         if peer.h11.they_are_waiting_for_100_continue:
             await peer.send(h11.InformationalResponse(status_code=100, headers=[]))
         while True:
             event = await peer.event()
             if isinstance(event, h11.Data):
-                asked.body += event.data
+                request.body += event.data
                 if trick == "die-mid-request":
                     return False
             elif isinstance(event, h11.EndOfMessage):
-                self.record.note(self.name, "whole", bytes=len(asked.body), **asked.told())
+                self.record.note(self.name, "whole", bytes=len(request.body), **request.record_fields())
                 return True
             else:
                 return False
 
-    async def _one(self, peer: Peer, asked: Asked, trick: str) -> bool:
-        """Serve one request; whether the connection is over."""
+    async def _serve_request(self, peer: Peer, request: ParsedRequest, trick: str) -> bool:
+        """Serve one request, and return whether the connection has ended."""
         early = trick == "early-shed"
-        if not early and not await self._body(peer, asked, trick):
-            self.record.note(self.name, "cut", **asked.told())
+        if not early and not await self._read_body(peer, request, trick):
+            self.record.note(self.name, "cut", **request.record_fields())
             await peer.reset()
             return True
         if trick == "die-mid-request":
             await peer.reset()
             return True
-        job = self._admit(asked, trick)
-        if job is None:
-            self.record.note(self.name, "shed", **asked.told())
+        item = self._admit(request, trick)
+        if item is None:
+            self.record.note(self.name, "shed", **request.record_fields())
             headers = [
                 ("winchdyke-not-run", "1"),
                 ("content-length", "0"),
-                *self._self(asked),
-                *self._report(asked),
+                *self._identity_headers(request),
+                *self._load_headers(request),
             ]
             await peer.send(h11.Response(status_code=503, headers=headers), h11.EndOfMessage())
             return early
-        await job.done.wait()
+        await item.done.wait()
         while self.silent or self.overloaded or clock() < self.paused_until:
             await anyio.sleep(0.005)
-        return await self._say(peer, asked, job, trick)
+        return await self._respond(peer, request, item, trick)
 
-    async def _say(self, peer: Peer, asked: Asked, job: Job, trick: str) -> bool:
+    async def _respond(self, peer: Peer, request: ParsedRequest, item: WorkItem, trick: str) -> bool:
         lost = self.lost_share and self.random.random() < self.lost_share
         if trick in ("silence", "reset-after-run", "die-after-run") or lost:
             how = self.lost_how if lost else {"silence": "silence"}.get(trick, "reset")
-            self.record.note(self.name, "lost", how=how, **asked.told())
+            self.record.note(self.name, "lost", how=how, **request.record_fields())
             if how == "silence":
                 await anyio.sleep_forever()
             await peer.reset()
             return True
-        headers = [*job.headers, *self._self(asked), *self._report(asked)]
-        body = job.body
+        headers = [*item.headers, *self._identity_headers(request), *self._load_headers(request)]
+        body = item.body
         if trick == "wrong-range":
             headers = [(name, "bytes 0-0/1" if name == "content-range" else value) for name, value in headers]
-        head = h11.Response(status_code=job.status, headers=headers)
+        head = h11.Response(status_code=item.status, headers=headers)
         if not body and trick in ("die-mid-answer", "short-answer"):
-            trick = ""  # a head alone is a whole answer
+            trick = ""  # a response without a body can't be truncated
         if trick in ("die-mid-head", "no-http", "die-mid-answer", "short-answer", "long-answer", "trickle"):
-            return await self._break(peer, asked, head, body, trick)
+            return await self._respond_with_fault(peer, request, head, body, trick)
         events: list[h11.Event] = [head]
-        if body and asked.method != "HEAD":
+        if body and request.method != "HEAD":
             events.append(h11.Data(data=body))
-        self.record.note(self.name, "answered", status=job.status, bytes=len(body), **asked.told())
+        self.record.note(
+            self.name, "answered", status=item.status, bytes=len(body), **request.record_fields()
+        )
         await peer.send(*events, h11.EndOfMessage())
         return False
 
-    async def _break(self, peer: Peer, asked: Asked, head: h11.Response, body: bytes, trick: str) -> bool:
-        self.record.note(self.name, "lost", how=trick, **asked.told())
+    async def _respond_with_fault(
+        self, peer: Peer, request: ParsedRequest, head: h11.Response, body: bytes, trick: str
+    ) -> bool:
+        self.record.note(self.name, "lost", how=trick, **request.record_fields())
         raw = peer.h11.send(head) or b""
         if trick == "die-mid-head":
             await peer.stream.send(raw[: len(raw) // 2])
@@ -414,206 +455,213 @@
             await peer.reset()
         return True
 
-    def _admit(self, asked: Asked, trick: str) -> Job | None:
+    def _admit(self, request: ParsedRequest, trick: str) -> WorkItem | None:
         now, known = clock(), self.deduplication_group.answers
         for key in [key for key, (until, _) in known.items() if until < now]:
             del known[key]
-        memory = f"{asked.volume}\0{asked.repeat_key}" if asked.repeat_key else ""
-        if memory in known:
-            self.record.note(self.name, "repeat", **asked.told())
-            return known[memory][1]
+        deduplication_key = f"{request.volume}\0{request.idempotency_key}" if request.idempotency_key else ""
+        if deduplication_key in known:
+            self.record.note(self.name, "repeat", **request.record_fields())
+            return known[deduplication_key][1]
         if trick in ("shed", "early-shed") or self.draining or self._waiting >= self.spec.queue:
             return None
-        job = Job()
-        if memory:
-            known[memory] = (now + self.spec.deduplication_window_ms, job)
-        self._jobs.start_soon(self._work, asked, job, trick)
-        return job
+        item = WorkItem()
+        if deduplication_key:
+            known[deduplication_key] = (now + self.spec.deduplication_window_ms, item)
+        self._tasks.start_soon(self._execute, request, item, trick)
+        return item
 
-    async def _work(self, asked: Asked, job: Job, trick: str) -> None:
+    async def _execute(self, request: ParsedRequest, item: WorkItem, trick: str) -> None:
         self._waiting += 1
         if self._running >= self.spec.cores:
-            turn = anyio.Event()
-            self._turns.append(turn)
-            await turn.wait()
+            core_released = anyio.Event()
+            self._core_waiters.append(core_released)
+            await core_released.wait()
         else:
             self._running += 1
         self._waiting -= 1
-        self.record.note(self.name, "run", **asked.told())
-        power = self.power() / self.spec.power
-        slow = self.slowdown if asked.volume.startswith(self.slow_volume_prefix) else 1.0
-        await anyio.sleep(asked.units * self.spec.unit_ms / self.spec.speed / power * slow / 1000)
+        self.record.note(self.name, "run", **request.record_fields())
+        capacity_share = self.capacity() / self.spec.warm_capacity
+        slowdown = self.slowdown if request.volume.startswith(self.slow_volume_prefix) else 1.0
+        await anyio.sleep(
+            request.units * self.spec.unit_ms / self.spec.speed / capacity_share * slowdown / 1000
+        )
         while clock() < self.paused_until:
             await anyio.sleep(0.005)
         if trick == "error":
-            job.status, job.headers, job.body = 500, [("content-length", "0")], b""
+            item.status, item.headers, item.body = 500, [("content-length", "0")], b""
         else:
-            self._apply(asked, job)
-        self.meter.add(asked.volume, asked.units)
-        for gateway in self._others[asked.volume]:
-            if gateway != asked.gateway:
-                self._others[asked.volume][gateway] += asked.units
-        if self._turns:
-            self._turns.popleft().set()
+            self._apply(request, item)
+        self.meter.add(request.volume, request.units)
+        for gateway in self._units_from_others[request.volume]:
+            if gateway != request.gateway:
+                self._units_from_others[request.volume][gateway] += request.units
+        if self._core_waiters:
+            self._core_waiters.popleft().set()
         else:
             self._running -= 1
-        job.done.set()
+        item.done.set()
 
-    def _report(self, asked: Asked) -> list[tuple[str, str]]:
-        others = self._others[asked.volume].setdefault(asked.gateway, 0.0)
-        self._others[asked.volume][asked.gateway] = 0.0
+    def _load_headers(self, request: ParsedRequest) -> list[tuple[str, str]]:
+        others = self._units_from_others[request.volume].setdefault(request.gateway, 0.0)
+        self._units_from_others[request.volume][request.gateway] = 0.0
         load = f"{min(1.0, self._running / self.spec.cores):.2f},{self._waiting}"
-        used = self.meter.percent(asked.volume, self.spec.typical_units_per_s)
+        used = self.meter.percent(request.volume, self.spec.typical_units_per_s)
         return [
             ("winchdyke-used-percent", str(used)), ("winchdyke-from-others", f"{others:g}"), ("winchdyke-load", load),
         ]  # fmt: skip
 
-    # The objects themselves.
-
-    def _apply(self, asked: Asked, job: Job) -> None:
-        self._carry_out(asked, job)
-        if (
-            asked.method not in ("GET", "HEAD") and job.status < 400
-        ):  # where a condition does not hold nothing is done
-            self.record.note(self.name, "effect", object=asked.key, query=sorted(asked.query), **asked.told())
-
-    def _carry_out(self, asked: Asked, job: Job) -> None:
-        if not asked.key and "uploads" in asked.query:
-            self._uploads(asked, job)
-        elif not asked.key:
-            self._list(asked, job)
-        elif "uploads" in asked.query or "uploadId" in asked.query:
-            self._multipart(asked, job)
-        elif asked.method == "PUT":
-            self._put(asked, job)
-        elif asked.method == "DELETE":
-            found = self.object_store.objects.pop((asked.volume, asked.key), None)
-            self.object_store.kept.pop((asked.volume, asked.key), None)
-            self._answer(job, 204 if found else 404)
+    def _apply(self, request: ParsedRequest, item: WorkItem) -> None:
+        self._dispatch(request, item)
+        # A write whose precondition fails (412) has no effect.
+        if request.method not in ("GET", "HEAD") and item.status < 400:
+            self.record.note(
+                self.name,
+                "effect",
+                object=request.key,
+                query=sorted(request.query),
+                **request.record_fields(),
+            )
+
+    def _dispatch(self, request: ParsedRequest, item: WorkItem) -> None:
+        if not request.key and "uploads" in request.query:
+            self._list_uploads(request, item)
+        elif not request.key:
+            self._list_objects(request, item)
+        elif "uploads" in request.query or "uploadId" in request.query:
+            self._multipart(request, item)
+        elif request.method == "PUT":
+            self._put(request, item)
+        elif request.method == "DELETE":
+            found = self.object_store.objects.pop((request.volume, request.key), None)
+            self.object_store.headers.pop((request.volume, request.key), None)
+            self._set_response(item, 204 if found else 404)
         else:
-            self._get(asked, job)
+            self._get(request, item)
 
     @staticmethod
-    def _answer(
-        job: Job, status: int, body: bytes = b"", headers: list[tuple[str, str]] | None = None
+    def _set_response(
+        item: WorkItem, status: int, body: bytes = b"", headers: list[tuple[str, str]] | None = None
     ) -> None:
-        job.status, job.body = status, body
-        job.headers = [*(headers or [])]
+        item.status, item.body = status, body
+        item.headers = [*(headers or [])]
         if status != 204:
-            job.headers.append(("content-length", str(len(body))))
+            item.headers.append(("content-length", str(len(body))))
 
     @staticmethod
-    def _kept(asked: Asked) -> list[tuple[str, str]]:
-        """The headers that are kept with an object: what it is, and what its owner says of it."""
+    def _headers_to_store(request: ParsedRequest) -> list[tuple[str, str]]:
+        """Return the request headers that are stored with an object: representation headers and user metadata."""
         return [
             (name, value)
-            for name, value in asked.headers.items()
-            if name in KEPT or name.startswith("x-amz-meta-")
+            for name, value in request.headers.items()
+            if name in STORED_HEADERS or name.startswith("x-amz-meta-")
         ]
 
-    def _put(self, asked: Asked, job: Job, tag: str = "", keep: list[tuple[str, str]] | None = None) -> None:
-        where = (asked.volume, asked.key)
-        have = self.object_store.objects.get(where)
-        wanted, unless = asked.headers.get("if-match"), asked.headers.get("if-none-match")
-        if (wanted and (not have or wanted not in ("*", have[1]))) or (
-            unless and have and unless in ("*", have[1])
+    def _put(
+        self, request: ParsedRequest, item: WorkItem, tag: str = "", keep: list[tuple[str, str]] | None = None
+    ) -> None:
+        where = (request.volume, request.key)
+        existing = self.object_store.objects.get(where)
+        if_match, if_none_match = request.headers.get("if-match"), request.headers.get("if-none-match")
+        if (if_match and (not existing or if_match not in ("*", existing[1]))) or (
+            if_none_match and existing and if_none_match in ("*", existing[1])
         ):
-            self._answer(job, 412)
+            self._set_response(item, 412)
             return
-        data = bytes(asked.body)
+        data = bytes(request.body)
         tag = tag or f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"'
         self.object_store.objects[where] = (data, tag)
-        self.object_store.sizes.pop(where, None)
-        self.object_store.kept[where] = [
-            *(keep or self._kept(asked)),
+        self.object_store.part_sizes.pop(where, None)
+        self.object_store.headers[where] = [
+            *(keep or self._headers_to_store(request)),
             ("last-modified", formatdate(usegmt=True)),
         ]
-        self._answer(
-            job,
-            200 if have else 201,
+        self._set_response(
+            item,
+            200 if existing else 201,
             b"",
-            [("etag", tag), ("location", f"/{asked.volume}/{quote(asked.key)}")],
+            [("etag", tag), ("location", f"/{request.volume}/{quote(request.key)}")],
         )
 
-    def _get(self, asked: Asked, job: Job) -> None:
-        have = self.object_store.objects.get((asked.volume, asked.key))
-        if have is None:
-            self._answer(job, 404)
+    def _get(self, request: ParsedRequest, item: WorkItem) -> None:
+        existing = self.object_store.objects.get((request.volume, request.key))
+        if existing is None:
+            self._set_response(item, 404)
             return
-        data, tag = have
-        wanted, unless = asked.headers.get("if-match"), asked.headers.get("if-none-match")
-        if wanted and wanted not in ("*", tag):
-            self._answer(job, 412)
+        data, tag = existing
+        if_match, if_none_match = request.headers.get("if-match"), request.headers.get("if-none-match")
+        if if_match and if_match not in ("*", tag):
+            self._set_response(item, 412)
             return
-        if unless and unless in ("*", tag):
-            self._answer(job, 304, b"", [("etag", tag)])
-            job.headers = [("etag", tag)]
+        if if_none_match and if_none_match in ("*", tag):
+            self._set_response(item, 304, b"", [("etag", tag)])
+            item.headers = [("etag", tag)]
             return
-        kept = self.object_store.kept.get((asked.volume, asked.key), [])
+        kept = self.object_store.headers.get((request.volume, request.key), [])
         headers = [("etag", tag), ("accept-ranges", "bytes"), *kept]
         if not any(name == "content-type" for name, _ in kept):
             headers.append(("content-type", "application/octet-stream"))
-        asked_range = asked.headers.get("range")
-        if "partNumber" in asked.query:
+        range_header = request.headers.get("range")
+        if "partNumber" in request.query:
             number, sizes = (
-                int(asked.query["partNumber"]),
-                self.object_store.sizes.get((asked.volume, asked.key), [len(data)]),
+                int(request.query["partNumber"]),
+                self.object_store.part_sizes.get((request.volume, request.key), [len(data)]),
             )
             if number > len(sizes):
-                self._answer(job, 416, b"", [("content-range", f"bytes */{len(data)}")])
+                self._set_response(item, 416, b"", [("content-range", f"bytes */{len(data)}")])
                 return
-            begin = sum(sizes[: number - 1])
-            end = begin + sizes[number - 1]
+            start = sum(sizes[: number - 1])
+            end = start + sizes[number - 1]
             headers += [
-                ("content-range", f"bytes {begin}-{end - 1}/{len(data)}"),
+                ("content-range", f"bytes {start}-{end - 1}/{len(data)}"),
                 ("x-amz-mp-parts-count", str(len(sizes))),
             ]
-            self._answer(job, 206, data[begin:end], headers)
+            self._set_response(item, 206, data[start:end], headers)
             return
-        if asked_range and asked.headers.get("if-range") in (None, tag):
-            first, _, last = asked_range.removeprefix("bytes=").partition("-")
-            begin = max(0, len(data) - int(last)) if not first else int(first)
+        if range_header and request.headers.get("if-range") in (None, tag):
+            first, _, last = range_header.removeprefix("bytes=").partition("-")
+            start = max(0, len(data) - int(last)) if not first else int(first)
             end = min(len(data), int(last) + 1) if first and last else len(data)
-            if begin >= len(data) or (not first and last == "0"):
-                self._answer(job, 416, b"", [("content-range", f"bytes */{len(data)}")])
+            if start >= len(data) or (not first and last == "0"):
+                self._set_response(item, 416, b"", [("content-range", f"bytes */{len(data)}")])
                 return
-            headers.append(("content-range", f"bytes {begin}-{end - 1}/{len(data)}"))
-            self._answer(job, 206, data[begin:end], headers)
+            headers.append(("content-range", f"bytes {start}-{end - 1}/{len(data)}"))
+            self._set_response(item, 206, data[start:end], headers)
             return
-        self._answer(job, 200, data, headers)
-
-    def _multipart(self, asked: Asked, job: Job) -> None:
-        uploads, upload = self.object_store.uploads, asked.query.get("uploadId", "")
-        if "uploads" in asked.query:
-            self.object_store.made += 1
-            upload = f"u{self.spec.shard}-{self.object_store.made}"
-            uploads[upload] = (asked.volume, asked.key, {})
+        self._set_response(item, 200, data, headers)
+
+    def _multipart(self, request: ParsedRequest, item: WorkItem) -> None:
+        uploads, upload = self.object_store.uploads, request.query.get("uploadId", "")
+        if "uploads" in request.query:
+            self.object_store.upload_count += 1
+            upload = f"u{self.spec.shard}-{self.object_store.upload_count}"
+            uploads[upload] = (request.volume, request.key, {})
             now = time.time() * 1000
-            self.object_store.begun[upload] = (now, now, self._kept(asked))
-            self._json(job, 200, {"uploadId": upload})
+            self.object_store.upload_states[upload] = (now, now, self._headers_to_store(request))
+            self._set_json_response(item, 200, {"uploadId": upload})
             return
-        if asked.method == "POST" and self.object_store.done.get(upload, ("", "", ""))[:2] == (
-            asked.volume,
-            asked.key,
+        if request.method == "POST" and self.object_store.completed_uploads.get(upload, ("", "", ""))[:2] == (
+            request.volume,
+            request.key,
         ):
-            # A repeat of a completion, by whoever: the first one's answer.
-            self._answer(job, 200, b"", [("etag", self.object_store.done[upload][2])])
+            # A repeated completion gets the response of the first one, whichever client sends it.
+            self._set_response(item, 200, b"", [("etag", self.object_store.completed_uploads[upload][2])])
             return
-        if upload not in uploads or uploads[upload][:2] != (asked.volume, asked.key):
-            self._json(job, 404, {"message": "no such upload"})
+        if upload not in uploads or uploads[upload][:2] != (request.volume, request.key):
+            self._set_json_response(item, 404, {"message": "no such upload"})
             return
         parts = uploads[upload][2]
-        if asked.method == "PUT":
-            data = bytes(asked.body)
-            parts[int(asked.query["partNumber"])] = data
-            began, _, kept = self.object_store.begun[upload]
-            self.object_store.begun[upload] = (began, time.time() * 1000, kept)
-            self._answer(
-                job, 200, b"", [("etag", f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"')]
+        if request.method == "PUT":
+            data = bytes(request.body)
+            parts[int(request.query["partNumber"])] = data
+            began, _, kept = self.object_store.upload_states[upload]
+            self.object_store.upload_states[upload] = (began, time.time() * 1000, kept)
+            self._set_response(
+                item, 200, b"", [("etag", f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"')]
             )
-        elif asked.method == "GET":
-            self._json(
-                job,
+        elif request.method == "GET":
+            self._set_json_response(
+                item,
                 200,
                 {
                     "parts": [
@@ -622,68 +670,75 @@
                     ]
                 },
             )
-        elif asked.method == "DELETE":
-            del uploads[upload], self.object_store.begun[upload]
-            self._answer(job, 204)
+        elif request.method == "DELETE":
+            del uploads[upload], self.object_store.upload_states[upload]
+            self._set_response(item, 204)
         else:
             try:
-                wanted = json.loads(bytes(asked.body) or b"{}").get("parts", sorted(parts))
+                wanted = json.loads(bytes(request.body) or b"{}").get("parts", sorted(parts))
             except ValueError:
                 wanted = None
             tags = {n: _md5(d) for n, d in parts.items()}
-            if wanted and all(
-                isinstance(each, dict) for each in wanted
-            ):  # with tags: all must be as they were put
+            # Parts may be listed with their ETags, which must then match those of the stored parts.
+            if wanted and all(isinstance(each, dict) for each in wanted):
                 if any(
                     each["partNumber"] not in tags
                     or tags[each["partNumber"]].hexdigest() != each["etag"].strip('"')
                     for each in wanted
                 ):
-                    self._json(job, 400, {"message": "a part is not the one that was put"})
+                    self._set_json_response(item, 400, {"message": "a part is not the one that was put"})
                     return
                 wanted = [each["partNumber"] for each in wanted]
             if not wanted or any(number not in parts for number in wanted) or sorted(wanted) != wanted:
-                self._json(job, 400, {"message": "the parts named are not those that were put, in order"})
+                self._set_json_response(
+                    item, 400, {"message": "the parts named are not those that were put, in order"}
+                )
                 return
-            asked.body = bytearray(b"".join(parts[number] for number in wanted))
+            request.body = bytearray(b"".join(parts[number] for number in wanted))
             whole = _md5(b"".join(tags[number].digest() for number in wanted)).hexdigest()
             tag = f'"{whole}-{len(wanted)}"'
-            self._put(asked, job, tag, self.object_store.begun[upload][2])
-            if job.status != 412:
-                self.object_store.sizes[asked.volume, asked.key] = [len(parts[number]) for number in wanted]
-                del uploads[upload], self.object_store.begun[upload]
-                self.object_store.done[upload] = (asked.volume, asked.key, tag)
-
-    def _uploads(self, asked: Asked, job: Job) -> None:
+            self._put(request, item, tag, self.object_store.upload_states[upload][2])
+            if item.status != 412:
+                self.object_store.part_sizes[request.volume, request.key] = [
+                    len(parts[number]) for number in wanted
+                ]
+                del uploads[upload], self.object_store.upload_states[upload]
+                self.object_store.completed_uploads[upload] = (request.volume, request.key, tag)
+
+    def _list_uploads(self, request: ParsedRequest, item: WorkItem) -> None:
         found = [
             {
                 "key": key,
                 "uploadId": upload,
-                "since_ms": self.object_store.begun[upload][0],
-                "touched_ms": self.object_store.begun[upload][1],
+                "since_ms": self.object_store.upload_states[upload][0],
+                "touched_ms": self.object_store.upload_states[upload][1],
             }
             for upload, (volume, key, _) in sorted(self.object_store.uploads.items())
-            if volume == asked.volume
+            if volume == request.volume
         ]
-        self._json(job, 200, {"uploads": found})
+        self._set_json_response(item, 200, {"uploads": found})
 
-    def _list(self, asked: Asked, job: Job) -> None:
-        prefix, after = asked.query.get("prefix", ""), asked.query.get("after", "")
-        limit = int(asked.query.get("limit", "1000"))
+    def _list_objects(self, request: ParsedRequest, item: WorkItem) -> None:
+        prefix, after = request.query.get("prefix", ""), request.query.get("after", "")
+        limit = int(request.query.get("limit", "1000"))
         here = {
-            key: value for (volume, key), value in self.object_store.objects.items() if volume == asked.volume
+            key: value
+            for (volume, key), value in self.object_store.objects.items()
+            if volume == request.volume
         }
         keys = sorted(key for key in here if key.startswith(prefix) and key > after)
-        shown = keys[:limit]
+        page = keys[:limit]
         dates = {
-            key: dict(self.object_store.kept.get((asked.volume, key), [])).get("last-modified", "")
-            for key in shown
+            key: dict(self.object_store.headers.get((request.volume, key), [])).get("last-modified", "")
+            for key in page
         }
         objects = [
             {"key": key, "size": len(here[key][0]), "etag": here[key][1], "modified": dates[key]}
-            for key in shown
+            for key in page
         ]
-        self._json(job, 200, {"objects": objects, "next": shown[-1] if len(keys) > limit else None})
+        self._set_json_response(
+            item, 200, {"objects": objects, "next": page[-1] if len(keys) > limit else None}
+        )
 
-    def _json(self, job: Job, status: int, value: object) -> None:
-        self._answer(job, status, json.dumps(value).encode(), [("content-type", "application/json")])
+    def _set_json_response(self, item: WorkItem, status: int, value: object) -> None:
+        self._set_response(item, status, json.dumps(value).encode(), [("content-type", "application/json")])
