--- a/winchdyke/standins/__init__.py
+++ b/winchdyke/standins/__init__.py
@@ -1,4 +1,5 @@
-"""Stand-ins for what a gateway meets: stores, a list service, clients. Loopback only.
+"""Emulators of the programs that a gateway communicates with: stores, list service, DNS server, clients, network links.
 
-They share no code with the gateway, and write down what they saw on their own sockets with the monotonic clock.
+They use the loopback interface only, share no code with the gateway, and record what they observe on their own sockets,
+timed by the monotonic clock.
 """
--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -1,6 +1,6 @@
-"""Stand-in clients: open-loop arrivals, their own retries, their own patience. They check what they are given.
+"""Emulated clients: open-loop arrivals, retries and time limits of their own. They verify the content that they receive.
 
-An object's content is a fixed function of its name, so any range of it can be checked without keeping it.
+An object's content is a fixed function of its name, so that any range of it can be verified without storing it.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from winchdyke.standins.record import Record, clock
 from winchdyke.standins.wire import CONNECTION_ERRORS, Peer
 
-GRACE_MS = 1500.0  # how long a client listens past its time, to see what comes late
+GRACE_MS = 1500.0  # a client keeps listening for this long after its time limit, to record late responses
 
 
 def content(name: str, size: int, first: int = 0) -> bytes:
-    """``size`` bytes of an object's content, from a place in it."""
+    """Return ``size`` bytes of an object's content, from the offset ``first``."""
     line = f"{name}|".encode() * 64
     start = first % len(line)
     return (line * (size // len(line) + 2))[start : start + size]
@@ -33,7 +33,21 @@
 
 @dataclass(frozen=True)
 class PlannedRequest:
-    """One thing that a client wants; times in milliseconds. ``leave`` makes it go halfway: upload or download."""
+    """A request that a client sends at a planned time. Times in milliseconds.
+
+    Attributes:
+        at: Time at which it is sent, from the start of the run.
+        gateway: Index of the gateway.
+        size: Bytes of the body.
+        range: First and last byte of a range read; None: the whole object.
+        patience: Time limit of one try, which the client sends with a native request.
+        deadline: Time limit of all tries together.
+        is_repeatable: Whether it may be repeated after a failure; a shed request is always repeated.
+        abort_phase: ``upload`` or ``download``: the client resets the connection halfway through it; "": neither.
+        ignores_retry_after: Whether the client retries without waiting for the time that the gateway stated.
+        s3: Whether it is sent over the S3 API.
+        has_wrong_checksum: Whether the stated MD5 is not that of the body; S3 only.
+    """
 
     at: float
     gateway: int
@@ -49,12 +63,15 @@
     abort_phase: str = ""
     max_tries: int = 2
     ignores_retry_after: bool = False
-    s3: bool = False  # over the S3 dialect
-    has_wrong_checksum: bool = False  # a body that is not the one whose sum is stated; S3 alone
+    s3: bool = False
+    has_wrong_checksum: bool = False
 
 
 class Clients:
-    """All clients of a day. ``address`` gives a gateway's present host and port, ``s3`` those of its S3 listener."""
+    """All clients of a scenario.
+
+    ``address`` returns the current host and port of a gateway by its index, ``s3`` those of its S3 listener.
+    """
 
     def __init__(
         self,
@@ -68,66 +85,66 @@
         self._idle: defaultdict[tuple[str, int], list[Peer]] = defaultdict(list)
         self._number = 0
 
-    async def run(self, wishes: Sequence[PlannedRequest]) -> None:
-        """Carry out wishes at their times, counted from now; ends when all are over."""
+    async def run(self, requests: Sequence[PlannedRequest]) -> None:
+        """Send requests at their times, counted from now, and return once all have ended."""
         began = anyio.current_time()
         async with anyio.create_task_group() as group:
-            for wish in sorted(wishes, key=lambda wish: wish.at):
-                await anyio.sleep_until(began + wish.at / 1000)
-                group.start_soon(self._wish, wish)
+            for request in sorted(requests, key=lambda request: request.at):
+                await anyio.sleep_until(began + request.at / 1000)
+                group.start_soon(self._send_with_retries, request)
         for line in self._idle.values():
             for peer in line:
                 await anyio.aclose_forcefully(peer.stream)
 
-    def start(self, group: TaskGroup, wishes: Sequence[PlannedRequest]) -> None:
-        """The same, in a task group."""
-        group.start_soon(self.run, wishes)
+    def start(self, group: TaskGroup, requests: Sequence[PlannedRequest]) -> None:
+        """Start :meth:`run` in a task group."""
+        group.start_soon(self.run, requests)
 
-    async def _wish(self, wish: PlannedRequest) -> None:
-        until = clock() + wish.deadline
+    async def _send_with_retries(self, request: PlannedRequest) -> None:
+        deadline_at = clock() + request.deadline
         self._number += 1
         key = f"wish-{self._number}"
-        for number in range(wish.max_tries):
-            # A client of the S3 dialect has no word for its time: it waits as long as the class has.
-            left = wish.patience if wish.s3 else min(wish.patience, until - clock())
-            if until - clock() < 20 or left < 20:
+        for number in range(request.max_tries):
+            # S3 has no header for a time limit, so the client waits as long as the request class allows.
+            left = request.patience if request.s3 else min(request.patience, deadline_at - clock())
+            if deadline_at - clock() < 20 or left < 20:
                 return
-            status, wait = await self.once(replace(wish, patience=left), key, number)
-            if wish.abort_phase or 0 < status < 500:
+            status, wait = await self.send_once(replace(request, patience=left), key, number)
+            if request.abort_phase or 0 < status < 500:
                 return
-            if not wish.is_repeatable and status != 503:
+            if not request.is_repeatable and status != 503:
                 return
             wait = wait if wait else self.random.uniform(0, 100)
-            if number + 1 == wish.max_tries or clock() + wait > until - 20:
-                return  # told to come back when nobody wants it any more
+            if number + 1 == request.max_tries or clock() + wait > deadline_at - 20:
+                return  # the stated retry time is beyond the deadline
             await anyio.sleep(wait / 1000)
 
-    async def once(self, wish: PlannedRequest, key: str, number: int = 0) -> tuple[int, float]:
-        """One try: its status (0: none) and how long to stay away, in milliseconds."""
-        host, port = (self.s3 if wish.s3 else self.address)(wish.gateway)
-        me = f"{key}.{number}"
+    async def send_once(self, request: PlannedRequest, key: str, number: int = 0) -> tuple[int, float]:
+        """Send a request once; returns the status (0: no response) and the stated retry delay in milliseconds."""
+        host, port = (self.s3 if request.s3 else self.address)(request.gateway)
+        client = f"{key}.{number}"
         began = clock()
-        told: dict[str, Any] = {
-            "client": me, "gateway": wish.gateway, "class": wish.class_name, "method": wish.method, "path": wish.path,
-            "s3": wish.s3, "spoilt": wish.has_wrong_checksum,
+        fields: dict[str, Any] = {
+            "client": client, "gateway": request.gateway, "class": request.class_name, "method": request.method, "path": request.path,
+            "s3": request.s3, "spoilt": request.has_wrong_checksum,
         }  # fmt: skip
-        deadline = began + wish.patience
+        deadline = began + request.patience
         self.record.note(
-            "client", "try", deadline=deadline, patience=wish.patience, leave=wish.abort_phase, **told
+            "client", "try", deadline=deadline, patience=request.patience, leave=request.abort_phase, **fields
         )
         peer: Peer | None = None
         status, wait = 0, 0.0
-        with anyio.move_on_after((wish.patience + GRACE_MS) / 1000) as scope:
+        with anyio.move_on_after((request.patience + GRACE_MS) / 1000) as scope:
             try:
                 peer = await self._peer(host, port)
                 if peer is None:
-                    self.record.note("client", "unreachable", **told)
+                    self.record.note("client", "unreachable", **fields)
                     return 0, 0.0
-                status, wait = await self._exchange(peer, wish, key, told)
+                status, wait = await self._exchange(peer, request, key, fields)
             except CONNECTION_ERRORS as error:
-                self.record.note("client", "cut", error=type(error).__name__, **told)
+                self.record.note("client", "cut", error=type(error).__name__, **fields)
         if scope.cancelled_caught:
-            self.record.note("client", "gave-up", **told)
+            self.record.note("client", "gave-up", **fields)
         if peer is not None:
             keep = status and peer.h11.our_state is h11.DONE and peer.h11.their_state is h11.DONE
             if keep and not peer.h11.trailing_data[0]:
@@ -151,38 +168,38 @@
             return None
 
     async def _exchange(
-        self, peer: Peer, wish: PlannedRequest, key: str, told: dict[str, Any]
+        self, peer: Peer, request: PlannedRequest, key: str, fields: dict[str, Any]
     ) -> tuple[int, float]:
-        body = content(wish.path, wish.size) if wish.method in ("PUT", "POST") else b""
+        body = content(request.path, request.size) if request.method in ("PUT", "POST") else b""
         headers = [
-            ("host", "gateway"), ("x-request-id", told["client"]),
-            ("winchdyke-time-left", f"{wish.patience:.0f}ms"),
+            ("host", "gateway"), ("x-request-id", fields["client"]),
+            ("winchdyke-time-left", f"{request.patience:.0f}ms"),
         ]  # fmt: skip
-        headers += [("winchdyke-class", wish.class_name)] if wish.class_name else []
-        headers += [("idempotency-key", key)] if wish.has_idempotency_key else []
-        headers += [("range", f"bytes={wish.range[0]}-{wish.range[1]}")] if wish.range else []
-        headers += [("content-length", str(len(body)))] if wish.method in ("PUT", "POST") else []
-        if wish.has_wrong_checksum:
+        headers += [("winchdyke-class", request.class_name)] if request.class_name else []
+        headers += [("idempotency-key", key)] if request.has_idempotency_key else []
+        headers += [("range", f"bytes={request.range[0]}-{request.range[1]}")] if request.range else []
+        headers += [("content-length", str(len(body)))] if request.method in ("PUT", "POST") else []
+        if request.has_wrong_checksum:
             headers.append(("content-md5", base64.b64encode(hashlib.md5(body + b"!").digest()).decode()))
-        request = h11.Request(method=wish.method, target=wish.path, headers=headers)
-        if wish.abort_phase == "upload":
-            await peer.send(request, h11.Data(data=body[: len(body) // 2]))
+        request_head = h11.Request(method=request.method, target=request.path, headers=headers)
+        if request.abort_phase == "upload":
+            await peer.send(request_head, h11.Data(data=body[: len(body) // 2]))
             await anyio.sleep(0.03)
-            self.record.note("client", "left", **told)
+            self.record.note("client", "left", **fields)
             await peer.reset()
             return 0, 0.0
         data = [h11.Data(data=body)] if body else []
-        await peer.send(request, *data, h11.EndOfMessage())
+        await peer.send(request_head, *data, h11.EndOfMessage())
         head: h11.Response | None = None
-        got = bytearray()
+        content_received = bytearray()
         while True:
             event = await peer.event()
             if isinstance(event, h11.Response):
                 head = event
             elif isinstance(event, h11.Data):
-                got += event.data
-                if wish.abort_phase == "download" and len(got) > 1024:
-                    self.record.note("client", "left", **told)
+                content_received += event.data
+                if request.abort_phase == "download" and len(content_received) > 1024:
+                    self.record.note("client", "left", **fields)
                     await peer.reset()
                     return 0, 0.0
             elif isinstance(event, h11.EndOfMessage):
@@ -190,41 +207,44 @@
             elif isinstance(event, h11.ConnectionClosed):
                 raise anyio.EndOfStream
         assert head is not None
-        fields = {name.decode(): value.decode("latin-1") for name, value in head.headers}
-        right = self._right(wish, head.status_code, bytes(got))
+        received = {name.decode(): value.decode("latin-1") for name, value in head.headers}
+        right = self._is_correct(request, head.status_code, bytes(content_received))
         self.record.note(
-            "client", "answer", version=_version(head), status=head.status_code, right=right, bytes=len(got),
-            outcome=_s3_outcome(head.status_code, bytes(got)) if wish.s3 else fields.get("winchdyke-outcome", "-"),
-            reason=fields.get("winchdyke-reason", "-"), request=fields.get("x-request-id", "-"), **told,
+            "client", "answer", version=_version(head), status=head.status_code, right=right, bytes=len(content_received),
+            outcome=_s3_outcome(head.status_code, bytes(content_received)) if request.s3 else received.get("winchdyke-outcome", "-"),
+            reason=received.get("winchdyke-reason", "-"), request=received.get("x-request-id", "-"), **fields,
         )  # fmt: skip
         wait = 0.0
-        if head.status_code == 503 and wish.s3 and not wish.ignores_retry_after:
-            wait = 1000.0 * float(fields.get("retry-after", "0"))
-        elif head.status_code == 503 and not wish.ignores_retry_after:
+        if head.status_code == 503 and request.s3 and not request.ignores_retry_after:
+            wait = 1000.0 * float(received.get("retry-after", "0"))
+        elif head.status_code == 503 and not request.ignores_retry_after:
             try:
-                wait = float(json.loads(bytes(got)).get("retry_after_ms") or 0.0)
+                wait = float(json.loads(bytes(content_received)).get("retry_after_ms") or 0.0)
             except ValueError:
                 wait = 0.0
         return head.status_code, wait
 
     @staticmethod
-    def _right(wish: PlannedRequest, status: int, got: bytes) -> bool:
-        if wish.method != "GET" or status not in (200, 206) or "?" in wish.path:
+    def _is_correct(request: PlannedRequest, status: int, content_received: bytes) -> bool:
+        if request.method != "GET" or status not in (200, 206) or "?" in request.path:
             return True
         if status == 206:
-            assert wish.range is not None
-            return bytes(got) == content(wish.path, len(got), wish.range[0])
-        return bytes(got) == content(wish.path, len(got))
+            assert request.range is not None
+            return bytes(content_received) == content(request.path, len(content_received), request.range[0])
+        return bytes(content_received) == content(request.path, len(content_received))
 
 
 def _s3_outcome(status: int, body: bytes) -> str:
-    """What an S3 answer promises: SlowDown is not done, other errors of 5xx promise nothing, all else is an answer."""
+    """Return the outcome of an S3 response.
+
+    SlowDown is ``refused`` (not executed), any other 5xx is ``failed`` (may have been executed), the rest is ``served``.
+    """
     if status < 500:
         return "served"
     return "refused" if b"<Code>SlowDown</Code>" in body else "failed"
 
 
 def _version(head: h11.Response) -> int:
-    """The version of the settings that an answer was given under; 0 where it tells none."""
+    """Return the configuration version that a response states; 0: none."""
     text = dict(head.headers).get(b"winchdyke-version", b"0")
     return int(text) if text.isdigit() else 0
--- a/winchdyke/standins/nodelist.py
+++ b/winchdyke/standins/nodelist.py
@@ -1,4 +1,4 @@
-"""A stand-in list service: long polls answered with changes or the whole list; late, old or failing on demand."""
+"""An emulated list service: answers long polls with changes or the full list; delayed, outdated or failing on demand."""
 
 from __future__ import annotations
 
@@ -16,25 +16,33 @@
 
 
 class ListService:
-    """Holds the list and tells it. ``set`` changes an entry; ``late_ms`` is how long a change takes to show."""
+    """Holds the list of endpoints and serves it.
+
+    Attributes:
+        port: The port; 0 before the first start.
+        failing: ``error`` answers with status 500, ``silence`` accepts connections without answering; "": works normally.
+        error_count: Number of requests answered with an error.
+        late_ms: Delay until a change becomes visible, in milliseconds.
+        by_index: Whether each response is the full list, and requests block on an index (``x-index``) instead of a token.
+    """
 
     def __init__(self, record: Record) -> None:
         self.record = record
         self.port = 0
-        self.failing = ""  # "": well; "error": answers 500; "silence": says nothing; "down": not listening
-        self.error_count = 0  # calls answered with an error
+        self.failing = ""
+        self.error_count = 0
         self.late_ms = 0.0
         self.by_index = False
-        self._old: tuple[int, list[dict[str, Any]]] | None = None
+        self._cached_copy: tuple[int, list[dict[str, Any]]] | None = None
         self._epoch = uuid.uuid4().hex[:8]
         self._entries: dict[str, dict[str, Any]] = {}
         self._changes: list[tuple[int, str]] = []
         self._version = 0
-        self._news = anyio.Event()
+        self._changed = anyio.Event()
         self._scope: anyio.CancelScope | None = None
 
     async def start(self, group: TaskGroup) -> None:
-        """Listen, at the port it had before."""
+        """Listen on the previous port, if any."""
         listener = await listen(self.port)
         self.port = port_of(listener)
         self._scope = anyio.CancelScope()
@@ -46,7 +54,7 @@
         group.start_soon(run, self._scope)
 
     def kill(self) -> None:
-        """Stop listening."""
+        """Stop listening, and close all connections."""
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
@@ -54,7 +62,7 @@
     async def set(
         self, name: str, state: str, shard: int, zone: str, started_unix_ms: float = 0.0, identity: str = ""
     ) -> None:
-        """Change an entry, seen after ``late_ms``; ``gone`` removes it from whole lists."""
+        """Change an entry, visible after ``late_ms``; the state ``gone`` removes it from full lists."""
         if self.late_ms:
             await anyio.sleep(self.late_ms / 1000)
         self._version += 1
@@ -63,13 +71,13 @@
             "identity": identity,
         }  # fmt: skip
         self._changes.append((self._version, name))
-        self._news.set()
-        self._news = anyio.Event()
+        self._changed.set()
+        self._changed = anyio.Event()
 
     def serve_cached_copy(self, keep: bool = True) -> None:
-        """From now on tell the list as it is now, as a cached copy, to whoever asks for the whole."""
+        """From now on answer requests for the full list with a cached copy of its current state."""
         entries = [dict(entry) for entry in self._entries.values() if entry["state"] != "gone"]
-        self._old = (self._version, entries) if keep else None
+        self._cached_copy = (self._version, entries) if keep else None
 
     async def _serve(self, stream: SocketStream) -> None:
         peer = Peer(stream, h11.SERVER)
@@ -83,27 +91,27 @@
             await anyio.sleep_forever()
         if self.failing == "error":
             self.error_count += 1
-            await self._say(peer, 500, b"")
+            await self._respond(peer, 500, b"")
             return
         since = query.get("since", "")
         epoch, _, version = since.partition(":")
         known = int(version) if epoch == self._epoch and version.isdigit() else -1
-        if self.by_index:  # whole lists, and an index to block by
+        if self.by_index:
             known = int(query.get("index", "-1"))
             if known > self._version:
-                known = -1  # it was restored: at once
+                known = -1  # the client's index is newer than the list, which was restored: answer at once
         if known >= self._version >= 0:
             with anyio.move_on_after(float(query.get("wait", "0").removesuffix("ms")) / 1000):
                 while known >= self._version:
-                    await self._news.wait()
+                    await self._changed.wait()
         if self.by_index:
             known = -1
         if known >= self._version:
-            await self._say(peer, 204, b"")
+            await self._respond(peer, 204, b"")
             return
-        version_told = self._version
-        if known < 0 and self._old is not None:
-            version_told, nodes = self._old
+        version_sent = self._version
+        if known < 0 and self._cached_copy is not None:
+            version_sent, nodes = self._cached_copy
             form = "cached"
         elif known < 0:
             form, nodes = (
@@ -114,12 +122,12 @@
             names = dict.fromkeys(name for at, name in self._changes if at > known)
             form, nodes = "changes", [dict(self._entries[name]) for name in names]
         body = {
-            "token": f"{self._epoch}:{version_told}",
+            "token": f"{self._epoch}:{version_sent}",
             "form": form,
             "nodes": nodes,
-            "version": version_told,
+            "version": version_sent,
         }
-        await self._say(peer, 200, json.dumps(body).encode(), version_told)
+        await self._respond(peer, 200, json.dumps(body).encode(), version_sent)
         states = {entry["name"]: entry["state"] for entry in nodes}
         starts = {entry["name"]: entry["started_unix_ms"] for entry in nodes}
         self.record.note(
@@ -127,7 +135,7 @@
         )
 
     @staticmethod
-    async def _say(peer: Peer, status: int, body: bytes, index: int = 0) -> None:
+    async def _respond(peer: Peer, status: int, body: bytes, index: int = 0) -> None:
         headers = [("connection", "close")] + ([("x-index", str(index))] if index else [])
         headers += [("content-length", str(len(body)))] if status != 204 else []
         data = [h11.Data(data=body)] if body else []
--- a/winchdyke/standins/record.py
+++ b/winchdyke/standins/record.py
@@ -1,4 +1,4 @@
-"""What stand-ins saw: one flat list of exchanges, in order of time, on the host's monotonic clock (milliseconds)."""
+"""The record of what emulators observe: a list of entries in order of time, by the host's monotonic clock in milliseconds."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def clock() -> float:
-    """Milliseconds, the same clock in every process of this host."""
+    """Return the monotonic time in milliseconds; all processes of a host share this clock."""
     return time.monotonic() * 1000
 
 
 class Record:
-    """A list of what was seen. ``what`` names the kind of entry, ``who`` the stand-in that saw it."""
+    """Entries in order of time: ``t`` is the time, ``what`` the kind of entry, ``who`` the emulator that added it."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
 
     def note(self, who: str, what: str, **more: Any) -> Entry:
-        """Write down something seen now."""
+        """Add an entry at the current time, and return it."""
         entry = {"t": clock(), "who": who, "what": what, **more}
         self.entries.append(entry)
         return entry
 
     def save(self, path: Path) -> None:
-        """Write it as JSON lines."""
+        """Write the entries as JSON lines."""
         with path.open("w", encoding="utf-8") as file:
             for entry in self.entries:
                 file.write(json.dumps(entry, separators=(",", ":")) + "\n")
--- a/winchdyke/standins/wire.py
+++ b/winchdyke/standins/wire.py
@@ -1,4 +1,4 @@
-"""HTTP for stand-ins: h11 over a socket, with what a test needs to break it at any point."""
+"""HTTP for emulators: h11 over a socket, with raw access so that a test can break an exchange at any point."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 class Peer:
-    """One connection, in either role."""
+    """One HTTP connection, as server or client."""
 
     def __init__(self, stream: SocketStream, role: type[h11.SERVER] | type[h11.CLIENT]) -> None:
         self.stream, self.h11 = stream, h11.Connection(role, max_incomplete_event_size=256 * 1024)
 
     async def event(self) -> h11.Event:
-        """The next event; CONNECTION_ERRORS where the peer is gone in the middle."""
+        """Return the next event; raises one of :data:`CONNECTION_ERRORS` if the connection ends within a message."""
         while True:
             event = self.h11.next_event()
             if event is h11.NEED_DATA:
@@ -39,24 +39,25 @@
                 return event  # type: ignore[return-value]
 
     async def send(self, *events: h11.Event) -> None:
-        """Send events in one piece."""
+        """Send events with a single write."""
         await self.stream.send(b"".join(self.h11.send(event) or b"" for event in events))
 
     def quiet(self) -> bool:
-        """Whether an idle connection is still open, with nothing said on it."""
-        look = select.poll()  # select() takes no descriptor past 1,023, and a fleet's day has them
-        look.register(self.stream.extra(SocketAttribute.raw_socket), select.POLLIN)
-        return not look.poll(0)
+        """Whether an idle connection is still open and has no unread data."""
+        # Not select(), which fails for descriptors above 1,023; scenarios with many gateways have such descriptors.
+        poller = select.poll()
+        poller.register(self.stream.extra(SocketAttribute.raw_socket), select.POLLIN)
+        return not poller.poll(0)
 
     async def reset(self) -> None:
-        """Break the connection with a TCP reset."""
+        """Close the connection with a TCP reset."""
         raw = self.stream.extra(SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await anyio.aclose_forcefully(self.stream)
 
 
 async def listen(port: int = 0) -> SocketListener:
-    """A listener on loopback; the system chooses the port, or the same one is taken again."""
+    """Return a listener on loopback, on a given port or (0) one chosen by the system; a port in use is tried again for 1 s."""
     for attempt in range(50):
         try:
             multi = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, backlog=512)
@@ -70,14 +71,14 @@
 
 
 def port_of(listener: SocketListener) -> int:
-    """The port that a listener has."""
+    """Return the port of a listener."""
     return int(listener.extra(SocketAttribute.local_port))
 
 
 async def accept_all(listener: SocketListener, serve: Callable[[SocketStream], Awaitable[None]]) -> None:
-    """Serve every connection until cancelled; then all are closed."""
+    """Serve connections until cancelled, and then close all of them."""
 
-    async def one(stream: SocketStream) -> None:
+    async def serve_one(stream: SocketStream) -> None:
         try:
             await serve(stream)
         except (*CONNECTION_ERRORS, ExceptionGroup):
@@ -93,4 +94,4 @@
             except OSError:
                 await anyio.sleep(0.02)
                 continue
-            group.start_soon(one, stream)
+            group.start_soon(serve_one, stream)
