--- a/winchdyke/load/__init__.py
+++ b/winchdyke/load/__init__.py
@@ -1,1 +1,3 @@
-"""A load tool: requests at times drawn before the run, so that slow answers hide nothing; what clients saw, in histograms."""
+"""An open-loop load generator: sends requests at times drawn before the run, so that slow responses do not lower the load, and
+reports latencies as histograms.
+"""
--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -1,4 +1,4 @@
-"""What a load run saw: histograms by operation and volume (HDR, 3 digits), outcomes, and how far the tool itself was behind. Pure."""
+"""Results of a load run: latency histograms by operation and volume (HDR, 3 digits), outcomes, and the generator's own delay. Pure."""
 
 from __future__ import annotations
 
@@ -18,35 +18,41 @@
 
 @dataclass
 class Results:
-    """All that one worker saw, or several together."""
-
-    latencies: dict[tuple[str, str], Any] = field(
-        default_factory=dict
-    )  # operation, volume: latency from its time, us
-    outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)  # operation, outcome
-    send_delays: Any = field(default_factory=_histogram)  # how late the tool sent, us
+    """Results of one worker, or of several merged.
+
+    Attributes:
+        latencies: Histograms of the time from a request's planned time to its response, in microseconds, by operation and volume.
+        outcomes: Number of requests, by operation and outcome.
+        send_delays: Histogram of the time from a request's planned time until it was sent, in microseconds.
+        bytes: Bytes of bodies sent and received.
+        seconds: Duration of the run.
+    """
+
+    latencies: dict[tuple[str, str], Any] = field(default_factory=dict)
+    outcomes: Counter[tuple[str, str]] = field(default_factory=Counter)
+    send_delays: Any = field(default_factory=_histogram)
     bytes: int = 0
     seconds: float = 0.0
 
-    def add(self, operation: str, volume: str, outcome: str, taken_ms: float) -> None:
-        """One answer, or the lack of one."""
+    def add(self, operation: str, volume: str, outcome: str, latency_ms: float) -> None:
+        """Add a request that has ended; its latency counts only if it was served."""
         self.outcomes[operation, outcome] += 1
         if outcome == "served":
-            where = operation, volume
-            if where not in self.latencies:
-                self.latencies[where] = _histogram()
-            self.latencies[where].record_value(max(LOWEST_US, min(HIGHEST_US, int(taken_ms * 1000))))
+            key = operation, volume
+            if key not in self.latencies:
+                self.latencies[key] = _histogram()
+            self.latencies[key].record_value(max(LOWEST_US, min(HIGHEST_US, int(latency_ms * 1000))))
 
     def pack(self) -> dict[str, Any]:
-        """As plain values, to be sent to another process."""
+        """Return the results as plain values, to be sent to another process."""
         return {
-            "taken": [[*where, each.encode().decode()] for where, each in self.latencies.items()],
-            "outcomes": [[*where, count] for where, count in self.outcomes.items()],
+            "taken": [[*key, each.encode().decode()] for key, each in self.latencies.items()],
+            "outcomes": [[*key, count] for key, count in self.outcomes.items()],
             "late": self.send_delays.encode().decode(), "bytes": self.bytes, "seconds": self.seconds,
         }  # fmt: skip
 
     def merge(self, packed: dict[str, Any]) -> None:
-        """Put what another process saw to this."""
+        """Add the packed results of another process."""
         for operation, volume, text in packed["taken"]:
             if (operation, volume) not in self.latencies:
                 self.latencies[operation, volume] = _histogram()
@@ -64,35 +70,35 @@
         return found
 
     def figures(self) -> dict[str, Any]:
-        """All figures, as plain values; latencies in ms."""
+        """Return the JSON report; latencies are in ms."""
 
-        def told(each: Any) -> dict[str, float]:
-            found = {f"p{p:g}": each.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
-            return {"count": float(each.get_total_count()), **found}
+        def percentiles(each: Any) -> dict[str, float]:
+            values = {f"p{p:g}": each.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+            return {"count": float(each.get_total_count()), **values}
 
         outcomes: dict[str, dict[str, int]] = {}
         for (operation, outcome), count in sorted(self.outcomes.items()):
             outcomes.setdefault(operation, {})[outcome] = count
         return {
-            "seconds": self.seconds, "bytes": self.bytes, "outcomes": outcomes, "sent_late_ms": told(self.send_delays),
-            "latency_ms": {name: told(each) for name, each in sorted(self._by_operation().items())},
-            "by_volume_ms": {f"{op} {volume}": told(each) for (op, volume), each in sorted(self.latencies.items())},
+            "seconds": self.seconds, "bytes": self.bytes, "outcomes": outcomes, "sent_late_ms": percentiles(self.send_delays),
+            "latency_ms": {name: percentiles(each) for name, each in sorted(self._by_operation().items())},
+            "by_volume_ms": {f"{op} {volume}": percentiles(each) for (op, volume), each in sorted(self.latencies.items())},
         }  # fmt: skip
 
     def text(self) -> str:
-        """The same for people."""
+        """Return the report as text."""
         data = self.figures()
-        asked = sum(sum(each.values()) for each in data["outcomes"].values())
+        requests = sum(sum(each.values()) for each in data["outcomes"].values())
         seconds = max(1e-9, self.seconds)
         lines = [
-            f"{asked} requests in {seconds:.1f} s ({asked / seconds:.0f}/s), {self.bytes / seconds / 1e6:.1f} MB/s"
+            f"{requests} requests in {seconds:.1f} s ({requests / seconds:.0f}/s), {self.bytes / seconds / 1e6:.1f} MB/s"
         ]
         lines.append(f"{'':10}" + "".join(f"{'p' + format(p, 'g'):>10}" for p in PERCENTILES) + "   outcomes")
         for name, outcomes in data["outcomes"].items():
             row = data["latency_ms"].get(name)
             values = "".join(f"{row[f'p{p:g}']:10.1f}" if row else f"{'-':>10}" for p in PERCENTILES)
-            said = ", ".join(f"{outcome} {count}" for outcome, count in outcomes.items())
-            lines.append(f"{name:10}{values}   {said}")
+            counts = ", ".join(f"{outcome} {count}" for outcome, count in outcomes.items())
+            lines.append(f"{name:10}{values}   {counts}")
         late = data["sent_late_ms"]
         lines.append(
             f"ms from each request's own time; the tool sent at most {late['p99']:.1f} ms late for 99% of them"
--- a/winchdyke/load/schedule.py
+++ b/winchdyke/load/schedule.py
@@ -1,7 +1,7 @@
-"""What a load run asks and when: drawn from a seed before the run begins (open loop). Pure.
+"""The requests of a load run and their times, drawn from a seed (open loop). Pure.
 
-An open loop sends each request at its time, whether or not the ones before it are answered, and its latency counts from that time.
-So a gateway that stalls for a second is seen by all whose time came in that second, and not by one.
+An open loop sends each request at its planned time, whether or not earlier ones have been answered, and measures its latency from
+that time. A gateway that stalls for a second thus delays all requests planned in that second, and not only one per connection.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Mix:
-    """The shares of operations, each over 0."""
+    """Relative frequencies of operations, each above 0."""
 
     shares: dict[str, float]
 
     @staticmethod
     def read(text: str) -> Mix:
-        """``get=70,put=30``. ValueError says what is wrong."""
+        """Parse text such as ``get=70,put=30``; raises ValueError with the reason if it is invalid."""
         shares: dict[str, float] = {}
         for part in text.split(","):
             name, given, value = part.strip().partition("=")
@@ -38,7 +38,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRequest:
-    """One request: its time from the run's start (ms), what, on which object, how large; ``part`` of ``size`` for a range."""
+    """A request with its planned time.
+
+    Attributes:
+        at: Time from the start of the run, in ms.
+        size: Bytes of the object.
+        first: First byte of a range read.
+    """
 
     at: float
     operation: str
@@ -52,8 +58,10 @@
     seed: int, rate: float, length_ms: float, mix: Mix, volumes: list[str], objects: int, size: int, worker: int = 0,
     workers: int = 1,
 ) -> Iterator[PlannedRequest]:  # fmt: skip
-    """One worker's share of a run: Poisson arrivals of ``rate`` requests a second over all workers. Objects are drawn by a
-    Zipf-like law, so that some are hot.
+    """Yield the requests of one worker.
+
+    All workers together have Poisson arrivals of ``rate`` requests per second. Objects are drawn from a Zipf-like distribution, so
+    that some are hot.
     """
     draw = random.Random(f"load/{seed}/{worker}")
     names, weights = list(mix.shares), list(mix.shares.values())
