--- a/fuzz/target.py
+++ b/fuzz/target.py
@@ -1,8 +1,8 @@
-"""What is fuzzed: lexer, parser, checker and formatter of the configuration language, on any text.
+"""Fuzzes lexer, parser, checker and formatter of the configuration language with arbitrary text.
 
-    scripts/fuzz [SECONDS]      coverage-guided, by atheris; what it finds is kept in fuzz/findings
+    scripts/fuzz [SECONDS]      coverage-guided, by atheris; failing inputs are stored in fuzz/findings
 
-``one`` is the whole of it, and needs no fuzzer: a crash, a broken promise or a run past its bound raises.
+:func:`run_input` needs no fuzzer. A crash, a violated property or a run beyond the time limit raises.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from pathlib import Path
 
 HERE = Path(__file__).parent
-BOUND_S = 2.0
+MAX_SECONDS = 2.0
 
 
-def one(data: bytes) -> None:
-    """Hold one input against what the language promises."""
+def run_input(data: bytes) -> None:
+    """Run one input, and check the properties that the language guarantees."""
     from winchdyke.config import ConfigError, loading
     from winchdyke.config.diagnostics import Source
     from winchdyke.config.fmt import fmt
@@ -30,22 +30,22 @@
         return
     statements, problems = parse(Source("f", text))
     if not problems:
-        made = fmt(text)
-        again, wrong = parse(Source("f", made))
-        assert not wrong, "what was formatted does not parse"
-        assert len(again) == len(statements), "formatting changed the statements"
-        assert fmt(made) == made, "formatting is not done once"
+        formatted = fmt(text)
+        formatted_statements, format_problems = parse(Source("f", formatted))
+        assert not format_problems, "the formatted text does not parse"
+        assert len(formatted_statements) == len(statements), "formatting changed the statements"
+        assert fmt(formatted) == formatted, "formatting is not idempotent"
     try:
         loaded = loading.load_text(text, "f", {})
     except ConfigError as error:
-        assert error.problems, "refused without a reason"
+        assert error.problems, "rejected without a problem"
         for problem in error.problems:
-            assert problem.fix and problem.text, f"no remedy: {problem}"
+            assert problem.fix and problem.text, f"no text or no fix: {problem}"
             assert problem.shown()
     else:
         hash(loaded.config)
-    took = time.monotonic() - began
-    assert took < BOUND_S, f"{took:.1f} s for {len(data)} bytes"
+    seconds = time.monotonic() - began
+    assert seconds < MAX_SECONDS, f"{seconds:.1f} s for {len(data)} bytes"
 
 
 def main() -> None:
@@ -54,7 +54,7 @@
     with atheris.instrument_imports(include=["winchdyke.config"]):
         import winchdyke.config.fmt
         import winchdyke.config.loading  # noqa: F401
-    atheris.Setup(sys.argv, one)
+    atheris.Setup(sys.argv, run_input)
     atheris.Fuzz()
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The architecture page names code that exists, and imports between packages go down only."""
+"""The architecture page refers only to existing code, and packages import only from their own or lower layers."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def resolve(name: str) -> object:
-    """The module, class, function or method of a dotted name. AttributeError where there is none."""
+    """Return the module, class, function or method of a dotted name; AttributeError if there is none."""
     parts = name.split(".")
     for length in range(len(parts), 0, -1):
         try:
@@ -44,7 +44,7 @@
 
 
 def imported_packages(path: Path) -> set[str]:
-    """The packages of winchdyke that a module imports, anywhere in it."""
+    """Return the packages of winchdyke that a module imports, also within functions."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.module == "winchdyke":
@@ -55,16 +55,16 @@
 
 
 @pytest.mark.parametrize("name", NAMES)
-def test_each_name_of_the_page_exists(name):
+def test_each_name_on_the_page_exists(name):
     resolve(name)
 
 
-def test_the_page_names_all_parts_of_the_way_of_a_request():
+def test_the_page_names_all_components_on_the_path_of_a_request():
     assert len(NAMES) > 50
 
 
 @pytest.mark.parametrize("package", sorted(LEVEL))
-def test_imports_go_down_only(package):
+def test_packages_import_only_from_their_own_or_lower_layers(package):
     folder = ROOT / "winchdyke" / package
     modules = sorted(folder.rglob("*.py")) if folder.is_dir() else [folder.with_suffix(".py")]
     upward = []
--- a/tests/test_fuzz.py
+++ b/tests/test_fuzz.py
@@ -1,4 +1,4 @@
-"""The fuzz target on what fuzzing has found, on its corpus, and for a short seeded stretch."""
+"""The fuzz targets: inputs that once failed, the corpus, and a short run with a fixed seed."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT / "fuzz"))
-KEPT = sorted([*(ROOT / "fuzz/findings").glob("*"), *(ROOT / "fuzz/corpus").glob("*")])
+INPUTS = sorted([*(ROOT / "fuzz/findings").glob("*"), *(ROOT / "fuzz/corpus").glob("*")])
 
 
-@pytest.mark.parametrize("path", KEPT, ids=[path.name for path in KEPT])
-def test_what_was_found_stays_mended(path):
-    from target import one
+@pytest.mark.parametrize("path", INPUTS, ids=[path.name for path in INPUTS])
+def test_inputs_of_corpus_and_findings_pass(path):
+    from target import run_input
 
-    one(path.read_bytes())
+    run_input(path.read_bytes())
 
 
 @pytest.mark.parametrize(
     ("target", "corpus", "runs", "more"),
     [
         ("target.py", "corpus", 3000, ["-dict=fuzz/words.dict"]),
-        ("signatures.py", "signatures", 5000, []),  # what strangers send to S3
+        ("signatures.py", "signatures", 5000, []),  # unauthenticated S3 requests
     ],
 )
-def test_a_short_seeded_stretch(tmp_path, target, corpus, runs, more):
+def test_a_short_run_with_a_fixed_seed(tmp_path, target, corpus, runs, more):
     command = [
         sys.executable,
         f"fuzz/{target}",
