--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("how", ["down", "error", "silence"])
-def test_the_list_service_is_down_at_the_start_and_comes_later(how):
+def test_the_list_service_is_down_at_the_start_and_starts_later(how):
     @run_async
     async def run():
         config = settings(nodes__timeout="200ms")
@@ -207,7 +207,7 @@
     run()
 
 
-def test_the_list_service_fails_later_and_the_old_list_serves_on():
+def test_the_list_service_fails_later_and_the_last_list_stays_in_use():
     @run_async
     async def run():
         async with rig(settings(nodes__wait="200ms", nodes__timeout="200ms")) as it:
@@ -444,7 +444,7 @@
     run()
 
 
-def test_running_out_of_file_descriptors_is_no_crash():
+def test_running_out_of_file_descriptors_does_not_crash_the_gateway():
     @run_async
     async def run():
         async with rig() as it:
@@ -476,7 +476,7 @@
     run()
 
 
-def test_more_connections_than_allowed_get_a_clear_answer():
+def test_connections_beyond_the_limit_get_an_error_response():
     @run_async
     async def run():
         async with rig(settings(limits__connections="2")) as it:
@@ -491,7 +491,7 @@
     run()
 
 
-def test_requests_one_after_another_and_pipelined_on_one_connection():
+def test_sequential_and_pipelined_requests_on_one_connection():
     @run_async
     async def run():
         async with rig() as it:
