--- a/tests/rig.py
+++ b/tests/rig.py
@@ -136,7 +136,7 @@
             if is_own_peer:
                 await anyio.aclose_forcefully(peer.stream)
 
-    async def raw(self, data: bytes) -> bytes:
+    async def send_raw(self, data: bytes) -> bytes:
         """Send bytes, and return all bytes that the gateway sends until it closes the connection."""
         peer = await self.connect()
         received = b""
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -50,7 +50,7 @@
     @run_async
     async def run():
         async with rig(stores=1) as it:
-            got, headers = _head(await it.raw(sent))
+            got, headers = _head(await it.send_raw(sent))
             assert (got, headers["winchdyke-reason"], headers["connection"]) == (status, reason, "close")
             assert not it.ended
 
@@ -61,7 +61,7 @@
     @run_async
     async def run():
         async with rig(settings(limits__header_timeout="200ms"), stores=1) as it:
-            status, headers = _head(await it.raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\nx-slow: "))
+            status, headers = _head(await it.send_raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\nx-slow: "))
             assert (status, headers["winchdyke-reason"]) == (408, "head-slow")
 
     run()
@@ -91,7 +91,7 @@
     @run_async
     async def run():
         async with rig() as it:
-            got = await it.raw(
+            got = await it.send_raw(
                 b"PUT /school-1/long HTTP/1.1\r\nhost: t\r\ncontent-length: 3\r\n\r\nabcdef\r\n\r\n"
             )
             assert _head(got)[0] == 201
@@ -106,7 +106,7 @@
     async def run():
         async with rig() as it:
             head = b"PUT /school-1/c HTTP/1.1\r\nhost: t\r\ntransfer-encoding: chunked\r\n\r\n"
-            status, headers = _head(await it.raw(head + b"3\r\nabc\r\nzz\r\n"))
+            status, headers = _head(await it.send_raw(head + b"3\r\nabc\r\nzz\r\n"))
             assert (status, headers["winchdyke-reason"]) == (400, "body-cut")
             assert not it.store_of("/school-1/c").object_store.objects
 
@@ -351,7 +351,7 @@
     async def run():
         async with rig(listing=False) as it:
             sent = b"PUT /school-1/big HTTP/1.1\r\nhost: t\r\ncontent-length: 9000000\r\nexpect: 100-continue\r\n\r\n"
-            got = await it.raw(sent)
+            got = await it.send_raw(sent)
             assert _head(got)[0] == 503
             assert b"100" not in got.split(b"\r\n")[0]
 
@@ -483,7 +483,7 @@
             peers = [await it.connect() for _ in range(2)]
             for peer in peers:
                 assert (await it.ask("GET", READ, peer=peer)).status == 404
-            status, headers = _head(await it.raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\n\r\n"))
+            status, headers = _head(await it.send_raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\n\r\n"))
             assert (status, headers["winchdyke-reason"]) == (503, "too-many-connections")
             for peer in peers:
                 await anyio.aclose_forcefully(peer.stream)
@@ -496,7 +496,7 @@
     async def run():
         async with rig() as it:
             two = b"PUT /school-1/p HTTP/1.1\r\nhost: t\r\ncontent-length: 2\r\n\r\nhi"
-            got = await it.raw(two + b"GET /school-1/p HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n")
+            got = await it.send_raw(two + b"GET /school-1/p HTTP/1.1\r\nhost: t\r\nconnection: close\r\n\r\n")
             assert got.count(b"HTTP/1.1 20") == 2
             assert got.endswith(b"hi")
 
