--- a/tests/rig.py
+++ b/tests/rig.py
@@ -160,7 +160,7 @@
         """Return the gateway's streams of the client connections."""
         return [connection._stream for connection in self.gateway.clients.connections]
 
-    async def until(self, done: Callable[[], bool], seconds: float = 5.0) -> None:
+    async def wait_until(self, done: Callable[[], bool], seconds: float = 5.0) -> None:
         """Wait until a condition holds; TimeoutError after ``seconds``."""
         with anyio.fail_after(seconds):
             while not done():
@@ -231,7 +231,7 @@
         group.start_soon(running.gateway.run, ready.set)
         await ready.wait()
         if listing:
-            await running.until(lambda: len(running.gateway.scheduler_loop.endpoints) == stores)
+            await running.wait_until(lambda: len(running.gateway.scheduler_loop.endpoints) == stores)
         try:
             yield running
         finally:
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -177,7 +177,7 @@
             it.store_of(READ).tricks.append("die-mid-answer")
             with pytest.raises(CONNECTION_ERRORS):
                 await it.ask("GET", READ)
-            await it.until(lambda: bool(it.ended))
+            await it.wait_until(lambda: bool(it.ended))
             assert it.outcomes == ["CONNECTION_RESET"]
             assert it.ended[0].request_finished
             assert any(type(event).__name__ == "StreamStarted" for event in it.events)
@@ -285,9 +285,9 @@
             it.store_of(READ).tricks.append("silence")
 
             async def cancel():
-                await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
+                await it.wait_until(lambda: bool(it.gateway.scheduler_loop.open_requests))
                 request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
-                await it.until(lambda: request_handle.on_cancel is not None)
+                await it.wait_until(lambda: request_handle.on_cancel is not None)
                 await anyio.sleep(0.05)
                 it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(request_handle.request_id, 0))
 
@@ -326,7 +326,7 @@
                 if order == "it is called off":
                     request_handle = next(iter(it.gateway.scheduler_loop.open_requests.values()))
                     it.gateway.scheduler_loop._execute(0.0, api.AbandonAttempt(request_handle.request_id, 0))
-                    await it.until(lambda: bool(it.ended))
+                    await it.wait_until(lambda: bool(it.ended))
                 else:
                     await anyio.sleep(0.005)
                 monkeypatch.setattr(Scheduler, "handle", handle)
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -44,7 +44,7 @@
 async def wait_until_drained(it: Rig) -> None:
     """Wait until all records of the log are stored or quarantined."""
     write_back = it.gateway.write_back
-    await it.until(lambda: not write_back._pending_objects and not write_back.drain.out, 10)
+    await it.wait_until(lambda: not write_back._pending_objects and not write_back.drain.out, 10)
 
 
 def test_a_write_is_acknowledged_from_the_log_and_reaches_its_store_once(tmp_path):
@@ -118,9 +118,9 @@
             store.tricks.extend(["", "silence"])
             write_back = it.gateway.write_back
             assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
-            await it.until(lambda: stored(it, "school-1", "a") == b"mine")
+            await it.wait_until(lambda: stored(it, "school-1", "a") == b"mine")
             store.object_store.objects["school-1", "a"] = (b"other", '"other"')
-            await it.until(lambda: bool(write_back.quarantined), 15)
+            await it.wait_until(lambda: bool(write_back.quarantined), 15)
             assert stored(it, "school-1", "a") == b"other" and effects(it, "a") == 1
             assert "something else" in next(iter(write_back.quarantined.values()))
 
@@ -153,7 +153,7 @@
             await wait_until_drained(it)
             out.tricks.extend(["", "silence"])
             assert (await it.ask("PUT", "/school-1/out", b"fresh")).status == 200
-            await it.until(lambda: stored(it, "school-1", "out") == b"fresh")
+            await it.wait_until(lambda: stored(it, "school-1", "out") == b"fresh")
             new.kill()
             assert (await it.ask("PUT", "/school-1/new", b"fresh")).status == 200
             log = it.gateway.write_back.log
@@ -237,7 +237,7 @@
                     assert (await it.ask("PUT", f"/school-1/{number}", b"x")).status == 200
                 stopped_at = anyio.current_time()
                 it.gateway.stop()
-                await it.until(lambda: not it.gateway.write_back.committer._thread.is_alive(), 10)
+                await it.wait_until(lambda: not it.gateway.write_back.committer._thread.is_alive(), 10)
                 assert anyio.current_time() - stopped_at < 6.0
         from winchdyke.writeback.disk import Folder
         from winchdyke.writeback.log import Log
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -340,9 +340,9 @@
                 ].expected_units_per_s == 90.0
                 await cli("set", folder, "volume", "school-*", "plan=contest")
                 assert "undone" not in await cli("apply", folder, "3", "--confirm-within", "700ms")
-                await it.until(lambda: it.gateway.service.snapshot.version == 3)
-                await it.until(lambda: it.gateway.service.snapshot.version == 2)
-                await it.until(lambda: it.gateway.rollout.change_log.state().serving == 2)
+                await it.wait_until(lambda: it.gateway.service.snapshot.version == 3)
+                await it.wait_until(lambda: it.gateway.service.snapshot.version == 2)
+                await it.wait_until(lambda: it.gateway.rollout.change_log.state().serving == 2)
                 await cli("set", folder, "plan", "basic", "limit=100 units/s")
                 await cli("apply", folder, "4", "--confirm-within", "60s")
                 assert "stays" in await cli("confirm", folder)
@@ -416,16 +416,18 @@
             assert protocol.seeds == ("127.0.0.1:9",)
             await cli("set", folder, "peer", "east", "address=127.0.0.1:7", "--new")
             await cli("apply", folder, "2")
-            await it.until(lambda: protocol.seeds == ("127.0.0.1:9", "127.0.0.1:7"))
+            await it.wait_until(lambda: protocol.seeds == ("127.0.0.1:9", "127.0.0.1:7"))
             await cli("set", folder, "fleet", "seeds=127.0.0.1:8")
             await cli("apply", folder, "3")
-            await it.until(lambda: protocol.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
+            await it.wait_until(lambda: protocol.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
             assert protocol.address_overrides == {"east": "127.0.0.1:7"}
             wrong = await cli("set", folder, "fleet", "interval=2s", ends=1)
             assert "interval of a fleet can't change in service; these can: seeds" in wrong
             await cli("set", folder, "peer", "east", "--remove")
             await cli("apply", folder, "4")
-            await it.until(lambda: protocol.seeds == ("127.0.0.1:8",) and protocol.address_overrides == {})
+            await it.wait_until(
+                lambda: protocol.seeds == ("127.0.0.1:8",) and protocol.address_overrides == {}
+            )
 
     run()
 
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -77,8 +77,8 @@
 
 
 async def wait_until_served(it, version: int) -> None:
-    await it.until(lambda: it.gateway.service.snapshot.version == version, 15)
-    await it.until(lambda: it.gateway.rollout.change_log.state().serving == version, 15)
+    await it.wait_until(lambda: it.gateway.service.snapshot.version == version, 15)
+    await it.wait_until(lambda: it.gateway.rollout.change_log.state().serving == version, 15)
 
 
 def steps_of(it) -> list[tuple[str, int]]:
@@ -181,7 +181,7 @@
             await stage_change(it, "plan", "school", "weight=6")
             await wait_until_served(it, 2)
             await stage_change(it, "plan", "basic", "weight=8", hold=True)
-            await it.until(lambda: ("ready", 3) in steps_of(it))
+            await it.wait_until(lambda: ("ready", 3) in steps_of(it))
             assert (await execute(it, Status()))["held"]
             assert (await execute(it, Undo(why="too much")))["withdrawn"] == 3
             await wait_until_served(it, 1)
@@ -214,7 +214,7 @@
             await wait_until_served(it, 2)
             await stage_change(it, "plan", "basic", "weight=8", at_ms=time.time() * 1000 + 1500)
             await wait_until_served(it, 1)
-            await it.until(lambda: ("refused", 3) in steps_of(it))
+            await it.wait_until(lambda: ("refused", 3) in steps_of(it))
             assert (
                 "apply it again"
                 in next(e for e in it.gateway.rollout.change_log.entries() if e.action == "refused").note
@@ -297,7 +297,7 @@
                 rollout.change_log.append(Step("ready", 2), "x")
             left[0] = 1000
             if writes:
-                await it.until(lambda: ("undone", 1) in steps_of(it))
+                await it.wait_until(lambda: ("undone", 1) in steps_of(it))
                 assert "could not be recorded" in other.change_log.entries()[-1].note
             else:
                 await wait_until_served(it, 2)
@@ -313,7 +313,7 @@
             await stage_change(it, "plan", "school", "weight=6", confirm_within_ms=400.0)
             await wait_until_served(it, 2)
             left = fill_disk_after(it.gateway.rollout.change_log, 0)
-            await it.until(lambda: it.gateway.service.snapshot.version == 1)
+            await it.wait_until(lambda: it.gateway.service.snapshot.version == 1)
             assert ChangeLog(tmp_path).state().serving == 2
             left[0] = 1000
             await wait_until_served(it, 1)
@@ -369,7 +369,7 @@
         async with rig(with_changes(tmp_path)) as it:
             await stage_change(it, "plan", "school", "weight=9")
             await wait_until_served(it, 2)
-            await it.until(
+            await it.wait_until(
                 lambda: (
                     last_known_good.load(tmp_path) is not None and last_known_good.load(tmp_path).version == 2
                 )
@@ -413,7 +413,9 @@
                         assert error.code == "conflict", error.text
                 if number % 20 == 0:
                     assert (await it.ask("GET", "/school-1/k")).status in (404, 503)
-            await it.until(lambda: ("applied", last) in steps_of(it) or ("refused", last) in steps_of(it))
+            await it.wait_until(
+                lambda: ("applied", last) in steps_of(it) or ("refused", last) in steps_of(it)
+            )
             change_log = it.gateway.rollout.change_log
             log = change_log.all_entries()
             ends = {e.version for e in log if e.action in ("applied", "refused", "withdrawn")}
@@ -540,9 +542,9 @@
 
             async with anyio.create_task_group() as group:
                 group.start_soon(one)
-                await it.until(lambda: it.gateway.service.active_requests == 1)
+                await it.wait_until(lambda: it.gateway.service.active_requests == 1)
                 it.gateway.stop()
-                await it.until(lambda: it.gateway.service.stopping)
+                await it.wait_until(lambda: it.gateway.service.stopping)
                 await stage_change(it, "plan", "school", "weight=6")
             assert answers[0].status == 201 and answers[0].headers["winchdyke-version"] == "1"
             assert it.gateway.service.snapshot.version == 1
@@ -566,7 +568,7 @@
             await peer.stream.send(
                 b"PUT /school-1/k HTTP/1.1\r\nhost: t\r\ncontent-length: 200000\r\n\r\n" + b"x" * 100_000
             )
-            await it.until(lambda: it.gateway.service.active_requests == 1)
+            await it.wait_until(lambda: it.gateway.service.active_requests == 1)
             made = await execute(it, Set("volume", "school-*", remove=True))
             await execute(it, Stage(made["version"]))
             await wait_until_served(it, 2)
@@ -605,7 +607,7 @@
             async with anyio.create_task_group() as group:
                 for number in range(60):
                     group.start_soon(load, number)
-                await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) >= 40, 15.0)
+                await it.wait_until(lambda: len(it.gateway.scheduler_loop.open_requests) >= 40, 15.0)
                 base = it.gateway.rollout.change_log.version(1).text
                 made = await execute(it, Set("volume", "contest-*", remove=True))
                 text = it.gateway.rollout.change_log.version(made["version"]).text
@@ -761,7 +763,7 @@
                 it.group.start_soon(made.run, ready.set)
                 await ready.wait()
                 gateways.append(made)
-            await it.until(lambda: all(len(each.scheduler_loop.endpoints) == 8 for each in gateways))
+            await it.wait_until(lambda: all(len(each.scheduler_loop.endpoints) == 8 for each in gateways))
             offsets = (-1000.0, 0.0, 1000.0)
             for each, offset in zip(gateways, offsets, strict=True):
                 each.rollout.wall_clock_ms = lambda offset=offset: time.time() * 1000 + offset
@@ -799,7 +801,7 @@
                         operations.execute(Stage(2, at_ms=at))
 
                 await anyio.to_thread.run_sync(all_of_them)
-                await it.until(lambda: len(changed) == 3, 15)
+                await it.wait_until(lambda: len(changed) == 3, 15)
                 await anyio.sleep(0.5)
                 last_change = it.record.entries[-1]["t"]
                 if new > old:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -409,7 +409,9 @@
             paths = {it.store_of(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
             while (await it.ask("GET", paths[5])).status != 404:
                 assert anyio.current_time() - started_at < 3.0
-            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 6)
+            await it.wait_until(
+                lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 6
+            )
             statuses = [
                 (await it.ask("GET", paths[shard], winchdyke_time_left="300ms")).status for shard in (0, 1)
             ]
@@ -421,7 +423,7 @@
             assert other_store.name not in requested and stopped.name not in requested
             # Unconfirmed endpoints are checked one at a time, in random order: this one may be the last.
             known = it.gateway.discovery.view.endpoints
-            await it.until(lambda: known[other_store.name].status is DiscoveryStatus.ADDRESS_REUSED)
+            await it.wait_until(lambda: known[other_store.name].status is DiscoveryStatus.ADDRESS_REUSED)
             requested = [
                 seen["who"] for seen in it.record.entries[recorded_before:] if seen["what"] == "head"
             ]
@@ -437,11 +439,11 @@
             write_cache(it.stores, tmp_path)
             await restart_from_cache(it, tmp_path)
             store = it.store_of("/school-1/object")
-            await it.until(lambda: it.gateway.discovery.view.is_usable(store.name))
+            await it.wait_until(lambda: it.gateway.discovery.view.is_usable(store.name))
             assert (await it.ask("GET", "/school-1/object")).status == 404
             store.draining = True
             await it.ask("GET", "/school-1/object", winchdyke_time_left="300ms")
-            await it.until(
+            await it.wait_until(
                 lambda: it.gateway.discovery.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
             )
             await anyio.sleep(0.1)
@@ -505,7 +507,7 @@
                 gateways.append(Gateway(dataclasses.replace(config, rules=rules, gateway=gateway_settings)))
                 it.group.start_soon(gateways[-1].run)
             it.gateway = gateways[0]
-            await it.until(lambda: all(g.address[1] for g in gateways))
+            await it.wait_until(lambda: all(g.address[1] for g in gateways))
 
             async def send_requests(gateway) -> None:
                 it.gateway = gateway
@@ -541,7 +543,9 @@
             else:
                 it.list.failing = how
             await restart_from_cache(it, tmp_path, listing=True)
-            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8)
+            await it.wait_until(
+                lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8
+            )
             assert (await it.ask("GET", "/school-1/object")).status == 404
 
     run()
@@ -556,7 +560,9 @@
         async with rig() as it:
             write_cache(it.stores, tmp_path)
             await restart_from_cache(it, tmp_path)
-            await it.until(lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8)
+            await it.wait_until(
+                lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8
+            )
 
     run()
 
@@ -579,12 +585,14 @@
                 it, tmp_path, file=str(file), srv="stores.test", dns=f"127.0.0.1:{server.port}"
             )
             view = it.gateway.discovery.view
-            await it.until(lambda: all(view.is_usable(s.name) for s in it.stores))
+            await it.wait_until(lambda: all(view.is_usable(s.name) for s in it.stores))
             # The complete file, which was truncated before.
             file.write_text(f'{{"token": "", "form": "full", "nodes": [{nodes}]}}')
-            await it.until(lambda: [view.is_usable(s.name) for s in it.stores] == [True] * 4 + [False] * 4)
+            await it.wait_until(
+                lambda: [view.is_usable(s.name) for s in it.stores] == [True] * 4 + [False] * 4
+            )
             file.unlink()
-            await it.until(lambda: all(view.is_usable(s.name) for s in it.stores))
+            await it.wait_until(lambda: all(view.is_usable(s.name) for s in it.stores))
             assert (await it.ask("GET", "/school-1/object")).status == 404
 
     run()
@@ -626,12 +634,12 @@
     async def run():
         async with rig(settings_with(keep=str(tmp_path))) as it:
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(
+            await it.wait_until(
                 lambda: (
                     it.gateway.discovery.view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING
                 )
             )
-            await it.until(
+            await it.wait_until(
                 lambda: (
                     cache.load(tmp_path)[0] is not None
                     and cache.load(tmp_path)[0].endpoints[0].drain_announced
@@ -659,7 +667,7 @@
             for turn in range(12):
                 await it.list.set(flapping.name, "draining" if turn % 2 else "ready", 7, "hall-a")
                 if turn % 2:
-                    await it.until(lambda: not view.is_usable(flapping.name))
+                    await it.wait_until(lambda: not view.is_usable(flapping.name))
             assert not view.is_usable(flapping.name)
             # Restored from an old backup: lower versions, without one of the nodes and without the drain.
             del it.list._entries[omitted.name]
@@ -668,7 +676,7 @@
             it.list._news.set()
             it.list._news = anyio.Event()
             source = view.sources["list"]
-            await it.until(lambda: source.regressed_since_ms is not None)
+            await it.wait_until(lambda: source.regressed_since_ms is not None)
             assert view.is_usable(omitted.name) and not view.is_usable(flapping.name)
             path = next(p for p in (f"/school-1/k{n}" for n in range(200)) if it.store_of(p) is omitted)
             assert (await it.ask("GET", path)).status == 404
@@ -689,18 +697,18 @@
             it.group.start_soon(it.gateway.run, ready.set)
             await ready.wait()
             view = it.gateway.discovery.view
-            await it.until(lambda: all(view.is_usable(store.name) for store in it.stores))
+            await it.wait_until(lambda: all(view.is_usable(store.name) for store in it.stores))
             source = it.gateway.discovery.sources[0]
             calls = source.poll_count
             await anyio.sleep(0.3)
             assert source.poll_count - calls <= 1, "the call blocks at the service"
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(lambda: view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING)
+            await it.wait_until(lambda: view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING)
             it.list._version, it.list._changes = 2, []
             it.list._entries[it.stores[0].name]["state"] = "ready"
             it.list._news.set()
             it.list._news = anyio.Event()
-            await it.until(lambda: view.sources["list"].regressed_since_ms is not None)
+            await it.wait_until(lambda: view.sources["list"].regressed_since_ms is not None)
             assert not view.is_usable(it.stores[0].name), "an older list does not end a drain"
 
     run()
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -77,9 +77,9 @@
             )
             await anyio.sleep(0.1)
             await anyio.aclose_forcefully(peer.stream)
-            await it.until(lambda: bool(it.ended))
+            await it.wait_until(lambda: bool(it.ended))
             assert it.outcomes == ["CANCELLED"]
-            await it.until(lambda: not it.gateway.service.active_requests)
+            await it.wait_until(lambda: not it.gateway.service.active_requests)
             assert not it.gateway.scheduler_loop.open_requests
             assert ("school-1", "cut") not in it.store_of("/school-1/cut").object_store.objects
             assert it.gateway.service.bodies.used_bytes == 0
@@ -146,16 +146,16 @@
                 headers = [("host", "t"), ("x-request-id", f"c{number}"), ("content-length", "1")]
                 request = h11.Request(method="PUT", target=READ, headers=headers)
                 await peer.send(request, h11.Data(data=b"x"), h11.EndOfMessage())
-            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == len(busy))
+            await it.wait_until(lambda: len(it.gateway.scheduler_loop.open_requests) == len(busy))
             if when == "after":
-                await it.until(lambda: bool(it.ended))
+                await it.wait_until(lambda: bool(it.ended))
             for peer in busy:
                 await peer.reset()
-            await it.until(lambda: not it.gateway.scheduler_loop.open_requests)
+            await it.wait_until(lambda: not it.gateway.scheduler_loop.open_requests)
             await anyio.sleep(0.05)  # requests in transit when the client disconnected have arrived by now
             heads = [seen["client"] for seen in it.record.entries if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some requests were queued and are never sent"
-            await it.until(lambda: not it.gateway.service.active_requests)
+            await it.wait_until(lambda: not it.gateway.service.active_requests)
             # Attempts in flight are awaited, so that the concurrency limit accounts for them; nothing else is sent.
             assert all(
                 event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
@@ -179,7 +179,7 @@
             )
             await peer.stream.receive()
             await peer.reset()
-            await it.until(lambda: bool(it.ended))
+            await it.wait_until(lambda: bool(it.ended))
             assert (it.outcomes, it.ended[0].request_finished) == (["CANCELLED"], True)
 
     run()
@@ -201,7 +201,7 @@
             it.list.failing = ""
             if how == "down":
                 await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
+            await it.wait_until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
             assert (await it.ask("GET", READ)).status == 404
 
     run()
@@ -212,7 +212,7 @@
     async def run():
         async with rig(settings(nodes__wait="200ms", nodes__timeout="200ms")) as it:
             it.list.failing = "error"
-            await it.until(
+            await it.wait_until(
                 lambda: any(
                     isinstance(e, api.EndpointList) and e.kind is api.EndpointListKind.FAILED
                     for e in it.events
@@ -221,7 +221,7 @@
             assert (await it.ask("GET", READ)).status == 404
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
-            await it.until(
+            await it.wait_until(
                 lambda: (
                     it.gateway.scheduler_loop.endpoints[it.stores[0].name].status
                     is api.EndpointStatus.DRAINING
@@ -281,7 +281,7 @@
             it.group.start_soon(ask)
             await anyio.sleep(0.2)
             time.sleep(0.3)
-            await it.until(lambda: len(got) == 2)
+            await it.wait_until(lambda: len(got) == 2)
             assert got[0].reason == "timed-out"
             assert got[1] < 0.4 + 0.25
 
@@ -313,9 +313,9 @@
                 got.append(await it.ask("GET", READ))
 
             it.group.start_soon(ask)
-            await it.until(lambda: bool(it.gateway.scheduler_loop.open_requests))
+            await it.wait_until(lambda: bool(it.gateway.scheduler_loop.open_requests))
             it.group.start_soon(ask)
-            await it.until(lambda: len(got) == 2)
+            await it.wait_until(lambda: len(got) == 2)
             assert {(answer.status, answer.reason) for answer in got} == {(502, "engine-fault")}
             assert it.gateway.scheduler_loop.counts["scheduler_failures"] == 1
             assert len(it.gateway.scheduler_loop.endpoints) == 8, "the new scheduler gets the endpoint list"
@@ -391,12 +391,12 @@
         async with rig(settings(limits__body_total="1MiB")) as it:
             peer = await it.connect()
             await peer.stream.send(b"PUT /school-1/a HTTP/1.1\r\nhost: t\r\ncontent-length: 900000\r\n\r\nx")
-            await it.until(lambda: it.gateway.service.bodies.used_bytes == 900_000)
+            await it.wait_until(lambda: it.gateway.service.bodies.used_bytes == 900_000)
             answer = await it.ask("PUT", "/school-1/b", b"y" * 400_000)
             assert (answer.status, answer.reason) == (503, "body-store-full")
             assert "retry-after" in answer.headers
             await anyio.aclose_forcefully(peer.stream)
-            await it.until(lambda: not it.gateway.service.bodies.used_bytes)
+            await it.wait_until(lambda: not it.gateway.service.bodies.used_bytes)
             assert (await it.ask("PUT", "/school-1/b", b"y" * 400_000)).status == 201
             assert (await it.ask("PUT", "/school-1/c", b"y", transfer_encoding="chunked")).status == 201
 
@@ -429,9 +429,9 @@
                 for number in range(200):
                     group.start_soon(ask, number)
                 # All requests have been accepted.
-                await it.until(lambda: it.gateway.service.active_requests + len(got) == 200)
+                await it.wait_until(lambda: it.gateway.service.active_requests + len(got) == 200)
                 it.gateway.stop()
-                await it.until(lambda: it.gateway.service.stopping)
+                await it.wait_until(lambda: it.gateway.service.stopping)
                 with pytest.raises((OSError, *CONNECTION_ERRORS)):
                     while True:  # a connection may still be in the backlog while the listener closes
                         peer = await it.connect()
@@ -510,7 +510,7 @@
             old = it.store_of(READ)
             await it.ask("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
-            await it.until(
+            await it.wait_until(
                 lambda: it.gateway.scheduler_loop.endpoints[old.name].status is api.EndpointStatus.DRAINING
             )
             before = len(it.ended)
@@ -518,7 +518,7 @@
             fresh = type(old)(old.spec, old.object_store, it.deduplication_group, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
-            await it.until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
+            await it.wait_until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
             assert (await it.ask("GET", READ)).body == b"x"
             assert {event.endpoint for event in it.ended[before:]} == {fresh.name}
 
@@ -586,10 +586,10 @@
             it.list.serve_cached_copy()
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.list.start(it.group)
-            await it.until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
+            await it.wait_until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
             kinds = [event.kind for event in it.events if isinstance(event, api.EndpointList)]
             assert api.EndpointListKind.CACHED in kinds
-            await it.until(
+            await it.wait_until(
                 lambda: (
                     it.gateway.scheduler_loop.endpoints[it.stores[0].name].status
                     is api.EndpointStatus.DRAINING
@@ -618,14 +618,14 @@
                 h11.Data(data=b"x"),
                 h11.EndOfMessage(),
             )
-            await it.until(lambda: heads() == ["first"])
+            await it.wait_until(lambda: heads() == ["first"])
             second = await it.connect()
             head = "PUT /school-1/object HTTP/1.1\r\nhost: t\r\nwinchdyke-class: turns\r\nx-request-id: second\r\n"
             await second.stream.send(head.encode() + b"content-length: 900000\r\n\r\n" + b"x" * 450_000)
-            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == 2)
+            await it.wait_until(lambda: len(it.gateway.scheduler_loop.open_requests) == 2)
             await anyio.sleep(0.05)
             await second.reset()
-            await it.until(lambda: len(it.gateway.scheduler_loop.open_requests) == 1, 1.0)
+            await it.wait_until(lambda: len(it.gateway.scheduler_loop.open_requests) == 1, 1.0)
             assert (await reply(first)).status == 201
             await anyio.sleep(0.1)
             assert heads() == ["first"]
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -196,17 +196,17 @@
             async with anyio.create_task_group() as group:
                 for path in paths:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: any(g["held"] for g in shown.snapshot()["gateways"]))
+                await it.wait_until(lambda: any(g["held"] for g in shown.snapshot()["gateways"]))
                 (gateway,) = shown.snapshot()["gateways"]
                 assert not gateway["stale"]
                 held = gateway["held"][0]
                 assert (held["shard"], held["cause"], held["class"]) == (0, "window", "submit")
                 assert held["count"] >= 4 and held["holders"]
-            await it.until(lambda: shown.snapshot()["requests"] == 12)
+            await it.wait_until(lambda: shown.snapshot()["requests"] == 12)
             courses = {course["volume"]: course for course in shown.snapshot()["courses"]}
             assert set(courses) == {"school-0", "school-1"}
             assert courses["school-1"]["held_ms"] > 100
-            await it.until(lambda: not shown.snapshot()["gateways"][0]["held"])
+            await it.wait_until(lambda: not shown.snapshot()["gateways"][0]["held"])
 
     run()
     words = ["waits", "top", str(tmp_path), "--once", "--seconds", "600"]
@@ -371,20 +371,20 @@
             async with anyio.create_task_group() as group:
                 for path in paths[:10]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(lambda: len(it.gateway.scheduler_loop.observer.queued_groups()) > 0)
-                await it.until(lambda: it.gateway.service.active_requests == 10)
+                await it.wait_until(lambda: len(it.gateway.scheduler_loop.observer.queued_groups()) > 0)
+                await it.wait_until(lambda: it.gateway.service.active_requests == 10)
                 it.gateway.scheduler_loop._replace_scheduler(RuntimeError("on purpose"))
                 for path in paths[10:20]:
                     group.start_soon(it.ask, "PUT", path, b"x")
-                await it.until(
+                await it.wait_until(
                     lambda: (
                         it.gateway.service.active_requests >= 10
                         and it.gateway.scheduler_loop.observer.queued_groups()
                     )
                 )
-                await it.until(lambda: it.gateway.service._requests_handled == 20)
+                await it.wait_until(lambda: it.gateway.service._requests_handled == 20)
                 it.gateway.stop()
-            await it.until(lambda: not it.gateway.ledger._thread.is_alive(), 10.0)
+            await it.wait_until(lambda: not it.gateway.ledger._thread.is_alive(), 10.0)
             found = list(ledger.read_accounts([tmp_path]))
             assert len(found) == 20
             assert {one.reason for one in found} & {"engine-fault"}
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -384,12 +384,12 @@
             )
             await peer.send(request, h11.Data(data=b"x" * (size * 3 // 4)))
             byte_meter = it.gateway.service.byte_meter
-            await it.until(lambda: byte_meter.debt_units("school-1") > 250)
-            await it.until(lambda: any(seen["what"] == "head" for seen in it.record.entries))
+            await it.wait_until(lambda: byte_meter.debt_units("school-1") > 250)
+            await it.wait_until(lambda: any(seen["what"] == "head" for seen in it.record.entries))
             await anyio.sleep(0.1)
             before = byte_meter.debt_units("school-1")
             await peer.reset()
-            await it.until(lambda: byte_meter.debt_units("school-1") <= before - 90)
+            await it.wait_until(lambda: byte_meter.debt_units("school-1") <= before - 90)
             assert before - 100 - 60 <= byte_meter.debt_units("school-1") <= before - 90, (
                 "a quarter of the body was never sent"
             )
@@ -411,9 +411,9 @@
             )
             await peer.send(request)
             meter = it.gateway.service.byte_meter._meters["school-1"]
-            await it.until(lambda: meter.debt.queued_units > 0)
+            await it.wait_until(lambda: meter.debt.queued_units > 0)
             await peer.reset()
-            await it.until(lambda: meter.debt.queued_units == 0 and meter.open_charges == 0, 1.0)
+            await it.wait_until(lambda: meter.debt.queued_units == 0 and meter.open_charges == 0, 1.0)
 
     run()
 
@@ -431,7 +431,7 @@
                 method="PUT", target="/school-1/o", headers=[("host", "t"), ("content-length", str(size))]
             )
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
-            await it.until(lambda: byte_meter.debt_units("school-1") > 0)
+            await it.wait_until(lambda: byte_meter.debt_units("school-1") > 0)
             plan = dataclasses.replace(
                 engine.quota("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
             )
--- a/tests/test_s3.py
+++ b/tests/test_s3.py
@@ -572,7 +572,7 @@
             ready = anyio.Event()
             it.group.start_soon(other.run, ready.set)
             await ready.wait()
-            await it.until(lambda: len(other.scheduler_loop.endpoints) == 8)
+            await it.wait_until(lambda: len(other.scheduler_loop.endpoints) == 8)
             one = boto(it, keys)
             host, port = other.addresses[-1]
             two = boto3.client(
