--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -54,7 +54,7 @@
             peer = await site.connect()
             await anyio.sleep(after_ms / 1000)
             sent[name] = clock()
-            await site.ask("GET", path, peer=peer, x_request_id=name, **headers)
+            await site.request("GET", path, peer=peer, x_request_id=name, **headers)
             await anyio.aclose_forcefully(peer.stream)
 
         async with anyio.create_task_group() as group:
@@ -109,7 +109,7 @@
         node = site.where(path)
         node.slowdown = 10.0
         for _ in range(5):
-            await site.ask("GET", path)
+            await site.request("GET", path)
         accounts = waits(site, folder)
         assert report_data(summarize(accounts))["nodes"][0]["node"] == node.name
         received_ms = {
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -62,7 +62,7 @@
             await anyio.sleep(max(0.0, (began + at - clock()) / 1000))
             own = free.pop() if free else await it.connect()
             try:
-                await it.ask("GET", where, peer=own, winchdyke_class=request.request_class)
+                await it.request("GET", where, peer=own, winchdyke_class=request.request_class)
                 free.append(own)
             except CONNECTION_ERRORS:
                 await anyio.aclose_forcefully(own.stream)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -114,7 +114,7 @@
         """Open a client connection to the gateway."""
         return Peer(await anyio.connect_tcp(*self.gateway.address), h11.CLIENT)
 
-    async def ask(
+    async def request(
         self, method: str, path: str, body: bytes | None = None, peer: Peer | None = None, **headers: str
     ) -> Reply:
         """Send a request and return the response; ``_`` in a header name stands for ``-``."""
--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -255,7 +255,7 @@
             assert b"400" in await ask(b"nonsense\r\n\r\n")
             # Idle connections take all admin connection slots: clients are still served, and released slots are used again.
             idle = [await anyio.connect_unix(unix) for _ in range(40)]
-            assert (await it.ask("GET", "/school-1/k")).status == 404
+            assert (await it.request("GET", "/school-1/k")).status == 404
             for stream in idle:
                 await stream.aclose()
             assert b"serving" in await ask(
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -23,10 +23,10 @@
     """Return the attempts' outcomes and the response if the store misbehaves at the first request."""
     async with rig() as it:
         store = it.store_of(READ)
-        await it.ask("PUT", READ, b"x" * 3000)
+        await it.request("PUT", READ, b"x" * 3000)
         it.ended.clear()
         store.tricks.append(trick)
-        reply = await it.ask(method, READ, b"y" * 100 if method == "PUT" else None, **headers)
+        reply = await it.request(method, READ, b"y" * 100 if method == "PUT" else None, **headers)
         return it.outcomes, reply
 
 
@@ -69,7 +69,7 @@
     async def run():
         async with rig() as it:
             it.store_of(READ).kill()
-            reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms")
+            reply = await it.request("PUT", READ, b"x", winchdyke_time_left="400ms")
             assert set(it.outcomes) == {"CONNECT_FAILED"}
             assert (reply.status, reply.headers["winchdyke-outcome"]) == (503, "refused")
 
@@ -86,11 +86,11 @@
             connect_tcp = anyio.connect_tcp
             peer = await it.connect()
             monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", fail_connect)
-            reply = await it.ask("GET", READ, peer=peer)
+            reply = await it.request("GET", READ, peer=peer)
             monkeypatch.setattr("winchdyke.gateway.pool.anyio.connect_tcp", connect_tcp)
             assert set(it.outcomes) == {"NOT_SENT"}
             assert (reply.status, reply.reason) == (503, "unsent")
-            assert (await it.ask("GET", READ, peer=peer)).status == 404
+            assert (await it.request("GET", READ, peer=peer)).status == 404
 
     run()
 
@@ -101,7 +101,7 @@
         async with rig() as it:
             it.store_of(READ).tricks.append("silence")
             started_at = anyio.current_time()
-            reply = await it.ask("PUT", READ, b"x", winchdyke_time_left="300ms")
+            reply = await it.request("PUT", READ, b"x", winchdyke_time_left="300ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert (reply.status, reply.reason) == (504, "timed-out")
             assert anyio.current_time() - started_at < 0.3 + SLACK_S
@@ -115,14 +115,14 @@
     @run_async
     async def run():
         async with rig() as it:
-            await it.ask("PUT", READ, b"x", winchdyke_class="once")
+            await it.request("PUT", READ, b"x", winchdyke_class="once")
             monkeypatch.setattr("winchdyke.gateway.pool.Connection.is_readable_or_closed", lambda self: False)
             store = it.store_of(READ)
             store.kill()
             await anyio.sleep(0.05)
             await store.start(it.group)
             it.ended.clear()
-            reply = await it.ask("PUT", READ, b"y", winchdyke_class="once")
+            reply = await it.request("PUT", READ, b"y", winchdyke_class="once")
             assert it.outcomes == ["CONNECTION_RESET"]
             assert reply.status == 502
 
@@ -135,9 +135,9 @@
         async with rig() as it:
             store = it.store_of(READ)
             store.tricks.append("close-idle")
-            await it.ask("PUT", READ, b"x", winchdyke_class="once")
+            await it.request("PUT", READ, b"x", winchdyke_class="once")
             await anyio.sleep(0.05)
-            assert (await it.ask("PUT", READ, b"y", winchdyke_class="once")).status == 200
+            assert (await it.request("PUT", READ, b"y", winchdyke_class="once")).status == 200
             assert it.outcomes == ["SERVED", "SERVED"]
 
     run()
@@ -148,7 +148,7 @@
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("die-on-accept")
-            assert (await it.ask("GET", READ)).status == 404
+            assert (await it.request("GET", READ)).status == 404
             assert it.outcomes[0] in ("CONNECTION_RESET", "NOT_SENT", "CONNECT_FAILED")
             assert it.outcomes[-1] == "SERVED"
 
@@ -160,7 +160,7 @@
     async def run():
         async with rig() as it:
             it.store_of(READ).tricks.append("die-mid-request")
-            reply = await it.ask("PUT", READ, b"x" * 900_000)
+            reply = await it.request("PUT", READ, b"x" * 900_000)
             assert it.outcomes == ["CONNECTION_RESET", "SERVED"]
             assert reply.status == 201
             assert len(it.store_of(READ).object_store.objects["school-1", "object"][0]) == 900_000
@@ -172,11 +172,11 @@
     @run_async
     async def run():
         async with rig() as it:
-            await it.ask("PUT", READ, b"x" * 900_000)
+            await it.request("PUT", READ, b"x" * 900_000)
             it.ended.clear()
             it.store_of(READ).tricks.append("die-mid-answer")
             with pytest.raises(CONNECTION_ERRORS):
-                await it.ask("GET", READ)
+                await it.request("GET", READ)
             await it.wait_until(lambda: bool(it.ended))
             assert it.outcomes == ["CONNECTION_RESET"]
             assert it.ended[0].request_finished
@@ -189,11 +189,11 @@
     @run_async
     async def run():
         async with rig() as it:
-            await it.ask("PUT", READ, b"x" * 300)
+            await it.request("PUT", READ, b"x" * 300)
             it.store_of(READ).tricks.append("long-answer")
-            assert (await it.ask("GET", READ)).body == b"x" * 300
+            assert (await it.request("GET", READ)).body == b"x" * 300
             opened_before = it.gateway.pool.connections_opened
-            assert (await it.ask("GET", READ)).body == b"x" * 300
+            assert (await it.request("GET", READ)).body == b"x" * 300
             assert it.gateway.pool.connections_opened == opened_before + 1
 
     run()
@@ -203,10 +203,10 @@
     @run_async
     async def run():
         async with rig() as it:
-            await it.ask("PUT", READ, b"x" * 3000)
+            await it.request("PUT", READ, b"x" * 3000)
             it.ended.clear()
             it.store_of(READ).tricks.append("trickle")
-            reply = await it.ask("GET", READ, winchdyke_time_left="250ms")
+            reply = await it.request("GET", READ, winchdyke_time_left="250ms")
             assert it.outcomes == ["TIMED_OUT"]
             assert reply.status in (503, 504)
 
@@ -240,12 +240,12 @@
     @run_async
     async def run():
         async with rig(settings()) as it:
-            await it.ask("PUT", READ, b"x")
+            await it.request("PUT", READ, b"x")
             event = it.ended[0]
             assert event.volume_usage_percent is not None
             assert len(event.load_report) == 2
             it.store_of(READ)._others["school-1"]["dev"] = 5.0
-            await it.ask("GET", READ)
+            await it.request("GET", READ)
             assert it.ended[1].units_via_other_gateways == 5.0
 
     run()
@@ -292,7 +292,7 @@
                 it.gateway.scheduler_loop._execute(0.0, api.CancelAttempt(request_handle.request_id, 0))
 
             it.group.start_soon(cancel)
-            reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
+            reply = await it.request("PUT", READ, b"x", winchdyke_class="once")
             assert it.outcomes == ["CANCELLED"]
             assert (reply.status, reply.reason) == (502, "cancelled")
 
@@ -336,7 +336,7 @@
             if order != "it is called off":
                 monkeypatch.setattr(Scheduler, "handle", handle_with_write_timeout)
             it.group.start_soon(release_connection)
-            reply = await it.ask("PUT", READ, b"x", winchdyke_class="once")
+            reply = await it.request("PUT", READ, b"x", winchdyke_class="once")
             assert it.outcomes == ["NOT_SENT", "SERVED"] and reply.status == 201
             assert len([seen for seen in it.record.entries if seen["what"] == "whole"]) == 1
 
--- a/tests/test_back.py
+++ b/tests/test_back.py
@@ -51,9 +51,9 @@
     @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
-            answer = await it.ask("PUT", "/school-1/a", b"hello")
+            answer = await it.request("PUT", "/school-1/a", b"hello")
             assert answer.status == 200 and answer.headers["winchdyke-acknowledged"] == "log"
-            read = await it.ask("GET", "/school-1/a")
+            read = await it.request("GET", "/school-1/a")
             assert read.body == b"hello" and read.headers["etag"] == answer.headers["etag"]
             await wait_until_drained(it)
             assert effects(it, "a") == 1 and stored(it, "school-1", "a") == b"hello"
@@ -81,8 +81,8 @@
             store = it.store_of("/school-1/a")
             store.kill()
             for number in range(5):
-                assert (await it.ask("PUT", "/school-1/a", b"v%d" % number)).status == 200
-            read = await it.ask("GET", "/school-1/a", winchdyke_time_left="700ms")
+                assert (await it.request("PUT", "/school-1/a", b"v%d" % number)).status == 200
+            read = await it.request("GET", "/school-1/a", winchdyke_time_left="700ms")
             assert read.status == 503 and read.reason == "write-back"
             await store.start(it.group)
             await wait_until_drained(it)
@@ -96,11 +96,11 @@
     @run_async
     async def run():
         async with rig(config(tmp_path)) as it:
-            assert (await it.ask("PUT", "/school-1/a", b"old")).status == 200
+            assert (await it.request("PUT", "/school-1/a", b"old")).status == 200
             await wait_until_drained(it)
             store = it.store_of("/school-1/a")
             store.tricks.extend(["", fault])  # the query for the precondition, then the write
-            assert (await it.ask("PUT", "/school-1/a", b"new")).status == 200
+            assert (await it.request("PUT", "/school-1/a", b"new")).status == 200
             await wait_until_drained(it)
             assert stored(it, "school-1", "a") == b"new" and effects(it, "a") == 2
             assert not it.gateway.write_back.quarantined
@@ -117,7 +117,7 @@
             store = it.store_of("/school-1/a")
             store.tricks.extend(["", "silence"])
             write_back = it.gateway.write_back
-            assert (await it.ask("PUT", "/school-1/a", b"mine")).status == 200
+            assert (await it.request("PUT", "/school-1/a", b"mine")).status == 200
             await it.wait_until(lambda: stored(it, "school-1", "a") == b"mine")
             store.object_store.objects["school-1", "a"] = (b"other", '"other"')
             await it.wait_until(lambda: bool(write_back.quarantined), 15)
@@ -131,10 +131,10 @@
     @run_async
     async def run():
         async with rig(config(tmp_path), deduplication_window_ms=50.0) as it:
-            first = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
+            first = await it.request("PUT", "/school-1/a", b"x", idempotency_key="k1")
             await wait_until_drained(it)
             await anyio.sleep(0.2)
-            again = await it.ask("PUT", "/school-1/a", b"x", idempotency_key="k1")
+            again = await it.request("PUT", "/school-1/a", b"x", idempotency_key="k1")
             assert again.status == 200 and again.headers["etag"] == first.headers["etag"]
             await wait_until_drained(it)
             assert effects(it, "a") == 1
@@ -149,13 +149,13 @@
     async def run():
         async with rig(config(tmp_path)) as it:
             out, new = it.store_of("/school-1/out"), it.store_of("/school-1/new")
-            assert (await it.ask("PUT", "/school-1/out", b"old")).status == 200
+            assert (await it.request("PUT", "/school-1/out", b"old")).status == 200
             await wait_until_drained(it)
             out.tricks.extend(["", "silence"])
-            assert (await it.ask("PUT", "/school-1/out", b"fresh")).status == 200
+            assert (await it.request("PUT", "/school-1/out", b"fresh")).status == 200
             await it.wait_until(lambda: stored(it, "school-1", "out") == b"fresh")
             new.kill()
-            assert (await it.ask("PUT", "/school-1/new", b"fresh")).status == 200
+            assert (await it.request("PUT", "/school-1/new", b"fresh")).status == 200
             log = it.gateway.write_back.log
             assert len(log.open) == 2
             # Simulates a kill: nothing more is sent or written, and the lock of the folder is released.
@@ -182,9 +182,9 @@
         async with rig(config(tmp_path, record_bytes=600_000)) as it:
             for store in it.stores:
                 store.kill()
-            reasons = [(await it.ask("PUT", f"/school-1/{n}", b"x" * 500_000)).reason for n in range(16)]
+            reasons = [(await it.request("PUT", f"/school-1/{n}", b"x" * 500_000)).reason for n in range(16)]
             assert reasons.count("ok") >= 4 and reasons[-1] == "write-back"
-            other = await it.ask("PUT", "/contest-1/a", b"x" * 100_000)
+            other = await it.request("PUT", "/contest-1/a", b"x" * 100_000)
             assert other.status == 200
 
     run()
@@ -204,9 +204,9 @@
                 sync(name)
 
             disk.sync = fail_once
-            lost = await it.ask("PUT", "/school-1/a", b"x")
+            lost = await it.request("PUT", "/school-1/a", b"x")
             assert lost.status == 502 and lost.reason == "write-back-lost"
-            assert (await it.ask("PUT", "/school-1/b", b"x")).status == 200
+            assert (await it.request("PUT", "/school-1/b", b"x")).status == 200
             await wait_until_drained(it)
             assert effects(it, "a") == 0 and effects(it, "b") == 1
 
@@ -217,9 +217,9 @@
     @run_async
     async def run():
         async with rig(config(tmp_path, record_bytes=1000)) as it:
-            large = await it.ask("PUT", "/school-1/a", b"x" * 2000)
+            large = await it.request("PUT", "/school-1/a", b"x" * 2000)
             assert large.status == 201 and "winchdyke-acknowledged" not in large.headers
-            small = await it.ask("PUT", "/school-1/a", b"x", if_none_match="*")
+            small = await it.request("PUT", "/school-1/a", b"x", if_none_match="*")
             assert small.status == 412
 
     run()
@@ -234,7 +234,7 @@
                 for store in it.stores:
                     store.kill()
                 for number in range(20):
-                    assert (await it.ask("PUT", f"/school-1/{number}", b"x")).status == 200
+                    assert (await it.request("PUT", f"/school-1/{number}", b"x")).status == 200
                 stopped_at = anyio.current_time()
                 it.gateway.stop()
                 await it.wait_until(lambda: not it.gateway.write_back.committer._thread.is_alive(), 10)
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -319,7 +319,7 @@
                 while not stop:
                     count += 1
                     name = f"c{number}-{count}"
-                    answer = await it.ask("GET", f"/school-1/k{number}-{count}", x_request_id=name)
+                    answer = await it.request("GET", f"/school-1/k{number}-{count}", x_request_id=name)
                     assert answer.status in (404, 503)
                     versions[name] = answer.headers["winchdyke-version"]
 
@@ -376,7 +376,7 @@
                 count = 0
                 while not stop:
                     count += 1
-                    await it.ask("GET", f"/other/k{number}-{count}", winchdyke_time_left="200ms")
+                    await it.request("GET", f"/other/k{number}-{count}", winchdyke_time_left="200ms")
 
             async with anyio.create_task_group() as group:
                 for number in range(4):
@@ -541,7 +541,9 @@
                 count = 0
                 while not stop:
                     count += 1
-                    answer = await it.ask("GET", f"/{volume}/k{number}-{count}", winchdyke_time_left="300ms")
+                    answer = await it.request(
+                        "GET", f"/{volume}/k{number}-{count}", winchdyke_time_left="300ms"
+                    )
                     if volume == "contest-1":
                         served.append((it.gateway.scheduler_loop.clock(), answer.status == 404))
                     await anyio.sleep(0.01)
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -291,7 +291,7 @@
                 for plan in it.gateway.scheduler_loop._scheduler.settings.plans
             }
             assert weights == {plan.name: plan.fair_share_weight for plan in settings().plans}
-            assert (await it.ask("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
+            assert (await it.request("GET", "/school-1/k")).headers["winchdyke-version"] == "1"
             assert other.change_log.verify() == []
             with pytest.raises(ChangeLogError, match="full"):
                 rollout.change_log.append(Step("ready", 2), "x")
@@ -412,7 +412,7 @@
                     except OperationError as error:
                         assert error.code == "conflict", error.text
                 if number % 20 == 0:
-                    assert (await it.ask("GET", "/school-1/k")).status in (404, 503)
+                    assert (await it.request("GET", "/school-1/k")).status in (404, 503)
             await it.wait_until(
                 lambda: ("applied", last) in steps_of(it) or ("refused", last) in steps_of(it)
             )
@@ -538,7 +538,7 @@
             answers = []
 
             async def one():
-                answers.append(await it.ask("PUT", "/school-1/k", b"x" * 200_000))
+                answers.append(await it.request("PUT", "/school-1/k", b"x" * 200_000))
 
             async with anyio.create_task_group() as group:
                 group.start_soon(one)
@@ -572,7 +572,7 @@
             made = await execute(it, Set("volume", "school-*", remove=True))
             await execute(it, Stage(made["version"]))
             await wait_until_served(it, 2)
-            after = await it.ask("GET", "/school-1/k")
+            after = await it.request("GET", "/school-1/k")
             await peer.stream.send(b"x" * 100_000)
             from rig import reply
 
@@ -602,7 +602,7 @@
                 count = 0
                 while not stop:
                     count += 1
-                    answers.append(await it.ask("GET", f"/contest-{number % 3}/k{number}-{count}"))
+                    answers.append(await it.request("GET", f"/contest-{number % 3}/k{number}-{count}"))
 
             async with anyio.create_task_group() as group:
                 for number in range(60):
@@ -645,7 +645,7 @@
                 while not stop:
                     count += 1
                     answers.append(
-                        await it.ask("GET", f"/school-1/k{number}-{count}", winchdyke_time_left="200ms")
+                        await it.request("GET", f"/school-1/k{number}-{count}", winchdyke_time_left="200ms")
                     )
 
             async with anyio.create_task_group() as group:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -407,16 +407,17 @@
             started_at = anyio.current_time()
             await restart_from_cache(it, tmp_path)
             paths = {it.store_of(f"/school-1/k{n}").spec.shard: f"/school-1/k{n}" for n in range(200)}
-            while (await it.ask("GET", paths[5])).status != 404:
+            while (await it.request("GET", paths[5])).status != 404:
                 assert anyio.current_time() - started_at < 3.0
             await it.wait_until(
                 lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 6
             )
             statuses = [
-                (await it.ask("GET", paths[shard], winchdyke_time_left="300ms")).status for shard in (0, 1)
+                (await it.request("GET", paths[shard], winchdyke_time_left="300ms")).status
+                for shard in (0, 1)
             ]
             assert statuses == [503, 503]
-            assert {(await it.ask("GET", paths[shard])).status for shard in range(2, 8)} == {404}
+            assert {(await it.request("GET", paths[shard])).status for shard in range(2, 8)} == {404}
             requested = [
                 seen["who"] for seen in it.record.entries[recorded_before:] if seen["what"] == "head"
             ]
@@ -440,16 +441,16 @@
             await restart_from_cache(it, tmp_path)
             store = it.store_of("/school-1/object")
             await it.wait_until(lambda: it.gateway.discovery.view.is_usable(store.name))
-            assert (await it.ask("GET", "/school-1/object")).status == 404
+            assert (await it.request("GET", "/school-1/object")).status == 404
             store.draining = True
-            await it.ask("GET", "/school-1/object", winchdyke_time_left="300ms")
+            await it.request("GET", "/school-1/object", winchdyke_time_left="300ms")
             await it.wait_until(
                 lambda: it.gateway.discovery.view.endpoints[store.name].status is DiscoveryStatus.DRAINING
             )
             await anyio.sleep(0.1)
             recorded_before = len(it.record.entries)
             for _ in range(5):
-                await it.ask("GET", "/school-1/object", winchdyke_time_left="100ms")
+                await it.request("GET", "/school-1/object", winchdyke_time_left="100ms")
             assert not [
                 seen
                 for seen in it.record.entries[recorded_before:]
@@ -514,7 +515,7 @@
                 for path in paths * 2:
                     it.gateway = gateway
                     with anyio.move_on_after(0.5):
-                        await it.ask("GET", path, winchdyke_time_left="300ms")
+                        await it.request("GET", path, winchdyke_time_left="300ms")
 
             async with anyio.create_task_group() as group:
                 for gateway in gateways:
@@ -546,7 +547,7 @@
             await it.wait_until(
                 lambda: sum(it.gateway.discovery.view.is_usable(s.name) for s in it.stores) == 8
             )
-            assert (await it.ask("GET", "/school-1/object")).status == 404
+            assert (await it.request("GET", "/school-1/object")).status == 404
 
     run()
 
@@ -593,7 +594,7 @@
             )
             file.unlink()
             await it.wait_until(lambda: all(view.is_usable(s.name) for s in it.stores))
-            assert (await it.ask("GET", "/school-1/object")).status == 404
+            assert (await it.request("GET", "/school-1/object")).status == 404
 
     run()
 
@@ -604,7 +605,7 @@
         blocked = tmp_path / "file"
         blocked.write_text("")
         async with rig(settings_with(keep=str(blocked / "under"))) as it:
-            assert (await it.ask("GET", "/school-1/object")).status == 404
+            assert (await it.request("GET", "/school-1/object")).status == 404
 
     run()
     assert os.listdir(tmp_path) == ["file"]
@@ -679,7 +680,7 @@
             await it.wait_until(lambda: source.regressed_since_ms is not None)
             assert view.is_usable(omitted.name) and not view.is_usable(flapping.name)
             path = next(p for p in (f"/school-1/k{n}" for n in range(200)) if it.store_of(p) is omitted)
-            assert (await it.ask("GET", path)).status == 404
+            assert (await it.request("GET", path)).status == 404
 
     run()
 
--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -139,7 +139,7 @@
     @run_async
     async def run():
         async with rig(unit_ms=60.0) as it:
-            assert (await it.ask("GET", READ)).status == 404  # the store's identity has been verified
+            assert (await it.request("GET", READ)).status == 404  # the store's identity has been verified
             it.ended.clear()
             busy = [await it.connect() for _ in range(12 if when == "before" else 1)]
             for number, peer in enumerate(busy):
@@ -162,7 +162,7 @@
             )
             await anyio.sleep(0.2)
             assert [seen["client"] for seen in it.record.entries if seen["what"] == "head"] == heads
-            assert (await it.ask("GET", READ)).status in (200, 404)
+            assert (await it.request("GET", READ)).status in (200, 404)
 
     run()
 
@@ -171,7 +171,7 @@
     @run_async
     async def run():
         async with rig() as it:
-            await it.ask("PUT", READ, b"x" * 30_000_000)
+            await it.request("PUT", READ, b"x" * 30_000_000)
             it.ended.clear()
             peer = await it.connect()
             await peer.send(
@@ -194,7 +194,7 @@
             if how != "down":
                 it.list.failing = how
                 await it.list.start(it.group)
-            answer = await it.ask("GET", READ)
+            answer = await it.request("GET", READ)
             assert (answer.status, answer.reason) == (503, "held-out")
             assert "retry-after" in answer.headers
             await anyio.sleep(0.3)
@@ -202,7 +202,7 @@
             if how == "down":
                 await it.list.start(it.group)
             await it.wait_until(lambda: len(it.gateway.scheduler_loop.endpoints) == 8)
-            assert (await it.ask("GET", READ)).status == 404
+            assert (await it.request("GET", READ)).status == 404
 
     run()
 
@@ -218,7 +218,7 @@
                     for e in it.events
                 )
             )
-            assert (await it.ask("GET", READ)).status == 404
+            assert (await it.request("GET", READ)).status == 404
             it.list.failing = ""
             await it.list.set(it.stores[0].name, "draining", 0, "hall-a")
             await it.wait_until(
@@ -236,7 +236,7 @@
     async def run():
         async with rig(settings(nodes__discovery="asked")) as it:
             assert it.gateway.scheduler_loop.counts["endpoint_watches_requested"] == 1
-            assert (await it.ask("GET", READ)).status == 404
+            assert (await it.request("GET", READ)).status == 404
 
     run()
 
@@ -248,7 +248,9 @@
             answers = []
 
             async def put():
-                answers.append(await it.ask("PUT", READ, b"x", idempotency_key="same", x_request_id="same"))
+                answers.append(
+                    await it.request("PUT", READ, b"x", idempotency_key="same", x_request_id="same")
+                )
 
             async with anyio.create_task_group() as group:
                 group.start_soon(put)
@@ -275,7 +277,7 @@
 
             async def ask():
                 started_at = time.monotonic()
-                got.append(await it.ask("PUT", READ, b"x", winchdyke_time_left="400ms"))
+                got.append(await it.request("PUT", READ, b"x", winchdyke_time_left="400ms"))
                 got.append(time.monotonic() - started_at)
 
             it.group.start_soon(ask)
@@ -310,7 +312,7 @@
             got = []
 
             async def ask():
-                got.append(await it.ask("GET", READ))
+                got.append(await it.request("GET", READ))
 
             it.group.start_soon(ask)
             await it.wait_until(lambda: bool(it.gateway.scheduler_loop.open_requests))
@@ -339,7 +341,7 @@
         async with rig(
             make_scheduler_loop=lambda config: SchedulerLoop(config.settings(), 1, SilentScheduler)
         ) as it:
-            answer = await it.ask("GET", READ, winchdyke_time_left="100ms")
+            answer = await it.request("GET", READ, winchdyke_time_left="100ms")
             assert (answer.status, answer.reason) == (504, "engine-silent")
             assert not it.gateway.scheduler_loop.open_requests
 
@@ -379,7 +381,7 @@
     @run_async
     async def run():
         async with rig(listing=False) as it:
-            answer = await it.ask("PUT", READ, b"x" * 900_000)
+            answer = await it.request("PUT", READ, b"x" * 900_000)
             assert (answer.status, answer.headers["connection"]) == (503, "close")
 
     run()
@@ -392,13 +394,13 @@
             peer = await it.connect()
             await peer.stream.send(b"PUT /school-1/a HTTP/1.1\r\nhost: t\r\ncontent-length: 900000\r\n\r\nx")
             await it.wait_until(lambda: it.gateway.service.bodies.used_bytes == 900_000)
-            answer = await it.ask("PUT", "/school-1/b", b"y" * 400_000)
+            answer = await it.request("PUT", "/school-1/b", b"y" * 400_000)
             assert (answer.status, answer.reason) == (503, "body-store-full")
             assert "retry-after" in answer.headers
             await anyio.aclose_forcefully(peer.stream)
             await it.wait_until(lambda: not it.gateway.service.bodies.used_bytes)
-            assert (await it.ask("PUT", "/school-1/b", b"y" * 400_000)).status == 201
-            assert (await it.ask("PUT", "/school-1/c", b"y", transfer_encoding="chunked")).status == 201
+            assert (await it.request("PUT", "/school-1/b", b"y" * 400_000)).status == 201
+            assert (await it.request("PUT", "/school-1/c", b"y", transfer_encoding="chunked")).status == 201
 
     run()
 
@@ -410,7 +412,7 @@
             body = bytes(range(256)) * 12_000
             it.store_of(READ).tricks.extend(["reset-after-run", "shed"])
             it.deduplication_group.answers.clear()
-            assert (await it.ask("PUT", READ, body)).status in (200, 201)
+            assert (await it.request("PUT", READ, body)).status in (200, 201)
             assert it.store_of(READ).object_store.objects["school-1", "object"][0] == body
 
     run()
@@ -423,7 +425,7 @@
             got = []
 
             async def ask(number: int):
-                got.append(await it.ask("GET", f"/school-1/object-{number}"))
+                got.append(await it.request("GET", f"/school-1/object-{number}"))
 
             async with anyio.create_task_group() as group:
                 for number in range(200):
@@ -449,7 +451,7 @@
     async def run():
         async with rig() as it:
             peer = await it.connect()
-            assert (await it.ask("PUT", READ, b"x", peer=peer)).status == 201
+            assert (await it.request("PUT", READ, b"x", peer=peer)).status == 201
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             held = []
             try:
@@ -460,9 +462,9 @@
                 for store in it.stores:
                     store.tricks.append("close-idle")
                 # On the open connection: that to the store is open too, or there is no file descriptor for a new one.
-                answers = [await it.ask("GET", READ, peer=peer) for _ in range(3)]
+                answers = [await it.request("GET", READ, peer=peer) for _ in range(3)]
                 assert {answer.status for answer in answers} <= {200, 503}
-                big = await it.ask("PUT", READ, b"x" * 600_000, peer=peer)
+                big = await it.request("PUT", READ, b"x" * 600_000, peer=peer)
                 assert big.status in (503, 507)
             finally:
                 for file in held:
@@ -470,7 +472,7 @@
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             # The emulated stores have the same limit: a store that could not accept has to retry that first.
             with anyio.fail_after(5):
-                while (await it.ask("GET", READ)).status != 200:
+                while (await it.request("GET", READ)).status != 200:
                     await anyio.sleep(0.05)
 
     run()
@@ -482,7 +484,7 @@
         async with rig(settings(limits__connections="2")) as it:
             peers = [await it.connect() for _ in range(2)]
             for peer in peers:
-                assert (await it.ask("GET", READ, peer=peer)).status == 404
+                assert (await it.request("GET", READ, peer=peer)).status == 404
             status, headers = _head(await it.send_raw(b"GET /school-1/a HTTP/1.1\r\nhost: t\r\n\r\n"))
             assert (status, headers["winchdyke-reason"]) == (503, "too-many-connections")
             for peer in peers:
@@ -508,18 +510,18 @@
     async def run():
         async with rig() as it:
             old = it.store_of(READ)
-            await it.ask("PUT", READ, b"x")
+            await it.request("PUT", READ, b"x")
             await it.list.set(old.name, "draining", old.spec.shard, "hall-a")
             await it.wait_until(
                 lambda: it.gateway.scheduler_loop.endpoints[old.name].status is api.EndpointStatus.DRAINING
             )
             before = len(it.ended)
-            assert (await it.ask("GET", READ, winchdyke_time_left="300ms")).status == 503
+            assert (await it.request("GET", READ, winchdyke_time_left="300ms")).status == 503
             fresh = type(old)(old.spec, old.object_store, it.deduplication_group, it.meter, it.record)
             await fresh.start(it.group, cold=True)
             await it.list.set(fresh.name, "ready", old.spec.shard, "hall-a", time.time() * 1000)
             await it.wait_until(lambda: fresh.name in it.gateway.scheduler_loop.endpoints)
-            assert (await it.ask("GET", READ)).body == b"x"
+            assert (await it.request("GET", READ)).body == b"x"
             assert {event.endpoint for event in it.ended[before:]} == {fresh.name}
 
     run()
@@ -569,12 +571,12 @@
 
             with monkeypatch.context() as patched:
                 patched.setattr("winchdyke.gateway.pool.ConnectionPool.acquire", fault)
-                answer = await it.ask("PUT", READ, b"x")
+                answer = await it.request("PUT", READ, b"x")
             assert (answer.status, answer.reason) == (500, "internal")
             assert b"ArithmeticError" not in answer.body
             assert not it.gateway.scheduler_loop.open_requests
             assert it.outcomes == ["CANCELLED"]
-            assert (await it.ask("PUT", READ, b"x")).status == 201
+            assert (await it.request("PUT", READ, b"x")).status == 201
 
     run()
 
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -572,13 +572,13 @@
         )
         async with rig(loading.load_text(text, "made").config) as it:
             classes = lambda: [seen["class"] for seen in it.record.entries if seen["what"] == "head"]  # noqa: E731
-            await it.ask("PUT", "/school-1/export/a", b"x")
-            await it.ask("GET", "/school-1/export/a")
-            await it.ask("GET", "/school-1/other")
+            await it.request("PUT", "/school-1/export/a", b"x")
+            await it.request("GET", "/school-1/export/a")
+            await it.request("GET", "/school-1/other")
             assert classes() == ["submit", "export", "fetch"]
-            await it.ask("PUT", "/any/old/thing", b"old")
+            await it.request("PUT", "/any/old/thing", b"old")
             assert ("any", "old/thing") in it.stores[7].object_store.objects
-            assert (await it.ask("GET", "/any/old/thing")).body == b"old"
+            assert (await it.request("GET", "/any/old/thing")).body == b"old"
             assert len(it.gateway.addresses) == 2
             stream = await anyio.connect_tcp(*it.gateway.addresses[1])
             await stream.send(b"GET /any/old/thing HTTP/1.1\r\nhost: t\r\n\r\n")
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -274,8 +274,8 @@
             slow = it.store_of("/school-1/object")
             slow.slowdown = 10.0
             for _ in range(max(6, int(400 / slow_ms))):
-                await it.ask("GET", "/school-1/object")
-                await it.ask("GET", "/school-1/other-1")
+                await it.request("GET", "/school-1/object")
+                await it.request("GET", "/school-1/other-1")
             found = waits(it, tmp_path)
             there = [a for a in found if a.attempt_endpoints == [slow.name]]
             out = min(a.attempt_times_ns[0] for a in there) / 1e6  # the one that the host disturbed least
@@ -320,12 +320,12 @@
         async with rig(with_ledger(tmp_path)) as it:
             store = it.store_of("/school-1/object")
             store.kill()
-            first = await it.ask(
+            first = await it.request(
                 "PUT", "/school-1/object", b"x", idempotency_key="k", winchdyke_time_left="300ms"
             )
             await store.start(it.group)
             await anyio.sleep(0.6)
-            second = await it.ask("PUT", "/school-1/object", b"x", idempotency_key="k")
+            second = await it.request("PUT", "/school-1/object", b"x", idempotency_key="k")
             assert (first.status, second.status) == (503, 201)
             found = waits(it, tmp_path)
             assert [each.first_request for each in found] == ["", found[0].request]
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -195,7 +195,7 @@
             paths = [path for path in paths if it.store_of(path) is it.stores[0]][:12]
             async with anyio.create_task_group() as group:
                 for path in paths:
-                    group.start_soon(it.ask, "PUT", path, b"x")
+                    group.start_soon(it.request, "PUT", path, b"x")
                 await it.wait_until(lambda: any(g["held"] for g in shown.snapshot()["gateways"]))
                 (gateway,) = shown.snapshot()["gateways"]
                 assert not gateway["stale"]
@@ -319,11 +319,11 @@
             paths["school-2"] = next(path for path in keys if it.store_of(path) is node)
             for _ in range(3):
                 for path in paths.values():
-                    await it.ask("GET", path)
+                    await it.request("GET", path)
             node.slowdown, node.slow_volume_prefix = 30.0, "school-1"
             for _ in range(3):
                 for path in paths.values():
-                    await it.ask("GET", path)
+                    await it.request("GET", path)
             it.gateway.ledger.close()
             seen = next(
                 n
@@ -342,7 +342,7 @@
         async with rig(with_ledger(tmp_path), unit_ms=4.0) as it:
             node = it.store_of("/school-1/object")
             node.lost_share, node.lost_how = 1.0, "reset"
-            assert (await it.ask("GET", "/school-1/object")).status in (502, 503)
+            assert (await it.request("GET", "/school-1/object")).status in (502, 503)
             it.gateway.ledger.close()
             (one,) = ledger.read_accounts([tmp_path])
             assert (
@@ -370,12 +370,12 @@
             ]
             async with anyio.create_task_group() as group:
                 for path in paths[:10]:
-                    group.start_soon(it.ask, "PUT", path, b"x")
+                    group.start_soon(it.request, "PUT", path, b"x")
                 await it.wait_until(lambda: len(it.gateway.scheduler_loop.observer.queued_groups()) > 0)
                 await it.wait_until(lambda: it.gateway.service.active_requests == 10)
                 it.gateway.scheduler_loop._replace_scheduler(RuntimeError("on purpose"))
                 for path in paths[10:20]:
-                    group.start_soon(it.ask, "PUT", path, b"x")
+                    group.start_soon(it.request, "PUT", path, b"x")
                 await it.wait_until(
                     lambda: (
                         it.gateway.service.active_requests >= 10
@@ -468,7 +468,7 @@
                 peer = await it.connect()
                 await anyio.sleep(after_s)
                 sent[path] = clock()
-                await it.ask("GET", path, peer=peer, x_request_id=path[1:], **headers)
+                await it.request("GET", path, peer=peer, x_request_id=path[1:], **headers)
 
             async with anyio.create_task_group() as group:
                 for number, path in enumerate(others):
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -205,25 +205,25 @@
     @run_async
     async def run():
         async with rig() as it:
-            tag = (await it.ask("PUT", "/school-1/k", b"0123456789")).headers["etag"]
-            assert (await it.ask("PUT", "/school-1/k", b"x", if_none_match="*")).status == 412
-            assert (await it.ask("PUT", "/school-1/k", b"0123456789", if_match=tag)).status == 200
-            assert (await it.ask("GET", "/school-1/k", if_match='"other"')).status == 412
-            assert (await it.ask("GET", "/school-1/k", if_none_match=tag)).status == 304
-            part = await it.ask("GET", "/school-1/k", range="bytes=2-4")
+            tag = (await it.request("PUT", "/school-1/k", b"0123456789")).headers["etag"]
+            assert (await it.request("PUT", "/school-1/k", b"x", if_none_match="*")).status == 412
+            assert (await it.request("PUT", "/school-1/k", b"0123456789", if_match=tag)).status == 200
+            assert (await it.request("GET", "/school-1/k", if_match='"other"')).status == 412
+            assert (await it.request("GET", "/school-1/k", if_none_match=tag)).status == 304
+            part = await it.request("GET", "/school-1/k", range="bytes=2-4")
             assert (part.status, part.body, part.headers["content-range"]) == (206, b"234", "bytes 2-4/10")
-            assert (await it.ask("GET", "/school-1/k", range="bytes=7-")).body == b"789"
-            assert (await it.ask("GET", "/school-1/k", range="bytes=-2")).body == b"89"
-            out = await it.ask("GET", "/school-1/k", range="bytes=10-")
+            assert (await it.request("GET", "/school-1/k", range="bytes=7-")).body == b"789"
+            assert (await it.request("GET", "/school-1/k", range="bytes=-2")).body == b"89"
+            out = await it.request("GET", "/school-1/k", range="bytes=10-")
             assert (out.status, out.headers["content-range"]) == (416, "bytes */10")
-            assert (await it.ask("GET", "/school-1/k", range="bytes=2-4", if_range='"old"')).status == 200
-            assert (await it.ask("GET", "/school-1/k", range="bytes=0-1,4-5")).status == 200
-            head = await it.ask("HEAD", "/school-1/k")
+            assert (await it.request("GET", "/school-1/k", range="bytes=2-4", if_range='"old"')).status == 200
+            assert (await it.request("GET", "/school-1/k", range="bytes=0-1,4-5")).status == 200
+            head = await it.request("HEAD", "/school-1/k")
             assert (head.status, head.headers["content-length"], head.body) == (200, "10", b"")
-            assert (await it.ask("DELETE", "/school-1/k")).status == 204
-            assert (await it.ask("GET", "/school-1/k")).status == 404
-            assert (await it.ask("GET", "/v1/k", winchdyke_class="submit")).reason == "no-class"
-            assert (await it.ask("PATCH", "/school-1/k")).headers["allow"].startswith("GET")
+            assert (await it.request("DELETE", "/school-1/k")).status == 204
+            assert (await it.request("GET", "/school-1/k")).status == 404
+            assert (await it.request("GET", "/v1/k", winchdyke_class="submit")).reason == "no-class"
+            assert (await it.request("PATCH", "/school-1/k")).headers["allow"].startswith("GET")
 
     run()
 
@@ -232,19 +232,19 @@
     @run_async
     async def run():
         async with rig() as it:
-            upload = json.loads((await it.ask("POST", "/school-1/big?uploads")).body)["uploadId"]
+            upload = json.loads((await it.request("POST", "/school-1/big?uploads")).body)["uploadId"]
             where = f"/school-1/big?uploadId={upload}"
             for number, data in ((2, b"second"), (1, b"first "), (3, b"unwanted")):
-                assert (await it.ask("PUT", f"{where}&partNumber={number}", data)).status == 200
-            listed = json.loads((await it.ask("GET", where)).body)["parts"]
+                assert (await it.request("PUT", f"{where}&partNumber={number}", data)).status == 200
+            listed = json.loads((await it.request("GET", where)).body)["parts"]
             assert [part["partNumber"] for part in listed] == [1, 2, 3]
-            assert (await it.ask("POST", where, b'{"parts": [2, 1]}')).status == 400
-            assert (await it.ask("GET", "/school-1/big")).status == 404
-            assert (await it.ask("POST", where, b'{"parts": [1, 2]}')).status == 201
-            assert (await it.ask("GET", "/school-1/big")).body == b"first second"
-            assert (await it.ask("GET", where)).status == 404
-            other = json.loads((await it.ask("POST", "/school-1/big?uploads")).body)["uploadId"]
-            assert (await it.ask("DELETE", f"/school-1/big?uploadId={other}")).status == 204
+            assert (await it.request("POST", where, b'{"parts": [2, 1]}')).status == 400
+            assert (await it.request("GET", "/school-1/big")).status == 404
+            assert (await it.request("POST", where, b'{"parts": [1, 2]}')).status == 201
+            assert (await it.request("GET", "/school-1/big")).body == b"first second"
+            assert (await it.request("GET", where)).status == 404
+            other = json.loads((await it.request("POST", "/school-1/big?uploads")).body)["uploadId"]
+            assert (await it.request("DELETE", f"/school-1/big?uploadId={other}")).status == 204
 
     run()
 
@@ -254,17 +254,17 @@
     async def run():
         async with rig() as it:
             places = [
-                (await it.ask("POST", "/school-1", b"mine %d" % n)).headers["location"] for n in range(6)
+                (await it.request("POST", "/school-1", b"mine %d" % n)).headers["location"] for n in range(6)
             ]
             for number, place in enumerate(places):
-                assert (await it.ask("GET", place)).body == b"mine %d" % number
+                assert (await it.request("GET", place)).body == b"mine %d" % number
             assert len({place.rpartition("~")[2] for place in places}) > 1
-            first = json.loads((await it.ask("GET", "/school-1?limit=4")).body)
-            rest = json.loads((await it.ask("GET", f"/school-1?limit=4&after={first['next']}")).body)
+            first = json.loads((await it.request("GET", "/school-1?limit=4")).body)
+            rest = json.loads((await it.request("GET", f"/school-1?limit=4&after={first['next']}")).body)
             keys = [entry["key"] for entry in first["objects"] + rest["objects"]]
             assert keys == sorted(place.removeprefix("/school-1/") for place in places)
             it.stores[0].kill()
-            refused = await it.ask("GET", "/school-1", winchdyke_time_left="300ms")
+            refused = await it.request("GET", "/school-1", winchdyke_time_left="300ms")
             assert refused.status == 503, "a part of a listing is not passed off as the whole"
 
     run()
@@ -276,9 +276,9 @@
         async with rig(stores=2) as it:
             for store in it.stores:
                 store.tricks.append("shed")
-            answer = await it.ask("POST", "/school-1", b"mine")
+            answer = await it.request("POST", "/school-1", b"mine")
             assert answer.status == 201
             assert it.outcomes == ["SHED", "SHED", "SERVED"]
-            assert (await it.ask("GET", answer.headers["location"])).body == b"mine"
+            assert (await it.request("GET", answer.headers["location"])).body == b"mine"
 
     run()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -192,7 +192,7 @@
 ) -> Reply:
     peer = await connect(it, protocol)
     try:
-        return await it.ask(method, path, body, peer, **more)
+        return await it.request(method, path, body, peer, **more)
     finally:
         await anyio.aclose_forcefully(peer.stream)
 
@@ -298,12 +298,12 @@
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
             data = b"x" * (1600 * UNIT)
-            assert (await it.ask("PUT", "/school-1/big", data)).status < 300
-            refused = await it.ask("PUT", "/school-1/next", data, winchdyke_time_left="600ms")
+            assert (await it.request("PUT", "/school-1/big", data)).status < 300
+            refused = await it.request("PUT", "/school-1/next", data, winchdyke_time_left="600ms")
             assert retry_after_of_refusal("object", refused) > 0
             wait = json.loads(refused.body)["retry_after_ms"]
             await anyio.sleep(wait / 1000)
-            assert (await it.ask("PUT", "/school-1/next", data)).status < 300
+            assert (await it.request("PUT", "/school-1/next", data)).status < 300
 
     run()
 
@@ -402,7 +402,7 @@
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
             data = b"x" * (700 * UNIT)
-            assert (await it.ask("PUT", "/school-1/o", data)).status < 300
+            assert (await it.request("PUT", "/school-1/o", data)).status < 300
             peer = await connect(it, "object")
             request = h11.Request(
                 method="PUT",
@@ -439,7 +439,7 @@
             since, owed = anyio.current_time(), byte_meter.debt_units("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
             assert (await reply(peer)).status < 300
-            refused = await it.ask("PUT", "/school-1/p", b"x" * (100 * UNIT))
+            refused = await it.request("PUT", "/school-1/p", b"x" * (100 * UNIT))
             assert retry_after_of_refusal("object", refused) > 10
             paid = owed - byte_meter.debt_units("school-1")
             assert paid <= 20.0 * (anyio.current_time() - since) + 20.0 + 5
@@ -475,7 +475,7 @@
         async with rig(
             limited_config(), unit_ms=0.02, listing=False
         ) as it:  # without an endpoint nothing can be sent
-            answer = await it.ask("PUT", "/school-1/o", b"x" * (500 * UNIT), winchdyke_time_left="700ms")
+            answer = await it.request("PUT", "/school-1/o", b"x" * (500 * UNIT), winchdyke_time_left="700ms")
             assert answer.status == 503 and answer.reason == "held-out"
             assert it.gateway.service.byte_meter.debt_units("school-1") == 0
 
@@ -498,13 +498,13 @@
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
             body = b"x" * (50 * UNIT)
-            assert (await it.ask("PUT", "/contest-1/o", body)).status < 300
+            assert (await it.request("PUT", "/contest-1/o", body)).status < 300
             quota = it.gateway.scheduler_loop.quota("contest-1")
             assert quota.plan.reserved_units_per_s and not quota.plan.limit_units_per_s
             if asked != "put":
                 quota.reserved_units = 10.0
                 more = {"range": f"bytes=0-{len(body) - 1}"} if asked == "range" else {}
-                assert len((await it.ask("GET", "/contest-1/o", **more)).body) == len(body)
+                assert len((await it.request("GET", "/contest-1/o", **more)).body) == len(body)
             assert -50.0 <= quota.reserved_units < -30.0, quota.reserved_units
 
     run()
@@ -517,12 +517,12 @@
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
             body = b"x" * (8 * UNIT)
-            assert (await it.ask("PUT", "/school-1/o", body)).status < 300
+            assert (await it.request("PUT", "/school-1/o", body)).status < 300
             service, quota = it.gateway.service, it.gateway.scheduler_loop.quota("school-1")
             for _ in range(2):  # the second time the object's size is known beforehand
                 quota.refill(it.gateway.scheduler_loop.clock())
                 quota.limit_units, before = 50.0, it.gateway.scheduler_loop.clock()
-                assert len((await it.ask("GET", "/school-1/o")).body) == len(body)
+                assert len((await it.request("GET", "/school-1/o")).body) == len(body)
                 filled = RATE * (quota.refilled_at_ms - before) / 1000
                 assert 50.0 - 8.0 - 0.5 <= quota.limit_units <= 50.0 - 8.0 + filled + 0.5
             assert service.byte_meter.debt_units("school-1") == 0
@@ -553,7 +553,7 @@
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
             for volume in ("contest-1", "contest-2"):
-                answer = await it.ask(
+                answer = await it.request(
                     "PUT", f"/{volume}/same", b"x", winchdyke_class="turns", idempotency_key="i"
                 )
                 assert answer.status < 300
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -219,13 +219,13 @@
         config = dataclasses.replace(with_s3(keys), tls=Tls(stores=str(issuer.path)))
         async with rig(config, unit_ms=0.2, tls_context=context) as it:
             for _ in range(3):
-                assert (await it.ask("PUT", "/school-1/k", data)).status in (200, 201)
-                assert (await it.ask("GET", "/school-1/k")).body == data
+                assert (await it.request("PUT", "/school-1/k", data)).status in (200, 201)
+                assert (await it.request("GET", "/school-1/k")).body == data
             assert it.gateway.pool.connections_reused >= 4, "idle connections are reused"
         other_issuer = Issuer(tmp_path, "others")
         config = dataclasses.replace(config, tls=Tls(stores=str(other_issuer.path)))
         async with rig(config, unit_ms=0.2, tls_context=context) as it:
-            answer = await it.ask("GET", "/school-1/k", winchdyke_time_left="500ms")
+            answer = await it.request("GET", "/school-1/k", winchdyke_time_left="500ms")
             assert answer.status == 503 and it.record.entries, (
                 "nothing is sent to a store with an untrusted certificate"
             )
