--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -132,7 +132,7 @@
         """Pass an endpoint list to the scheduler; by default one warm endpoint each for shards 0 and 1."""
         self.give(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
 
-    def ask(self, name: str, **changes: object) -> list[api.Action]:
+    def submit(self, name: str, **changes: object) -> list[api.Action]:
         """Pass one request to the scheduler."""
         return self.give(request(name, **changes))
 
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -84,7 +84,7 @@
     gateway.give(*[request(f"r{n}") for n in range(30)])
     reads_sent = len(gateway.sends)
     assert reads_sent == int(INITIAL_LIMIT)
-    gateway.ask("w", request_class="write")
+    gateway.submit("w", request_class="write")
     assert gateway.sent("w")
     gateway.give(*[request(f"w{n}", request_class="write") for n in range(30)])
     assert len(gateway.sends) <= 2 * INITIAL_LIMIT
@@ -118,7 +118,7 @@
 def test_an_endpoint_that_recovers_after_failed_connections_begins_a_slow_start(make):
     gateway = make(max_attempts=9, retry_budget_base=9.0)
     for number in range(20):
-        gateway.ask(f"a{number}", key=f"a{number}")
+        gateway.submit(f"a{number}", key=f"a{number}")
         gateway.run(100.0)
         for pending in [
             pending for pending in gateway.scheduler.requests.values() if pending.attempts_in_flight
@@ -132,7 +132,7 @@
     gateway.give(*[request(f"r{n}", key=f"k{n}", units=8.0) for n in range(10)])
     assert len(gateway.sends) == sent_before
     for number in range(15):
-        gateway.ask(f"s{number}", key=f"s{number}", units=8.0)
+        gateway.submit(f"s{number}", key=f"s{number}", units=8.0)
         gateway.run(100.0)
     assert len(gateway.sends) > sent_before
 
@@ -150,7 +150,7 @@
 
 def test_a_new_object_is_placed_at_the_less_loaded_endpoint(gateway):
     gateway.give(*[request(f"r{n}") for n in range(10)])
-    gateway.ask("new", request_class="write", shard=-1)
+    gateway.submit("new", request_class="write", shard=-1)
     assert gateway.sends[-1][1].endpoint == "n1"
 
 
@@ -162,26 +162,26 @@
     """Requests that no endpoint could serve were queued until their deadlines (issue 10)."""
     gateway = Gateway()
     gateway.nodes(*([node("n0", 0)] if shard > 0 else [node("n0", 0, api.EndpointStatus.DRAINING)]))
-    gateway.ask("a", shard=shard)
+    gateway.submit("a", shard=shard)
     assert gateway.answers["a"] == SHED
 
 
 def test_a_request_waits_for_a_missing_endpoint_no_longer_than_it_has_been_missing(gateway):
     """A successor may start in time, but the longer the endpoint is missing, the less likely that is."""
     gateway.nodes(node("n0", 0, api.EndpointStatus.REMOVED), kind=api.EndpointListKind.CHANGES)
-    gateway.ask("a")
+    gateway.submit("a")
     gateway.run(100.0)
     assert "a" not in gateway.answers
     gateway.run(100.0)
     assert gateway.answers["a"] == SHED
     gateway.run(1000.0)
-    gateway.ask("b", key="other")
+    gateway.submit("b", key="other")
     assert gateway.answers["b"] == api.ShedRequest("b", SETTINGS.max_retry_after_ms)
 
 
 def test_a_request_without_attempts_left_is_shed_at_once(make):
     gateway = make(max_attempts=1)
-    gateway.ask("a")
+    gateway.submit("a")
     gateway.end("a", AttemptOutcome.SHED, closed=False)
     assert gateway.answers["a"] == SHED
 
@@ -189,7 +189,7 @@
 def test_a_queued_request_fails_when_its_deduplication_window_ends(make):
     """A keyed request that may have been executed can be repeated only while endpoints remember its key."""
     gateway = make(max_attempts=9)
-    gateway.ask("a", request_class="write", time_left_ms=9000.0)
+    gateway.submit("a", request_class="write", time_left_ms=9000.0)
     (
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
@@ -202,15 +202,15 @@
 
 
 def test_a_request_that_its_volumes_limit_cannot_admit_in_time_is_shed_at_once(gateway):
-    gateway.ask("a", plan="capped", units=8.0, time_left_ms=500.0)
+    gateway.submit("a", plan="capped", units=8.0, time_left_ms=500.0)
     assert gateway.answers["a"] == SHED
-    gateway.ask("b", plan="capped", units=8.0, time_left_ms=2000.0, key="other")
+    gateway.submit("b", plan="capped", units=8.0, time_left_ms=2000.0, key="other")
     assert "b" not in gateway.answers
 
 
 def test_a_request_queued_for_a_whole_objective_is_shed_with_retry_after(gateway):
     """A seventh of all attempts were late, at endpoints for which other requests waited (issue 10)."""
-    gateway.ask("a")
+    gateway.submit("a")
     (
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
@@ -221,21 +221,21 @@
     gateway.run(100.0)
     assert len(gateway.answers) == 9
     assert {answer.retry_after_ms for answer in gateway.answers.values()} == {SETTINGS.max_retry_after_ms}
-    gateway.ask("retry", key="k1", time_left_ms=1600.0)
+    gateway.submit("retry", key="k1", time_left_ms=1600.0)
     gateway.run(50.0)
     assert "retry" not in gateway.answers
 
 
 def test_a_late_retry_is_rejected_at_once_while_codel_drops_its_class(gateway):
-    gateway.ask("a")
+    gateway.submit("a")
     (
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
     ) = gateway.now, 1e9
     for number in range(40):
-        gateway.ask(f"r{number}", key=f"k{number}")
+        gateway.submit(f"r{number}", key=f"k{number}")
         gateway.run(25.0)
-    gateway.ask("retry", key="k1", time_left_ms=500.0)
+    gateway.submit("retry", key="k1", time_left_ms=500.0)
     assert "retry" in gateway.answers
 
 
@@ -253,7 +253,7 @@
     gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(60)])
     calls.clear()
     for n in range(30):
-        gateway.ask(f"s{n}", key=f"s{n}")
+        gateway.submit(f"s{n}", key=f"s{n}")
     assert len(calls) == 30
 
 
@@ -271,7 +271,7 @@
             gateway.nodes(node("n0", 0, started=gateway.now), kind=api.EndpointListKind.CHANGES)
             sent_before = len(gateway.sends)
         if served_before_restart or number >= 200:
-            gateway.ask(f"r{number}", key=f"k{number}", sharing_gateways=volume_gateways or gateways)
+            gateway.submit(f"r{number}", key=f"k{number}", sharing_gateways=volume_gateways or gateways)
         gateway.run(50.0)
         for pending in list(gateway.scheduler.requests.values()):
             if pending.attempts_in_flight:
@@ -305,7 +305,7 @@
     def sent(latency_ms: float) -> int:
         gateway = make([node("n0", 0, started=1000.0)], gateway_count=6, slow_start_duration_ms=100_000.0)
         for number in range(400):
-            gateway.ask(f"r{number}", key=f"k{number}", units=1.0, sharing_gateways=6)
+            gateway.submit(f"r{number}", key=f"k{number}", units=1.0, sharing_gateways=6)
             gateway.run(50.0)
             for pending in list(gateway.scheduler.requests.values()):
                 if pending.attempts_in_flight:
@@ -321,7 +321,7 @@
     def sharing_gateways(used_shards: int, age_ms: float) -> float:
         gateway = make([node(f"n{number}", number) for number in range(50)], gateway_count=200)
         for number in range(used_shards):
-            gateway.ask(f"r{number}", key=f"k{number}", shard=number)
+            gateway.submit(f"r{number}", key=f"k{number}", shard=number)
         gateway.run(age_ms)
         return gateway.scheduler.gateways_sharing_a_shard
 
@@ -335,7 +335,7 @@
     for endpoint in gateway.scheduler.endpoints.values():
         suspect(gateway.scheduler, endpoint)
     gateway.run(500.0)
-    gateway.ask("new", request_class="write", shard=-1)
+    gateway.submit("new", request_class="write", shard=-1)
     assert gateway.sent("new")
 
 
@@ -352,7 +352,7 @@
 
 def test_a_request_with_a_short_deadline_is_not_mistaken_for_a_retry(gateway):
     """Requests with short deadlines were mistaken for late retries and served last (incident i9cbc9e)."""
-    gateway.ask("patient", shard=5)
+    gateway.submit("patient", shard=5)
     gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(6)])
     gateway.run(200.0)
     gateway.give(
@@ -363,31 +363,31 @@
 
 
 def test_the_objective_of_a_retry_counts_from_the_first_try(gateway):
-    gateway.ask("a", shard=5, key="x")
+    gateway.submit("a", shard=5, key="x")
     first_sent_at = gateway.now
     assert isinstance(gateway.answers["a"], api.ShedRequest)
     gateway.run(100.0)
-    gateway.ask("again", key="x", time_left_ms=1900.0)
+    gateway.submit("again", key="x", time_left_ms=1900.0)
     assert gateway.scheduler.requests["again"].objective_at_ms == first_sent_at + 300.0
 
 
 def test_another_clients_request_for_the_same_key_is_not_a_retry(gateway):
     """With hot keys, the next client's request after a shed one was mistaken for its retry and rejected."""
-    gateway.ask("a", shard=5, key="x")
+    gateway.submit("a", shard=5, key="x")
     gateway.run(100.0)
-    gateway.ask("other", key="x", time_left_ms=2000.0)
+    gateway.submit("other", key="x", time_left_ms=2000.0)
     assert gateway.scheduler.requests["other"].objective_at_ms == gateway.now + 300.0
 
 
 def test_a_request_without_enough_time_for_its_work_is_not_sent(gateway):
-    gateway.ask("a", units=8.0, time_left_ms=20.0)
+    gateway.submit("a", units=8.0, time_left_ms=20.0)
     assert not gateway.sent("a")
     assert gateway.answers["a"] == api.ShedRequest("a", SETTINGS.max_retry_after_ms)
     (
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
     ) = gateway.now, 1e9
-    gateway.ask("b", units=8.0, time_left_ms=250.0, key="other")
+    gateway.submit("b", units=8.0, time_left_ms=250.0, key="other")
     assert "b" not in gateway.answers
     gateway.run(250.0 - 8.0 * gateway.scheduler.unit_cost_ms["read"] + SWEEP_INTERVAL_MS)
     assert gateway.answers["b"] == api.ShedRequest("b", SETTINGS.max_retry_after_ms)
@@ -397,7 +397,7 @@
     """Returns the limit of an endpoint whose volume is served by all of the deployment's gateways."""
     gateway = Gateway(gateway_count=gateways)
     gateway.nodes()
-    gateway.ask("a", sharing_gateways=gateways)
+    gateway.submit("a", sharing_gateways=gateways)
     return gateway.scheduler.endpoints["n0"].concurrency_limit
 
 
@@ -424,7 +424,7 @@
         in_flight_sum = 0
         for number in range(160):
             if number % 4 == 0:
-                gateway.ask(f"r{number}", key=f"k{number}", sharing_gateways=volume_gateways)
+                gateway.submit(f"r{number}", key=f"k{number}", sharing_gateways=volume_gateways)
             gateway.run(50.0)
             for pending in list(gateway.scheduler.requests.values()):
                 if pending.attempts_in_flight and gateway.now - pending.attempts[-1][1] >= 300.0:
@@ -449,7 +449,7 @@
     """Congested endpoints did not respond, so their limits kept their old values (incident ib65c5d)."""
     gateway = Gateway(gateway_count=60)
     gateway.nodes()
-    gateway.ask("a", sharing_gateways=20)
+    gateway.submit("a", sharing_gateways=20)
     gateway.run(700.0)
     limit = gateway.scheduler.endpoints["n0"].concurrency_limit
     assert limit.limit == limit.min_limit < INITIAL_LIMIT / limit.sharing_gateways
@@ -601,7 +601,7 @@
         gateway = Gateway(gateway_count=sharing_gateways, max_attempts=99, retry_budget_base=99.0)
         gateway.nodes()
         for number in range(100):
-            gateway.ask(f"r{number}", key=f"k{number}", sharing_gateways=sharing_gateways)
+            gateway.submit(f"r{number}", key=f"k{number}", sharing_gateways=sharing_gateways)
             gateway.run(100.0)
             for pending in list(gateway.scheduler.requests.values()):
                 if pending.attempts_in_flight:
@@ -616,7 +616,7 @@
 
     Found on day rough-2 of brno at full size.
     """
-    gateway.ask("a")
+    gateway.submit("a")
     gateway.end("a", AttemptOutcome.CONNECTION_RESET, closed=False)
     gateway.end("a", AttemptOutcome.CONNECTION_RESET, closed=False)
     assert gateway.attempts["a"] == 3
@@ -644,13 +644,13 @@
     for index in range(60):
         gateway = Gateway(seed=index)
         gateway.nodes(*[node(f"n{number}", number) for number in range(8)])
-        gateway.ask("new", request_class="write", shard=-1)
+        gateway.submit("new", request_class="write", shard=-1)
         chosen.add(gateway.sends[0][1].endpoint)
     assert len(chosen) > 4
 
 
 def test_a_new_object_that_may_have_been_executed_stays_at_its_shard(gateway):
-    gateway.ask("new", request_class="write", shard=-1)
+    gateway.submit("new", request_class="write", shard=-1)
     first = gateway.sends[-1][1].endpoint
     gateway.give(*[request(f"r{n}", shard=int(first[1])) for n in range(9)])
     gateway.end("new", AttemptOutcome.ERROR, closed=False)
@@ -661,15 +661,15 @@
 def lose_one_response(gateway: Gateway) -> None:
     """Loses one response while the endpoint answers later requests, until an attempt is cancelled."""
     for number in range(30):
-        gateway.ask(f"w{number}", key=f"w{number}")
+        gateway.submit(f"w{number}", key=f"w{number}")
         gateway.run(20.0)
         gateway.end(f"w{number}", AttemptOutcome.SERVED)
-    gateway.ask("lost", key="lost")
+    gateway.submit("lost", key="lost")
     gateway.run(10.0)
     for number in range(30):
         if any(isinstance(action, api.CancelAttempt) for action in gateway.cancelled):
             return
-        gateway.ask(f"x{number}", key=f"x{number}")
+        gateway.submit(f"x{number}", key=f"x{number}")
         gateway.run(20.0)
         gateway.end(f"x{number}", AttemptOutcome.SERVED)
 
@@ -694,21 +694,21 @@
     lose_one_response(gateway)
     assert not gateway.cancelled
     slow_gateway = make((node("n0", 0),), can_cancel_attempts=True)
-    slow_gateway.ask("slow")
+    slow_gateway.submit("slow")
     slow_gateway.run(1500.0)
     assert not slow_gateway.cancelled, "congestion is not a lost response"
 
 
 def test_a_prompt_health_check_restores_the_limit_that_silence_reduced(make):
     gateway = make((node("n0", 0),))
-    gateway.ask("lost", key="lost")
+    gateway.submit("lost", key="lost")
     gateway.run(700.0)
     limit = gateway.scheduler.endpoints["n0"].concurrency_limit
     assert limit.limit == limit.min_limit
     while not gateway.sent("check"):
         gateway.scheduler.requests.pop("check", None)
         gateway.answers.pop("check", None)
-        gateway.ask("check", key="check")
+        gateway.submit("check", key="check")
         gateway.run(50.0)
     gateway.end("check", AttemptOutcome.SERVED, latency_ms=10.0)
     assert limit.limit == INITIAL_LIMIT
@@ -725,7 +725,7 @@
         )
     assert set(gateway.scheduler.endpoints) == {"n0", "n1"}
     assert set(gateway.scheduler.shards[1].endpoints) == {"n1"}
-    gateway.ask("a")
+    gateway.submit("a")
     gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0, api.EndpointStatus.REMOVED),)))
     gateway.end("a", AttemptOutcome.SERVED)
     gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, ()))
@@ -740,7 +740,7 @@
     gateway = make()
     gateway.run(3000.0)
     for number in range(40):
-        gateway.ask(f"r{number}", plan="capped", key=f"k{number}", units=4.0)
+        gateway.submit(f"r{number}", plan="capped", key=f"k{number}", units=4.0)
     gateway.run(30.0)
     queued = [pending for pending in gateway.scheduler.requests.values() if not pending.attempts]
     quota = queued[0].quota if queued else None
@@ -759,10 +759,10 @@
     """The first seconds of each volume were rejected: its quota was empty when its first request arrived."""
     late = make()
     late.run(2000.0)
-    late.ask("a", plan="capped", units=8.0)
+    late.submit("a", plan="capped", units=8.0)
     assert late.sent("a")
     early = make()
-    early.ask("a", plan="capped", units=8.0)
+    early.submit("a", plan="capped", units=8.0)
     assert not early.sent("a"), "a gateway that has just started does not know what was spent before"
 
 
@@ -785,7 +785,7 @@
     Found on ticino-vault, split+mass, seed 607020175703.
     """
     gateway.now = 1000.0
-    gateway.ask("r")
+    gateway.submit("r")
     assert gateway.sent("r")
     actions = gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (entry,)))
     assert abandoned(actions) == [api.AbandonAttempt("r", 0)]
@@ -794,13 +794,13 @@
 
 
 def test_a_full_list_without_an_endpoint_abandons_its_unwritten_attempts(gateway):
-    gateway.ask("r")
+    gateway.submit("r")
     actions = gateway.give(api.EndpointList(api.EndpointListKind.FULL, (node("n1", 1),)))
     assert abandoned(actions) == [api.AbandonAttempt("r", 0)]
 
 
 def test_a_client_disconnect_abandons_only_an_attempt_in_flight(gateway):
-    gateway.ask("r")
+    gateway.submit("r")
     assert abandoned(gateway.give(api.ClientDisconnected("r"))) == [api.AbandonAttempt("r", 0)]
     gateway.end("r", AttemptOutcome.NOT_SENT, closed=True)
     assert not gateway.scheduler.requests
@@ -810,5 +810,5 @@
 
 
 def test_an_unchanged_list_entry_abandons_nothing(gateway):
-    gateway.ask("r")
+    gateway.submit("r")
     assert not abandoned(gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0),))))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -15,8 +15,8 @@
 
 
 def test_a_queued_request_is_answered_before_its_deadline(gateway):
-    gateway.ask("first", request_class="turns", key="x")
-    gateway.ask("a", request_class="turns", key="x", time_left_ms=120.0)
+    gateway.submit("first", request_class="turns", key="x")
+    gateway.submit("a", request_class="turns", key="x", time_left_ms=120.0)
     gateway.run(50.0)
     assert gateway.answers == {}
     gateway.run(68.0)
@@ -24,7 +24,7 @@
 
 
 def test_a_request_timed_out_at_its_deadline_fails_once_and_is_not_retried(gateway):
-    gateway.ask("w", request_class="write")
+    gateway.submit("w", request_class="write")
     gateway.run(2000.0)
     gateway.end("w", AttemptOutcome.TIMED_OUT, closed=False)
     gateway.run(3000.0)
@@ -33,15 +33,15 @@
 
 
 def test_a_request_shed_just_before_its_deadline_is_answered_at_once(gateway):
-    gateway.ask("a", time_left_ms=100.0)
+    gateway.submit("a", time_left_ms=100.0)
     gateway.run(99.0)
     gateway.end("a", AttemptOutcome.SHED, closed=False)
     assert isinstance(gateway.answers["a"], api.ShedRequest)
 
 
 def test_a_disconnected_client_gets_no_answer(gateway):
-    gateway.ask("first", request_class="turns", key="x")
-    gateway.ask("a", request_class="turns", key="x")
+    gateway.submit("first", request_class="turns", key="x")
+    gateway.submit("a", request_class="turns", key="x")
     gateway.give(
         api.ClientDisconnected("a"), api.ClientDisconnected("first"), api.ClientDisconnected("unknown")
     )
@@ -59,7 +59,7 @@
     ],
 )
 def test_repeats_depend_on_the_repeat_safety_of_the_class(gateway, request_class, outcome, repeated):
-    gateway.ask("a", request_class=request_class)
+    gateway.submit("a", request_class=request_class)
     gateway.end("a", outcome, closed=False)
     gateway.run(600.0)
     assert (gateway.attempts["a"] > 1) is repeated
@@ -69,7 +69,7 @@
 
 def test_a_keyed_request_is_repeated_only_within_its_deduplication_window(make):
     gateway = make(max_attempts=9)
-    gateway.ask("w", request_class="write", time_left_ms=9000.0)
+    gateway.submit("w", request_class="write", time_left_ms=9000.0)
     gateway.end("w", AttemptOutcome.ERROR, closed=False)
     assert gateway.attempts["w"] == 2
     gateway.run(4001.0)
@@ -81,7 +81,7 @@
 
 def test_a_draining_endpoint_is_sent_nothing_and_its_successor_is_sent_the_queue(gateway):
     gateway.nodes(node("n0", 0, EndpointStatus.DRAINING), kind=api.EndpointListKind.CHANGES)
-    gateway.ask("a")
+    gateway.submit("a")
     assert not gateway.sent("a")
     gateway.nodes(node("n2", 0), kind=api.EndpointListKind.CHANGES)
     gateway.run(30.0)
@@ -90,7 +90,7 @@
 
 def test_a_full_list_removes_endpoints_that_it_omits(gateway):
     gateway.nodes(node("n1", 1))
-    gateway.ask("a")
+    gateway.submit("a")
     gateway.run(100.0)
     assert not gateway.sent("a")
 
@@ -113,7 +113,7 @@
     for number, (gap_ms, size) in enumerate(steps):
         gateway.run(float(gap_ms))
         units[f"r{number}"] = size
-        gateway.ask(f"r{number}", units=float(size))
+        gateway.submit(f"r{number}", units=float(size))
         for name in [send.request_id for _, send in gateway.sends if send.request_id in units]:
             if gateway.scheduler.requests.get(name) and gateway.scheduler.requests[name].attempts_in_flight:
                 gateway.end(name, AttemptOutcome.SERVED)
@@ -153,9 +153,9 @@
 
 
 def test_ordered_requests_wait_for_earlier_ones_of_their_key_and_for_its_pause(gateway):
-    gateway.ask("a", request_class="turns", key="x")
-    gateway.ask("b", request_class="turns", key="x")
-    gateway.ask("c", request_class="turns", key="y")
+    gateway.submit("a", request_class="turns", key="x")
+    gateway.submit("b", request_class="turns", key="x")
+    gateway.submit("c", request_class="turns", key="y")
     assert gateway.sent("c") and not gateway.sent("b")
     gateway.give(api.ClientDisconnected("a"))
     assert not gateway.sent("b")
@@ -175,7 +175,7 @@
     for number, (gap_ms, is_shed) in enumerate(steps):
         gateway.run(float(gap_ms))
         arrivals.append(gateway.now)
-        gateway.ask(f"r{number}")
+        gateway.submit(f"r{number}")
         for pending in list(gateway.scheduler.requests.values()):
             if pending.attempts_in_flight and not pending.finished:
                 gateway.end(
@@ -201,7 +201,7 @@
     sent: list[tuple[float, float]] = []
     for number, (gap_ms, size) in enumerate(steps):
         gateway.run(float(gap_ms))
-        gateway.ask(f"r{number}", plan="capped", units=float(size), sharing_gateways=2)
+        gateway.submit(f"r{number}", plan="capped", units=float(size), sharing_gateways=2)
         for pending in list(gateway.scheduler.requests.values()):
             if pending.attempts_in_flight:
                 sent.append((gateway.now, pending.request.units))
@@ -220,7 +220,9 @@
         started_at = gateway.now
         gateway.nodes()
         for number in range(12):
-            gateway.ask(f"r{number}", plan="capped", units=float(1 + number % 3), sharing_gateways=gateways)
+            gateway.submit(
+                f"r{number}", plan="capped", units=float(1 + number % 3), sharing_gateways=gateways
+            )
             gateway.run(150.0)
             for pending in list(gateway.scheduler.requests.values()):
                 if pending.attempts_in_flight:
@@ -269,7 +271,7 @@
             case "request":
                 name = f"r{len(request_classes)}"
                 request_classes[name] = first
-                gateway.ask(name, request_class=first, shard=second, volume=f"v{second}")
+                gateway.submit(name, request_class=first, shard=second, volume=f"v{second}")
             case "end" if in_flight():
                 name = in_flight()[second % len(in_flight())]
                 is_closed = first is AttemptOutcome.SERVED or name in disconnected
