--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -96,7 +96,7 @@
         self.cancelled: list[api.CancelAttempt] = []
         self.watches = 0
 
-    def give(self, *events: api.Event) -> list[api.Action]:
+    def handle(self, *events: api.Event) -> list[api.Action]:
         """Pass events to the scheduler at the current time."""
         actions = self.scheduler.handle(self.now, events)
         for action in actions:
@@ -125,16 +125,16 @@
             due = min(self.timers)
             self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.give(api.TimerFired(due[1]))
+            self.handle(api.TimerFired(due[1]))
         self.now = end
 
     def nodes(self, *nodes: api.Endpoint, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
         """Pass an endpoint list to the scheduler; by default one warm endpoint each for shards 0 and 1."""
-        self.give(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
+        self.handle(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
 
     def submit(self, name: str, **changes: object) -> list[api.Action]:
         """Pass one request to the scheduler."""
-        return self.give(request(name, **changes))
+        return self.handle(request(name, **changes))
 
     def end(
         self, name: str, outcome: api.AttemptOutcome, closed: bool | None = None, **changes: object
@@ -145,7 +145,7 @@
         event = api.AttemptEnded(
             name, self.attempts[name] - 1, send.endpoint, outcome, self.now - sent_at, done
         )
-        self.give(replace(event, **changes))  # type: ignore[arg-type]
+        self.handle(replace(event, **changes))  # type: ignore[arg-type]
 
     def sent(self, name: str) -> bool:
         """Whether a request has been sent at least once."""
--- a/tests/test_crossings_late.py
+++ b/tests/test_crossings_late.py
@@ -223,14 +223,14 @@
     )
     fields = {"request_class": "slow", "plan": "capped", "units": 4.0, "time_left_ms": 5000.0}
     gateway.run(2000.0)
-    gateway.give(*[request(f"a{n}", shard=n, key=f"a{n}", **fields) for n in range(8)])
+    gateway.handle(*[request(f"a{n}", shard=n, key=f"a{n}", **fields) for n in range(8)])
     assert len(gateway.sends) == 8
     failed_sends = list(gateway.sends)
     gateway.run(250.0)
     for n in range(8):
         gateway.end(f"a{n}", AttemptOutcome.CONNECT_FAILED, closed=False)
     gateway.run(400.0)
-    gateway.give(*[request(f"b{n}", shard=8 + n, key=f"b{n}", **fields) for n in range(8)])
+    gateway.handle(*[request(f"b{n}", shard=8 + n, key=f"b{n}", **fields) for n in range(8)])
     ended = len(failed_sends)
     for _ in range(30):
         gateway.run(50.0)
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -81,34 +81,34 @@
 
 
 def test_the_limit_bounds_requests_in_flight_and_class_shares_hold_when_it_is_full(gateway):
-    gateway.give(*[request(f"r{n}") for n in range(30)])
+    gateway.handle(*[request(f"r{n}") for n in range(30)])
     reads_sent = len(gateway.sends)
     assert reads_sent == int(INITIAL_LIMIT)
     gateway.submit("w", request_class="write")
     assert gateway.sent("w")
-    gateway.give(*[request(f"w{n}", request_class="write") for n in range(30)])
+    gateway.handle(*[request(f"w{n}", request_class="write") for n in range(30)])
     assert len(gateway.sends) <= 2 * INITIAL_LIMIT
 
 
 def test_the_request_with_the_higher_priority_is_sent_first(gateway):
-    gateway.give(*[request(f"r{n}") for n in range(10)])
+    gateway.handle(*[request(f"r{n}") for n in range(10)])
     gateway.run(500.0)
-    gateway.give(request("open"), request("gold", plan="gold", volume="v2"))
+    gateway.handle(request("open"), request("gold", plan="gold", volume="v2"))
     gateway.end("r0", AttemptOutcome.SERVED)
     assert gateway.sent("gold") and not gateway.sent("open")
 
 
 def test_queued_requests_are_shed_if_the_queue_does_not_drain(gateway):
-    gateway.give(*[request(f"r{n}", shard=0) for n in range(30)])
+    gateway.handle(*[request(f"r{n}", shard=0) for n in range(30)])
     gateway.run(1500.0)
     assert any(isinstance(answer, api.ShedRequest) for answer in gateway.answers.values())
 
 
 def test_a_silent_endpoint_is_sent_health_checks_until_it_responds(gateway):
-    gateway.give(*[request(f"r{n}") for n in range(4)])
+    gateway.handle(*[request(f"r{n}") for n in range(4)])
     gateway.run(700.0)
     assert any("suspect" in line for line in gateway.logs)
-    gateway.give(*[request(f"s{n}") for n in range(10)])
+    gateway.handle(*[request(f"s{n}") for n in range(10)])
     gateway.run(600.0)
     assert len(gateway.sends) <= 4 + 2
     gateway.end("r0", AttemptOutcome.SERVED)
@@ -127,9 +127,9 @@
             gateway.end(pending.request.request_id, outcome)
     assert any("recovered" in line for line in gateway.logs)
     for name in list(gateway.scheduler.requests):
-        gateway.give(api.ClientDisconnected(name))
+        gateway.handle(api.ClientDisconnected(name))
     sent_before = len(gateway.sends)
-    gateway.give(*[request(f"r{n}", key=f"k{n}", units=8.0) for n in range(10)])
+    gateway.handle(*[request(f"r{n}", key=f"k{n}", units=8.0) for n in range(10)])
     assert len(gateway.sends) == sent_before
     for number in range(15):
         gateway.submit(f"s{number}", key=f"s{number}", units=8.0)
@@ -140,16 +140,16 @@
 @pytest.mark.parametrize("outcome", [AttemptOutcome.CONNECTION_RESET, AttemptOutcome.CONNECT_FAILED])
 def test_a_single_reset_or_failed_connection_does_not_begin_a_slow_start(gateway, outcome):
     """Each broken connection put a warm endpoint under the slow-start bound (incident i6b589b)."""
-    gateway.give(request("a"), request("b"))
+    gateway.handle(request("a"), request("b"))
     gateway.end("a", outcome, closed=False)
     gateway.end("b", AttemptOutcome.SERVED)
     sent_before = len(gateway.sends)
-    gateway.give(*[request(f"r{n}", units=8.0) for n in range(10)])
+    gateway.handle(*[request(f"r{n}", units=8.0) for n in range(10)])
     assert len(gateway.sends) > sent_before
 
 
 def test_a_new_object_is_placed_at_the_less_loaded_endpoint(gateway):
-    gateway.give(*[request(f"r{n}") for n in range(10)])
+    gateway.handle(*[request(f"r{n}") for n in range(10)])
     gateway.submit("new", request_class="write", shard=-1)
     assert gateway.sends[-1][1].endpoint == "n1"
 
@@ -194,7 +194,7 @@
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
     ) = gateway.now, 1e9
-    gateway.give(api.AttemptEnded("a", 0, "n0", AttemptOutcome.CONNECTION_RESET, 1.0, False))
+    gateway.handle(api.AttemptEnded("a", 0, "n0", AttemptOutcome.CONNECTION_RESET, 1.0, False))
     gateway.run(3900.0)
     assert "a" not in gateway.answers
     gateway.run(150.0)
@@ -215,7 +215,7 @@
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
         gateway.scheduler.endpoints["n0"].next_health_check_at_ms,
     ) = gateway.now, 1e9
-    gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(9)])
+    gateway.handle(*[request(f"r{n}", key=f"k{n}") for n in range(9)])
     gateway.run(250.0)
     assert not gateway.answers
     gateway.run(100.0)
@@ -250,7 +250,7 @@
 
     monkeypatch.setattr(admission, "cannot_be_served", counted)
     monkeypatch.setattr(maintenance, "cannot_be_served", counted)
-    gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(60)])
+    gateway.handle(*[request(f"r{n}", key=f"k{n}") for n in range(60)])
     calls.clear()
     for n in range(30):
         gateway.submit(f"s{n}", key=f"s{n}")
@@ -343,7 +343,7 @@
     def sent_attempts() -> list[api.StartAttempt]:
         gateway = Gateway()
         gateway.nodes()
-        gateway.give(*[request(f"r{n}", volume=f"v{n % 3}", shard=n % 2) for n in range(20)])
+        gateway.handle(*[request(f"r{n}", volume=f"v{n % 3}", shard=n % 2) for n in range(20)])
         gateway.run(900.0)
         return [send for _, send in gateway.sends]
 
@@ -353,9 +353,9 @@
 def test_a_request_with_a_short_deadline_is_not_mistaken_for_a_retry(gateway):
     """Requests with short deadlines were mistaken for late retries and served last (incident i9cbc9e)."""
     gateway.submit("patient", shard=5)
-    gateway.give(*[request(f"r{n}", key=f"k{n}") for n in range(6)])
+    gateway.handle(*[request(f"r{n}", key=f"k{n}") for n in range(6)])
     gateway.run(200.0)
-    gateway.give(
+    gateway.handle(
         request("stale", key="s", time_left_ms=2000.0), request("hurried", key="h", time_left_ms=400.0)
     )
     requests = gateway.scheduler.requests
@@ -477,7 +477,7 @@
     endpoint = gateway.scheduler.endpoints["n0"]
     endpoint.concurrency_limit.limit, endpoint.concurrency_limit.mean_latency_ms = 0.5, 100.0
     gateway.run(200.0)
-    gateway.give(request("a"), request("b"))
+    gateway.handle(request("a"), request("b"))
     gateway.run(40.0)
     gateway.end("a", AttemptOutcome.SERVED)
     endpoint.concurrency_limit.mean_latency_ms = 100.0
@@ -493,20 +493,20 @@
     gateway.nodes()
     limit = gateway.scheduler.endpoints["n0"].concurrency_limit
     gateway.run(1000.0)
-    gateway.give(request("open"), request("full", plan="gold", volume="v2", key="f"))
+    gateway.handle(request("open"), request("full", plan="gold", volume="v2", key="f"))
     gateway.end("full", AttemptOutcome.SERVED)
     gateway.end("open", AttemptOutcome.SERVED)
     limit.limit, limit.mean_latency_ms = 0.1, 100.0
     gateway.run(1000.0)
-    gateway.give(request("more"))
+    gateway.handle(request("more"))
     gateway.end("more", AttemptOutcome.SERVED)
     limit.limit, limit.mean_latency_ms = 0.1, 100.0
-    gateway.give(request("idle", key="i"), request("gold", plan="gold", volume="v2", key="g"))
+    gateway.handle(request("idle", key="i"), request("gold", plan="gold", volume="v2", key="g"))
     assert gateway.sent("gold") and not gateway.sent("idle")
     gateway.end("gold", AttemptOutcome.SERVED)
     limit.limit, limit.mean_latency_ms = 0.1, 400.0
     gateway.run(2000.0)
-    gateway.give(request("late", plan="gold", volume="v2", key="l"))
+    gateway.handle(request("late", plan="gold", volume="v2", key="l"))
     assert not gateway.sent("late")
 
 
@@ -536,7 +536,7 @@
         for index, gateway in enumerate(fleet):
             # Each request states that all gateways serve its volume, as they do here.
             names = [f"{now:.0f}-{index}-{n}" for n in range(2)]
-            gateway.give(*[request(name, units=2.0, key=name, sharing_gateways=gateways) for name in names])
+            gateway.handle(*[request(name, units=2.0, key=name, sharing_gateways=gateways) for name in names])
             gateway.run(interval_ms)
             new_sends += [
                 (sent_at, index, send.request_id) for sent_at, send in gateway.sends[counted_sends[index] :]
@@ -628,10 +628,12 @@
 def test_failed_endpoint_list_requests_back_off():
     """All gateways called one list service twice a second while it could not respond (incident i353827)."""
     gateway = Gateway(polls_endpoint_list=True)
-    gateway.give()
+    gateway.handle()
     requested_at = []
     for _ in range(4000):
-        gateway.give(*[api.EndpointList(api.EndpointListKind.FAILED)] * (gateway.watches - len(requested_at)))
+        gateway.handle(
+            *[api.EndpointList(api.EndpointListKind.FAILED)] * (gateway.watches - len(requested_at))
+        )
         requested_at += [gateway.now] * (gateway.watches - len(requested_at))
         gateway.run(10.0)
     gaps = [after - before for before, after in itertools.pairwise(requested_at)]
@@ -652,7 +654,7 @@
 def test_a_new_object_that_may_have_been_executed_stays_at_its_shard(gateway):
     gateway.submit("new", request_class="write", shard=-1)
     first = gateway.sends[-1][1].endpoint
-    gateway.give(*[request(f"r{n}", shard=int(first[1])) for n in range(9)])
+    gateway.handle(*[request(f"r{n}", shard=int(first[1])) for n in range(9)])
     gateway.end("new", AttemptOutcome.ERROR, closed=False)
     gateway.run(600.0)
     assert {send.endpoint for _, send in gateway.sends if send.request_id == "new"} == {first}
@@ -717,8 +719,8 @@
 def test_removed_endpoints_are_deleted(gateway):
     """Memory and the time to scan endpoints grew with each store that was replaced for good."""
     for number in range(50):
-        gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node(f"m{number}", 1),)))
-        gateway.give(
+        gateway.handle(api.EndpointList(api.EndpointListKind.CHANGES, (node(f"m{number}", 1),)))
+        gateway.handle(
             api.EndpointList(
                 api.EndpointListKind.CHANGES, (node(f"m{number}", 1, api.EndpointStatus.REMOVED),)
             )
@@ -726,9 +728,11 @@
     assert set(gateway.scheduler.endpoints) == {"n0", "n1"}
     assert set(gateway.scheduler.shards[1].endpoints) == {"n1"}
     gateway.submit("a")
-    gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0, api.EndpointStatus.REMOVED),)))
+    gateway.handle(
+        api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0, api.EndpointStatus.REMOVED),))
+    )
     gateway.end("a", AttemptOutcome.SERVED)
-    gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, ()))
+    gateway.handle(api.EndpointList(api.EndpointListKind.CHANGES, ()))
     assert set(gateway.scheduler.endpoints) == {"n1"}
 
 
@@ -787,7 +791,7 @@
     gateway.now = 1000.0
     gateway.submit("r")
     assert gateway.sent("r")
-    actions = gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (entry,)))
+    actions = gateway.handle(api.EndpointList(api.EndpointListKind.CHANGES, (entry,)))
     assert abandoned(actions) == [api.AbandonAttempt("r", 0)]
     gateway.end("r", AttemptOutcome.NOT_SENT, closed=False)
     assert "r" in gateway.scheduler.shards[0].queue, "queued again"
@@ -795,20 +799,20 @@
 
 def test_a_full_list_without_an_endpoint_abandons_its_unwritten_attempts(gateway):
     gateway.submit("r")
-    actions = gateway.give(api.EndpointList(api.EndpointListKind.FULL, (node("n1", 1),)))
+    actions = gateway.handle(api.EndpointList(api.EndpointListKind.FULL, (node("n1", 1),)))
     assert abandoned(actions) == [api.AbandonAttempt("r", 0)]
 
 
 def test_a_client_disconnect_abandons_only_an_attempt_in_flight(gateway):
     gateway.submit("r")
-    assert abandoned(gateway.give(api.ClientDisconnected("r"))) == [api.AbandonAttempt("r", 0)]
+    assert abandoned(gateway.handle(api.ClientDisconnected("r"))) == [api.AbandonAttempt("r", 0)]
     gateway.end("r", AttemptOutcome.NOT_SENT, closed=True)
     assert not gateway.scheduler.requests
-    gateway.give(*[request(f"f{n}") for n in range(40)])
+    gateway.handle(*[request(f"f{n}") for n in range(40)])
     queued = next(name for name in gateway.scheduler.requests if not gateway.sent(name))
-    assert not abandoned(gateway.give(api.ClientDisconnected(queued)))
+    assert not abandoned(gateway.handle(api.ClientDisconnected(queued)))
 
 
 def test_an_unchanged_list_entry_abandons_nothing(gateway):
     gateway.submit("r")
-    assert not abandoned(gateway.give(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0),))))
+    assert not abandoned(gateway.handle(api.EndpointList(api.EndpointListKind.CHANGES, (node("n0", 0),))))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -42,7 +42,7 @@
 def test_a_disconnected_client_gets_no_answer(gateway):
     gateway.submit("first", request_class="turns", key="x")
     gateway.submit("a", request_class="turns", key="x")
-    gateway.give(
+    gateway.handle(
         api.ClientDisconnected("a"), api.ClientDisconnected("first"), api.ClientDisconnected("unknown")
     )
     gateway.run(3000.0)
@@ -97,9 +97,9 @@
 
 def test_endpoint_changes_are_requested_at_start_and_after_a_failure():
     gateway = Gateway(polls_endpoint_list=True)
-    gateway.give()
+    gateway.handle()
     assert gateway.watches == 1
-    gateway.give(api.EndpointList(api.EndpointListKind.FAILED))
+    gateway.handle(api.EndpointList(api.EndpointListKind.FAILED))
     gateway.run(1100.0)
     assert gateway.watches == 2
 
@@ -148,7 +148,7 @@
 
 def test_an_endpoint_is_sent_no_burst_when_its_start_becomes_known(make):
     gateway = make(nodes=[node("n0", 0, started=990.0)])
-    gateway.give(*[request(f"r{n}", units=1.0) for n in range(20)])
+    gateway.handle(*[request(f"r{n}", units=1.0) for n in range(20)])
     assert gateway.sends == []
 
 
@@ -157,7 +157,7 @@
     gateway.submit("b", request_class="turns", key="x")
     gateway.submit("c", request_class="turns", key="y")
     assert gateway.sent("c") and not gateway.sent("b")
-    gateway.give(api.ClientDisconnected("a"))
+    gateway.handle(api.ClientDisconnected("a"))
     assert not gateway.sent("b")
     gateway.end("a", AttemptOutcome.CANCELLED, closed=True)
     gateway.run(390.0)
@@ -283,14 +283,14 @@
             case "disconnect" if f"r{first}" in request_classes and f"r{first}" not in finished:
                 if f"r{first}" not in gateway.answers:
                     disconnected.add(f"r{first}")
-                gateway.give(api.ClientDisconnected(f"r{first}"))
+                gateway.handle(api.ClientDisconnected(f"r{first}"))
             case "wait":
                 gateway.run(float(first))
             case "list entry":
                 statuses[second] = first
                 gateway.nodes(node(f"n{second}", second, first), kind=api.EndpointListKind.CHANGES)
             case "unexpected":
-                gateway.give(
+                gateway.handle(
                     {
                         "end": api.AttemptEnded(f"r{second}", 7, "n0", AttemptOutcome.SERVED, 1.0, True),
                         "timer": api.TimerFired(10_000 + second),
