--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -128,7 +128,9 @@
             self.handle(api.TimerFired(due[1]))
         self.now = end
 
-    def nodes(self, *nodes: api.Endpoint, kind: api.EndpointListKind = api.EndpointListKind.FULL) -> None:
+    def set_endpoints(
+        self, *nodes: api.Endpoint, kind: api.EndpointListKind = api.EndpointListKind.FULL
+    ) -> None:
         """Pass an endpoint list to the scheduler; by default one warm endpoint each for shards 0 and 1."""
         self.handle(api.EndpointList(kind, nodes or (node("n0", 0), node("n1", 1))))
 
@@ -169,7 +171,7 @@
 def gateway() -> Gateway:
     """A gateway with two warm endpoints."""
     gateway = Gateway()
-    gateway.nodes()
+    gateway.set_endpoints()
     return gateway
 
 
@@ -179,7 +181,7 @@
 
     def make_gateway(nodes: Sequence[api.Endpoint] = (), **changes: object) -> Gateway:
         gateway = Gateway(**changes)
-        gateway.nodes(*nodes)
+        gateway.set_endpoints(*nodes)
         return gateway
 
     return make_gateway
--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -161,14 +161,14 @@
 def test_a_request_that_no_endpoint_can_serve_is_shed_at_once(shard):
     """Requests that no endpoint could serve were queued until their deadlines (issue 10)."""
     gateway = Gateway()
-    gateway.nodes(*([node("n0", 0)] if shard > 0 else [node("n0", 0, api.EndpointStatus.DRAINING)]))
+    gateway.set_endpoints(*([node("n0", 0)] if shard > 0 else [node("n0", 0, api.EndpointStatus.DRAINING)]))
     gateway.submit("a", shard=shard)
     assert gateway.answers["a"] == SHED
 
 
 def test_a_request_waits_for_a_missing_endpoint_no_longer_than_it_has_been_missing(gateway):
     """A successor may start in time, but the longer the endpoint is missing, the less likely that is."""
-    gateway.nodes(node("n0", 0, api.EndpointStatus.REMOVED), kind=api.EndpointListKind.CHANGES)
+    gateway.set_endpoints(node("n0", 0, api.EndpointStatus.REMOVED), kind=api.EndpointListKind.CHANGES)
     gateway.submit("a")
     gateway.run(100.0)
     assert "a" not in gateway.answers
@@ -263,12 +263,14 @@
     ``volume_gateways`` is the number of gateways that serve the volume; 0 for all of them.
     """
     gateway = Gateway(gateway_count=gateways)
-    gateway.nodes()
+    gateway.set_endpoints()
     for number in range(320):
         if number == 200:
-            gateway.nodes(node("n0", 0, api.EndpointStatus.REMOVED), kind=api.EndpointListKind.CHANGES)
+            gateway.set_endpoints(
+                node("n0", 0, api.EndpointStatus.REMOVED), kind=api.EndpointListKind.CHANGES
+            )
             gateway.run(10000.0)
-            gateway.nodes(node("n0", 0, started=gateway.now), kind=api.EndpointListKind.CHANGES)
+            gateway.set_endpoints(node("n0", 0, started=gateway.now), kind=api.EndpointListKind.CHANGES)
             sent_before = len(gateway.sends)
         if served_before_restart or number >= 200:
             gateway.submit(f"r{number}", key=f"k{number}", sharing_gateways=volume_gateways or gateways)
@@ -342,7 +344,7 @@
 def test_equal_events_give_equal_actions():
     def sent_attempts() -> list[api.StartAttempt]:
         gateway = Gateway()
-        gateway.nodes()
+        gateway.set_endpoints()
         gateway.handle(*[request(f"r{n}", volume=f"v{n % 3}", shard=n % 2) for n in range(20)])
         gateway.run(900.0)
         return [send for _, send in gateway.sends]
@@ -396,7 +398,7 @@
 def limit_shared_by(gateways: int) -> Gradient2Limit:
     """Returns the limit of an endpoint whose volume is served by all of the deployment's gateways."""
     gateway = Gateway(gateway_count=gateways)
-    gateway.nodes()
+    gateway.set_endpoints()
     gateway.submit("a", sharing_gateways=gateways)
     return gateway.scheduler.endpoints["n0"].concurrency_limit
 
@@ -419,7 +421,7 @@
     in_flight = 0.0
     for index in range(gateways):
         gateway = Gateway(seed=index, gateway_count=gateways, gateway_index=index)
-        gateway.nodes()
+        gateway.set_endpoints()
         gateway.run(1000.0 * index / gateways)
         in_flight_sum = 0
         for number in range(160):
@@ -448,7 +450,7 @@
 def test_silence_sets_the_limit_to_its_minimum():
     """Congested endpoints did not respond, so their limits kept their old values (incident ib65c5d)."""
     gateway = Gateway(gateway_count=60)
-    gateway.nodes()
+    gateway.set_endpoints()
     gateway.submit("a", sharing_gateways=20)
     gateway.run(700.0)
     limit = gateway.scheduler.endpoints["n0"].concurrency_limit
@@ -473,7 +475,7 @@
 def test_limits_of_many_gateways_fall_below_one_request_each():
     """Twelve gateways, one request each, kept ten queued at an endpoint of two cores (incident i353827)."""
     gateway = Gateway(gateway_count=12)
-    gateway.nodes()
+    gateway.set_endpoints()
     endpoint = gateway.scheduler.endpoints["n0"]
     endpoint.concurrency_limit.limit, endpoint.concurrency_limit.mean_latency_ms = 0.5, 100.0
     gateway.run(200.0)
@@ -490,7 +492,7 @@
 def test_requests_within_the_reservation_skip_the_pause_if_the_endpoint_responds_in_time():
     """Rare requests of full priority waited for pauses of several seconds (days of the grown sites)."""
     gateway = Gateway(gateway_count=12)
-    gateway.nodes()
+    gateway.set_endpoints()
     limit = gateway.scheduler.endpoints["n0"].concurrency_limit
     gateway.run(1000.0)
     gateway.handle(request("open"), request("full", plan="gold", volume="v2", key="f"))
@@ -523,7 +525,7 @@
         for index in range(gateways)
     ]
     for gateway in fleet:
-        gateway.nodes(node("n0", 0, started=gateway.now))
+        gateway.set_endpoints(node("n0", 0, started=gateway.now))
     sent, idle_at, ends = list[float](), 0.0, list[tuple[float, int, str]]()
     counted_sends = [0] * gateways  # per gateway; sends on requests, attempt ends and timers all count
     while fleet[0].now < 1000.0 + duration_ms:
@@ -599,7 +601,7 @@
 
     def health_checks(sharing_gateways: int) -> int:
         gateway = Gateway(gateway_count=sharing_gateways, max_attempts=99, retry_budget_base=99.0)
-        gateway.nodes()
+        gateway.set_endpoints()
         for number in range(100):
             gateway.submit(f"r{number}", key=f"k{number}", sharing_gateways=sharing_gateways)
             gateway.run(100.0)
@@ -645,7 +647,7 @@
     chosen = set()
     for index in range(60):
         gateway = Gateway(seed=index)
-        gateway.nodes(*[node(f"n{number}", number) for number in range(8)])
+        gateway.set_endpoints(*[node(f"n{number}", number) for number in range(8)])
         gateway.submit("new", request_class="write", shard=-1)
         chosen.add(gateway.sends[0][1].endpoint)
     assert len(chosen) > 4
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -80,16 +80,16 @@
 
 
 def test_a_draining_endpoint_is_sent_nothing_and_its_successor_is_sent_the_queue(gateway):
-    gateway.nodes(node("n0", 0, EndpointStatus.DRAINING), kind=api.EndpointListKind.CHANGES)
+    gateway.set_endpoints(node("n0", 0, EndpointStatus.DRAINING), kind=api.EndpointListKind.CHANGES)
     gateway.submit("a")
     assert not gateway.sent("a")
-    gateway.nodes(node("n2", 0), kind=api.EndpointListKind.CHANGES)
+    gateway.set_endpoints(node("n2", 0), kind=api.EndpointListKind.CHANGES)
     gateway.run(30.0)
     assert [send.endpoint for _, send in gateway.sends] == ["n2"]
 
 
 def test_a_full_list_removes_endpoints_that_it_omits(gateway):
-    gateway.nodes(node("n1", 1))
+    gateway.set_endpoints(node("n1", 1))
     gateway.submit("a")
     gateway.run(100.0)
     assert not gateway.sent("a")
@@ -108,7 +108,7 @@
 def test_an_endpoint_in_slow_start_is_sent_no_more_than_this_gateways_share(steps):
     gateway = Gateway()
     started_at, served = gateway.now, list[tuple[float, float]]()
-    gateway.nodes(node("n0", 0, started=started_at))
+    gateway.set_endpoints(node("n0", 0, started=started_at))
     units: dict[str, float] = {}
     for number, (gap_ms, size) in enumerate(steps):
         gateway.run(float(gap_ms))
@@ -169,7 +169,7 @@
 @given(st.lists(st.tuples(st.integers(0, 400), st.booleans()), min_size=20, max_size=80))
 def test_retries_stay_within_the_retry_budget(steps):
     gateway = Gateway(max_attempts=4)
-    gateway.nodes()
+    gateway.set_endpoints()
     arrivals: list[float] = []
     retries: list[float] = []
     for number, (gap_ms, is_shed) in enumerate(steps):
@@ -197,7 +197,7 @@
 def test_a_volume_is_sent_no_more_than_this_gateways_share_of_its_limit(steps):
     gateway = Gateway()
     started_at = gateway.now
-    gateway.nodes()
+    gateway.set_endpoints()
     sent: list[tuple[float, float]] = []
     for number, (gap_ms, size) in enumerate(steps):
         gateway.run(float(gap_ms))
@@ -218,7 +218,7 @@
     for index in range(gateways):
         gateway = Gateway(seed=index, gateway_count=gateways, gateway_index=index, plans=(plan,))
         started_at = gateway.now
-        gateway.nodes()
+        gateway.set_endpoints()
         for number in range(12):
             gateway.submit(
                 f"r{number}", plan="capped", units=float(1 + number % 3), sharing_gateways=gateways
@@ -251,7 +251,7 @@
 @given(st.lists(EVENTS, max_size=120), st.integers(0, 2**31))
 def test_any_sequence_answers_each_request_once_and_keeps_the_repeat_rule(steps, seed):
     gateway = Gateway(seed=seed)
-    gateway.nodes()
+    gateway.set_endpoints()
     request_classes: dict[str, str] = {}
     disconnected: set[str] = set()
     finished: set[str] = set()
@@ -288,7 +288,7 @@
                 gateway.run(float(first))
             case "list entry":
                 statuses[second] = first
-                gateway.nodes(node(f"n{second}", second, first), kind=api.EndpointListKind.CHANGES)
+                gateway.set_endpoints(node(f"n{second}", second, first), kind=api.EndpointListKind.CHANGES)
             case "unexpected":
                 gateway.handle(
                     {
