--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -244,7 +244,7 @@
             event = it.ended[0]
             assert event.volume_usage_percent is not None
             assert len(event.load_report) == 2
-            it.store_of(READ)._others["school-1"]["dev"] = 5.0
+            it.store_of(READ)._units_from_others["school-1"]["dev"] = 5.0
             await it.request("GET", READ)
             assert it.ended[1].units_via_other_gateways == 5.0
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -674,8 +674,8 @@
             del it.list._entries[omitted.name]
             it.list._entries[flapping.name]["state"] = "ready"
             it.list._epoch, it.list._version, it.list._changes = "restored", 3, []
-            it.list._news.set()
-            it.list._news = anyio.Event()
+            it.list._list_changed.set()
+            it.list._list_changed = anyio.Event()
             source = view.sources["list"]
             await it.wait_until(lambda: source.regressed_since_ms is not None)
             assert view.is_usable(omitted.name) and not view.is_usable(flapping.name)
@@ -707,8 +707,8 @@
             await it.wait_until(lambda: view.endpoints[it.stores[0].name].status is DiscoveryStatus.DRAINING)
             it.list._version, it.list._changes = 2, []
             it.list._entries[it.stores[0].name]["state"] = "ready"
-            it.list._news.set()
-            it.list._news = anyio.Event()
+            it.list._list_changed.set()
+            it.list._list_changed = anyio.Event()
             await it.wait_until(lambda: view.sources["list"].regressed_since_ms is not None)
             assert not view.is_usable(it.stores[0].name), "an older list does not end a drain"
 
--- a/winchdyke/standins/nodelist.py
+++ b/winchdyke/standins/nodelist.py
@@ -38,7 +38,7 @@
         self._entries: dict[str, dict[str, Any]] = {}
         self._changes: list[tuple[int, str]] = []
         self._version = 0
-        self._changed = anyio.Event()
+        self._list_changed = anyio.Event()
         self._scope: anyio.CancelScope | None = None
 
     async def start(self, group: TaskGroup) -> None:
@@ -71,8 +71,8 @@
             "identity": identity,
         }  # fmt: skip
         self._changes.append((self._version, name))
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._list_changed.set()
+        self._list_changed = anyio.Event()
 
     def serve_cached_copy(self, keep: bool = True) -> None:
         """From now on answer requests for the full list with a cached copy of its current state."""
@@ -103,7 +103,7 @@
         if known >= self._version >= 0:
             with anyio.move_on_after(float(query.get("wait", "0").removesuffix("ms")) / 1000):
                 while known >= self._version:
-                    await self._changed.wait()
+                    await self._list_changed.wait()
         if self.by_index:
             known = -1
         if known >= self._version:
