--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -99,7 +99,7 @@
     @run_async
     async def run():
         async with rig(with_s3(keys), unit_ms=0.02) as it:
-            mix = Mix.read("get=4,range=2,put=4,upload=0.5,list=1")
+            mix = Mix.parse("get=4,range=2,put=4,upload=0.5,list=1")
             access = (keys.key.id, keys.secret)
             run_settings = RunSettings(
                 address(it), 40.0, 1500.0, mix, ["school-1", "contest-1"], 5, 20_000, 2, True, access, 10.0
@@ -117,7 +117,7 @@
             assert set(outcomes) == {"get", "range", "put", "upload", "list"}
             assert all(set(each) == {"served"} for each in outcomes.values()), outcomes
             wrong_key = RunSettings(
-                address(it), 40.0, 300.0, Mix.read("put"), ["school-1"], 5, 100, 2, True, ("x", "y"), 10.0
+                address(it), 40.0, 300.0, Mix.parse("put"), ["school-1"], 5, 100, 2, True, ("x", "y"), 10.0
             )
             rejected = (await Worker(wrong_key, 0, 1).run()).figures()["outcomes"]
             assert set(rejected["put"]) == {"answered 403"}
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -90,7 +90,7 @@
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
             raise ValueError(f"{url!r} is not http://HOST:PORT")
-        asked = Mix.read(mix), units.duration(span), units.size(size), units.duration(patience)
+        asked = Mix.parse(mix), units.duration(span), units.size(size), units.duration(patience)
         word = read_private_file(secret).decode().strip() if secret else ""
     except (ValueError, PrivateFileError) as error:
         raise click.ClickException(str(error)) from None
--- a/winchdyke/load/schedule.py
+++ b/winchdyke/load/schedule.py
@@ -20,7 +20,7 @@
     shares: dict[str, float]
 
     @staticmethod
-    def read(text: str) -> Mix:
+    def parse(text: str) -> Mix:
         """Parse text such as ``get=70,put=30``; raises ValueError with the reason if it is invalid."""
         shares: dict[str, float] = {}
         for part in text.split(","):
