--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -132,7 +132,7 @@
         return done.output
 
     assert "no operation 'fly'" in error_text("http://127.0.0.1:1", "--mix", "fly=1")
-    assert "is over 0" in error_text("http://127.0.0.1:1", "--mix", "get=0")
+    assert "must be above 0" in error_text("http://127.0.0.1:1", "--mix", "get=0")
     assert "is not http://" in error_text("127.0.0.1:1")
     assert "go together" in error_text("http://127.0.0.1:1", "--access", "x")
     (tmp_path / "s").write_text("x")
--- a/winchdyke/load/schedule.py
+++ b/winchdyke/load/schedule.py
@@ -26,13 +26,13 @@
         for part in text.split(","):
             name, given, value = part.strip().partition("=")
             if name not in OPERATIONS:
-                raise ValueError(f"there is no operation {name!r}; there is {', '.join(OPERATIONS)}")
+                raise ValueError(f"no operation {name!r}; the operations are {', '.join(OPERATIONS)}")
             try:
                 shares[name] = float(value) if given else 1.0
             except ValueError:
                 raise ValueError(f"{part.strip()!r} is not NAME=SHARE") from None
             if not 0 < shares[name] < 1e9:
-                raise ValueError(f"the share of {name} is {value}; it is over 0")
+                raise ValueError(f"the share of {name} is {value}; it must be above 0")
         return Mix(shares)
 
 
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -686,12 +686,14 @@
                     or tags[each["partNumber"]].hexdigest() != each["etag"].strip('"')
                     for each in wanted
                 ):
-                    self._set_json_response(item, 400, {"message": "a part is not the one that was put"})
+                    self._set_json_response(
+                        item, 400, {"message": "the ETag of a part is not that of the uploaded part"}
+                    )
                     return
                 wanted = [each["partNumber"] for each in wanted]
             if not wanted or any(number not in parts for number in wanted) or sorted(wanted) != wanted:
                 self._set_json_response(
-                    item, 400, {"message": "the parts named are not those that were put, in order"}
+                    item, 400, {"message": "the listed parts are not uploaded parts in ascending order"}
                 )
                 return
             request.body = bytearray(b"".join(parts[number] for number in wanted))
