--- a/benchmarks/injected.py
+++ b/benchmarks/injected.py
@@ -50,7 +50,7 @@
     async with rig(with_ledger(folder), unit_ms=unit_ms, cores=CORES) as site:
         other_paths, victim_paths = object_paths(site, volume, count), object_paths(site, VICTIM, 12)
 
-        async def ask(path: str, after_ms: float, name: str, **headers: str) -> None:
+        async def send_request(path: str, after_ms: float, name: str, **headers: str) -> None:
             peer = await site.connect()
             await anyio.sleep(after_ms / 1000)
             sent[name] = clock()
@@ -61,7 +61,7 @@
             for number, path in enumerate(other_paths):
                 headers = {"winchdyke_class": class_name} if class_name else {}
                 group.start_soon(
-                    lambda object_path, delay_ms, request_name, extra: ask(
+                    lambda object_path, delay_ms, request_name, extra: send_request(
                         object_path, delay_ms, request_name, **extra
                     ),
                     path,
@@ -70,7 +70,7 @@
                     headers,
                 )
             for number, path in enumerate(victim_paths):
-                group.start_soon(ask, path, 60.0 + 50.0 * number, f"victim-{number}")
+                group.start_soon(send_request, path, 60.0 + 50.0 * number, f"victim-{number}")
         return site, waits(site, folder), sent
 
 
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -2,7 +2,7 @@
 
 python benchmarks/kills.py [--kills 500] [--workers 6]
 
-In each round a gateway process is started and asked for its version continuously, while an editor proposes, stages (at once, on
+In each round a gateway process is started and its version is requested continuously, while an editor proposes, stages (at once, on
 trial, or for an instant), confirms and undoes versions; then the process is killed with SIGKILL. Faults are: a gateway that does not
 start, a change log whose hash chain does not verify, a start that serves another version than the change log records, a version that
 was reported as finally applied and is gone without an entry that explains it, and a response under a version that was never served.
@@ -88,18 +88,18 @@
         """Carry out one random operation."""
         operations = ChangeOperations(change_log, "editor", "here")
         try:
-            what = self.draw.choice(("set", "set", "set", "undo", "confirm"))
-            if what == "undo":
+            operation = self.draw.choice(("set", "set", "set", "undo", "confirm"))
+            if operation == "undo":
                 operations.execute(Undo())
-            elif what == "confirm":
+            elif operation == "confirm":
                 operations.execute(Confirm())
             else:
                 weight = f"weight={self.draw.randrange(1, 1_000_000)}"
-                made = operations.execute(Set("plan", self.draw.choice(("school", "contest")), [weight]))
+                proposed = operations.execute(Set("plan", self.draw.choice(("school", "contest")), [weight]))
                 at = time.time() * 1000 + 150 if self.draw.random() < 0.3 else 0.0
                 within = self.draw.choice((0.0, 0.0, 200.0))
-                operations.execute(Stage(made["version"], at_ms=at, confirm_within_ms=within))
-            self.counts[what] += 1
+                operations.execute(Stage(proposed["version"], at_ms=at, confirm_within_ms=within))
+            self.counts[operation] += 1
         except OperationError as error:
             self.counts["no " + error.code] += 1
 
@@ -125,15 +125,15 @@
             }
             if last and first not in allowed:
                 self.faults.append(f"version {first} after a start; the change log records {due.serving}")
-            seen: set[int] = set()
+            observed: set[int] = set()
             stop = threading.Event()
 
-            def ask() -> None:
+            def poll() -> None:
                 while not stop.is_set():
-                    seen.add(self.version())
+                    observed.add(self.version())
 
-            asking = threading.Thread(target=ask)
-            asking.start()
+            poller = threading.Thread(target=poll)
+            poller.start()
             for _ in range(self.draw.randrange(1, 4)):
                 self.edit(change_log)
                 time.sleep(self.draw.uniform(0.0, 0.3))
@@ -141,20 +141,20 @@
             process.send_signal(signal.SIGKILL)
             process.wait()
             stop.set()
-            asking.join()
+            poller.join()
         finally:
             if process.poll() is None:
                 process.kill()
                 process.wait()
-        self._check(change_log, reported, seen, last)
+        self._check(change_log, reported, observed, last)
         return True
 
-    def _check(self, change_log: ChangeLog, reported: RolloutState, seen: set[int], last: int) -> None:
+    def _check(self, change_log: ChangeLog, reported: RolloutState, observed: set[int], last: int) -> None:
         self.counts["kills"] += 1
         self.faults += change_log.verify(archives=True)
         entries = [*change_log.archived_entries(), *change_log.entries()]
         served = {e.version for e in entries if e.action in ("applying", "applied", "undoing", "undone")}
-        if never_served := seen - served - {0}:
+        if never_served := observed - served - {0}:
             self.faults.append(f"responses under versions {never_served} that were never served")
         after = change_log.state()
         self.counts["cut while applying"] += bool(after.applying)
--- a/benchmarks/limits.py
+++ b/benchmarks/limits.py
@@ -131,12 +131,12 @@
                 for process in processes:
                     process.wait(10)
             group.cancel_scope.cancel()
-    moved = [
-        (seen["t"] - began, math.ceil(seen["bytes"] / UNIT))
-        for seen in record.entries
-        if seen["what"] == "whole" and seen["bytes"]
+    transfers = [
+        (entry["t"] - began, math.ceil(entry["bytes"] / UNIT))
+        for entry in record.entries
+        if entry["what"] == "whole" and entry["bytes"]
     ]
-    return moved, statuses
+    return transfers, statuses
 
 
 async def _start(
@@ -167,14 +167,16 @@
     return host, int(port)
 
 
-def highest_window_ratio(moved: list[tuple[float, float]], rate: float, burst: float, gateways: int) -> float:
+def highest_window_ratio(
+    transfers: list[tuple[float, float]], rate: float, burst: float, gateways: int
+) -> float:
     """Return the highest ratio over all windows of transferred units to those that limit, burst and one object a gateway allow."""
     found, most = 0.0, burst + gateways * SIZE / UNIT
-    for first in range(len(moved)):
+    for first in range(len(transfers)):
         total = 0.0
-        for at, units in moved[first:]:
+        for at, units in transfers[first:]:
             total += units
-            found = max(found, total / (rate * (at - moved[first][0]) / 1000 + most))
+            found = max(found, total / (rate * (at - transfers[first][0]) / 1000 + most))
     return found
 
 
@@ -192,9 +194,9 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for name, (moved, _) in runs.items():
+    for name, (transfers, _) in runs.items():
         total, xs, ys = 0.0, [0.0], [0.0]
-        for at, units in moved:
+        for at, units in transfers:
             total += units
             xs += [at / 1000, at / 1000]
             ys += [ys[-1], total]
@@ -222,12 +224,12 @@
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
     for protocol in ("object", "s3"):
         for gateways in (1, 3):
-            moved, statuses = anyio.run(measure, protocol, gateways, seconds)
-            found[f"{protocol}, {gateways}"] = moved, gateways
-            span = max((at for at, _ in moved), default=0.0) / 1000
+            transfers, statuses = anyio.run(measure, protocol, gateways, seconds)
+            found[f"{protocol}, {gateways}"] = transfers, gateways
+            span = max((at for at, _ in transfers), default=0.0) / 1000
             allowed = (plan.limit_units_per_s * span + plan.limit_burst_units + gateways * SIZE / UNIT) / 16
-            part = highest_window_ratio(moved, plan.limit_units_per_s, plan.limit_burst_units, gateways)
-            total = sum(units for _, units in moved) / 16
+            part = highest_window_ratio(transfers, plan.limit_units_per_s, plan.limit_burst_units, gateways)
+            total = sum(units for _, units in transfers) / 16
             good, bad = sum(n for s, n in statuses.items() if 200 <= s < 300), statuses[503]
             click.echo(
                 f"| {protocol} | {gateways} | {total:.0f} | {allowed:.0f} | {part:.2f} | {good} | {bad} |"
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -41,12 +41,12 @@
 
 
 async def client(
-    gateway: Gateway, number: int, took: list[tuple[float, float]], on: Callable[[], bool]
+    gateway: Gateway, number: int, request_spans: list[tuple[float, float]], is_running: Callable[[], bool]
 ) -> None:
     """Send requests one after another and record when each began and ended."""
     peer = Peer(await anyio.connect_tcp(*gateway.address), h11.CLIENT)
     count = 0
-    while on():
+    while is_running():
         count += 1
         began = time.perf_counter()
         target = f"/course-x{(number * 331 + count) % 4000}/k{count}"
@@ -54,13 +54,13 @@
         while not isinstance(await peer.event(), h11.EndOfMessage):
             pass
         peer.h11.start_next_cycle()
-        took.append((began, time.perf_counter()))
+        request_spans.append((began, time.perf_counter()))
         await anyio.sleep(0.004)
 
 
 async def run(base: Config, changed: Callable[[str], str], applies: int) -> None:
     """Run the load with its applies, and print the latencies."""
-    took: list[tuple[float, float]] = []
+    request_spans: list[tuple[float, float]] = []
     swaps: list[tuple[float, float]] = []
     checks: list[tuple[float, float]] = []
     on = True
@@ -97,7 +97,7 @@
             )
         await anyio.sleep(2)
         for number in range(16):
-            group.start_soon(client, gateway, number, took, lambda: on)
+            group.start_soon(client, gateway, number, request_spans, lambda: on)
         await anyio.sleep(3)
         swaps.clear()
         operations = ChangeOperations(gateway.rollout.change_log, "benchmark", "here")
@@ -119,9 +119,9 @@
     def during(spans: list[tuple[float, float]], at: tuple[float, float]) -> bool:
         return any(at[0] <= end and start <= at[1] for start, end in spans)
 
-    swapped = [at for at in took if during(swaps, at)]
-    checked = [at for at in took if not during(swaps, at) and during(checks, at)]
-    others = [at for at in took if not during(swaps, at) and not during(checks, at)]
+    swapped = [at for at in request_spans if during(swaps, at)]
+    checked = [at for at in request_spans if not during(swaps, at) and during(checks, at)]
+    others = [at for at in request_spans if not during(swaps, at) and not during(checks, at)]
     print(f"{len(swaps)} swaps, the longest {max(end - start for start, end in swaps) * 1000:.2f} ms")
     for what, found in (("during a swap", swapped), ("during a check", checked), ("others", others)):
         ms = [(end - start) * 1000 for start, end in found]
