--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,4 +1,4 @@
-"""The load generator: request times independent of responses, latencies that include stalls, and rejected arguments."""
+"""The load generator: planned request times, latencies that include stalls, and rejected arguments."""
 
 from __future__ import annotations
 
--- a/winchdyke/load/__init__.py
+++ b/winchdyke/load/__init__.py
@@ -1,3 +1,5 @@
-"""An open-loop load generator: sends requests at times drawn before the run, so that slow responses do not lower the load, and
-reports latencies as histograms.
+"""An open-loop load generator.
+
+Request times are drawn before the run, so that slow responses do not lower the load. Latencies are reported
+as histograms.
 """
--- a/winchdyke/load/beside.py
+++ b/winchdyke/load/beside.py
@@ -1,8 +1,8 @@
-"""Compares the latencies of clients with the service times of emulated stores, by request: which share the stores account for. Pure.
+"""Compares latencies of clients with service times of emulated stores, request by request. Pure.
 
-Clients' lines are written by ``winchdyke load --log``, stores' lines are their record. They are joined by the client's request ID,
-which the gateway forwards. A store's time lasts from the head of a request to its response; overlapping times of several stores
-count once, and attempts without a response don't count.
+Clients' lines are written by ``winchdyke load --log``, stores' lines are their record. They are joined by the
+client's request ID, which the gateway forwards. A store's time lasts from the head of a request to its
+response; overlapping times of several stores count once, and attempts without a response do not count.
 """
 
 from __future__ import annotations
--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -1,4 +1,4 @@
-"""Results of a load run: latency histograms by operation and volume (HDR, 3 digits), outcomes, and the generator's own delay. Pure."""
+"""Results of a load run: latencies (HDR histograms, 3 digits), outcomes, delays of the generator. Pure."""
 
 from __future__ import annotations
 
@@ -21,7 +21,8 @@
     """Results of one worker, or of several merged.
 
     Attributes:
-        latencies: Histograms of the time from a request's planned time to its response, in microseconds, by operation and volume.
+        latencies: Histograms of the time from a request's planned time to its response, in microseconds, by
+            operation and volume.
         outcomes: Number of requests, by operation and outcome.
         send_delays: Histogram of the time from a request's planned time until it was sent, in microseconds.
         bytes: Bytes of bodies sent and received.
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -1,4 +1,4 @@
-"""A worker of a load run: sends each request at its planned time over persistent connections, by the object API or S3."""
+"""A worker of a load run: sends each request at its planned time, over persistent connections."""
 
 from __future__ import annotations
 
--- a/winchdyke/load/schedule.py
+++ b/winchdyke/load/schedule.py
@@ -1,7 +1,8 @@
 """The requests of a load run and their times, drawn from a seed (open loop). Pure.
 
-An open loop sends each request at its planned time, whether or not earlier ones have been answered, and measures its latency from
-that time. A gateway that stalls for a second thus delays all requests planned in that second, and not only one per connection.
+An open loop sends each request at its planned time, whether or not earlier ones have been answered, and
+measures its latency from that time. A gateway that stalls for a second thus delays all requests planned in that
+second, and not only one per connection.
 """
 
 from __future__ import annotations
@@ -60,8 +61,8 @@
 ) -> Iterator[PlannedRequest]:  # fmt: skip
     """Yield the requests of one worker.
 
-    All workers together have Poisson arrivals of ``rate`` requests per second. Objects are drawn from a Zipf-like distribution, so
-    that some are hot.
+    All workers together have Poisson arrivals of ``rate`` requests per second. Objects are drawn from
+    a Zipf-like distribution, so that some are hot.
     """
     draw = random.Random(f"load/{seed}/{worker}")
     names, weights = list(mix.shares), list(mix.shares.values())
--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -1,6 +1,6 @@
-"""Emulated clients: open-loop arrivals, retries and time limits of their own. They verify the content that they receive.
+"""Emulated clients with open-loop arrivals, retries and time limits, which verify the content they receive.
 
-An object's content is a fixed function of its name, so that any range of it can be verified without storing it.
+An object's content is a fixed function of its name, so that any range can be verified without storing it.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
         gateway: Index of the gateway.
         size: Bytes of the body.
         range: First and last byte of a range read; None: the whole object.
-        patience: Time limit of one try, which the client sends with a native request.
+        patience: Time limit of one try, which the request states.
         deadline: Time limit of all tries together.
-        is_repeatable: Whether it may be repeated after a failure; a shed request is always repeated.
-        abort_phase: ``upload`` or ``download``: the client resets the connection halfway through it; "": neither.
+        is_repeatable: Whether it is retried after a failure; after a status 503 it always is.
+        abort_phase: ``upload`` or ``download``: the client resets the connection halfway through; "": never.
         ignores_retry_after: Whether the client retries without waiting for the time that the gateway stated.
         s3: Whether it is sent over the S3 API.
         has_wrong_checksum: Whether the stated MD5 is not that of the body; S3 only.
@@ -120,7 +120,7 @@
             await anyio.sleep(wait / 1000)
 
     async def send_once(self, request: PlannedRequest, key: str, number: int = 0) -> tuple[int, float]:
-        """Send a request once; returns the status (0: no response) and the stated retry delay in milliseconds."""
+        """Send a request once; returns the status (0: no response) and the stated retry delay in ms."""
         host, port = (self.s3 if request.s3 else self.address)(request.gateway)
         client = f"{key}.{number}"
         began = clock()
@@ -237,7 +237,8 @@
 def _s3_outcome(status: int, body: bytes) -> str:
     """Return the outcome of an S3 response.
 
-    SlowDown is ``refused`` (not executed), any other 5xx is ``failed`` (may have been executed), the rest is ``served``.
+    SlowDown is ``refused`` (not executed), any other 5xx is ``failed`` (possibly executed), all else is
+    ``served``.
     """
     if status < 500:
         return "served"
--- a/winchdyke/standins/dns.py
+++ b/winchdyke/standins/dns.py
@@ -1,4 +1,4 @@
-"""An emulated DNS server over UDP (RFC 1035) that answers SRV queries (RFC 2782) from a table, or not at all."""
+"""An emulated DNS server over UDP (RFC 1035) that answers SRV queries (RFC 2782) from a table."""
 
 from __future__ import annotations
 
--- a/winchdyke/standins/links.py
+++ b/winchdyke/standins/links.py
@@ -1,7 +1,8 @@
-"""Emulated network links between gateways: a relay for each ordered pair that loses, delays, duplicates or cuts traffic.
+"""Emulated network links: relays between pairs of gateways that lose, delay, duplicate or cut traffic.
 
-Gateway A reaches B only at the address of the link from A to B, which relays UDP and TCP on one port. Each link draws its
-faults from a seed of its own, and counts relayed and lost datagrams and connections; changes of faults are recorded.
+Gateway A reaches B only at the address of the link from A to B, which relays UDP and TCP on one port. Each
+link draws its faults from a seed of its own, and counts relayed and lost datagrams and connections. Changes
+of faults are recorded.
 """
 
 from __future__ import annotations
@@ -101,7 +102,7 @@
         if fault.large and size > fault.large:
             return "large"
         if fault.loss:
-            # Gilbert model with two states: ``burst`` datagrams are lost in a row on average, ``loss`` of all.
+            # Two-state Gilbert model: ``burst`` datagrams are lost in a row on average, ``loss`` of all.
             if self._losing:
                 self._losing = self.random.random() >= 1 / fault.burst
             else:
@@ -186,7 +187,7 @@
 
 
 class Links:
-    """All links between gateways. ``port_of`` returns the current port of a gateway; 0: it does not listen."""
+    """All links between gateways. ``port_of`` returns the current port of a gateway, or 0."""
 
     def __init__(self, names: list[str], seed: int, record: Record, port_of: Callable[[str], int]) -> None:
         self.names, self.seed, self.record, self.port_of = names, seed, record, port_of
--- a/winchdyke/standins/nodelist.py
+++ b/winchdyke/standins/nodelist.py
@@ -1,4 +1,4 @@
-"""An emulated list service: answers long polls with changes or the full list; delayed, outdated or failing on demand."""
+"""An emulated list service with long polls, whose responses can be delayed, outdated or failing."""
 
 from __future__ import annotations
 
@@ -20,10 +20,12 @@
 
     Attributes:
         port: The port; 0 before the first start.
-        failing: ``error`` answers with status 500, ``silence`` accepts connections without answering; "": works normally.
+        failing: ``error``: answers with status 500; ``silence``: accepts connections and does not answer;
+            "": works normally.
         error_count: Number of requests answered with an error.
         late_ms: Delay until a change becomes visible, in milliseconds.
-        by_index: Whether each response is the full list, and requests block on an index (``x-index``) instead of a token.
+        by_index: Whether each response is the full list, and requests block on an index (``x-index``), not a
+            token.
     """
 
     def __init__(self, record: Record) -> None:
--- a/winchdyke/standins/record.py
+++ b/winchdyke/standins/record.py
@@ -1,4 +1,4 @@
-"""The record of what emulators observe: a list of entries in order of time, by the host's monotonic clock in milliseconds."""
+"""The record of what emulators observe, as entries in order of time (monotonic clock, milliseconds)."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Record:
-    """Entries in order of time: ``t`` is the time, ``what`` the kind of entry, ``who`` the emulator that added it."""
+    """Entries with a time (``t``), a kind (``what``) and the emulator that added them (``who``)."""
 
     def __init__(self) -> None:
         self.entries: list[Entry] = []
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -1,6 +1,7 @@
-"""An emulated store: cores, a first-come-first-served queue, cold starts, deduplication of retries, and faults on demand.
+"""An emulated store: cores, a FIFO queue, cold starts, deduplication of retries, and faults on demand.
 
-Its objects are in an :class:`ObjectStore` that outlives the store process. The protocol is ``docs/store-protocol.md``.
+Its objects are in an :class:`ObjectStore` that outlives the store process. The protocol is described in
+``docs/store-protocol.md``.
 """
 
 from __future__ import annotations
@@ -52,9 +53,10 @@
         speed: Speed relative to a store that needs ``unit_ms`` for one unit on one core.
         queue: Number of requests that may wait for a core; more are shed.
         deduplication_window_ms: Time for which the response of a request with an idempotency key is repeated.
-        cold_start_capacity: Fraction of the warm capacity at a cold start; capacity grows linearly until ``warm_up_ms``.
-        overload_factor: A cold store fails for good once it receives more than this multiple of its current capacity
-            within ``overload_window_ms``.
+        cold_start_capacity: Fraction of the warm capacity at a cold start, which then grows linearly.
+        warm_up_ms: Time from a cold start until the full capacity is reached.
+        overload_factor: A cold store fails until its next start once it receives more than this multiple of
+            its current capacity within ``overload_window_ms``.
         min_overload_units: Units within that window that never make it fail.
         typical_units_per_s: Usual rate of a volume; reported usage is in percent of it.
         tls_context: TLS settings; None: plain TCP.
@@ -92,7 +94,7 @@
         uploads: Volume, key and received parts of each open upload.
         headers: Stored headers, by volume and key.
         part_sizes: Sizes of the parts of an object that was uploaded in parts, by volume and key.
-        upload_states: Start and time of the last part (Unix time in ms), and headers for the object, by upload.
+        upload_states: Start and time of the last part (Unix ms), and headers of the object, by upload.
         completed_uploads: Volume, key and ETag, by upload.
         upload_count: Number of uploads that have been created.
     """
@@ -178,10 +180,10 @@
 
 
 class Store:
-    """An emulated store process. It is started in a task group, and may be killed and started again any number of times.
+    """An emulated store process, which can be killed and started again any number of times.
 
     Attributes:
-        is_other_store: Whether the store has taken the address of another one, so that no request is meant for it.
+        is_other_store: Whether the store has taken the address of another one, for which requests are meant.
         slowdown: Factor by which service takes longer.
         slow_volume_prefix: ``slowdown`` applies only to volumes whose names start with this.
         lost_share: Fraction of responses that are lost.
@@ -190,9 +192,9 @@
         tricks: Faults for the next requests, one each, in order; "": none. They go before ``trick``.
         silent: Whether the store accepts connections without answering requests.
         draining: Whether the store reports a drain and sheds all requests.
-        overloaded: Whether a cold store has failed from too much load; it then answers nothing until its next start.
+        overloaded: Whether a cold store has failed from too much load; it is silent until its next start.
         reports_identity: Whether responses carry the identity headers.
-        paused_until: Time until which no request completes and no response is sent, in milliseconds of the record's clock.
+        paused_until: Time (of the record's clock) until which no request completes and no response is sent.
     """
 
     def __init__(
@@ -349,7 +351,7 @@
         peer.h11.start_next_cycle()
 
     def _identity_headers(self, request: ParsedRequest) -> list[tuple[str, str]]:
-        """Return the headers of each response that describe the store: identity, boot ID, uptime, and whether it drains."""
+        """Return the headers on the store itself: identity, boot ID, uptime, and whether it drains."""
         if not self.reports_identity:
             return []
         up = clock() - self._cold_started_ms if self.cold else clock() - self._started_ms + WARM_UPTIME_MS
@@ -550,7 +552,7 @@
 
     @staticmethod
     def _headers_to_store(request: ParsedRequest) -> list[tuple[str, str]]:
-        """Return the request headers that are stored with an object: representation headers and user metadata."""
+        """Return the headers that are stored with an object: representation headers and user metadata."""
         return [
             (name, value)
             for name, value in request.headers.items()
--- a/winchdyke/standins/wire.py
+++ b/winchdyke/standins/wire.py
@@ -1,4 +1,4 @@
-"""HTTP for emulators: h11 over a socket, with raw access so that a test can break an exchange at any point."""
+"""HTTP for emulators: h11 over a socket, where a test can break an exchange at any point."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         self.stream, self.h11 = stream, h11.Connection(role, max_incomplete_event_size=256 * 1024)
 
     async def event(self) -> h11.Event:
-        """Return the next event; raises one of :data:`CONNECTION_ERRORS` if the connection ends within a message."""
+        """Return the next event; raises one of CONNECTION_ERRORS if the connection ends within a message."""
         while True:
             event = self.h11.next_event()
             if event is h11.NEED_DATA:
@@ -44,7 +44,7 @@
 
     def quiet(self) -> bool:
         """Whether an idle connection is still open and has no unread data."""
-        # Not select(), which fails for descriptors above 1,023; scenarios with many gateways have such descriptors.
+        # Not select(), which fails for descriptors above 1,023; scenarios with many gateways have them.
         poller = select.poll()
         poller.register(self.stream.extra(SocketAttribute.raw_socket), select.POLLIN)
         return not poller.poll(0)
@@ -57,7 +57,7 @@
 
 
 async def listen(port: int = 0) -> SocketListener:
-    """Return a listener on loopback, on a given port or (0) one chosen by the system; a port in use is tried again for 1 s."""
+    """Return a loopback listener; port 0 is chosen by the system, a port in use is retried for 1 s."""
     for attempt in range(50):
         try:
             multi = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, backlog=512)
