--- a/winchdyke/standins/clients.py
+++ b/winchdyke/standins/clients.py
@@ -92,8 +92,8 @@
             for request in sorted(requests, key=lambda request: request.at):
                 await anyio.sleep_until(began + request.at / 1000)
                 group.start_soon(self._send_with_retries, request)
-        for line in self._idle.values():
-            for peer in line:
+        for idle_peers in self._idle.values():
+            for peer in idle_peers:
                 await anyio.aclose_forcefully(peer.stream)
 
     def start(self, group: TaskGroup, requests: Sequence[PlannedRequest]) -> None:
@@ -156,9 +156,9 @@
         return status, wait
 
     async def _peer(self, host: str, port: int) -> Peer | None:
-        line = self._idle[host, port]
-        while line:
-            peer = line.pop()
+        idle_peers = self._idle[host, port]
+        while idle_peers:
+            peer = idle_peers.pop()
             if peer.quiet():
                 return peer
             await anyio.aclose_forcefully(peer.stream)
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -560,10 +560,14 @@
         ]
 
     def _put(
-        self, request: ParsedRequest, item: WorkItem, tag: str = "", keep: list[tuple[str, str]] | None = None
+        self,
+        request: ParsedRequest,
+        item: WorkItem,
+        tag: str = "",
+        stored_headers: list[tuple[str, str]] | None = None,
     ) -> None:
-        where = (request.volume, request.key)
-        existing = self.object_store.objects.get(where)
+        name = (request.volume, request.key)
+        existing = self.object_store.objects.get(name)
         if_match, if_none_match = request.headers.get("if-match"), request.headers.get("if-none-match")
         if (if_match and (not existing or if_match not in ("*", existing[1]))) or (
             if_none_match and existing and if_none_match in ("*", existing[1])
@@ -572,10 +576,10 @@
             return
         data = bytes(request.body)
         tag = tag or f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"'
-        self.object_store.objects[where] = (data, tag)
-        self.object_store.part_sizes.pop(where, None)
-        self.object_store.headers[where] = [
-            *(keep or self._headers_to_store(request)),
+        self.object_store.objects[name] = (data, tag)
+        self.object_store.part_sizes.pop(name, None)
+        self.object_store.headers[name] = [
+            *(stored_headers or self._headers_to_store(request)),
             ("last-modified", formatdate(usegmt=True)),
         ]
         self._set_response(
@@ -599,9 +603,9 @@
             self._set_response(item, 304, b"", [("etag", tag)])
             item.headers = [("etag", tag)]
             return
-        kept = self.object_store.headers.get((request.volume, request.key), [])
-        headers = [("etag", tag), ("accept-ranges", "bytes"), *kept]
-        if not any(name == "content-type" for name, _ in kept):
+        stored_headers = self.object_store.headers.get((request.volume, request.key), [])
+        headers = [("etag", tag), ("accept-ranges", "bytes"), *stored_headers]
+        if not any(name == "content-type" for name, _ in stored_headers):
             headers.append(("content-type", "application/octet-stream"))
         range_header = request.headers.get("range")
         if "partNumber" in request.query:
@@ -656,8 +660,8 @@
         if request.method == "PUT":
             data = bytes(request.body)
             parts[int(request.query["partNumber"])] = data
-            began, _, kept = self.object_store.upload_states[upload]
-            self.object_store.upload_states[upload] = (began, time.time() * 1000, kept)
+            began, _, headers = self.object_store.upload_states[upload]
+            self.object_store.upload_states[upload] = (began, time.time() * 1000, headers)
             self._set_response(
                 item, 200, b"", [("etag", f'"{hashlib.md5(data, usedforsecurity=False).hexdigest()}"')]
             )
@@ -677,34 +681,34 @@
             self._set_response(item, 204)
         else:
             try:
-                wanted = json.loads(bytes(request.body) or b"{}").get("parts", sorted(parts))
+                listed = json.loads(bytes(request.body) or b"{}").get("parts", sorted(parts))
             except ValueError:
-                wanted = None
+                listed = None
             tags = {n: _md5(d) for n, d in parts.items()}
             # Parts may be listed with their ETags, which must then match those of the stored parts.
-            if wanted and all(isinstance(each, dict) for each in wanted):
+            if listed and all(isinstance(each, dict) for each in listed):
                 if any(
                     each["partNumber"] not in tags
                     or tags[each["partNumber"]].hexdigest() != each["etag"].strip('"')
-                    for each in wanted
+                    for each in listed
                 ):
                     self._set_json_response(
                         item, 400, {"message": "the ETag of a part is not that of the uploaded part"}
                     )
                     return
-                wanted = [each["partNumber"] for each in wanted]
-            if not wanted or any(number not in parts for number in wanted) or sorted(wanted) != wanted:
+                listed = [each["partNumber"] for each in listed]
+            if not listed or any(number not in parts for number in listed) or sorted(listed) != listed:
                 self._set_json_response(
                     item, 400, {"message": "the listed parts are not uploaded parts in ascending order"}
                 )
                 return
-            request.body = bytearray(b"".join(parts[number] for number in wanted))
-            whole = _md5(b"".join(tags[number].digest() for number in wanted)).hexdigest()
-            tag = f'"{whole}-{len(wanted)}"'
+            request.body = bytearray(b"".join(parts[number] for number in listed))
+            whole = _md5(b"".join(tags[number].digest() for number in listed)).hexdigest()
+            tag = f'"{whole}-{len(listed)}"'
             self._put(request, item, tag, self.object_store.upload_states[upload][2])
             if item.status != 412:
                 self.object_store.part_sizes[request.volume, request.key] = [
-                    len(parts[number]) for number in wanted
+                    len(parts[number]) for number in listed
                 ]
                 del uploads[upload], self.object_store.upload_states[upload]
                 self.object_store.completed_uploads[upload] = (request.volume, request.key, tag)
