--- a/benchmarks/lean.py
+++ b/benchmarks/lean.py
@@ -73,7 +73,7 @@
 
 
 class Client(asyncio.Protocol):
-    """One persistent connection; ``ask`` sends a request and waits for the whole response."""
+    """One persistent connection; ``request`` sends a request and waits for the whole response."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport, self.buffer, self.remaining = transport, b"", -1
@@ -108,7 +108,7 @@
             if self.response and not self.response.done():
                 self.response.set_result(self.status)
 
-    async def ask(self, request: bytes, body_size: int = 0) -> int:
+    async def request(self, request: bytes, body_size: int = 0) -> int:
         self.response = asyncio.get_running_loop().create_future()
         self.transport.write(request)
         while body_size:
@@ -136,7 +136,7 @@
 
     async def send_request(client: Client, number: int, due_at: float) -> None:
         nonlocal completed, errors
-        status = await client.ask(get_request(path, number))
+        status = await client.request(get_request(path, number))
         histogram.record_value(int((time.perf_counter() - due_at) * 1e6))
         completed += 1
         errors += status >= 400
@@ -179,10 +179,10 @@
     size, started_at, errors = mib << 20, time.perf_counter(), 0
     for _ in range(times):
         if mode == "get":
-            status = await client.ask(f"GET {path}big-{mib} HTTP/1.1\r\nhost: bench\r\n\r\n".encode())
+            status = await client.request(f"GET {path}big-{mib} HTTP/1.1\r\nhost: bench\r\n\r\n".encode())
         else:
             head = f"PUT {path}put-{mib} HTTP/1.1\r\nhost: bench\r\ncontent-length: {size}\r\n\r\n"
-            status = await client.ask(head.encode(), size)
+            status = await client.request(head.encode(), size)
         errors += status >= 400
     return {"mb_per_s": size * times / (time.perf_counter() - started_at) / 1e6, "bad": errors}
 
--- a/benchmarks/s3.py
+++ b/benchmarks/s3.py
@@ -47,7 +47,7 @@
         number = first * 7
         while (seconds and time.perf_counter() < began + seconds) or (not seconds and number < len(requests)):
             head, size = requests[number % len(requests)]
-            status = await one.ask(head.encode(), size)
+            status = await one.request(head.encode(), size)
             number, done, bad = number + 1, done + 1, bad + (status >= 400)
 
     await asyncio.gather(*(turn(number) for number in range(connections)))
