--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -25,21 +25,21 @@
 from winchdyke.gateway.service import ConfigSnapshot
 
 
-def swap_pause_ms(engine: SchedulerLoop, old: Config, config: Config) -> float:
+def swap_pause_ms(scheduler_loop: SchedulerLoop, old: Config, config: Config) -> float:
     """Do one swap as the daemon does, and return the milliseconds for which it blocks the event loop."""
     plans, settings = (
         changed_plans(
-            engine.volumes_with_quota(), EffectiveConfig(old, old), EffectiveConfig(config, config)
+            scheduler_loop.volumes_with_quota(), EffectiveConfig(old, old), EffectiveConfig(config, config)
         ),
         config.settings(),
     )
     names = list(plans)
     for at in range(0, len(names), REFILL_BATCH_VOLUMES):  # other tasks run between the batches
-        engine.refill_quotas(names[at : at + REFILL_BATCH_VOLUMES])
+        scheduler_loop.refill_quotas(names[at : at + REFILL_BATCH_VOLUMES])
     began = time.perf_counter()
-    engine.volumes_with_quota(len(engine.volumes_with_quota()))
+    scheduler_loop.volumes_with_quota(len(scheduler_loop.volumes_with_quota()))
     ConfigSnapshot(config, 1)
-    engine.apply_settings(settings, plans)
+    scheduler_loop.apply_settings(settings, plans)
     return (time.perf_counter() - began) * 1000
 
 
@@ -58,26 +58,28 @@
     one = parse(text[:at] + text[at:].replace("plan = basic", "plan = school", 1))
     every = parse(text[:at] + text[at:].replace("plan = basic", "plan = school"))
     print(f"{len(names)} volumes; {len(diff(base, one))} and {len(diff(base, every))} values changed")
-    engine = SchedulerLoop(base.settings(), 1)
+    scheduler_loop = SchedulerLoop(base.settings(), 1)
     for number, name in enumerate(names):
-        engine.submit(api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0))
-    engine.process_events()
-    print(f"{len(engine._scheduler.quotas)} quotas")
-    for what, config in (("one volume", one), ("all volumes", every)):
+        scheduler_loop.submit(
+            api.Request(f"r{number}", "fetch", "basic", name, f"k{number}", 1.0, 0, 1, 3000.0)
+        )
+    scheduler_loop.process_events()
+    print(f"{len(scheduler_loop._scheduler.quotas)} quotas")
+    for description, config in (("one volume", one), ("all volumes", every)):
         pauses = []
         for _ in range(arguments.rounds):
-            pauses.append(swap_pause_ms(engine, base, config))
-            swap_pause_ms(engine, config, base)
+            pauses.append(swap_pause_ms(scheduler_loop, base, config))
+            swap_pause_ms(scheduler_loop, config, base)
         pauses.sort()
-        print(f"{what}: pause {statistics.median(pauses):.2f} ms (at most {pauses[-1]:.2f})")
+        print(f"{description}: pause {statistics.median(pauses):.2f} ms (at most {pauses[-1]:.2f})")
     began = time.perf_counter()
     tracemalloc.start()
-    kept = parse(config_text(every))
-    held, took = tracemalloc.get_traced_memory()[0] / 2**20, time.perf_counter() - began
+    extra_version = parse(config_text(every))
+    memory_mib, seconds = tracemalloc.get_traced_memory()[0] / 2**20, time.perf_counter() - began
     print(
-        f"one more version: {held:.1f} MiB; read and checked outside the loop in {took:.1f} s (while memory is traced)"
+        f"one more version: {memory_mib:.1f} MiB; read and checked outside the loop in {seconds:.1f} s (while memory is traced)"
     )
-    assert kept
+    assert extra_version
 
 
 if __name__ == "__main__":
--- a/benchmarks/swap_load.py
+++ b/benchmarks/swap_load.py
@@ -106,9 +106,9 @@
         for number in range(applies):
             text = versions[number % 2]
             began = time.perf_counter()
-            made = await anyio.to_thread.run_sync(operations.execute, Propose(text))
-            await anyio.to_thread.run_sync(operations.execute, Stage(made["version"]))
-            while gateway.service.snapshot.version != made["version"]:
+            proposed = await anyio.to_thread.run_sync(operations.execute, Propose(text))
+            await anyio.to_thread.run_sync(operations.execute, Stage(proposed["version"]))
+            while gateway.service.snapshot.version != proposed["version"]:
                 await anyio.sleep(0.02)
             checks.append((began, time.perf_counter()))
             await anyio.sleep(1.0)
@@ -123,10 +123,10 @@
     checked = [at for at in request_spans if not during(swaps, at) and during(checks, at)]
     others = [at for at in request_spans if not during(swaps, at) and not during(checks, at)]
     print(f"{len(swaps)} swaps, the longest {max(end - start for start, end in swaps) * 1000:.2f} ms")
-    for what, found in (("during a swap", swapped), ("during a check", checked), ("others", others)):
+    for description, found in (("during a swap", swapped), ("during a check", checked), ("others", others)):
         ms = [(end - start) * 1000 for start, end in found]
         print(
-            f"{what:22} {len(ms):6} requests, p50 {percentile(ms, 50):.2f} ms, p99 {percentile(ms, 99):.2f} ms"
+            f"{description:22} {len(ms):6} requests, p50 {percentile(ms, 50):.2f} ms, p99 {percentile(ms, 99):.2f} ms"
         )
 
 
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -142,23 +142,35 @@
         print(
             f"  excess {key[0]:.2f}, standard errors {key[1]:g}: {false:.3f}  {missed:.3f}  {slowest / 1000:.1f} s"
         )
-    here = (CanaryCriteria().max_excess_ratio, CanaryCriteria().min_standard_errors)
+    default_thresholds = (CanaryCriteria().max_excess_ratio, CanaryCriteria().min_standard_errors)
     print(
         "false undo at",
-        here,
-        dict(Counter(disturbance for bad, disturbance, found in days if not bad and found[here] is not None)),
+        default_thresholds,
+        dict(
+            Counter(
+                disturbance
+                for bad, disturbance, found in days
+                if not bad and found[default_thresholds] is not None
+            )
+        ),
     )
     print(
         "missed at",
-        here,
-        dict(Counter(disturbance for bad, disturbance, found in days if bad and found[here] is None)),
+        default_thresholds,
+        dict(
+            Counter(
+                disturbance for bad, disturbance, found in days if bad and found[default_thresholds] is None
+            )
+        ),
     )
     if arguments.plot:
-        plot(points, here, arguments.plot)
+        plot(points, default_thresholds, arguments.plot)
 
 
 def plot(
-    points: dict[tuple[float, float], tuple[float, float]], here: tuple[float, float], path: Path
+    points: dict[tuple[float, float], tuple[float, float]],
+    default_thresholds: tuple[float, float],
+    path: Path,
 ) -> None:
     """Plot the missed bad changes against the undone good ones, one line for each excess."""
     import matplotlib
@@ -172,7 +184,13 @@
         axes.plot(
             [100 * a for a, _ in line], [100 * b for _, b in line], "o-", label=f"excess over {excess:.0%}"
         )
-    axes.plot(100 * points[here][0], 100 * points[here][1], "k*", markersize=14, label="as set")
+    axes.plot(
+        100 * points[default_thresholds][0],
+        100 * points[default_thresholds][1],
+        "k*",
+        markersize=14,
+        label="as set",
+    )
     axes.set(
         xlabel="% of good changes undone",
         ylabel="% of bad changes missed",
