--- a/benchmarks/config.py
+++ b/benchmarks/config.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from winchdyke.config import defaults, loading
-from winchdyke.config.matching import Asked, Matcher, Pattern, best
+from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, best
 
 SIZES = (10, 30, 100, 300, 1000, 3000, 10_000)
 
@@ -58,11 +58,11 @@
     ]
 
 
-def asked(draw: random.Random) -> Asked:
+def asked(draw: random.Random) -> RequestAttributes:
     """A random request."""
     key = f"k{draw.randrange(50)}/s{draw.randrange(50)}/object"
     headers = {"x-kind": f"kind{draw.randrange(9)}"} if draw.random() < 0.5 else {}
-    return Asked(
+    return RequestAttributes(
         draw.choice(("GET", "PUT", "DELETE")),
         f"v{draw.randrange(400)}",
         key,
--- a/benchmarks/swap.py
+++ b/benchmarks/swap.py
@@ -17,7 +17,7 @@
 
 from winchdyke import interface as api
 from winchdyke.config import Config, defaults, parse
-from winchdyke.config.meaning import diff
+from winchdyke.config.semantic_diff import diff
 from winchdyke.config_rollout.controller import REFILL_BATCH_VOLUMES
 from winchdyke.config_rollout.cutover import EffectiveConfig, changed_plans
 from winchdyke.config_rollout.edit import config_text
--- a/fuzz/target.py
+++ b/fuzz/target.py
@@ -20,13 +20,13 @@
     from winchdyke.config import ConfigError, loading
     from winchdyke.config.diagnostics import Source
     from winchdyke.config.fmt import fmt
-    from winchdyke.config.sources import Unreadable, decoded
+    from winchdyke.config.sources import UnreadableFileError, decode_text
     from winchdyke.config.syntax import parse
 
     began = time.monotonic()
     try:
-        text = decoded(data)
-    except Unreadable:
+        text = decode_text(data)
+    except UnreadableFileError:
         return
     statements, problems = parse(Source("f", text))
     if not problems:
@@ -41,7 +41,7 @@
         assert error.problems, "refused without a reason"
         for problem in error.problems:
             assert problem.fix and problem.text, f"no remedy: {problem}"
-            assert problem.shown()
+            assert problem.render()
     else:
         hash(loaded.config)
     took = time.monotonic() - began
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -16,14 +16,14 @@
 from rig import INI
 
 from winchdyke.cli.main import main
-from winchdyke.config import ConfigError, defaults, ini, load_all, loading, meaning, parse
+from winchdyke.config import ConfigError, defaults, ini, load_all, loading, parse, semantic_diff
 from winchdyke.config.diagnostics import Diagnostic, Source
 from winchdyke.config.fmt import fmt
 from winchdyke.config.loading import load_text
-from winchdyke.config.matching import Asked, Matcher, Pattern, best
+from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, best
+from winchdyke.config.serialization import serialize
 from winchdyke.config.syntax import Block, Directive, Setting
 from winchdyke.config.syntax import parse as statements
-from winchdyke.config.writing import written
 
 
 def problems(text: str) -> list[Diagnostic]:
@@ -53,7 +53,7 @@
     problem = fits[0]
     assert problem.span.source.file == "f.conf"
     assert line in text.split("\n")[problem.line - 1], f"points to line {problem.line}"
-    assert problem.fix and "^" in problem.shown()
+    assert problem.fix and "^" in problem.render()
 
 
 def mutations() -> list[tuple[str, str, int]]:
@@ -156,7 +156,7 @@
 def told(path) -> str:
     with pytest.raises(ConfigError) as caught:
         load_all(path)
-    return "\n".join(problem.shown() for problem in caught.value.problems)
+    return "\n".join(problem.render() for problem in caught.value.problems)
 
 
 def test_includes(tmp_path):
@@ -278,9 +278,9 @@
         for size in ("64MiB", "64MB")
     )
     assert (old.limits.body_total, new.limits.body_total) == (67_108_864, 64_000_000)
-    assert [change.text for change in meaning.diff(old, new)] == ["limits: body_total 64MiB -> 64MB"]
+    assert [change.text for change in semantic_diff.diff(old, new)] == ["limits: body_total 64MiB -> 64MB"]
     four = load_text(GOOD.replace("deadline = 3s", "deadline = 3000ms")).config
-    assert meaning.diff(load_text(GOOD).config, four) == []
+    assert semantic_diff.diff(load_text(GOOD).config, four) == []
 
 
 def test_references_defaults_templates_and_where_values_came_from():
@@ -388,10 +388,10 @@
 
 def test_ini_converted_means_the_same():
     loaded = ini.load_text(INI, "d.ini")
-    assert load_text(written(loaded.values), "made").config == loaded.config == parse(defaults(), "d.conf")
-    assert fmt(written(loaded.values)) == written(loaded.values)
+    assert load_text(serialize(loaded.values), "made").config == loaded.config == parse(defaults(), "d.conf")
+    assert fmt(serialize(loaded.values)) == serialize(loaded.values)
     again = load_text(GOOD)
-    assert load_text(written(again.values), "made").config == again.config
+    assert load_text(serialize(again.values), "made").config == again.config
     assert hash(load_text(GOOD).config) == hash(again.config)
 
 
@@ -414,12 +414,12 @@
         return text
 
     old, new = load_text(made(left)).config, load_text(made(right)).config
-    changes = meaning.diff(old, new)
-    assert meaning.apply(old, changes) == new
+    changes = semantic_diff.diff(old, new)
+    assert semantic_diff.apply(old, changes) == new
     assert bool(changes) == (old != new)
-    assert meaning.diff(new, new) == []
+    assert semantic_diff.diff(new, new) == []
     if left == right:
-        assert not meaning.rerouted(old, new)
+        assert not semantic_diff.find_rerouted_requests(old, new)
 
 
 def diffed(old: str, new: str, tmp_path) -> tuple[int, str]:
@@ -532,7 +532,7 @@
     size=st.none() | st.sampled_from([(-1, 10), (10, 2**62), (5, 20)]),
 )
 REQUESTS = st.builds(
-    Asked,
+    RequestAttributes,
     method=st.sampled_from(["GET", "PUT", "DELETE"]),
     volume=VOLUMES,
     key=st.sampled_from(["x", "x/y/z", "z", "w", "x/"]),
@@ -565,7 +565,7 @@
 
     @run_async
     async def play():
-        text = written(ini.load_text(INI, "d.ini").values) + (
+        text = serialize(ini.load_text(INI, "d.ini").values) + (
             "\nlistener second {\n    address = 127.0.0.1:0\n}\n"
             "\nroute exports {\n    volume = school-*\n    key = export/\n    method = GET\n    class = export\n}\n"
             '\npool last {\n    shards = 7\n}\n\nroute old {\n    key = "old/"\n    pool = last\n}\n'
--- a/tests/test_latency_attribution.py
+++ b/tests/test_latency_attribution.py
@@ -255,9 +255,9 @@
 
 def with_ledger(folder: Path, extra: str = ""):
     from winchdyke.config.loading import load_text
-    from winchdyke.config.writing import written
+    from winchdyke.config.serialization import serialize
 
-    text = written(ini.load_text(INI + ONCE, "d.ini").values)
+    text = serialize(ini.load_text(INI + ONCE, "d.ini").values)
     return load_text(
         f'{text}\naccounts {{\n    folder = "{folder}"\n    sync = 20ms\n}}\n{extra}', "made"
     ).config
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -20,8 +20,8 @@
 from winchdyke.admin import keys
 from winchdyke.cli import fleet as command
 from winchdyke.config.loading import load_file
-from winchdyke.config.meaning import diff
 from winchdyke.config.model import Config, Fleet, Listen
+from winchdyke.config.semantic_diff import diff
 from winchdyke.config_rollout.hot_reload import requiring_restart
 from winchdyke.discovery.seeds import GatewaySeeds
 from winchdyke.membership import datagrams, member_cache
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -35,7 +35,7 @@
         click.echo(json.dumps(sarif(found), indent=1))
     else:
         for problem in found:
-            click.echo(problem.shown())
+            click.echo(problem.render())
         click.echo(f"{file}: {errors} mistakes, {len(found) - errors} warnings" if found else f"{file}: good")
     raise SystemExit(2 if errors else 0)
 
@@ -49,20 +49,20 @@
     """Write FILES in the one spelling, with their comments."""
     from winchdyke.config.diagnostics import Source
     from winchdyke.config.fmt import fmt as formatted
-    from winchdyke.config.sources import Unreadable, read
+    from winchdyke.config.sources import UnreadableFileError, read
     from winchdyke.config.syntax import parse
 
     odd = 0
     for file in files:
         try:
             text = read(file)
-        except Unreadable as error:
+        except UnreadableFileError as error:
             click.echo(f"{file}:{error.line}:{error.column}: {error}; {error.fix}", err=True)
             raise SystemExit(2) from None
         _, problems = parse(Source(str(file), text))
         if problems:
             for problem in problems:
-                click.echo(problem.shown(), err=True)
+                click.echo(problem.render(), err=True)
             raise SystemExit(2)
         made = formatted(text)
         if made != file.read_bytes().decode("utf-8"):
@@ -79,10 +79,10 @@
 @click.option("--json", "as_json", is_flag=True, help="Changes as JSON.")
 def diff(old: Path, new: Path, as_json: bool) -> None:
     """What the change from OLD to NEW means; nothing where it means nothing."""
-    from winchdyke.config import meaning
+    from winchdyke.config import semantic_diff
 
     before, after = settings_from(old), settings_from(new)
-    changes, moved = meaning.diff(before, after), meaning.rerouted(before, after)
+    changes, moved = semantic_diff.diff(before, after), semantic_diff.find_rerouted_requests(before, after)
     if as_json:
         told = {"changes": [change.data() for change in changes], "rerouted": [str(each) for each in moved]}
         click.echo(json.dumps(told, indent=1))
@@ -101,8 +101,8 @@
 @click.argument("path", metavar="PATH")
 def explain(file: Path, path: str) -> None:
     """Where the value at PATH came from, such as class.fetch.aim or limits.connections."""
-    from winchdyke.config.meaning import show
     from winchdyke.config.schema import BLOCKS
+    from winchdyke.config.semantic_diff import show
     from winchdyke.config.types import nearest
 
     loaded = loaded_from(file)
@@ -135,8 +135,8 @@
 @click.option("--header", "headers", multiple=True, help="NAME: VALUE; several may be given.")
 def route(file: Path, method: str, path: str, size: str, headers: tuple[str, ...]) -> None:
     """What a request would meet, and why: its route, class, plan, shard."""
-    from winchdyke.config import meaning, units
-    from winchdyke.config.matching import Asked
+    from winchdyke.config import semantic_diff, units
+    from winchdyke.config.matching import RequestAttributes
     from winchdyke.placement import shard_of
 
     config = settings_from(file)
@@ -149,7 +149,7 @@
         raise click.ClickException(f"--size: {error}") from None
     parted = [header.partition(":") for header in headers]
     fields = {name.strip().lower(): value.strip() for name, _, value in parted}
-    asked = Asked(method, found[1], found[2], length, fields)
+    asked = RequestAttributes(method, found[1], found[2], length, fields)
     volume = config.volume(asked.volume)
     if volume is None:
         click.echo(f"404: no volume rule takes {asked.volume!r}")
@@ -163,7 +163,7 @@
         click.echo(f"route {chosen.pattern.name}: {_why(chosen.pattern)}")
         for each in sorted(others, key=lambda other: other.pattern.rank, reverse=True)[:5]:
             click.echo(f"  before route {each.pattern.name}: {_why(each.pattern)}")
-    click.echo(meaning.outcome(config, asked))
+    click.echo(semantic_diff.outcome(config, asked))
     shards = chosen.shards if chosen and chosen.shards else volume.shards
     if asked.key:
         click.echo(f"its object lies on shard {shard_of(asked.volume, asked.key, shards)}")
@@ -171,7 +171,7 @@
 
 def _why(pattern: object) -> str:
     from winchdyke.config.matching import Pattern
-    from winchdyke.config.meaning import show
+    from winchdyke.config.semantic_diff import show
 
     assert isinstance(pattern, Pattern)
     said = [f"volume {pattern.volume}"]
@@ -187,9 +187,9 @@
 @click.option("-o", "--out", type=FILE, help="Where to write; standard output where not given.")
 def convert(file: Path, out: Path | None) -> None:
     """Write the settings in FILE, INI or not, in the language, resolved to one file."""
-    from winchdyke.config.writing import written
+    from winchdyke.config.serialization import serialize
 
-    text = written(loaded_from(file).values, f"Made from {file.name} by winchdyke config convert.")
+    text = serialize(loaded_from(file).values, f"Made from {file.name} by winchdyke config convert.")
     if out is None:
         click.echo(text, nl=False)
     else:
--- a/winchdyke/config/__init__.py
+++ b/winchdyke/config/__init__.py
@@ -9,7 +9,7 @@
 from winchdyke.config.diagnostics import ConfigError, Diagnostic, Source, Span
 from winchdyke.config.loading import Loaded
 from winchdyke.config.model import Config
-from winchdyke.config.sources import Unreadable, read
+from winchdyke.config.sources import UnreadableFileError, read
 
 __all__ = ["Config", "ConfigError", "Diagnostic", "Loaded", "defaults", "load", "load_all", "parse"]
 
@@ -18,7 +18,7 @@
     """The settings in a file, in the language or in INI, with where each value came from. ConfigError has every mistake."""
     try:
         text = read(path)
-    except Unreadable as error:
+    except UnreadableFileError as error:
         span = Span(Source(str(path), ""), error.line, error.column, error.column + 1)
         raise ConfigError([Diagnostic(error.code, "file", str(error), error.fix, span)]) from error
     return ini.load_text(text, str(path)) if ini.is_ini(text) else loading.load_file(path, text=text)
--- a/winchdyke/config/diagnostics.py
+++ b/winchdyke/config/diagnostics.py
@@ -59,7 +59,7 @@
         mark = "" if self.severity == ERROR else "warning: "
         return f"{self.span}: {mark}{where}{self.text}{fix}"
 
-    def shown(self) -> str:
+    def render(self) -> str:
         """For people: the line with a caret, the chain of includes, what to do."""
         span = self.span
         where = f"{self.where}: " if self.where else ""
--- a/winchdyke/config/loading.py
+++ b/winchdyke/config/loading.py
@@ -21,7 +21,7 @@
 from winchdyke.config.schema import BLOCKS, NONE
 from winchdyke.config.sources import Files
 from winchdyke.config.syntax import Block, Directive, Item, Setting, Statement, Word
-from winchdyke.config.types import Wrong, nearest
+from winchdyke.config.types import InvalidValueError, nearest
 
 Where = tuple[str, str]  # kind and name of a block; the name is empty where the kind has none
 Values = dict[Where, dict[str, Any]]
@@ -212,7 +212,7 @@
         if known.name is not None:
             try:
                 read = known.name.text(rest[0])
-            except Wrong as wrong:
+            except InvalidValueError as wrong:
                 self.add(wrong.code, where, str(wrong), wrong.fix, rest[0].span)
                 return
             name = known.name.show(read) if not isinstance(read, str) else read
@@ -383,7 +383,7 @@
             return
         try:
             value = rule.type.read(items, self.ini)
-        except Wrong as wrong:
+        except InvalidValueError as wrong:
             span = wrong.word.span if wrong.word else setting.span
             self.add(wrong.code, at, str(wrong), wrong.fix, span)
             return
@@ -495,7 +495,7 @@
             modifies_data=keys["writes"],
         )
         unit = max(1, keys["unit_bytes"])
-        kinds.append(model.Kind(rules, keys["operations"], keys["also"], unit, keys["usual_units"]))
+        kinds.append(model.ClassConfig(rules, keys["operations"], keys["also"], unit, keys["usual_units"]))
     routes = []
     for name, keys in named("route"):
         pattern = Pattern(
--- a/winchdyke/config/matching.py
+++ b/winchdyke/config/matching.py
@@ -37,7 +37,7 @@
             bool(self.methods),
         )  # fmt: skip
 
-    def takes(self, asked: Asked) -> bool:
+    def takes(self, asked: RequestAttributes) -> bool:
         """Whether a request matches."""
         volume = (
             asked.volume.startswith(self.volume[:-1])
@@ -67,7 +67,7 @@
         )
 
 
-class Asked(NamedTuple):
+class RequestAttributes(NamedTuple):
     """A request as far as routes care. ``size`` is 0 where none is stated; header names are in lower case."""
 
     method: str
@@ -86,7 +86,7 @@
     shards: tuple[int, ...] = ()
 
 
-def best(patterns: Sequence[tuple[Pattern, T]], asked: Asked) -> T | None:
+def best(patterns: Sequence[tuple[Pattern, T]], asked: RequestAttributes) -> T | None:
     """The plain way, which tries them all: what the compiled matcher must agree with."""
     found = [(pattern, value) for pattern, value in patterns if pattern.takes(asked)]
     if not found:
@@ -116,7 +116,7 @@
             for entries in table.values():
                 entries.sort(key=lambda entry: (tuple(-part for part in entry[0].rank), entry[0].name))
 
-    def find(self, asked: Asked, found: list[tuple[Pattern, T]]) -> None:
+    def find(self, asked: RequestAttributes, found: list[tuple[Pattern, T]]) -> None:
         tables = [self._plain]
         for name, values in self._headed.items():
             table = values.get(asked.headers.get(name, "\0"))
@@ -156,7 +156,7 @@
             leaf.close()
         return keys, tuple(sorted({len(key) for key in keys}))
 
-    def match(self, asked: Asked) -> T | None:
+    def match(self, asked: RequestAttributes) -> T | None:
         """What the request matches; None where nothing does."""
         found: list[tuple[Pattern, T]] = []
         tables = []
--- a/winchdyke/config/model.py
+++ b/winchdyke/config/model.py
@@ -192,7 +192,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class ClassConfig:
     """A request class: the operations that fall into it by themselves, and those it also takes when asked."""
 
     rules: api.RequestClass
@@ -240,7 +240,7 @@
     limits: Limits
     nodes: Discovery
     rules: Rules
-    kinds: tuple[Kind, ...]
+    kinds: tuple[ClassConfig, ...]
     plans: tuple[api.Plan, ...]
     stores: tuple[Store, ...]
     volumes: tuple[VolumeRule, ...]
@@ -299,14 +299,14 @@
         return next((rules[name[:length]] for length, rules in prefixes if name[:length] in rules), None)
 
     @cached_property
-    def _kinds(self) -> dict[str, Kind]:
+    def _kinds(self) -> dict[str, ClassConfig]:
         return {kind.rules.name: kind for kind in self.kinds}
 
     @cached_property
-    def _defaults(self) -> dict[str, Kind]:
+    def _defaults(self) -> dict[str, ClassConfig]:
         return {operation: kind for kind in self.kinds for operation in kind.operations}
 
-    def kind_for(self, operation: str, asked: str | None) -> Kind | None:
+    def kind_for(self, operation: str, asked: str | None) -> ClassConfig | None:
         """The class of an operation: the one asked for where it takes that operation, else the one it falls into."""
         if asked is None:
             return self._defaults.get(operation)
--- a/winchdyke/config/meaning.py
+++ b/winchdyke/config/semantic_diff.py
@@ -14,7 +14,7 @@
 from winchdyke import interface as api
 from winchdyke.config import schema
 from winchdyke.config.loading import Values, assemble
-from winchdyke.config.matching import Asked, Pattern, Route
+from winchdyke.config.matching import Pattern, RequestAttributes, Route
 from winchdyke.config.model import Config
 from winchdyke.config.types import Address
 
@@ -49,7 +49,7 @@
         return {"path": path, "text": self.text, "risk": self.risk}
 
 
-def table(config: Config) -> Values:
+def to_values(config: Config) -> Values:
     """The settings as a flat table, with names of pools resolved to shards."""
     values: Values = {
         ("gateway", ""): dataclasses.asdict(config.gateway),
@@ -118,7 +118,7 @@
 
 def diff(old: Config, new: Config) -> list[Change]:
     """What differs, in the order of the reference."""
-    before, after = table(old), table(new)
+    before, after = to_values(old), to_values(new)
     found: list[Change] = []
     for kind in schema.BLOCKS:
         names = sorted({name for there, name in (*before, *after) if there == kind})
@@ -146,7 +146,7 @@
 
 def apply(old: Config, changes: list[Change]) -> Config:
     """The settings that changes make of old ones."""
-    values = {where: dict(keys) for where, keys in table(old).items()}
+    values = {where: dict(keys) for where, keys in to_values(old).items()}
     for change in changes:
         where = change.kind, change.name
         if change.key:
@@ -233,10 +233,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Rerouted:
+class ReroutedRequest:
     """A request that is answered differently, and how."""
 
-    asked: Asked
+    asked: RequestAttributes
     old: str
     new: str
 
@@ -247,9 +247,9 @@
         return f"{self.asked.method} {path}{size}{header}: {self.old} -> {self.new}"
 
 
-def _examples(patterns: list[Pattern], volumes: list[str]) -> list[Asked]:
+def _examples(patterns: list[Pattern], volumes: list[str]) -> list[RequestAttributes]:
     """Requests at the edges of patterns: one that each takes, and its neighbours."""
-    found: list[Asked] = []
+    found: list[RequestAttributes] = []
     for pattern in patterns[:SAMPLES]:
         names = (
             [pattern.volume[:-1] + ("x" if pattern.volume != "*" else "any")]
@@ -263,9 +263,9 @@
         sizes = sorted({max(0, low), max(0, low) + 1, min(high, 2**40), 0})
         headers: list[dict[str, str]] = [{}] + ([dict([pattern.header])] if pattern.header else [])
         for volume, key, method, size, header in itertools.product(names, keys, methods, sizes, headers):
-            found.append(Asked(method, volume, key, size, header))
+            found.append(RequestAttributes(method, volume, key, size, header))
     found += [
-        Asked(method, (name.rstrip("*") or "any"), "object")
+        RequestAttributes(method, (name.rstrip("*") or "any"), "object")
         for name in volumes[:SAMPLES]
         for method in ("GET", "PUT")
     ]
@@ -275,7 +275,7 @@
 OPERATION = {"GET": "get", "HEAD": "head", "PUT": "put", "POST": "post", "DELETE": "delete"}
 
 
-def outcome(config: Config, asked: Asked) -> str:
+def outcome(config: Config, asked: RequestAttributes) -> str:
     """Where a request goes: its class, its plan and its shards."""
     volume = config.volume(asked.volume)
     if volume is None:
@@ -291,17 +291,17 @@
     )
 
 
-def rerouted(old: Config, new: Config, most: int = 5) -> list[Rerouted]:
+def find_rerouted_requests(old: Config, new: Config, most: int = 5) -> list[ReroutedRequest]:
     """Example requests that go elsewhere, each way of going elsewhere once."""
     patterns = [route.pattern for route in (*old.routes, *new.routes)]
     changed = {route.pattern for route in old.routes} ^ {route.pattern for route in new.routes}
     patterns.sort(key=lambda pattern: (pattern not in changed, pattern.name))
     volumes = sorted({rule.pattern for rule in (*old.volumes, *new.volumes)})
-    found: dict[tuple[str, str], Rerouted] = {}
+    found: dict[tuple[str, str], ReroutedRequest] = {}
     for asked in _examples(patterns, volumes):
         a, b = outcome(old, asked), outcome(new, asked)
         if a != b and (a, b) not in found:
-            found[a, b] = Rerouted(asked, a, b)
+            found[a, b] = ReroutedRequest(asked, a, b)
             if len(found) >= most:
                 break
     return list(found.values())
--- a/winchdyke/config/writing.py
+++ b/winchdyke/config/serialization.py
@@ -7,7 +7,7 @@
 from winchdyke.config.types import quoted
 
 
-def written(values: Values, heading: str = "") -> str:
+def serialize(values: Values, heading: str = "") -> str:
     """All that differs from the built-in defaults, block by block in the order of the reference."""
     parts = [f"# {heading}\n"] if heading else []
     for kind, known in BLOCKS.items():
--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -14,7 +14,7 @@
 TRIES = 3
 
 
-class Unreadable(Exception):
+class UnreadableFileError(Exception):
     """A file that can't be used: the code, what is wrong, what to do, and the line where it shows."""
 
     def __init__(self, code: str, text: str, fix: str, line: int = 1, column: int = 1) -> None:
@@ -30,34 +30,34 @@
                 before = os.fstat(file.fileno())
                 if before.st_size > MOST_BYTES:
                     text = f"is {before.st_size >> 20} MiB; {MOST_BYTES >> 20} MiB is the most"
-                    raise Unreadable("too-large", text, "split it, and include the parts")
+                    raise UnreadableFileError("too-large", text, "split it, and include the parts")
                 data = file.read(MOST_BYTES + 1)
                 after = os.fstat(file.fileno())
             if not stat.S_ISREG(before.st_mode) and len(data) <= MOST_BYTES:
-                return decoded(data)  # a pipe has no size to go by
+                return decode_text(data)  # a pipe has no size to go by
             if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(
                 data
             ) == after.st_size:
-                return decoded(data)
+                return decode_text(data)
     except OSError as error:
-        raise Unreadable(
+        raise UnreadableFileError(
             "unreadable", f"can't be read: {error.strerror}", "check the path and who may read it"
         ) from error
-    raise Unreadable(
+    raise UnreadableFileError(
         "changing", "changes while it is being read", "write it beside and rename it; then try again"
     )
 
 
-def decoded(data: bytes) -> str:
+def decode_text(data: bytes) -> str:
     """Bytes as text. Unreadable where they are not UTF-8, or hold signs that no settings have."""
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
-        raise Unreadable("not-utf8", "is UTF-16, not UTF-8", "save it as UTF-8")
+        raise UnreadableFileError("not-utf8", "is UTF-16, not UTF-8", "save it as UTF-8")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - data.rfind(b"\n", 0, error.start)
-        raise Unreadable(
+        raise UnreadableFileError(
             "not-utf8", f"byte 0x{data[error.start]:02x} is not UTF-8", "save it as UTF-8", line, column
         ) from error
     text = text.replace("\r\n", "\n").replace("\r", "\n")
@@ -66,9 +66,11 @@
             (at for at, sign in enumerate(line_text) if (sign < " " and sign != "\t") or sign == "\x7f"), None
         ):
             shown = f"U+{ord(line_text[bad]):04X}"
-            raise Unreadable("control", f"a control character ({shown})", "take it away", number, bad + 1)
+            raise UnreadableFileError(
+                "control", f"a control character ({shown})", "take it away", number, bad + 1
+            )
         if line_text and (line_text[0] < " " and line_text[0] != "\t"):
-            raise Unreadable(
+            raise UnreadableFileError(
                 "control", f"a control character (U+{ord(line_text[0]):04X})", "take it away", number, 1
             )
     return text
@@ -131,8 +133,10 @@
             text = read(path) if text is None else text
             self._total += len(text)
             if self._total > MOST_TOTAL:
-                raise Unreadable("too-large", f"all files are over {MOST_TOTAL >> 20} MiB", "leave some out")
-        except Unreadable as error:
+                raise UnreadableFileError(
+                    "too-large", f"all files are over {MOST_TOTAL >> 20} MiB", "leave some out"
+                )
+        except UnreadableFileError as error:
             place = at or Span(source, error.line, error.column, error.column + 1)
             if error.code in ("not-utf8", "control"):
                 place = Span(source, error.line, error.column, error.column + 1)
--- a/winchdyke/config/types.py
+++ b/winchdyke/config/types.py
@@ -22,7 +22,7 @@
 _NUMBER = re.compile(r"([+-]?\d+(?:\.\d+)?)([A-Za-z%/]*)")
 
 
-class Wrong(Exception):
+class InvalidValueError(Exception):
     """A value that can't be used: what is wrong, what to do, and the word it is about."""
 
     def __init__(self, text: str, fix: str, word: Word | None = None, code: str = "bad-value") -> None:
@@ -45,13 +45,15 @@
     found = _NUMBER.fullmatch(text.replace(" ", ""))
     if not found:
         if re.search(r"\d,\d", text):
-            raise Wrong(
+            raise InvalidValueError(
                 f"{text!r} has a comma", f"write a dot, as in {text.replace(',', '.')}", word, "bad-number"
             )
-        raise Wrong(f"{text!r} is not a number with a unit", f"write it like {example}", word, "bad-number")
+        raise InvalidValueError(
+            f"{text!r} is not a number with a unit", f"write it like {example}", word, "bad-number"
+        )
     number = float(found[1])
     if not math.isfinite(number):
-        raise Wrong(f"{text!r} is too large", f"write it like {example}", word, "bad-number")
+        raise InvalidValueError(f"{text!r} is too large", f"write it like {example}", word, "bad-number")
     return number, found[2]
 
 
@@ -69,7 +71,7 @@
             fix = "keep one"
             if len(items) == 2 and re.fullmatch(r"\d+", texts[0]) and re.match(r"\d", texts[1]):
                 fix = f"if it is one number, write a dot: {texts[0]}.{texts[1]}"
-            raise Wrong(
+            raise InvalidValueError(
                 f"takes one value, not {len(items)} ({', '.join(texts)})", fix, items[1][0], "too-many-values"
             )
         return self.one(items[0], bare)
@@ -78,7 +80,7 @@
         """The value of one item."""
         if len(item) != 1:
             text = " ".join(word.text for word in item)
-            raise Wrong(
+            raise InvalidValueError(
                 f"takes one word, not {text!r}",
                 "quote it, or set values apart by commas",
                 item[1],
@@ -124,16 +126,18 @@
         number, unit = _parted(word.text, word, "400ms")
         if not unit and number:
             fix = f"write one of {TIMES}, as in {word.text}ms"
-            raise Wrong(f"{word.text!r} has no unit", fix, word, "no-unit")
+            raise InvalidValueError(f"{word.text!r} has no unit", fix, word, "no-unit")
         if unit and unit not in DURATIONS:
             size = unit in SIZES
             what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is no unit known here"
-            raise Wrong(what, f"use one of {TIMES}, as in 400ms", word, "bad-unit")
+            raise InvalidValueError(what, f"use one of {TIMES}, as in 400ms", word, "bad-unit")
         if number < 0 or (not number and not self.zero):
-            raise Wrong(f"{word.text!r} is not over 0", "write a time over 0", word, "out-of-range")
+            raise InvalidValueError(
+                f"{word.text!r} is not over 0", "write a time over 0", word, "out-of-range"
+            )
         value = number * (DURATIONS[unit] if unit else 1)
         if value > 1e13:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is longer than 300 years", "write a shorter time", word, "out-of-range"
             )
         return value
@@ -173,7 +177,7 @@
         number, unit = _parted(word.text, word, "64KiB")
         names = ", ".join(SIZES)
         if not unit and number:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} has no unit", f"write one of {names}, as in {word.text}KiB", word, "no-unit"
             )
         if unit and unit not in SIZES:
@@ -193,12 +197,14 @@
                 if unit in DURATIONS
                 else f"{unit!r} is no unit known here"
             )
-            raise Wrong(what, fix, word, "bad-unit")
+            raise InvalidValueError(what, fix, word, "bad-unit")
         if number < 0:
-            raise Wrong(f"{word.text!r} is under 0", "write a size of 0 or more", word, "out-of-range")
+            raise InvalidValueError(
+                f"{word.text!r} is under 0", "write a size of 0 or more", word, "out-of-range"
+            )
         value = number * (SIZES[unit] if unit else 1)
         if value > 2**60:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is larger than any store", "write a smaller size", word, "out-of-range"
             )
         return int(value)
@@ -232,7 +238,7 @@
         text = "".join(word.text for word in item)
         number, unit = _parted(text, item[0], "8 units/s")
         if number < 0:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{text!r} is not a number from 0 to 1e+12",
                 "write a rate of 0 or more",
                 item[0],
@@ -240,7 +246,9 @@
             )
         if unit not in ("units/s", "unit/s") and not (bare and not unit) and (unit or number):
             what = f"{text!r} has no unit" if not unit else f"{unit!r} is no rate"
-            raise Wrong(what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit")
+            raise InvalidValueError(
+                what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit"
+            )
         return number
 
     def show(self, value: float) -> str:
@@ -262,12 +270,12 @@
     def _value(self, word: Word, bare: bool) -> float:
         number, unit = _parted(word.text, word, "15%")
         if unit != "%" and not (bare and not unit) and (unit or number):
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is no share", f"write it in percent, as in {number * 100:g}%", word, "no-unit"
             )
         value = number / 100 if unit == "%" else number
         if not 0 <= value <= 1:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is not a number from 0 to 1 (0% to 100%)",
                 "write 0% to 100%",
                 word,
@@ -299,7 +307,7 @@
                 if "," in word.text
                 else "write a plain number, as in 2.5"
             )
-            raise Wrong(text, fix, word, "out-of-range")
+            raise InvalidValueError(text, fix, word, "out-of-range")
         return value
 
     def show(self, value: float) -> str:
@@ -317,7 +325,7 @@
     def text(self, word: Word) -> int:
         if not re.fullmatch(r"-?[0-9]{1,12}", word.text) or not self.low <= int(word.text) <= self.high:
             text = f"{word.text!r} is not a whole number from {self.low} to {self.high}"
-            raise Wrong(text, "write a whole number, with no unit", word, "out-of-range")
+            raise InvalidValueError(text, "write a whole number, with no unit", word, "out-of-range")
         return int(word.text)
 
     def show(self, value: int) -> str:
@@ -334,7 +342,7 @@
     def text(self, word: Word) -> str:
         if word.text not in self.allowed:
             text = f"{word.text!r} is none of {', '.join(self.allowed)}"
-            raise Wrong(text, nearest(word.text, self.allowed), word, "unknown-word")
+            raise InvalidValueError(text, nearest(word.text, self.allowed), word, "unknown-word")
         return word.text
 
 
@@ -350,7 +358,7 @@
                 word.text.lower()
             )
             fix = f"write {meant}" if meant else "write yes or no"
-            raise Wrong(f"{word.text!r} is none of yes, no", fix, word, "unknown-word")
+            raise InvalidValueError(f"{word.text!r} is none of yes, no", fix, word, "unknown-word")
         return word.text == "yes"
 
     def show(self, value: bool) -> str:
@@ -371,7 +379,7 @@
             for word in item:
                 value = self.of.text(word)
                 if value in found:
-                    raise Wrong(f"{word.text!r} is given twice", "keep one", word, "twice")
+                    raise InvalidValueError(f"{word.text!r} is given twice", "keep one", word, "twice")
                 found.append(value)
         return tuple(sorted(found))
 
@@ -392,11 +400,11 @@
             ends = re.fullmatch(r"(\d{1,6})(?:-(\d{1,6}))?", word.text)
             if not ends:
                 text = f"{word.text!r} is not a shard or a range of shards"
-                raise Wrong(text, "write them like 0-3, 7", word, "bad-shards")
+                raise InvalidValueError(text, "write them like 0-3, 7", word, "bad-shards")
             first, last = int(ends[1]), int(ends[2] or ends[1])
             if last < first or last > 100_000:
                 text = f"{word.text!r} is not a range from low to high (100000 at most)"
-                raise Wrong(
+                raise InvalidValueError(
                     text,
                     f"write {last}-{first}" if last < first else "write smaller numbers",
                     word,
@@ -404,7 +412,7 @@
                 )
             found += range(first, last + 1)
             if len(set(found)) != len(found):
-                raise Wrong("a shard is named twice", "keep one", word, "twice")
+                raise InvalidValueError("a shard is named twice", "keep one", word, "twice")
         return tuple(sorted(found))
 
     def show(self, value: tuple[int, ...]) -> str:
@@ -426,7 +434,7 @@
     def text(self, word: Word) -> Listen:
         host, colon, port = word.text.rpartition(":")
         if not colon or not host or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65535:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is not HOST:PORT", "write it like 127.0.0.1:8080", word, "bad-address"
             )
         return Listen(host.strip("[]"), int(port))
@@ -445,7 +453,7 @@
         found = re.fullmatch(r"http://([^/:\s]+):([0-9]{1,5})(/\S*)?", word.text)
         if not found or int(found[2]) > 65535:
             text = f"{word.text!r} is not an address like http://127.0.0.1:7000/nodes"
-            raise Wrong(text, "write http://HOST:PORT/PATH", word, "bad-address")
+            raise InvalidValueError(text, "write http://HOST:PORT/PATH", word, "bad-address")
         return found[1], int(found[2]), found[3] or "/nodes"
 
     def show(self, value: tuple[str, int, str]) -> str:
@@ -467,7 +475,7 @@
                 if star
                 else "letters, digits, dots, dashes and underscores"
             )
-            raise Wrong(text, fix, word, "bad-pattern")
+            raise InvalidValueError(text, fix, word, "bad-pattern")
         return word.text
 
 
@@ -481,7 +489,9 @@
         text = " ".join(word.text for word in item)
         name, colon, value = text.partition(":")
         if not colon or not re.fullmatch(r"[A-Za-z0-9-]+", name) or not value.strip():
-            raise Wrong(f"{text!r} is no header", "write it like X-Kind: import", item[0], "bad-header")
+            raise InvalidValueError(
+                f"{text!r} is no header", "write it like X-Kind: import", item[0], "bad-header"
+            )
         return name.lower(), value.strip()
 
     def show(self, value: tuple[str, str]) -> str:
@@ -504,7 +514,7 @@
         if len(item) == 3 and words[1] == "to":
             low, high = size.text(item[0]), size.text(item[2])
             if low >= high:
-                raise Wrong(
+                raise InvalidValueError(
                     f"{' '.join(words)!r} holds no size",
                     "write the smaller one first",
                     item[0],
@@ -512,7 +522,7 @@
                 )
             return low, high
         fix = "write over 1MiB, up to 64KiB, or 1MiB to 64MiB"
-        raise Wrong(f"{' '.join(words)!r} is no range of sizes", fix, item[0], "bad-sizes")
+        raise InvalidValueError(f"{' '.join(words)!r} is no range of sizes", fix, item[0], "bad-sizes")
 
     def show(self, value: tuple[int, int]) -> str:
         low, high = value
--- a/winchdyke/config/units.py
+++ b/winchdyke/config/units.py
@@ -4,7 +4,7 @@
 
 from winchdyke.config.diagnostics import Source, Span
 from winchdyke.config.syntax import Word
-from winchdyke.config.types import Duration, Size, Type, Wrong
+from winchdyke.config.types import Duration, InvalidValueError, Size, Type
 
 _NOWHERE = Span(Source("", ""), 1)
 
@@ -12,7 +12,7 @@
 def _value(kind: Type, text: str) -> float:
     try:
         return float(kind.text(Word(text.strip(), False, _NOWHERE)))
-    except Wrong as wrong:
+    except InvalidValueError as wrong:
         raise ValueError(f"{wrong}; {wrong.fix}") from wrong
 
 
--- a/winchdyke/config_rollout/controller.py
+++ b/winchdyke/config_rollout/controller.py
@@ -12,7 +12,7 @@
 import structlog
 
 from winchdyke.config import Config, ConfigError
-from winchdyke.config.meaning import diff
+from winchdyke.config.semantic_diff import diff
 from winchdyke.config_rollout.canary_analysis import (
     CanaryCriteria,
     CanaryObserver,
--- a/winchdyke/config_rollout/edit.py
+++ b/winchdyke/config_rollout/edit.py
@@ -8,12 +8,12 @@
 
 from winchdyke.config.diagnostics import Source, Span
 from winchdyke.config.loading import Values
-from winchdyke.config.meaning import Change, apply, diff, table
 from winchdyke.config.model import Config
 from winchdyke.config.schema import BLOCKS
+from winchdyke.config.semantic_diff import Change, apply, diff, to_values
+from winchdyke.config.serialization import serialize
 from winchdyke.config.syntax import Word
-from winchdyke.config.types import Wrong
-from winchdyke.config.writing import written
+from winchdyke.config.types import InvalidValueError
 from winchdyke.config_rollout.hot_reload import RELOADABLE_BLOCKS, RELOADABLE_KEYS, is_reloadable
 
 
@@ -31,7 +31,7 @@
 
 def config_text(config: Config) -> str:
     """Return a configuration as text; parsed again, it is equal."""
-    return written(table(config))
+    return serialize(to_values(config))
 
 
 def set_values(config: Config, kind: str, name: str, assignments: Iterable[str], is_new: bool = False) -> str:
@@ -42,7 +42,7 @@
     Raises:
         EditError: The block or a key does not exist or can't change without a restart, or a value does not parse.
     """
-    values = {block: dict(keys) for block, keys in table(config).items()}
+    values = {block: dict(keys) for block, keys in to_values(config).items()}
     if kind not in RELOADABLE_BLOCKS and kind not in RELOADABLE_KEYS:
         reloadable = ", ".join(sorted([*RELOADABLE_BLOCKS, *RELOADABLE_KEYS]))
         raise EditError(f"a {kind} can't change in service; these can: {reloadable}")
@@ -54,7 +54,7 @@
     for assignment in assignments:
         key, value = _parse_assignment(kind, assignment)
         values[kind, name][key] = value
-    return written(values)
+    return serialize(values)
 
 
 def _parse_assignment(kind: str, assignment: str) -> tuple[str, object]:
@@ -72,15 +72,15 @@
     items = tuple(tuple(Word(word, False, span) for word in item.split()) for item in text.split(","))
     try:
         return key, known_keys[key].type.read(items)
-    except Wrong as error:
+    except InvalidValueError as error:
         raise EditError(f"{key}: {error}; {error.fix}") from error
 
 
 def remove_block(config: Config, kind: str, name: str) -> str:
     """Return the text of a configuration without one block. Raises EditError if the block does not exist."""
-    values = table(config)
+    values = to_values(config)
     _require_block(values, kind, name)
-    return written({block: keys for block, keys in values.items() if block != (kind, name)})
+    return serialize({block: keys for block, keys in values.items() if block != (kind, name)})
 
 
 def _require_block(values: Values, kind: str, name: str) -> None:
--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable, Mapping
 
 from winchdyke import interface as api
-from winchdyke.config.meaning import Change
+from winchdyke.config.semantic_diff import Change
 from winchdyke.scheduling import Scheduler
 from winchdyke.scheduling.quota import VolumeQuota
 
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from winchdyke.config import Config, ConfigError, parse
-from winchdyke.config.meaning import diff
+from winchdyke.config.semantic_diff import diff
 from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError, ConcurrentStepError, LogEntry
 from winchdyke.config_rollout.edit import Conflict, EditError, rebase, remove_block, set_values
 from winchdyke.config_rollout.hot_reload import requiring_restart
--- a/winchdyke/gateway/access_log.py
+++ b/winchdyke/gateway/access_log.py
@@ -7,7 +7,7 @@
 import structlog
 
 from winchdyke import interface as api
-from winchdyke.config.model import Kind
+from winchdyke.config.model import ClassConfig
 from winchdyke.gateway import logs
 from winchdyke.gateway.clients import ClientConnection
 from winchdyke.gateway.final_response import FinalResponse
@@ -41,7 +41,7 @@
     trace: RequestTrace | None = None
     config_version: int = 0
     operation: routes.Operation | None = None
-    kind: Kind | None = None
+    kind: ClassConfig | None = None
     excess_units: float = 0.0
     unit_bytes: int = 0
     limit_units_per_s: float = 0.0
--- a/winchdyke/gateway/request_context.py
+++ b/winchdyke/gateway/request_context.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from winchdyke.config.model import Kind, VolumeRule
+from winchdyke.config.model import ClassConfig, VolumeRule
 from winchdyke.gateway.access_log import AccessLogRecord
 from winchdyke.gateway.attempts import ClientDisconnectedError
 from winchdyke.http1 import Bytes, ProtocolError, RequestHead, ResponseHead
@@ -102,7 +102,7 @@
     caller: Caller
     head: RequestHead
     operation: routes.Operation
-    kind: Kind
+    kind: ClassConfig
     volume: VolumeRule
     record: AccessLogRecord
     source: BodySource
--- a/winchdyke/gateway/service.py
+++ b/winchdyke/gateway/service.py
@@ -15,8 +15,8 @@
 
 from winchdyke import interface as api
 from winchdyke import placement
-from winchdyke.config.matching import Asked, Route
-from winchdyke.config.model import Config, Kind, VolumeRule
+from winchdyke.config.matching import RequestAttributes, Route
+from winchdyke.config.model import ClassConfig, Config, VolumeRule
 from winchdyke.gateway import final_response, outcomes
 from winchdyke.gateway.access_log import AccessLog, AccessLogRecord
 from winchdyke.gateway.attempts import OutgoingRequest
@@ -151,7 +151,7 @@
         snapshot: ConfigSnapshot,
         source: BodySource | None = None,
         sink: Sink | None = None,
-    ) -> tuple[Kind, FinalResponse]:
+    ) -> tuple[ClassConfig, FinalResponse]:
         """Execute an operation without sending its final response; a streamed one goes to ``sink``.
 
         Raises:
@@ -244,7 +244,7 @@
 
     def _resolve(
         self, snapshot: ConfigSnapshot, operation: routes.Operation, head: RequestHead
-    ) -> tuple[Kind, VolumeRule]:
+    ) -> tuple[ClassConfig, VolumeRule]:
         """Return the request class and the volume's rule, with the shards of the route that matches."""
         config = snapshot.config
         volume = snapshot.volume(operation.volume)
@@ -406,5 +406,5 @@
     if not config.routes:
         return None
     headers = {name.decode("latin-1"): value.decode("latin-1").strip() for name, value in head.headers}
-    criteria = Asked(head.method, operation.volume, operation.key, head.length or 0, headers)
+    criteria = RequestAttributes(head.method, operation.volume, operation.key, head.length or 0, headers)
     return config.matcher.match(criteria)
