--- a/benchmarks/config.py
+++ b/benchmarks/config.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from winchdyke.config import defaults, loading
-from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, best
+from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, match_linear
 
 SIZES = (10, 30, 100, 300, 1000, 3000, 10_000)
 
@@ -58,7 +58,7 @@
     ]
 
 
-def asked(draw: random.Random) -> RequestAttributes:
+def random_request(draw: random.Random) -> RequestAttributes:
     """A random request."""
     key = f"k{draw.randrange(50)}/s{draw.randrange(50)}/object"
     headers = {"x-kind": f"kind{draw.randrange(9)}"} if draw.random() < 0.5 else {}
@@ -89,12 +89,12 @@
     for count in SIZES:
         draw = random.Random(count)
         table = [(pattern, pattern) for pattern in patterns(count, draw)]
-        requests = [asked(draw) for _ in range(max(20, 100_000 // count))]
+        requests = [random_request(draw) for _ in range(max(20, 100_000 // count))]
         compiled = Matcher(table)
-        same = all(compiled.match(request) is best(table, request) for request in requests)
+        same = all(compiled.match(request) is match_linear(table, request) for request in requests)
         fast, slow = (
             timed(compiled.match, requests),
-            timed(lambda request, t=table: best(t, request), requests),
+            timed(lambda request, t=table: match_linear(t, request), requests),
         )
         rows.append((count, fast, slow))
         print(f"{count:7} {fast:12.2f} {slow:12.2f} {slow / fast:8.1f}  {'yes' if same else 'NO'}")
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -20,7 +20,7 @@
 from winchdyke.config.diagnostics import Diagnostic, Source
 from winchdyke.config.fmt import fmt
 from winchdyke.config.loading import load_text
-from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, best
+from winchdyke.config.matching import Matcher, Pattern, RequestAttributes, match_linear
 from winchdyke.config.serialization import serialize
 from winchdyke.config.syntax import Block, Directive, Setting
 from winchdyke.config.syntax import parse as statements
@@ -288,9 +288,9 @@
     assert loaded.values["class", "fetch"]["aim"] == 400.0
     assert loaded.values["class", "import"]["late_share"] == 0.1
     assert loaded.values["plan", "school"]["weight"] == 2.0
-    assert loaded.origins["class", "import", "late_share"].way == "template read"
-    assert loaded.origins["plan", "school", "weight"].way == "defaults plan"
-    assert loaded.origins["class", "submit", "worth"].way == "built in"
+    assert loaded.origins["class", "import", "late_share"].via == "template read"
+    assert loaded.origins["plan", "school", "weight"].via == "defaults plan"
+    assert loaded.origins["class", "submit", "worth"].via == "built in"
     env = GOOD.replace("shards = 0-5", "shards = $env:SHARDS").replace("= $aim", "= $env:AIM|300ms")
     loaded = load_text(env, "f.conf", {"SHARDS": "0-3"})
     assert loaded.values["pool", "main"]["shards"] == (0, 1, 2, 3)
@@ -548,15 +548,15 @@
 def test_the_compiled_matcher_answers_as_trying_every_route_does(patterns, requests):
     table = [(pattern, pattern) for pattern in patterns]
     compiled = Matcher(table)
-    for asked in requests:
-        assert compiled.match(asked) is best(table, asked)
+    for request in requests:
+        assert compiled.match(request) is match_linear(table, request)
 
 
 @given(PATTERNS, PATTERNS, st.lists(REQUESTS, max_size=20))
 @settings(max_examples=300)
 def test_a_pattern_that_covers_another_takes_all_that_it_takes(one, other, requests):
     if one.covers(other):
-        assert all(one.takes(asked) for asked in requests if other.takes(asked))
+        assert all(one.matches(request) for request in requests if other.matches(request))
 
 
 def test_routes_and_listeners_in_a_running_gateway():
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -9,7 +9,7 @@
 
 import click
 
-from winchdyke.cli.common import span, when
+from winchdyke.cli.common import format_unix_ms, parse_duration_ms
 
 PATH = click.Path(path_type=Path, dir_okay=False)
 FILE = click.argument("file", type=PATH)
@@ -82,7 +82,7 @@
     from winchdyke.auth.keys import create_key, write_keys
 
     now = time.time() * 1000
-    until = now + span(counts, "--for") if counts else 0.0
+    until = now + parse_duration_ms(counts, "--for") if counts else 0.0
     keys = _keys(file)
     key, secret = _do(create_key, who, [_right(text) for text in rights], master, now, until)
     _do(write_keys, file, [*keys, key])
@@ -102,7 +102,7 @@
     keys = _keys(file)
     if name not in {key.id for key in keys}:
         raise click.ClickException(f"{file} has no key {name}; 'winchdyke access list {file}' shows them")
-    until = time.time() * 1000 + span(within, "--within") if within else 0.0
+    until = time.time() * 1000 + parse_duration_ms(within, "--within") if within else 0.0
     for key in keys:
         if key.id == name and until:
             key.until_ms = min(key.until_ms, until) if key.until_ms else until
@@ -128,7 +128,7 @@
     """The keys, without their secrets."""
     now = time.time() * 1000
     for key in _keys(file):
-        until = when(key.until_ms)
+        until = format_unix_ms(key.until_ms)
         rights = " ".join(
             f"{r.volume}{'/' + r.prefix if r.prefix else ''}:{','.join(r.allow)}" for r in key.rights
         )
--- a/winchdyke/cli/changes.py
+++ b/winchdyke/cli/changes.py
@@ -9,7 +9,7 @@
 
 import click
 
-from winchdyke.cli.common import span, when
+from winchdyke.cli.common import format_unix_ms, parse_duration_ms
 from winchdyke.cli.rollout_client import (
     REMOTE_SCHEMES,
     connect,
@@ -185,7 +185,7 @@
     touch the same one, nothing is applied and both edits are shown.
     """
     activate_at_ms = parse_instant_ms(at)
-    confirm_within_ms = span(confirm_within, "--confirm-within")
+    confirm_within_ms = parse_duration_ms(confirm_within, "--confirm-within")
     execute = connect(target, actor, key_file)
     staged = execute(
         op="stage", version=version, at_ms=activate_at_ms, confirm_within_ms=confirm_within_ms, why=reason
@@ -240,12 +240,12 @@
 
 
 def _format_entry(entry: dict[str, Any]) -> str:
-    start = f"{entry['seq']:5} {when(entry['unix_ms'])} {entry['who']:12} {entry['what']:9} {entry['version']:5}  "
+    start = f"{entry['seq']:5} {format_unix_ms(entry['unix_ms'])} {entry['who']:12} {entry['what']:9} {entry['version']:5}  "
     activation = ""
     if entry.get("held"):
         activation = "(held) "
     elif entry["at_ms"]:
-        activation = f"(for {when(entry['at_ms'])}) "
+        activation = f"(for {format_unix_ms(entry['at_ms'])}) "
     return f"{start}{activation}{entry['note']}".rstrip()
 
 
@@ -273,20 +273,20 @@
 
 def _print_status(status: dict[str, Any]) -> None:
     until_ms = status["trial_until_ms"]
-    trial = f", on trial until {when(until_ms)}" if until_ms else ""
+    trial = f", on trial until {format_unix_ms(until_ms)}" if until_ms else ""
     click.echo(f"version {status['serving']} is served{trial}")
     if not status["staged"]:
         return
     activation = "held until told"
     if not status["held"]:
-        activation = f"for {when(status['staged_at_ms'] or status['now_ms'])}"
+        activation = f"for {format_unix_ms(status['staged_at_ms'] or status['now_ms'])}"
     click.echo(f"version {status['staged']} is staged, {activation}")
 
 
 def _print_difference(version: dict[str, Any]) -> None:
     proposal = ""
     if "who" in version:
-        proposal = f", by {version['who']} at {when(version['unix_ms'])} from {version['origin']}"
+        proposal = f", by {version['who']} at {format_unix_ms(version['unix_ms'])} from {version['origin']}"
     reason = f": {version['why']}" if version.get("why") else ""
     click.echo(f"version {version['version']}, from {version['parent']}{proposal}{reason}")
     click.echo(format_changes(version["difference"]))
@@ -315,7 +315,7 @@
     """Who changed each value last, in which version, and why."""
     execute = connect(target, None, key_file)
     for name, entry in execute(op="blame", path=path)["values"].items():
-        text = f"{name:40} version {entry['version']:4} {when(entry['unix_ms'])} {entry['who']:12} {entry['note']}"
+        text = f"{name:40} version {entry['version']:4} {format_unix_ms(entry['unix_ms'])} {entry['who']:12} {entry['note']}"
         click.echo(text.rstrip())
 
 
@@ -387,7 +387,7 @@
     ) -> None:
         assignments = to_assignments(values)
         activate_at_ms = parse_instant_ms(at)
-        confirm_within_ms = span(confirm_within, "--confirm-within")
+        confirm_within_ms = parse_duration_ms(confirm_within, "--confirm-within")
         execute = connect(target, actor, key_file)
         made = execute(op="set", kind=kind, name=name, values=assignments, why=reason)
         print_version(made)
--- a/winchdyke/cli/check.py
+++ b/winchdyke/cli/check.py
@@ -6,14 +6,14 @@
 
 import click
 
-from winchdyke.cli.common import FILE, settings_from
+from winchdyke.cli.common import FILE, load_config_or_exit
 
 
 @click.command("check")
 @click.argument("file", type=FILE)
 def command(file: Path) -> None:
     """Check the settings in FILE; every mistake is told with file, line and key."""
-    config = settings_from(file)
+    config = load_config_or_exit(file)
     names = ", ".join(kind.rules.name for kind in config.kinds)
     click.echo(
         f"{file}: good. Gateway {config.gateway.index + 1} of {config.gateway.gateways}; classes {names}; "
--- a/winchdyke/cli/common.py
+++ b/winchdyke/cli/common.py
@@ -10,12 +10,12 @@
 from winchdyke.config import Config, ConfigError, Loaded, load_all
 
 
-def settings_from(path: Path) -> Config:
+def load_config_or_exit(path: Path) -> Config:
     """The settings in a file; where they can't be used, every mistake is printed and the command ends with 2."""
-    return loaded_from(path).config
+    return load_or_exit(path).config
 
 
-def loaded_from(path: Path) -> Loaded:
+def load_or_exit(path: Path) -> Loaded:
     """The same, with where each value came from."""
     try:
         return load_all(path)
@@ -27,7 +27,7 @@
         raise SystemExit(2) from None
 
 
-def span(text: str | None, option: str) -> float:
+def parse_duration_ms(text: str | None, option: str) -> float:
     """A time such as 60s that an option was given, in ms; 0 where it was not."""
     from winchdyke.config import units
 
@@ -37,7 +37,7 @@
         raise click.ClickException(f"{option}: {error}") from None
 
 
-def when(unix_ms: float, none: str = "-") -> str:
+def format_unix_ms(unix_ms: float, none: str = "-") -> str:
     """A Unix time (ms) for people, UTC; ``none`` where it is 0."""
     return datetime.fromtimestamp(unix_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S") if unix_ms else none
 
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -8,7 +8,7 @@
 
 import click
 
-from winchdyke.cli.common import FILE, loaded_from, settings_from
+from winchdyke.cli.common import FILE, load_config_or_exit, load_or_exit
 from winchdyke.config import ConfigError, load_all
 from winchdyke.config.diagnostics import ERROR, sarif
 
@@ -30,7 +30,7 @@
         found = error.problems
     errors = sum(problem.severity == ERROR for problem in found)
     if as_json:
-        click.echo(json.dumps([problem.data() for problem in found], indent=1))
+        click.echo(json.dumps([problem.to_dict() for problem in found], indent=1))
     elif as_sarif:
         click.echo(json.dumps(sarif(found), indent=1))
     else:
@@ -81,10 +81,13 @@
     """What the change from OLD to NEW means; nothing where it means nothing."""
     from winchdyke.config import semantic_diff
 
-    before, after = settings_from(old), settings_from(new)
+    before, after = load_config_or_exit(old), load_config_or_exit(new)
     changes, moved = semantic_diff.diff(before, after), semantic_diff.find_rerouted_requests(before, after)
     if as_json:
-        told = {"changes": [change.data() for change in changes], "rerouted": [str(each) for each in moved]}
+        told = {
+            "changes": [change.data() for change in changes],
+            "rerouted": [str(each) for each in moved],
+        }
         click.echo(json.dumps(told, indent=1))
     else:
         for change in changes:
@@ -103,26 +106,26 @@
     """Where the value at PATH came from, such as class.fetch.aim or limits.connections."""
     from winchdyke.config.schema import BLOCKS
     from winchdyke.config.semantic_diff import show
-    from winchdyke.config.types import nearest
+    from winchdyke.config.types import suggest
 
-    loaded = loaded_from(file)
+    loaded = load_or_exit(file)
     kind, _, rest = path.partition(".")
     name, _, key = rest.rpartition(".")
     if kind not in BLOCKS:
-        raise click.ClickException(f"there is no kind of block {kind!r}; {nearest(kind, BLOCKS)}")
+        raise click.ClickException(f"there is no kind of block {kind!r}; {suggest(kind, BLOCKS)}")
     values = loaded.values.get((kind, name))
     if values is None:
         names = [there for each, there in loaded.values if each == kind]
-        raise click.ClickException(f"there is no {kind} {name!r}; {nearest(name, names)}")
+        raise click.ClickException(f"there is no {kind} {name!r}; {suggest(name, names)}")
     if key not in values:
-        raise click.ClickException(f"{key!r} is no key of a {kind}; {nearest(key, BLOCKS[kind].keys)}")
+        raise click.ClickException(f"{key!r} is no key of a {kind}; {suggest(key, BLOCKS[kind].keys)}")
     origin = loaded.origins[kind, name, key]
     click.echo(f"{path} = {show(kind, key, values[key])}")
     click.echo(f"  {BLOCKS[kind].keys[key].doc}")
     if origin.span is None:
         click.echo("  the built-in default")
         return
-    click.echo(f"  from {origin.span}" + (f", by {origin.way}" if origin.way else ""))
+    click.echo(f"  from {origin.span}" + (f", by {origin.via}" if origin.via else ""))
     for place, line in reversed(origin.span.source.chain):
         click.echo(f"    included from {place}:{line}")
 
@@ -139,7 +142,7 @@
     from winchdyke.config.matching import RequestAttributes
     from winchdyke.placement import shard_of
 
-    config = settings_from(file)
+    config = load_config_or_exit(file)
     found = re.fullmatch(r"/([^/]+)/?(.*)", path)
     if not found:
         raise click.ClickException(f"{path!r} is not /VOLUME/KEY")
@@ -149,24 +152,24 @@
         raise click.ClickException(f"--size: {error}") from None
     parted = [header.partition(":") for header in headers]
     fields = {name.strip().lower(): value.strip() for name, _, value in parted}
-    asked = RequestAttributes(method, found[1], found[2], length, fields)
-    volume = config.volume(asked.volume)
+    request = RequestAttributes(method, found[1], found[2], length, fields)
+    volume = config.volume(request.volume)
     if volume is None:
-        click.echo(f"404: no volume rule takes {asked.volume!r}")
+        click.echo(f"404: no volume rule takes {request.volume!r}")
         raise SystemExit(1)
     click.echo(f"volume {volume.pattern}: plan {volume.plan}, {volume.gateways} gateways")
-    chosen = config.matcher.match(asked)
-    others = [each for each in config.routes if each.pattern.takes(asked) and each != chosen]
+    chosen = config.matcher.match(request)
+    others = [each for each in config.routes if each.pattern.matches(request) and each != chosen]
     if chosen is None:
         click.echo("route: none matches; the operation's own class and the volume's shards")
     else:
         click.echo(f"route {chosen.pattern.name}: {_why(chosen.pattern)}")
         for each in sorted(others, key=lambda other: other.pattern.rank, reverse=True)[:5]:
             click.echo(f"  before route {each.pattern.name}: {_why(each.pattern)}")
-    click.echo(semantic_diff.outcome(config, asked))
+    click.echo(semantic_diff.routing_summary(config, request))
     shards = chosen.shards if chosen and chosen.shards else volume.shards
-    if asked.key:
-        click.echo(f"its object lies on shard {shard_of(asked.volume, asked.key, shards)}")
+    if request.key:
+        click.echo(f"its object lies on shard {shard_of(request.volume, request.key, shards)}")
 
 
 def _why(pattern: object) -> str:
@@ -189,7 +192,7 @@
     """Write the settings in FILE, INI or not, in the language, resolved to one file."""
     from winchdyke.config.serialization import serialize
 
-    text = serialize(loaded_from(file).values, f"Made from {file.name} by winchdyke config convert.")
+    text = serialize(load_or_exit(file).values, f"Made from {file.name} by winchdyke config convert.")
     if out is None:
         click.echo(text, nl=False)
     else:
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -9,7 +9,7 @@
 
 import click
 
-from winchdyke.cli.common import when
+from winchdyke.cli.common import format_unix_ms
 
 STATES = {
     "alive": "it answers, or others say that it does",
@@ -108,7 +108,9 @@
 
 
 def _history_line(row: dict[str, Any]) -> str:
-    return f"{when(row['unix_ms'], 'never')}  {row['code']:15}{row['member']:20}{row.get('text', '')}"
+    return (
+        f"{format_unix_ms(row['unix_ms'], 'never')}  {row['code']:15}{row['member']:20}{row.get('text', '')}"
+    )
 
 
 @command.command("history")
--- a/winchdyke/cli/keys.py
+++ b/winchdyke/cli/keys.py
@@ -8,7 +8,7 @@
 
 import click
 
-from winchdyke.cli.common import span, when
+from winchdyke.cli.common import format_unix_ms, parse_duration_ms
 
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False))
 
@@ -60,7 +60,7 @@
 
     keys = _read(file, may_be_missing=True)
     now_ms = time.time() * 1000
-    valid_until_ms = now_ms + span(lifetime, "--for") if lifetime else 0.0
+    valid_until_ms = now_ms + parse_duration_ms(lifetime, "--for") if lifetime else 0.0
     key = create_key(who, now_ms, valid_until_ms)
     _write(file, [*keys, key])
     if to is not None:
@@ -84,7 +84,7 @@
     keys = _read(file)
     now_ms = time.time() * 1000
     old = _find(keys, key_id, file)
-    overlap_end_ms = now_ms + span(overlap, "--overlap")
+    overlap_end_ms = now_ms + parse_duration_ms(overlap, "--overlap")
     old.valid_until_ms = min(old.valid_until_ms, overlap_end_ms) if old.valid_until_ms else overlap_end_ms
     key = create_key(old.who, now_ms)
     _write(file, [*keys, key])
@@ -111,4 +111,4 @@
     now_ms = time.time() * 1000
     for key in _read(file):
         validity = "counts" if key.is_valid(now_ms) else "does not count"
-        click.echo(f"{key.id:24} {key.who:16} {validity:14} until {when(key.valid_until_ms)}")
+        click.echo(f"{key.id:24} {key.who:16} {validity:14} until {format_unix_ms(key.valid_until_ms)}")
--- a/winchdyke/cli/nodes.py
+++ b/winchdyke/cli/nodes.py
@@ -9,7 +9,7 @@
 
 import click
 
-from winchdyke.cli.common import when
+from winchdyke.cli.common import format_unix_ms
 
 if TYPE_CHECKING:
     from winchdyke.discovery.cache import CachedEndpointList
@@ -85,7 +85,7 @@
     click.echo(f"{cached.gateway}: {len(rows)} nodes, written {age_s:.0f} s ago")
     click.echo(f"{'shard':>5}  {'node':22}{'state':10}{'confirmed (UTC)':21}why")
     for row in rows:
-        confirmed = when(row["confirmed_unix_ms"], "never")
+        confirmed = format_unix_ms(row["confirmed_unix_ms"], "never")
         click.echo(f"{row['shard']:5}  {row['node']:22}{row['state']:10}{confirmed:21}{row['why']}")
 
 
@@ -97,7 +97,7 @@
     """Changes of state, the oldest first."""
     for entry in _load_history(folder):
         if node in (None, entry.get("node")):
-            text = f"{when(entry['unix_ms'], 'never')}  {entry['node']:22}{entry['state']:10}{entry['why']}"
+            text = f"{format_unix_ms(entry['unix_ms'], 'never')}  {entry['node']:22}{entry['state']:10}{entry['why']}"
             click.echo(json.dumps(entry) if as_json else text)
 
 
@@ -118,10 +118,10 @@
     if as_json:
         click.echo(json.dumps({**row, "means": meaning, "changes": changes[-MAX_CHANGES_AS_JSON:]}))
         return
-    confirmed = when(row["confirmed_unix_ms"], "never")
+    confirmed = format_unix_ms(row["confirmed_unix_ms"], "never")
     click.echo(f"{node}, shard {row['shard']}: {row['state']} ({row['why']})")
     click.echo(f"  {meaning}")
     click.echo(f"  confirmed last by {row['confirmed_by'] or 'nothing'}, {confirmed} UTC")
     click.echo(f"  identity {row['identity'] or 'not known'}")
     for entry in changes[-MAX_CHANGES_AS_TEXT:]:
-        click.echo(f"  {when(entry['unix_ms'], 'never')}  {entry['state']:10}{entry['why']}")
+        click.echo(f"  {format_unix_ms(entry['unix_ms'], 'never')}  {entry['state']:10}{entry['why']}")
--- a/winchdyke/cli/rollout_client.py
+++ b/winchdyke/cli/rollout_client.py
@@ -13,7 +13,7 @@
 
 import click
 
-from winchdyke.cli.common import span
+from winchdyke.cli.common import parse_duration_ms
 
 Execute = Callable[..., dict[str, Any]]  # carries out an operation, given as keyword arguments
 
@@ -81,7 +81,7 @@
     if not text:
         return 0.0
     if text.startswith("+"):
-        return time.time() * 1000 + span(text[1:], "--at")
+        return time.time() * 1000 + parse_duration_ms(text[1:], "--at")
     try:
         instant = datetime.fromisoformat(text)
     except ValueError:
--- a/winchdyke/cli/serve.py
+++ b/winchdyke/cli/serve.py
@@ -7,7 +7,7 @@
 import anyio
 import click
 
-from winchdyke.cli.common import FILE, settings_from
+from winchdyke.cli.common import FILE, load_config_or_exit
 
 
 @click.command("serve")
@@ -18,7 +18,7 @@
     """Run a gateway until SIGTERM; it answers all that it has taken before it ends."""
     from winchdyke.gateway import daemon, logs
 
-    config = settings_from(file)
+    config = load_config_or_exit(file)
     logs.configure(config.log.form, config.log.access)
     try:
         anyio.run(daemon.serve, config)
--- a/winchdyke/config/crosscheck.py
+++ b/winchdyke/config/crosscheck.py
@@ -7,54 +7,54 @@
 from winchdyke.config.diagnostics import WARNING
 from winchdyke.config.matching import Pattern
 from winchdyke.config.schema import BLOCKS
-from winchdyke.config.types import Duration, nearest
+from winchdyke.config.types import Duration, suggest
 
 if TYPE_CHECKING:
     from winchdyke.config.loading import Builder
 
-SHADOW_MOST = 4000  # routes up to which each is compared with those that come before it
+MAX_ROUTES_COMPARED = 4000  # routes up to which each is compared with those that come before it
 
 
 def check(builder: Builder) -> None:
     """Check all; findings go to the builder."""
-    named: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in BLOCKS}
+    by_kind: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in BLOCKS}
     for (kind, name), keys in builder.values.items():
-        named[kind][name] = keys
-    _references(builder, named)
-    _gateway(builder, named)
-    _fleet(builder, named)
-    _classes(builder, named)
-    _waits(builder, named)
-    _plans(builder, named)
-    _volumes(builder, named)
-    _routes(builder, named)
-
-
-def _references(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
+        by_kind[kind][name] = keys
+    _check_references(builder, by_kind)
+    _check_gateway(builder, by_kind)
+    _check_fleet(builder, by_kind)
+    _check_classes(builder, by_kind)
+    _check_aims(builder, by_kind)
+    _check_plans(builder, by_kind)
+    _check_volumes(builder, by_kind)
+    _check_routes(builder, by_kind)
+
+
+def _check_references(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
     used: dict[str, set[str]] = {"plan": set(), "pool": set(), "class": set()}
     for (kind, name), keys in builder.values.items():
         for key, rule in BLOCKS[kind].keys.items():
             value = keys.get(key)
-            if not rule.refers or not value:
+            if not rule.refers_to or not value:
                 continue
-            used[rule.refers].add(value)
-            if value not in named[rule.refers] and (rule.refers, value) not in builder.blocks:
-                shown = f"[{rule.refers} {value}]" if builder.ini else f"{rule.refers} {value!r}"
-                fix = nearest(value, named[rule.refers])
-                builder.say(kind, name, key, "undefined", f"there is no {shown}", fix)
+            used[rule.refers_to].add(value)
+            if value not in by_kind[rule.refers_to] and (rule.refers_to, value) not in builder.blocks:
+                shown = f"[{rule.refers_to} {value}]" if builder.ini else f"{rule.refers_to} {value!r}"
+                fix = suggest(value, by_kind[rule.refers_to])
+                builder.report_value(kind, name, key, "undefined", f"there is no {shown}", fix)
     for kind in ("plan", "pool"):
-        for name in named[kind]:
+        for name in by_kind[kind]:
             if name not in used[kind] and (kind, name) in builder.blocks:
-                builder.say(kind, name, "", "unused", f"no {'volume' if kind == 'plan' else 'volume or route'} uses it",
+                builder.report_value(kind, name, "", "unused", f"no {'volume' if kind == 'plan' else 'volume or route'} uses it",
                             "use it, or take it away", WARNING)  # fmt: skip
-    for name, keys in named["class"].items():
+    for name, keys in by_kind["class"].items():
         if (
             "operations" in keys
             and not keys["operations"]
             and not keys.get("also")
             and name not in used["class"]
         ):
-            builder.say(
+            builder.report_value(
                 "class",
                 name,
                 "",
@@ -65,147 +65,161 @@
             )
 
 
-def _gateway(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
-    gateway = named["gateway"].get("", {})
+def _check_gateway(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
+    gateway = by_kind["gateway"].get("", {})
     count = gateway.get("gateways", 1)
     if gateway.get("index", 0) >= count:
         text = f"counts from 0 and must be under gateways = {count}"
-        builder.say("gateway", "", "index", "out-of-range", text, f"write 0 to {count - 1}")
+        builder.report_value("gateway", "", "index", "out-of-range", text, f"write 0 to {count - 1}")
     seen: dict[Any, str] = {}
-    for name, keys in named["listener"].items():
+    for name, keys in by_kind["listener"].items():
         address = keys.get("address")
         if address is None or not address.port:
             continue
         if address in seen:
             text = f"listener {seen[address]!r} has the address {address.host}:{address.port} too"
-            builder.say("listener", name, "address", "same-address", text, "choose another port")
+            builder.report_value("listener", name, "address", "same-address", text, "choose another port")
         seen.setdefault(address, name)
 
 
-def _fleet(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
-    fleet = named["fleet"].get("", {})
+def _check_fleet(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
+    fleet = by_kind["fleet"].get("", {})
     if not {"listen", "keys", "timeout", "interval", "advertise"} <= fleet.keys():
         return  # told already
     if fleet["listen"] is None:
-        if ("fleet", "") in builder.blocks or named["peer"]:
+        if ("fleet", "") in builder.blocks or by_kind["peer"]:
             text = "there is a fleet or a peer, and no address to listen at: it is off"
-            builder.say("fleet", "", "listen", "off", text, "add listen = HOST:PORT", WARNING)
+            builder.report_value("fleet", "", "listen", "off", text, "add listen = HOST:PORT", WARNING)
         return
     if not fleet["keys"]:
         text = "is missing: what other gateways send is believed by its seal alone"
-        builder.say("fleet", "", "keys", "no-keys", text, "add keys = FILE; `winchdyke keys new` makes one")
+        builder.report_value(
+            "fleet", "", "keys", "no-keys", text, "add keys = FILE; `winchdyke keys new` makes one"
+        )
     if fleet["timeout"] * 2 > fleet["interval"]:
         text = "leaves less than half of the interval to those who probe in its place"
-        builder.say("fleet", "", "timeout", "timeout-too-long", text, "write half of the interval, or less")
+        builder.report_value(
+            "fleet", "", "timeout", "timeout-too-long", text, "write half of the interval, or less"
+        )
     if not fleet["advertise"] and fleet["listen"].host in ("0.0.0.0", "::", ""):
         text = f"is missing, and others can't reach {fleet['listen'].host}"
-        builder.say("fleet", "", "advertise", "no-address", text, "add advertise = HOST:PORT")
+        builder.report_value("fleet", "", "advertise", "no-address", text, "add advertise = HOST:PORT")
 
 
-def _classes(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
+def _check_classes(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
     owner: dict[str, str] = {}
     show = Duration().show
-    for name, keys in named["class"].items():
+    for name, keys in by_kind["class"].items():
         aim, deadline, memory = keys.get("aim"), keys.get("deadline"), keys.get("memory")
         if aim is not None and deadline is not None and aim > deadline:
             meant = f"; was {show(aim / 1000)} meant?" if aim / 1000 >= 1 else ""
             text = f"is longer than the deadline {show(deadline)}{meant}"
-            builder.say("class", name, "aim", "aim-past-deadline", text, "an aim comes before its deadline")
+            builder.report_value(
+                "class", name, "aim", "aim-past-deadline", text, "an aim comes before its deadline"
+            )
         if keys.get("effect") == "keyed" and memory is not None and deadline is not None:
             if not memory:
                 text = "a keyed class states how long stores drop its repeats"
-                builder.say(
+                builder.report_value(
                     "class", name, "memory", "no-memory", text, "write memory = 4s, as the stores have it"
                 )
             elif memory < deadline:
                 text = f"stores forget its keys after {show(memory)}, before its deadline {show(deadline)}"
                 fix = "a repeat late in a request's time is failed, not sent; raise the memory or lower the deadline"
-                builder.say("class", name, "memory", "short-memory", text, fix, WARNING)
+                builder.report_value("class", name, "memory", "short-memory", text, fix, WARNING)
         for operation in keys.get("operations") or ():
             if operation in owner and not builder.ini:
                 text = f"{operation} falls into class {owner[operation]!r} already"
-                builder.say(
+                builder.report_value(
                     "class", name, "operations", "ambiguous", text, f"write also = {operation} in one of them"
                 )
             owner.setdefault(operation, name)
 
 
-def _waits(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
+def _check_aims(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
     """Times that are legal and a thousand times what stores need."""
-    slowest = max((keys.get("answers_in") or 0.0 for keys in named["store"].values()), default=0.0)
+    slowest = max((keys.get("answers_in") or 0.0 for keys in by_kind["store"].values()), default=0.0)
     show = Duration().show
-    for name, keys in named["class"].items() if slowest else ():
+    for name, keys in by_kind["class"].items() if slowest else ():
         aim = keys.get("aim") or 0.0
         if aim > 1000 * slowest:
             text = f"is {show(aim)}, and the slowest store answers in {show(slowest)}"
-            builder.say("class", name, "aim", "doubtful", text, f"was {show(aim / 1000)} meant?", WARNING)
+            builder.report_value(
+                "class", name, "aim", "doubtful", text, f"was {show(aim / 1000)} meant?", WARNING
+            )
 
 
-def _plans(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
-    largest = named["rules"].get("", {}).get("largest_units", 0)
-    for name, keys in named["plan"].items():
+def _check_plans(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
+    largest = by_kind["rules"].get("", {}).get("largest_units", 0)
+    for name, keys in by_kind["plan"].items():
         limit, reserve, burst = keys.get("limit"), keys.get("reserve"), keys.get("limit_burst")
         if limit and burst is not None and burst < largest:
             text = f"is under largest_units = {largest:g}, so those never fit"
-            builder.say("plan", name, "limit_burst", "burst-too-small", text, f"write {largest:g} or more")
+            builder.report_value(
+                "plan", name, "limit_burst", "burst-too-small", text, f"write {largest:g} or more"
+            )
         if limit and reserve and limit < reserve:
             text = f"is under the reserve of {reserve:g} units/s, which can then never be used"
-            builder.say(
+            builder.report_value(
                 "plan", name, "limit", "limit-under-reserve", text, "raise the limit or lower the reserve"
             )
-    stores = [keys for keys in named["store"].values() if "capacity" in keys]
+    stores = [keys for keys in by_kind["store"].values() if "capacity" in keys]
     if not stores or any(not keys["capacity"] for keys in stores):
         return
     capacity = sum(keys["capacity"] for keys in stores)
     promised = 0.0
-    for name, keys in named["volume"].items():
-        plan = named["plan"].get(keys.get("plan") or "", {})
+    for name, keys in by_kind["volume"].items():
+        plan = by_kind["plan"].get(keys.get("plan") or "", {})
         promised += plan.get("reserve") or 0.0
         if promised > capacity and plan.get("reserve"):
             text = f"reserves come to {promised:g} units/s here, and all stores can do {capacity:g}"
-            builder.say("volume", name, "plan", "reserves-too-large", text, "lower reserves, or add stores")
+            builder.report_value(
+                "volume", name, "plan", "reserves-too-large", text, "lower reserves, or add stores"
+            )
             return
 
 
-def _volumes(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
-    count = named["gateway"].get("", {}).get("gateways", 1)
-    for name, keys in named["volume"].items():
+def _check_volumes(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
+    count = by_kind["gateway"].get("", {}).get("gateways", 1)
+    for name, keys in by_kind["volume"].items():
         if keys.get("gateways", 1) > count:
             text = f"is more than the {count} gateways there are"
-            builder.say("volume", name, "gateways", "out-of-range", text, f"write {count} or less")
+            builder.report_value("volume", name, "gateways", "out-of-range", text, f"write {count} or less")
         pool, shards = keys.get("pool"), keys.get("shards")
         read = {"pool", "shards"} <= keys.keys()
         if read and not pool and not shards:
             fix = "add shards = 0-7, or a pool"
-            builder.say("volume", name, "shards", "missing", "is missing and has no default", fix)
+            builder.report_value("volume", name, "shards", "missing", "is missing and has no default", fix)
         if pool and shards:
-            builder.say("volume", name, "shards", "both", "a pool is given too", "keep one of the two")
+            builder.report_value(
+                "volume", name, "shards", "both", "a pool is given too", "keep one of the two"
+            )
 
 
-def _patterns(named: dict[str, dict[str, dict[str, Any]]]) -> list[tuple[Pattern, dict[str, Any]]]:
+def _patterns(by_kind: dict[str, dict[str, dict[str, Any]]]) -> list[tuple[Pattern, dict[str, Any]]]:
     found = []
-    for name, keys in named["route"].items():
+    for name, keys in by_kind["route"].items():
         if {"priority", "volume", "key", "method", "header", "size"} <= keys.keys():
             parts = (keys[key] for key in ("priority", "volume", "key", "method", "header", "size"))
             found.append((Pattern(name, *parts), keys))
     return sorted(found, key=lambda entry: (tuple(-part for part in entry[0].rank), entry[0].name))
 
 
-def _routes(builder: Builder, named: dict[str, dict[str, dict[str, Any]]]) -> None:
-    patterns = _patterns(named)
+def _check_routes(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
+    patterns = _patterns(by_kind)
     by_volume: dict[str, list[Pattern]] = {}
     for pattern, keys in patterns:
         name = pattern.name
         if not keys.get("class") and not keys.get("pool"):
             text = "gives neither a class nor a pool"
-            builder.say("route", name, "", "does-nothing", text, "add class = NAME or pool = NAME")
+            builder.report_value("route", name, "", "does-nothing", text, "add class = NAME or pool = NAME")
         if keys.get("pool") and (pattern.methods or pattern.header or pattern.size):
             text = "a route that chooses a pool matches on volume and key alone"
             fix = "what one method writes another would not find; take method, header and size away, or the pool"
-            builder.say("route", name, "pool", "pool-by-method", text, fix)
+            builder.report_value("route", name, "pool", "pool-by-method", text, fix)
         # Only a route whose volume pattern is the same or a beginning of this one's can cover it.
         volume = pattern.volume.rstrip("*")
-        for end in range(len(volume) + 1) if len(patterns) <= SHADOW_MOST else (len(volume),):
+        for end in range(len(volume) + 1) if len(patterns) <= MAX_ROUTES_COMPARED else (len(volume),):
             places = [volume[:end] + "*"] + ([pattern.volume] if end == len(volume) else [])
             before = next(
                 (
@@ -224,6 +238,6 @@
                     if same
                     else f"lower the priority of {before.name!r}, or take one away"
                 )
-                builder.say("route", name, "", "shadowed", text, fix, WARNING)
+                builder.report_value("route", name, "", "shadowed", text, fix, WARNING)
                 break
         by_volume.setdefault(pattern.volume, []).append(pattern)
--- a/winchdyke/config/diagnostics.py
+++ b/winchdyke/config/diagnostics.py
@@ -78,7 +78,7 @@
             lines.append(f"      fix: {self.fix}")
         return "\n".join(lines)
 
-    def data(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """As plain values, for JSON."""
         return {
             "severity": self.severity, "code": self.code, "file": self.span.source.file, "line": self.span.line,
--- a/winchdyke/config/fmt.py
+++ b/winchdyke/config/fmt.py
@@ -17,25 +17,25 @@
         self.depth = 0
         self.line: list[str] = []
         self.comments: list[str] = []
-        self.blank = False  # an empty line is wanted before the next one
+        self.wants_blank_line = False  # an empty line is wanted before the next one
 
-    def flush(self) -> None:
+    def end_line(self) -> None:
         """End the line that is being written."""
         if not self.line and not self.comments:
             return
         text = "".join(_spaced(self.line))
         if self.comments:
-            note = "  ".join(self.comments)
-            text = f"{text}  {note}" if text else note
-        self.emit(text)
+            comment_text = "  ".join(self.comments)
+            text = f"{text}  {comment_text}" if text else comment_text
+        self.add_line(text)
         self.line, self.comments = [], []
 
-    def emit(self, text: str) -> None:
+    def add_line(self, text: str) -> None:
         """A whole line."""
         opened = not self.lines or self.lines[-1].split("#")[0].rstrip().endswith("{")
-        if self.blank and not opened and not text.startswith("}"):
+        if self.wants_blank_line and not opened and not text.startswith("}"):
             self.lines.append("")
-        self.blank = False
+        self.wants_blank_line = False
         self.lines.append(INDENT * self.depth + text)
 
 
@@ -49,38 +49,38 @@
 def fmt(text: str) -> str:
     """A text that parses, in the one spelling."""
     out = _Writer()
-    newlines, fresh = 1, True  # since the last token; whether the present source line has said nothing yet
+    newlines, at_line_start = 1, True  # newlines since the last token; no token on this source line yet
     for found in _TOKEN.finditer(text):
         token = found[0]
         if token == "\n":
             newlines += 1
             if not (out.line and out.line[-1] == ","):
-                out.flush()
+                out.end_line()
             if newlines > 1 and out.lines:
-                out.blank = True
-            fresh = True
+                out.wants_blank_line = True
+            at_line_start = True
             continue
         if token.startswith("#"):
-            comment = token.rstrip()
+            comment_text = token.rstrip()
             if out.line:
-                out.comments.append(comment)
-            elif not fresh and out.lines:  # behind a brace on its line
-                out.lines[-1] += "  " + comment
+                out.comments.append(comment_text)
+            elif not at_line_start and out.lines:  # behind a brace on its line
+                out.lines[-1] += "  " + comment_text
             else:
-                out.emit(comment)
+                out.add_line(comment_text)
         elif token == "{":
             out.line.append(token)
-            out.flush()
+            out.end_line()
             out.depth += 1
         elif token == "}":
-            out.flush()
+            out.end_line()
             out.depth = max(0, out.depth - 1)
-            out.emit("}")
+            out.add_line("}")
         elif token == ";":
             if not (out.line and out.line[-1] == ","):  # behind a comma a value goes on, as over a line end
-                out.flush()
+                out.end_line()
         else:
             out.line.append(token)
-        newlines, fresh = 0, False
-    out.flush()
+        newlines, at_line_start = 0, False
+    out.end_line()
     return "\n".join(out.lines) + "\n" if out.lines else ""
--- a/winchdyke/config/ini.py
+++ b/winchdyke/config/ini.py
@@ -6,11 +6,11 @@
 import re
 
 from winchdyke.config.diagnostics import ConfigError, Diagnostic, Source, Span
-from winchdyke.config.loading import Builder, Loaded, finish
+from winchdyke.config.loading import Builder, Loaded, check_and_assemble
 from winchdyke.config.schema import BLOCKS
 from winchdyke.config.syntax import Block, Item, Setting, Word
 
-MOVED = {("gateway", "listen"): ("listener", "main", "address"), ("gateway", "log"): ("log", "", "form")}
+MOVED_KEYS = {("gateway", "listen"): ("listener", "main", "address"), ("gateway", "log"): ("log", "", "form")}
 
 
 def is_ini(text: str) -> bool:
@@ -26,7 +26,7 @@
     return bool(re.match(r"\[[^]]*\]?", first))
 
 
-def _places(source: Source) -> dict[tuple[str, str], Span]:
+def _find_spans(source: Source) -> dict[tuple[str, str], Span]:
     """The place of each section (with an empty key) and of each of its keys."""
     found: dict[tuple[str, str], Span] = {}
     section = ""
@@ -39,7 +39,7 @@
     return found
 
 
-def _broken(error: configparser.Error, source: Source) -> list[Diagnostic]:
+def _parse_diagnostics(error: configparser.Error, source: Source) -> list[Diagnostic]:
     line = getattr(error, "lineno", None) or 1
     fix = ""
     if isinstance(error, configparser.DuplicateOptionError):
@@ -63,11 +63,11 @@
     try:
         parser.read_string(text, source=file)
     except configparser.Error as error:
-        raise ConfigError(_broken(error, source)) from error
-    places = _places(source)
+        raise ConfigError(_parse_diagnostics(error, source)) from error
+    places = _find_spans(source)
     blocks: dict[tuple[str, str], list[Setting]] = {}
     spans: dict[tuple[str, str], Span] = {}
-    taken: set[str] = set()
+    claimed: set[str] = set()
     for section in parser.sections():
         kind, _, name = section.partition(" ")
         name = name.strip()
@@ -76,16 +76,16 @@
         spans.setdefault((kind, name), at)
         for key, value in parser[section].items():
             span = places.get((section, key), at)
-            into_kind, into_name, into_key = MOVED.get((kind, key), (kind, name, key))
+            into_kind, into_name, into_key = MOVED_KEYS.get((kind, key), (kind, name, key))
             into = blocks.setdefault((into_kind, into_name), [])
             spans.setdefault((into_kind, into_name), span)
             items = _items(into_kind, into_key, value.strip(), span)
             if (kind, key) == ("class", "operations"):
                 # The first class that names an operation has it; later ones take it when asked.
                 words = [word for item in items for word in item]
-                own = tuple((word,) for word in words if word.text not in taken)
-                also = tuple((word,) for word in words if word.text in taken)
-                taken |= {word.text for word in words}
+                own = tuple((word,) for word in words if word.text not in claimed)
+                also = tuple((word,) for word in words if word.text in claimed)
+                claimed |= {word.text for word in words}
                 if also:
                     into.append(Setting((Word("also", False, span),), also))
                 if also and not own:
@@ -101,13 +101,13 @@
         for (kind, name), body in blocks.items()
     ]
     if statements:
-        builder.take(statements)  # type: ignore[arg-type]
-    builder.top = Span(source, 1)
-    return finish(builder, [source])
+        builder.add_statements(statements)  # type: ignore[arg-type]
+    builder.start = Span(source, 1)
+    return check_and_assemble(builder, [source])
 
 
 def _items(kind: str, key: str, value: str, span: Span) -> tuple[Item, ...]:
     rule = BLOCKS[kind].keys.get(key) if kind in BLOCKS else None
-    if rule is not None and rule.type.several:
+    if rule is not None and rule.type.is_list:
         return tuple((Word(part, False, span),) for part in re.split(r"[,\s]+", value) if part)
     return ((Word(value, True, span),),) if value else ()
--- a/winchdyke/config/loading.py
+++ b/winchdyke/config/loading.py
@@ -18,13 +18,13 @@
 from winchdyke.config import crosscheck, model, schema
 from winchdyke.config.diagnostics import ERROR, WARNING, ConfigError, Diagnostic, Source, Span
 from winchdyke.config.matching import Pattern, Route
-from winchdyke.config.schema import BLOCKS, NONE
-from winchdyke.config.sources import Files
+from winchdyke.config.schema import BLOCKS, NOT_GIVEN
+from winchdyke.config.sources import SourceLoader
 from winchdyke.config.syntax import Block, Directive, Item, Setting, Statement, Word
-from winchdyke.config.types import InvalidValueError, nearest
+from winchdyke.config.types import InvalidValueError, suggest
 
-Where = tuple[str, str]  # kind and name of a block; the name is empty where the kind has none
-Values = dict[Where, dict[str, Any]]
+BlockId = tuple[str, str]  # kind and name of a block; the name is empty where the kind has none
+Values = dict[BlockId, dict[str, Any]]
 UNSET = None
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
 
@@ -34,7 +34,7 @@
     """Where a value came from: its place (None: built in) and by what way."""
 
     span: Span | None
-    way: str = ""
+    via: str = ""
 
 
 @dataclass
@@ -57,12 +57,12 @@
         self.problems: list[Diagnostic] = []
         self.values: Values = {}
         self.origins: dict[tuple[str, str, str], Origin] = {}
-        self.blocks: dict[Where, Block] = {}
-        self.lets: dict[str, Setting] = {}
+        self.blocks: dict[BlockId, Block] = {}
+        self.named_values: dict[str, Setting] = {}
         self.templates: dict[str, Block] = {}
         self.defaults: dict[str, Block] = {}
-        self.used: set[str] = set()
-        self.top = Span(Source("settings", ""), 1)
+        self.used_names: set[str] = set()
+        self.start = Span(Source("settings", ""), 1)
 
     # What is said.
 
@@ -70,7 +70,7 @@
         """A block as its own form calls it."""
         return f"[{kind} {name}]".replace(" ]", "]") if self.ini else f"{kind} {name}".strip()
 
-    def add(
+    def report(
         self,
         code: str,
         where: str,
@@ -83,66 +83,70 @@
         """Note a finding."""
         self.problems.append(Diagnostic(code, where, text, fix, span, severity, related))
 
-    def say(
+    def report_value(
         self, kind: str, name: str, key: str, code: str, text: str, fix: str, severity: str = ERROR
     ) -> None:
         """Note a finding about a value, at the place it came from."""
         origin = self.origins.get((kind, name, key))
         block = self.blocks.get((kind, name))
-        span = origin.span if origin and origin.span else block.span if block else self.top
+        span = origin.span if origin and origin.span else block.span if block else self.start
         title = self.title(kind, name)
         where = title if not key else f"{title} {key}" if self.ini else f"{title}: {key}"
-        self.add(code, where, text, fix, span, severity=severity)
+        self.report(code, where, text, fix, span, severity=severity)
 
     # Statements.
 
-    def take(self, statements: list[Statement] | tuple[Statement, ...]) -> None:
+    def add_statements(self, statements: list[Statement] | tuple[Statement, ...]) -> None:
         """Sort statements by what they are."""
         if statements:
-            self.top = Span(statements[0].span.source, 1)
+            self.start = Span(statements[0].span.source, 1)
         for statement in statements:
             if isinstance(statement, Block):
-                self._block(statement)
+                self._sort_block(statement)
             elif isinstance(statement, Setting):
-                self._top_setting(statement)
+                self._add_named_value(statement)
             else:
-                self._directive(statement)
+                self._report_directive(statement)
 
-    def _top_setting(self, setting: Setting) -> None:
+    def _add_named_value(self, setting: Setting) -> None:
         words = setting.words
         if words[0].text == "let" and len(words) == 2:
             name = words[1]
-            if self._name_is_good(name, "named value") and not self._twice(
-                self.lets, name.text, setting, "named value"
+            if self._is_valid_name(name, "named value") and not self._is_duplicate(
+                self.named_values, name.text, setting, "named value"
             ):
-                self.lets[name.text] = setting
+                self.named_values[name.text] = setting
             return
         fix = "put it in a block, or write let NAME = value for a named value"
-        self.add("outside-block", "", f"{words[0].text!r} is set outside of every block", fix, setting.span)
+        self.report(
+            "outside-block", "", f"{words[0].text!r} is set outside of every block", fix, setting.span
+        )
 
-    def _directive(self, directive: Directive) -> None:
+    def _report_directive(self, directive: Directive) -> None:
         words = directive.words
         kinds = [*BLOCKS, "template", "defaults", "include"]
         first = words[0].text
         if first in kinds and first != "include":
             fix = f"write {' '.join(word.text for word in words)} {{"
-            self.add("no-brace", "", f"the {first} has no {{", fix, words[-1].span)
+            self.report("no-brace", "", f"the {first} has no {{", fix, words[-1].span)
         else:
-            self.add(
+            self.report(
                 "unknown",
                 "",
                 f"{first!r} is no word that begins a line here",
-                nearest(first, kinds),
+                suggest(first, kinds),
                 words[0].span,
             )
 
-    def _twice(self, table: Mapping[Any, Any], key: object, statement: Setting | Block, what: str) -> bool:
+    def _is_duplicate(
+        self, table: Mapping[Any, Any], key: object, statement: Setting | Block, what: str
+    ) -> bool:
         if key not in table:
             return False
         first = table[key].span
         name = key if isinstance(key, str) else " ".join(str(part) for part in key).strip()  # type: ignore[attr-defined]
         text = f"section [{name}] is given twice" if self.ini else f"{what} {name!r} is given twice"
-        self.add(
+        self.report(
             "twice",
             "",
             text,
@@ -152,12 +156,12 @@
         )
         return True
 
-    def _block(self, block: Block) -> None:
+    def _sort_block(self, block: Block) -> None:
         kind, *rest = block.words
         if kind.text == "template":
             if len(rest) != 1:
-                self.add("bad-block", "", "a template has one name", "write template NAME {", kind.span)
-            elif self._name_is_good(rest[0], "template") and not self._twice(
+                self.report("bad-block", "", "a template has one name", "write template NAME {", kind.span)
+            elif self._is_valid_name(rest[0], "template") and not self._is_duplicate(
                 self.templates, rest[0].text, block, "template"
             ):
                 self.templates[rest[0].text] = block
@@ -165,26 +169,26 @@
         if kind.text == "defaults":
             if len(rest) != 1 or rest[0].text not in BLOCKS:
                 given = rest[0] if rest else kind
-                fix = nearest(given.text, BLOCKS) if rest else "write defaults class {"
-                self.add("bad-block", "", "defaults are for a kind of block", fix, given.span)
-            elif not self._twice(self.defaults, rest[0].text, block, "defaults"):
+                fix = suggest(given.text, BLOCKS) if rest else "write defaults class {"
+                self.report("bad-block", "", "defaults are for a kind of block", fix, given.span)
+            elif not self._is_duplicate(self.defaults, rest[0].text, block, "defaults"):
                 self.defaults[rest[0].text] = block
             return
-        self._own_block(block, kind, rest)
+        self._add_block(block, kind, rest)
 
-    def _own_block(self, block: Block, kind: Word, rest: list[Word]) -> None:
+    def _add_block(self, block: Block, kind: Word, rest: list[Word]) -> None:
         known = BLOCKS.get(kind.text)
         if known is None:
             what = "no section of this name" if self.ini else f"{kind.text!r} is no kind of block"
             where = self.title(kind.text, " ".join(word.text for word in rest)) if self.ini else ""
             names = BLOCKS if self.ini else [*BLOCKS, "template", "defaults"]
-            self.add("unknown-block", where, what, nearest(kind.text, names), kind.span)
+            self.report("unknown-block", where, what, suggest(kind.text, names), kind.span)
             return
         words = [word.text for word in rest]
         if "from" in words:
             rest = rest[: words.index("from")]
             if len(words) != len(rest) + 2:
-                self.add(
+                self.report(
                     "bad-block",
                     "",
                     "from is followed by one template",
@@ -195,7 +199,7 @@
         where = self.title(kind.text, " ".join(words))
         if known.name is None and rest:
             text = f"[{kind.text}] takes no name" if self.ini else f"a {kind.text} block takes no name"
-            self.add(
+            self.report(
                 "bad-block",
                 where,
                 text,
@@ -206,35 +210,35 @@
         if known.name is not None and len(rest) != 1:
             form = f"[{kind.text} NAME]" if self.ini else f"{kind.text} NAME {{"
             text = f"a {kind.text} needs a name" if not rest else f"a {kind.text} has one name"
-            self.add("bad-block", where, text, f"as in {form}", (rest or [kind])[-1].span)
+            self.report("bad-block", where, text, f"as in {form}", (rest or [kind])[-1].span)
             return
         name = ""
         if known.name is not None:
             try:
-                read = known.name.text(rest[0])
+                read = known.name.read_word(rest[0])
             except InvalidValueError as wrong:
-                self.add(wrong.code, where, str(wrong), wrong.fix, rest[0].span)
+                self.report(wrong.code, where, str(wrong), wrong.fix, rest[0].span)
                 return
             name = known.name.show(read) if not isinstance(read, str) else read
-            if kind.text not in ("store", "volume") and not self._name_is_good(rest[0], kind.text):
+            if kind.text not in ("store", "volume") and not self._is_valid_name(rest[0], kind.text):
                 return
-        if not self._twice(self.blocks, (kind.text, name), block, kind.text):
+        if not self._is_duplicate(self.blocks, (kind.text, name), block, kind.text):
             self.blocks[kind.text, name] = block
 
-    def _name_is_good(self, word: Word, what: str) -> bool:
+    def _is_valid_name(self, word: Word, what: str) -> bool:
         text = word.text
         odd = next((sign for sign in text if ord(sign) > 127), "")
         if odd:
             shown = f"{odd!r} (U+{ord(odd):04X}, {unicodedata.name(odd, 'unnamed')})"
             fix = "write names in a-z, A-Z, 0-9, dots, dashes and underscores; other letters may look alike and are not"
-            self.add("look-alike", "", f"the name {text!r} has the letter {shown}", fix, word.span)
+            self.report("look-alike", "", f"the name {text!r} has the letter {shown}", fix, word.span)
             return False
         if not _NAME.fullmatch(text):
             fix = "letters, digits, dots, dashes and underscores, 64 at most, a letter or digit first"
-            self.add("bad-name", "", f"{text!r} is no name", fix, word.span)
+            self.report("bad-name", "", f"{text!r} is no name", fix, word.span)
             return False
-        if text in schema.WORDS or (text in BLOCKS and not self.ini):
-            self.add(
+        if text in schema.RESERVED_WORDS or (text in BLOCKS and not self.ini):
+            self.report(
                 "keyword",
                 "",
                 f"{text!r} is a word of the language",
@@ -249,25 +253,29 @@
     def build(self) -> None:
         """Read every block into values."""
         for where in self.blocks:
-            self._values(where)
+            self._read_block(where)
         for kind, known in BLOCKS.items():
             if known.name is None and (kind, "") not in self.blocks:
-                self._values((kind, ""))
-            if known.needed and known.name is not None and not any(there == kind for there, _ in self.blocks):
+                self._read_block((kind, ""))
+            if (
+                known.required
+                and known.name is not None
+                and not any(there == kind for there, _ in self.blocks)
+            ):
                 form = f"[{kind} NAME]" if self.ini else f"{kind} NAME {{ ... }}"
                 text = f"no {kind} is set up; at least one is needed"
-                self.add("missing-block", form if self.ini else kind, text, f"add {form}", self.top)
-        for what, table in (("named value", self.lets), ("template", self.templates)):
+                self.report("missing-block", form if self.ini else kind, text, f"add {form}", self.start)
+        for what, table in (("named value", self.named_values), ("template", self.templates)):
             for name, statement in table.items():
-                if name not in self.used:
+                if name not in self.used_names:
                     text, fix = f"the {what} {name!r} is never used", "use it, or take it away"
-                    self.add("unused", "", text, fix, statement.span, severity=WARNING)
+                    self.report("unused", "", text, fix, statement.span, severity=WARNING)
 
-    def _values(self, where: Where) -> None:
+    def _read_block(self, where: BlockId) -> None:
         kind, name = where
         keys = BLOCKS[kind].keys
         block = self.blocks.get(where)
-        own = self._settings(block, keys, where) if block else {}
+        own = self._block_settings(block, keys, where) if block else {}
         layers: list[tuple[dict[str, Setting], str]] = [(own, "")]
         words = [word.text for word in block.words] if block else []
         if block and "from" in words:
@@ -275,20 +283,20 @@
             template = self.templates.get(chosen.text)
             if template is None:
                 text = f"there is no template {chosen.text!r}"
-                self.add(
+                self.report(
                     "undefined",
                     self.title(kind, name),
                     text,
-                    nearest(chosen.text, self.templates),
+                    suggest(chosen.text, self.templates),
                     chosen.span,
                 )
             else:
-                self.used.add(chosen.text)
-                layers.append((self._settings(template, keys, where), f"template {chosen.text}"))
+                self.used_names.add(chosen.text)
+                layers.append((self._block_settings(template, keys, where), f"template {chosen.text}"))
         if kind in self.defaults:
-            layers.append((self._settings(self.defaults[kind], keys, where), f"defaults {kind}"))
+            layers.append((self._block_settings(self.defaults[kind], keys, where), f"defaults {kind}"))
         values = self.values[where] = {}
-        for one, other in schema.EXCLUSIVE.get(kind, ()):
+        for one, other in schema.EXCLUSIVE_KEYS.get(kind, ()):
             # The nearer layer's word counts: shards of a volume's own set aside a pool that it would inherit.
             near = next((layer for layer, _ in layers if one in layer or other in layer), {})
             for there, gone in ((one, other), (other, one)):
@@ -300,10 +308,10 @@
             if found is not None:
                 setting, way = found
                 self.origins[kind, name, key] = Origin(setting.span, way)
-                self._read(where, key, rule, setting)
+                self._read_value(where, key, rule, setting)
             elif rule.default is None:
-                if block is not None or BLOCKS[kind].needed:
-                    self.say(
+                if block is not None or BLOCKS[kind].required:
+                    self.report_value(
                         kind,
                         name,
                         key,
@@ -313,7 +321,7 @@
                     )
             else:
                 self.origins[kind, name, key] = Origin(None, "built in")
-                values[key] = _default(rule)
+                values[key] = default_value(rule)
 
     @staticmethod
     def _example(rule: schema.Key) -> str:
@@ -325,9 +333,11 @@
             "shards": "0-7",
         }
         allowed = getattr(rule.type, "allowed", ())
-        return examples.get(rule.type.words, allowed[0] if allowed else "...")
+        return examples.get(rule.type.label, allowed[0] if allowed else "...")
 
-    def _settings(self, block: Block, keys: Mapping[str, schema.Key], where: Where) -> dict[str, Setting]:
+    def _block_settings(
+        self, block: Block, keys: Mapping[str, schema.Key], where: BlockId
+    ) -> dict[str, Setting]:
         found: dict[str, Setting] = {}
         for statement in block.body:
             span = statement.span
@@ -339,7 +349,7 @@
                 inner = isinstance(statement, Block)
                 text = f"a block {first!r} stands inside a {where[0]}" if inner else f"{first!r} has no value"
                 fix = "close the block above first" if inner else f"write {first} = value"
-                self.add("bad-line", title, text, fix, span)
+                self.report("bad-line", title, text, fix, span)
                 continue
             words = statement.words
             key = words[0].text
@@ -349,16 +359,18 @@
                     if key in keys
                     else "one word before ="
                 )
-                self.add("bad-key", title, f"{' '.join(word.text for word in words)!r} is no key", fix, span)
+                self.report(
+                    "bad-key", title, f"{' '.join(word.text for word in words)!r} is no key", fix, span
+                )
             elif key not in keys:
                 text = "no key of this name" if self.ini else f"{key!r} is no key of a {where[0]}"
-                self.add(
-                    "unknown-key", f"{title} {key}" if self.ini else title, text, nearest(key, keys), span
+                self.report(
+                    "unknown-key", f"{title} {key}" if self.ini else title, text, suggest(key, keys), span
                 )
             elif key in found:
                 first_at = found[key].span
                 text = f"key {key!r} is given twice"
-                self.add(
+                self.report(
                     "twice",
                     title,
                     text,
@@ -370,35 +382,35 @@
                 found[key] = statement
         return found
 
-    def _read(self, where: Where, key: str, rule: schema.Key, setting: Setting) -> None:
+    def _read_value(self, where: BlockId, key: str, rule: schema.Key, setting: Setting) -> None:
         kind, name = where
         before = len(self.problems)
-        items = self._expanded(setting.items, (), setting)
+        items = self._expand_references(setting.items, (), setting)
         title = self.title(kind, name)
         at = f"{title} {key}" if self.ini else f"{title}: {key}"
         if len(self.problems) > before:
             return
         if not items or not all(items):
-            self.add("no-value", at, "has no value", f"write {key} = {self._example(rule)}", setting.span)
+            self.report("no-value", at, "has no value", f"write {key} = {self._example(rule)}", setting.span)
             return
         try:
             value = rule.type.read(items, self.ini)
         except InvalidValueError as wrong:
             span = wrong.word.span if wrong.word else setting.span
-            self.add(wrong.code, at, str(wrong), wrong.fix, span)
+            self.report(wrong.code, at, str(wrong), wrong.fix, span)
             return
         self.values[where][key] = value
-        if doubt := rule.type.doubt(value):
-            self.add(
+        if warning := rule.type.warning(value):
+            self.report(
                 "doubtful",
                 at,
-                doubt,
+                warning,
                 "write what is meant, if this is not",
                 items[0][0].span,
                 severity=WARNING,
             )
 
-    def _expanded(
+    def _expand_references(
         self, items: tuple[Item, ...], through: tuple[str, ...], setting: Setting
     ) -> tuple[Item, ...]:
         """Items with their references replaced."""
@@ -409,16 +421,16 @@
         found: list[Item] = []
         for item in items:
             if len(item) == 1 and not item[0].quoted and item[0].text.startswith("$"):
-                found += self._reference(item[0], through, setting)
+                found += self._resolve_reference(item[0], through, setting)
                 continue
             words: list[Word] = []
             for word in item:
                 if word.quoted or not word.text.startswith("$"):
                     words.append(word)
                     continue
-                inner = self._reference(word, through, setting)
+                inner = self._resolve_reference(word, through, setting)
                 if len(inner) > 1:
-                    self.add(
+                    self.report(
                         "bad-reference",
                         "",
                         f"{word.text} has several values",
@@ -429,25 +441,29 @@
             found.append(tuple(words))
         return tuple(found)
 
-    def _reference(self, word: Word, through: tuple[str, ...], setting: Setting) -> tuple[Item, ...]:
+    def _resolve_reference(self, word: Word, through: tuple[str, ...], setting: Setting) -> tuple[Item, ...]:
         name = word.text[1:]
         if name.startswith("env:"):
             variable, bar, default = name[4:].partition("|")
             value = self.environ.get(variable)
             if value is None and not bar:
                 fix = f"set it, or write $env:{variable}|VALUE for a default"
-                self.add("no-env", "", f"the environment has no {variable!r}", fix, word.span)
+                self.report("no-env", "", f"the environment has no {variable!r}", fix, word.span)
                 return ()
             text = default if value is None else value
             return ((Word(text, True, word.span),),)
-        if name not in self.lets:
-            fix = nearest(name, self.lets) if self.lets else f"write let {name} = value at the top of a file"
-            self.add("undefined", "", f"there is no named value ${name}", fix, word.span)
+        if name not in self.named_values:
+            fix = (
+                suggest(name, self.named_values)
+                if self.named_values
+                else f"write let {name} = value at the top of a file"
+            )
+            self.report("undefined", "", f"there is no named value ${name}", fix, word.span)
             return ()
-        self.used.add(name)
+        self.used_names.add(name)
         if name in through:
             loop = " -> ".join(f"${each}" for each in (*through[through.index(name) :], name))
-            self.add(
+            self.report(
                 "let-loop",
                 "",
                 f"named values go round: {loop}",
@@ -455,12 +471,12 @@
                 word.span,
             )
             return ()
-        return self._expanded(self.lets[name].items, (*through, name), setting)
+        return self._expand_references(self.named_values[name].items, (*through, name), setting)
 
 
-def _default(rule: schema.Key) -> Any:
-    if rule.default == NONE:
-        return UNSET if not rule.type.several else ()
+def default_value(rule: schema.Key) -> Any:
+    if rule.default == NOT_GIVEN:
+        return UNSET if not rule.type.is_list else ()
     word = Word("" if rule.default == '""' else str(rule.default), True, Span(Source("built in", ""), 1))
     return rule.type.read(((word,),))
 
@@ -554,7 +570,7 @@
     return model.Listen(host.strip("[]"), int(port))
 
 
-def finish(builder: Builder, sources: list[Source]) -> Loaded:
+def check_and_assemble(builder: Builder, sources: list[Source]) -> Loaded:
     """Check what was built as a whole, and make the model. ConfigError with every mistake."""
     builder.build()
     crosscheck.check(builder)
@@ -567,25 +583,25 @@
 
 def load_file(path: Path, environ: Mapping[str, str] | None = None, text: str | None = None) -> Loaded:
     """Settings in the language, from a file and what it includes; ``text`` is the file's where it was read already."""
-    files = Files()
+    files = SourceLoader()
     files.load(path, text)
-    return _from(files, environ)
+    return _build(files, environ)
 
 
 def load_text(text: str, file: str = "settings", environ: Mapping[str, str] | None = None) -> Loaded:
     """Settings in the language, from a text."""
-    files = Files()
-    files.text(text, file)
-    return _from(files, environ)
+    files = SourceLoader()
+    files.load_text_source(text, file)
+    return _build(files, environ)
 
 
-def _from(files: Files, environ: Mapping[str, str] | None) -> Loaded:
+def _build(files: SourceLoader, environ: Mapping[str, str] | None) -> Loaded:
     builder = Builder(environ=environ)
     builder.problems += files.problems
-    builder.take(files.statements)
+    builder.add_statements(files.statements)
     if files.sources:
-        builder.top = Span(files.sources[0], 1)
+        builder.start = Span(files.sources[0], 1)
     if any(problem.severity == ERROR for problem in files.problems):
         # What could not be parsed would look missing: only what is certainly wrong is told beside it.
         raise ConfigError([problem for problem in builder.problems if problem.severity == ERROR])
-    return finish(builder, files.sources)
+    return check_and_assemble(builder, files.sources)
--- a/winchdyke/config/matching.py
+++ b/winchdyke/config/matching.py
@@ -13,7 +13,7 @@
 
 T = TypeVar("T")
 Rank = tuple[int, int, int, int, int, int, int]
-NO_SIZE = (-1, 2**62)
+ANY_SIZE = (-1, 2**62)
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,25 +37,25 @@
             bool(self.methods),
         )  # fmt: skip
 
-    def takes(self, asked: RequestAttributes) -> bool:
+    def matches(self, request: RequestAttributes) -> bool:
         """Whether a request matches."""
         volume = (
-            asked.volume.startswith(self.volume[:-1])
+            request.volume.startswith(self.volume[:-1])
             if self.volume.endswith("*")
-            else asked.volume == self.volume
+            else request.volume == self.volume
         )
         return (
             volume
-            and asked.key.startswith(self.key)
-            and (not self.methods or asked.method in self.methods)
-            and (self.header is None or asked.headers.get(self.header[0]) == self.header[1])
-            and (self.size is None or self.size[0] < asked.size <= self.size[1])
+            and request.key.startswith(self.key)
+            and (not self.methods or request.method in self.methods)
+            and (self.header is None or request.headers.get(self.header[0]) == self.header[1])
+            and (self.size is None or self.size[0] < request.size <= self.size[1])
         )
 
     def covers(self, other: Pattern) -> bool:
         """Whether all that matches another matches this one too."""
-        low, high = self.size or NO_SIZE
-        other_low, other_high = other.size or NO_SIZE
+        low, high = self.size or ANY_SIZE
+        other_low, other_high = other.size or ANY_SIZE
         star = self.volume.endswith("*")
         volume = other.volume.startswith(self.volume[:-1]) if star else self.volume == other.volume
         return (
@@ -86,9 +86,9 @@
     shards: tuple[int, ...] = ()
 
 
-def best(patterns: Sequence[tuple[Pattern, T]], asked: RequestAttributes) -> T | None:
+def match_linear(patterns: Sequence[tuple[Pattern, T]], request: RequestAttributes) -> T | None:
     """The plain way, which tries them all: what the compiled matcher must agree with."""
-    found = [(pattern, value) for pattern, value in patterns if pattern.takes(asked)]
+    found = [(pattern, value) for pattern, value in patterns if pattern.matches(request)]
     if not found:
         return None
     return min(found, key=lambda entry: (tuple(-part for part in entry[0].rank), entry[0].name))[1]
@@ -97,36 +97,39 @@
 class _Leaf(Generic[T]):
     """Patterns of one volume pattern and one key prefix, by method and header."""
 
-    __slots__ = ("_headed", "_plain")
+    __slots__ = ("_by_header", "_without_header")
 
     def __init__(self) -> None:
-        self._plain: dict[str, list[tuple[Pattern, T]]] = {}
-        self._headed: dict[str, dict[str, dict[str, list[tuple[Pattern, T]]]]] = {}
+        self._without_header: dict[str, list[tuple[Pattern, T]]] = {}
+        self._by_header: dict[str, dict[str, dict[str, list[tuple[Pattern, T]]]]] = {}
 
     def add(self, pattern: Pattern, value: T) -> None:
-        into = self._plain
+        into = self._without_header
         if pattern.header is not None:
-            into = self._headed.setdefault(pattern.header[0], {}).setdefault(pattern.header[1], {})
+            into = self._by_header.setdefault(pattern.header[0], {}).setdefault(pattern.header[1], {})
         for method in pattern.methods or ("",):
             into.setdefault(method, []).append((pattern, value))
 
-    def close(self) -> None:
-        tables = [self._plain, *(table for values in self._headed.values() for table in values.values())]
+    def sort_by_rank(self) -> None:
+        tables = [
+            self._without_header,
+            *(table for values in self._by_header.values() for table in values.values()),
+        ]
         for table in tables:
             for entries in table.values():
                 entries.sort(key=lambda entry: (tuple(-part for part in entry[0].rank), entry[0].name))
 
-    def find(self, asked: RequestAttributes, found: list[tuple[Pattern, T]]) -> None:
-        tables = [self._plain]
-        for name, values in self._headed.items():
-            table = values.get(asked.headers.get(name, "\0"))
+    def find(self, request: RequestAttributes, found: list[tuple[Pattern, T]]) -> None:
+        tables = [self._without_header]
+        for name, values in self._by_header.items():
+            table = values.get(request.headers.get(name, "\0"))
             if table is not None:
                 tables.append(table)
         for table in tables:
-            for method in ("", asked.method):
+            for method in ("", request.method):
                 for pattern, value in table.get(method, ()):
                     size = pattern.size
-                    if size is None or size[0] < asked.size <= size[1]:
+                    if size is None or size[0] < request.size <= size[1]:
                         found.append((pattern, value))
                         break
 
@@ -144,33 +147,33 @@
             else:
                 keys = exact.setdefault(pattern.volume, {})
             keys.setdefault(pattern.key, _Leaf()).add(pattern, value)
-        self._exact = {name: self._close(keys) for name, keys in exact.items()}
+        self._exact = {name: self._freeze(keys) for name, keys in exact.items()}
         self._prefixes = [
-            (length, {name: self._close(keys) for name, keys in table.items()})
+            (length, {name: self._freeze(keys) for name, keys in table.items()})
             for length, table in sorted(prefixes.items())
         ]
 
     @staticmethod
-    def _close(keys: dict[str, _Leaf[T]]) -> tuple[dict[str, _Leaf[T]], tuple[int, ...]]:
+    def _freeze(keys: dict[str, _Leaf[T]]) -> tuple[dict[str, _Leaf[T]], tuple[int, ...]]:
         for leaf in keys.values():
-            leaf.close()
+            leaf.sort_by_rank()
         return keys, tuple(sorted({len(key) for key in keys}))
 
-    def match(self, asked: RequestAttributes) -> T | None:
+    def match(self, request: RequestAttributes) -> T | None:
         """What the request matches; None where nothing does."""
         found: list[tuple[Pattern, T]] = []
         tables = []
-        if asked.volume in self._exact:
-            tables.append(self._exact[asked.volume])
+        if request.volume in self._exact:
+            tables.append(self._exact[request.volume])
         for length, by_prefix in self._prefixes:
-            table = by_prefix.get(asked.volume[:length])
-            if table is not None and len(asked.volume) >= length:
+            table = by_prefix.get(request.volume[:length])
+            if table is not None and len(request.volume) >= length:
                 tables.append(table)
         for keys, lengths in tables:
             for length in lengths:
-                leaf = keys.get(asked.key[:length])
+                leaf = keys.get(request.key[:length])
                 if leaf is not None:
-                    leaf.find(asked, found)
+                    leaf.find(request, found)
         if not found:
             return None
         if len(found) == 1:
--- a/winchdyke/config/model.py
+++ b/winchdyke/config/model.py
@@ -306,9 +306,9 @@
     def _defaults(self) -> dict[str, ClassConfig]:
         return {operation: kind for kind in self.kinds for operation in kind.operations}
 
-    def kind_for(self, operation: str, asked: str | None) -> ClassConfig | None:
+    def kind_for(self, operation: str, requested_class: str | None) -> ClassConfig | None:
         """The class of an operation: the one asked for where it takes that operation, else the one it falls into."""
-        if asked is None:
+        if requested_class is None:
             return self._defaults.get(operation)
-        kind = self._kinds.get(asked)
+        kind = self._kinds.get(requested_class)
         return kind if kind and (operation in kind.operations or operation in kind.also) else None
--- a/winchdyke/config/reference.py
+++ b/winchdyke/config/reference.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from winchdyke.config.schema import BLOCKS, NONE, WORDS, Key
-from winchdyke.config.types import DURATIONS, SIZES, Many, OneOf, Type
+from winchdyke.config.schema import BLOCKS, NOT_GIVEN, RESERVED_WORDS, Key
+from winchdyke.config.types import BYTES_PER_UNIT, MS_PER_UNIT, Many, OneOf, Type
 
 
 def _type(kind: Type) -> str:
@@ -11,13 +11,13 @@
         return f"several of {_type(kind.of)}"
     if isinstance(kind, OneOf):
         return ", ".join(f"`{word}`" for word in kind.allowed)
-    return kind.words
+    return kind.label
 
 
 def _default(rule: Key) -> str:
     if rule.default is None:
         return "must be given"
-    return "none" if rule.default in (NONE, '""') else f"`{rule.default}`"
+    return "none" if rule.default in (NOT_GIVEN, '""') else f"`{rule.default}`"
 
 
 def page() -> str:
@@ -26,12 +26,12 @@
         "# Settings: reference", "",
         "Made by `winchdyke config reference` from the program's own table of settings; a test keeps the two the same.",
         "How the language works, and your first ten lines: [config-language.md](config-language.md).", "",
-        f"Units of time: {', '.join(DURATIONS)}. Units of size: {', '.join(SIZES)}. Rates are `units/s`, shares `%`.",
-        f"Words of the language that can't be names: {', '.join(f'`{word}`' for word in WORDS)}, and the kinds below.", "",
+        f"Units of time: {', '.join(MS_PER_UNIT)}. Units of size: {', '.join(BYTES_PER_UNIT)}. Rates are `units/s`, shares `%`.",
+        f"Words of the language that can't be names: {', '.join(f'`{word}`' for word in RESERVED_WORDS)}, and the kinds below.", "",
     ]  # fmt: skip
     for kind, block in BLOCKS.items():
-        name = f" {block.name.words.upper()}" if block.name is not None else ""
-        needed = " At least one is needed." if block.needed else ""
+        name = f" {block.name.label.upper()}" if block.name is not None else ""
+        needed = " At least one is needed." if block.required else ""
         lines += [f"## `{kind}{name} {{ }}`", "", block.doc + needed, ""]
         lines += ["| key | type | default | means |", "| --- | --- | --- | --- |"]
         lines += [
--- a/winchdyke/config/semantic_diff.py
+++ b/winchdyke/config/semantic_diff.py
@@ -18,17 +18,17 @@
 from winchdyke.config.model import Config
 from winchdyke.config.types import Address
 
-GONE = None
-SAMPLES = 400  # example requests that are tried for each side's routes at the most
-EFFECTS = {
+ABSENT = None
+MAX_SAMPLED = 400  # example requests that are tried for each side's routes at the most
+EFFECT_NAMES = {
     api.RepeatSafety.IDEMPOTENT: "idempotent",
     api.RepeatSafety.IDEMPOTENCY_KEY: "keyed",
     api.RepeatSafety.AT_MOST_ONCE: "at-most-once",
 }
-LOOSER_UP = {  # rules' figures that promise less when they grow
+LOOSENED_BY_INCREASE = {  # rules' figures that promise less when they grow
     "fall_multiple", "cold_units", "extra_free", "extra_share", "max_attempts", "cold_from",
 }  # fmt: skip
-LOOSER_DOWN = {"warm_after", "settle", "extra_window", "fall_window"}
+LOOSENED_BY_DECREASE = {"warm_after", "settle", "extra_window", "fall_window"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -87,7 +87,7 @@
             "aim": rules.latency_objective_ms,
             "deadline": rules.deadline_ms,
             "late_share": rules.late_value_ratio,
-            "effect": EFFECTS[rules.repeat_safety],
+            "effect": EFFECT_NAMES[rules.repeat_safety],
             "scope": rules.deduplication_scope.value,
             "memory": rules.deduplication_window_ms,
             "streamed": rules.streamed,
@@ -129,18 +129,34 @@
             title = f"{kind} {name}".strip()
             if a is None:
                 found.append(
-                    Change(kind, name, "", GONE, _frozen(b or {}), f"{title} is new", _added(kind, b or {}))
+                    Change(
+                        kind,
+                        name,
+                        "",
+                        ABSENT,
+                        _as_items(b or {}),
+                        f"{title} is new",
+                        _risk_of_adding(kind, b or {}),
+                    )
                 )
             elif b is None:
                 found.append(
-                    Change(kind, name, "", _frozen(a), GONE, f"{title} is gone", _removed(kind, name, a, new))
+                    Change(
+                        kind,
+                        name,
+                        "",
+                        _as_items(a),
+                        ABSENT,
+                        f"{title} is gone",
+                        _risk_of_removing(kind, name, a, new),
+                    )
                 )
             else:
-                found += [_changed(kind, name, key, a[key], b[key]) for key in a if a[key] != b[key]]
+                found += [_value_change(kind, name, key, a[key], b[key]) for key in a if a[key] != b[key]]
     return found
 
 
-def _frozen(keys: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
+def _as_items(keys: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
     return tuple(keys.items())
 
 
@@ -151,7 +167,7 @@
         where = change.kind, change.name
         if change.key:
             values[where][change.key] = change.new
-        elif change.new is GONE:
+        elif change.new is ABSENT:
             del values[where]
         else:
             values[where] = dict(change.new)
@@ -166,7 +182,7 @@
     return rule.type.show(value) if rule else str(value)
 
 
-def _changed(kind: str, name: str, key: str, old: Any, new: Any) -> Change:
+def _value_change(kind: str, name: str, key: str, old: Any, new: Any) -> Change:
     title = f"{kind} {name}".strip()
     text = f"{title}: {key} {show(kind, key, old)} -> {show(kind, key, new)}"
     return Change(kind, name, key, old, new, text, _risk(kind, key, old, new))
@@ -180,7 +196,9 @@
         return "the limit is looser: others on the same stores may get less"
     if kind == "plan" and key == "reserve" and new < old:
         return "less is served in full when stores are busy"
-    if kind == "rules" and ((key in LOOSER_UP and new > old) or (key in LOOSER_DOWN and new < old)):
+    if kind == "rules" and (
+        (key in LOOSENED_BY_INCREASE and new > old) or (key in LOOSENED_BY_DECREASE and new < old)
+    ):
         return "a rule is loosened: stores must really bear it"
     if kind == "class" and key == "effect":
         order = ("at-most-once", "keyed", "idempotent")
@@ -207,13 +225,13 @@
     return ""
 
 
-def _added(kind: str, keys: dict[str, Any]) -> str:
+def _risk_of_adding(kind: str, keys: dict[str, Any]) -> str:
     if kind in ("volume", "route") and keys.get("shards"):
         return "objects of the volumes it takes may be looked for on other shards, and not found"
     return ""
 
 
-def _removed(kind: str, name: str, keys: dict[str, Any], new: Config) -> str:
+def _risk_of_removing(kind: str, name: str, keys: dict[str, Any], new: Config) -> str:
     if kind == "store":
         others = [store for store in new.stores if store.shard == keys["shard"]]
         return "" if others else f"shard {keys['shard']} has no store any more"
@@ -236,21 +254,21 @@
 class ReroutedRequest:
     """A request that is answered differently, and how."""
 
-    asked: RequestAttributes
+    request: RequestAttributes
     old: str
     new: str
 
     def __str__(self) -> str:
-        size = f" of {self.asked.size} bytes" if self.asked.size else ""
-        header = "".join(f" with {name}: {value}" for name, value in self.asked.headers.items())
-        path = f"/{self.asked.volume}/{self.asked.key}"
-        return f"{self.asked.method} {path}{size}{header}: {self.old} -> {self.new}"
+        size = f" of {self.request.size} bytes" if self.request.size else ""
+        header = "".join(f" with {name}: {value}" for name, value in self.request.headers.items())
+        path = f"/{self.request.volume}/{self.request.key}"
+        return f"{self.request.method} {path}{size}{header}: {self.old} -> {self.new}"
 
 
-def _examples(patterns: list[Pattern], volumes: list[str]) -> list[RequestAttributes]:
+def _sample_requests(patterns: list[Pattern], volumes: list[str]) -> list[RequestAttributes]:
     """Requests at the edges of patterns: one that each takes, and its neighbours."""
     found: list[RequestAttributes] = []
-    for pattern in patterns[:SAMPLES]:
+    for pattern in patterns[:MAX_SAMPLED]:
         names = (
             [pattern.volume[:-1] + ("x" if pattern.volume != "*" else "any")]
             if pattern.volume.endswith("*")
@@ -266,22 +284,22 @@
             found.append(RequestAttributes(method, volume, key, size, header))
     found += [
         RequestAttributes(method, (name.rstrip("*") or "any"), "object")
-        for name in volumes[:SAMPLES]
+        for name in volumes[:MAX_SAMPLED]
         for method in ("GET", "PUT")
     ]
     return found
 
 
-OPERATION = {"GET": "get", "HEAD": "head", "PUT": "put", "POST": "post", "DELETE": "delete"}
+OPERATION_BY_METHOD = {"GET": "get", "HEAD": "head", "PUT": "put", "POST": "post", "DELETE": "delete"}
 
 
-def outcome(config: Config, asked: RequestAttributes) -> str:
+def routing_summary(config: Config, request: RequestAttributes) -> str:
     """Where a request goes: its class, its plan and its shards."""
-    volume = config.volume(asked.volume)
+    volume = config.volume(request.volume)
     if volume is None:
         return "404, no such volume"
-    route: Route | None = config.matcher.match(asked)
-    operation = OPERATION[asked.method]
+    route: Route | None = config.matcher.match(request)
+    operation = OPERATION_BY_METHOD[request.method]
     kind = config.kind_for(operation, route.class_name if route and route.class_name else None)
     kind = kind or config.kind_for(operation, None)
     shards = route.shards if route and route.shards else volume.shards
@@ -291,17 +309,17 @@
     )
 
 
-def find_rerouted_requests(old: Config, new: Config, most: int = 5) -> list[ReroutedRequest]:
+def find_rerouted_requests(old: Config, new: Config, limit: int = 5) -> list[ReroutedRequest]:
     """Example requests that go elsewhere, each way of going elsewhere once."""
     patterns = [route.pattern for route in (*old.routes, *new.routes)]
     changed = {route.pattern for route in old.routes} ^ {route.pattern for route in new.routes}
     patterns.sort(key=lambda pattern: (pattern not in changed, pattern.name))
     volumes = sorted({rule.pattern for rule in (*old.volumes, *new.volumes)})
     found: dict[tuple[str, str], ReroutedRequest] = {}
-    for asked in _examples(patterns, volumes):
-        a, b = outcome(old, asked), outcome(new, asked)
+    for request in _sample_requests(patterns, volumes):
+        a, b = routing_summary(old, request), routing_summary(new, request)
         if a != b and (a, b) not in found:
-            found[a, b] = ReroutedRequest(asked, a, b)
-            if len(found) >= most:
+            found[a, b] = ReroutedRequest(request, a, b)
+            if len(found) >= limit:
                 break
     return list(found.values())
--- a/winchdyke/config/serialization.py
+++ b/winchdyke/config/serialization.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from winchdyke.config.loading import Values, _default
+from winchdyke.config.loading import Values, default_value
 from winchdyke.config.schema import BLOCKS
 from winchdyke.config.types import quoted
 
@@ -15,7 +15,7 @@
             lines = []
             for key, rule in known.keys.items():
                 value = keys.get(key)
-                if value is None or (rule.default is not None and value == _default(rule)):
+                if value is None or (rule.default is not None and value == default_value(rule)):
                     continue
                 lines.append(f"    {key} = {rule.type.show(value)}\n")
             if lines or known.name is not None:
--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -10,8 +10,8 @@
 from winchdyke.config.diagnostics import Diagnostic, Source, Span
 from winchdyke.config.syntax import Block, Directive, Statement, parse
 
-MOST_BYTES, MOST_FILES, MOST_TOTAL = 8 << 20, 500, 32 << 20
-TRIES = 3
+MAX_FILE_BYTES, MAX_FILES, MAX_TOTAL_LENGTH = 8 << 20, 500, 32 << 20
+READ_ATTEMPTS = 3
 
 
 class UnreadableFileError(Exception):
@@ -25,15 +25,15 @@
 def read(path: Path) -> str:
     """A file's text with plain line ends and no byte-order mark. Unreadable says what is wrong."""
     try:
-        for _ in range(TRIES):
+        for _ in range(READ_ATTEMPTS):
             with path.open("rb") as file:
                 before = os.fstat(file.fileno())
-                if before.st_size > MOST_BYTES:
-                    text = f"is {before.st_size >> 20} MiB; {MOST_BYTES >> 20} MiB is the most"
+                if before.st_size > MAX_FILE_BYTES:
+                    text = f"is {before.st_size >> 20} MiB; {MAX_FILE_BYTES >> 20} MiB is the most"
                     raise UnreadableFileError("too-large", text, "split it, and include the parts")
-                data = file.read(MOST_BYTES + 1)
+                data = file.read(MAX_FILE_BYTES + 1)
                 after = os.fstat(file.fileno())
-            if not stat.S_ISREG(before.st_mode) and len(data) <= MOST_BYTES:
+            if not stat.S_ISREG(before.st_mode) and len(data) <= MAX_FILE_BYTES:
                 return decode_text(data)  # a pipe has no size to go by
             if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(
                 data
@@ -76,7 +76,7 @@
     return text
 
 
-class Files:
+class SourceLoader:
     """A settings file and all that it includes, as one run of statements."""
 
     def __init__(self) -> None:
@@ -92,14 +92,19 @@
         self._root = path.parent.resolve()
         self._file(path, (), None, text)
 
-    def text(self, text: str, file: str) -> None:
+    def load_text_source(self, text: str, file: str) -> None:
         """Take a text that is no file; it can't include any."""
         self._statements(Source(file, text), (), False)
 
-    def _add(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
+    def _report(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
         self.problems.append(
             Diagnostic(
-                code, "include" if related or span.source.text else "", text, fix, span, related=related
+                code,
+                "include" if related or span.source.text else "",
+                text,
+                fix,
+                span,
+                related=related,
             )
         )
 
@@ -110,7 +115,7 @@
         if real in stack:
             assert at is not None
             names = [_short(each, self._root) for each in (*stack[stack.index(real) :], real)]
-            self._add(
+            self._report(
                 "include-loop",
                 f"includes go round: {' -> '.join(names)}",
                 "take one of these includes away",
@@ -121,20 +126,20 @@
             return  # a diamond: what both include is there once
         if at is not None and not real.is_relative_to(self._root):
             text = f"{path.name} lies outside of {self._root}"
-            self._add(
+            self._report(
                 "outside", text, "include only from the folder of the first file; links may not lead out", at
             )
             return
-        if len(self._seen) >= MOST_FILES:
+        if len(self._seen) >= MAX_FILES:
             assert at is not None
-            self._add("too-many", f"more than {MOST_FILES} files are included", "join some of them", at)
+            self._report("too-many", f"more than {MAX_FILES} files are included", "join some of them", at)
             return
         try:
             text = read(path) if text is None else text
             self._total += len(text)
-            if self._total > MOST_TOTAL:
+            if self._total > MAX_TOTAL_LENGTH:
                 raise UnreadableFileError(
-                    "too-large", f"all files are over {MOST_TOTAL >> 20} MiB", "leave some out"
+                    "too-large", f"all files are over {MAX_TOTAL_LENGTH >> 20} MiB", "leave some out"
                 )
         except UnreadableFileError as error:
             place = at or Span(source, error.line, error.column, error.column + 1)
@@ -156,24 +161,24 @@
                 self._include(statement, stack, files)
             else:
                 if isinstance(statement, Block):
-                    self._inner(statement)
+                    self._reject_inner_includes(statement)
                 self.statements.append(statement)
 
-    def _inner(self, block: Block) -> None:
+    def _reject_inner_includes(self, block: Block) -> None:
         for inner in block.body:
             if isinstance(inner, Directive) and inner.words[0].text == "include":
-                self._add(
+                self._report(
                     "include-inside", "include stands in a block", "move it out of every block", inner.span
                 )
 
     def _include(self, statement: Directive, stack: tuple[Path, ...], files: bool) -> None:
         span = statement.span
         if len(statement.words) != 2:
-            self._add("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
+            self._report("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
             return
         asked = statement.words[1]
         if not files:
-            self._add(
+            self._report(
                 "bad-include", "a text that is no file includes nothing", "write it to a file", asked.span
             )
             return
@@ -181,7 +186,7 @@
         if any(sign in asked.text for sign in "*?["):
             found = sorted(glob.glob(str(here / asked.text)))
             if not found:
-                self._add(
+                self._report(
                     "no-match",
                     f"{asked.text!r} matches no file",
                     "correct the pattern, or take it away",
--- a/winchdyke/config/syntax.py
+++ b/winchdyke/config/syntax.py
@@ -17,8 +17,8 @@
 
 from winchdyke.config.diagnostics import Diagnostic, Source, Span
 
-DEEPEST = 8
-MOST_PROBLEMS = 200
+MAX_DEPTH = 8
+MAX_PROBLEMS = 200
 ESCAPES = {'"': '"', "\\": "\\", "n": "\n", "t": "\t"}
 
 
@@ -89,19 +89,19 @@
     def __init__(self, source: Source) -> None:
         self.source = source
         self.problems: list[Diagnostic] = []
-        self._shift = 0  # lines before the one that is parsed alone
-        self._last = Span(source, 1)  # the last line that said something
-        self._bare: tuple[str, Span] | None = (
+        self._line_offset = 0  # lines before the one that is parsed alone
+        self._last_statement = Span(source, 1)  # the last line that said something
+        self._unopened_block: tuple[str, Span] | None = (
             None  # a line that looks like a block's beginning without its brace
         )
 
     def span(self, token: Token) -> Span:
-        line = (token.line or 1) + self._shift
+        line = (token.line or 1) + self._line_offset
         column = token.column or 1
         return Span(self.source, line, column, column + len(token))
 
-    def add(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
-        if len(self.problems) < MOST_PROBLEMS:
+    def report(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
+        if len(self.problems) < MAX_PROBLEMS:
             self.problems.append(Diagnostic(code, "", text, fix, span, related=related))
 
     def word(self, token: Token) -> Word:
@@ -112,7 +112,7 @@
         for bad in re.finditer(r"\\(.)", inner):
             if bad[1] not in ESCAPES:
                 fix = 'write \\\\ for a backslash; the escapes are \\" \\\\ \\n \\t'
-                self.add("bad-escape", f"\\{bad[1]} is no escape", fix, span)
+                self.report("bad-escape", f"\\{bad[1]} is no escape", fix, span)
         return Word(re.sub(r"\\(.)", lambda found: ESCAPES.get(found[1], found[1]), inner), True, span)
 
     def words(self, tree: Tree[Token]) -> tuple[Word, ...]:
@@ -137,39 +137,39 @@
                 words, inner = child.children
                 assert isinstance(words, Tree) and isinstance(inner, Tree)
                 named = self.words(words)
-                if depth >= DEEPEST:
-                    fix = f"blocks go {DEEPEST} deep at the most; is a closing brace missing?"
-                    self.add("too-deep", "blocks stand in blocks too deep", fix, named[0].span)
+                if depth >= MAX_DEPTH:
+                    fix = f"blocks go {MAX_DEPTH} deep at the most; is a closing brace missing?"
+                    self.report("too-deep", "blocks stand in blocks too deep", fix, named[0].span)
                     continue
                 found.append(Block(named, self.body(inner, depth + 1)))
         return tuple(found)
 
     # A broken text, line by line.
 
-    def lines(self) -> None:
+    def parse_line_by_line(self) -> None:
         """Find every mistake of a text that does not parse as a whole."""
         open_blocks: list[Span] = []
         text = self.source.text
         for number, line in enumerate(text.split("\n"), 1):
-            self._shift = number - 1
-            for start, piece in _pieces(line):
-                if piece.strip() and len(self.problems) < MOST_PROBLEMS:
-                    self._line(" " * start + piece, number, open_blocks)
+            self._line_offset = number - 1
+            for start, piece in _split_statements(line):
+                if piece.strip() and len(self.problems) < MAX_PROBLEMS:
+                    self._parse_line(" " * start + piece, number, open_blocks)
                     begin = start + len(piece) - len(piece.lstrip()) + 1
-                    self._last = Span(self.source, number, begin, start + len(piece.rstrip()) + 1)
-        self._shift = 0
+                    self._last_statement = Span(self.source, number, begin, start + len(piece.rstrip()) + 1)
+        self._line_offset = 0
         for span in open_blocks[-3:]:
-            self._unclosed(span, "the text ends before this block is closed")
+            self._report_unclosed_block(span, "the text ends before this block is closed")
 
-    def _unclosed(self, span: Span, text: str) -> None:
+    def _report_unclosed_block(self, span: Span, text: str) -> None:
         fix = f"put a }} after this line; the block begins at {span}"
-        self.add("missing-brace", text, fix, self._last, ("it begins here", span))
+        self.report("missing-brace", text, fix, self._last_statement, ("it begins here", span))
 
-    def _line(self, line: str, number: int, open_blocks: list[Span]) -> None:
+    def _parse_line(self, line: str, number: int, open_blocks: list[Span]) -> None:
         try:
             tree = _parser().parse(line, start="line")
         except UnexpectedInput as error:
-            self._explain(error, line, number, open_blocks)
+            self._report_syntax_error(error, line, number, open_blocks)
             return
         child = tree.children[0]
         assert isinstance(child, Tree)
@@ -179,50 +179,52 @@
             assert isinstance(words, Tree)
             first = words.children[0]
             assert isinstance(first, Token)
-            outer = bool(open_blocks) and open_blocks[-1].column >= (first.column or 1)
-            if outer and self._looks_outer(str(first)):
+            is_top_level = bool(open_blocks) and open_blocks[-1].column >= (first.column or 1)
+            if is_top_level and self._starts_top_level_block(str(first)):
                 # A block of the outermost kind inside another: the brace is missing before it.
-                self._unclosed(open_blocks.pop(), "a new block begins before this one is closed")
-            self._bare = None
+                self._report_unclosed_block(open_blocks.pop(), "a new block begins before this one is closed")
+            self._unopened_block = None
             open_blocks.append(self.span(first))
         elif child.data in ("closing", "ending"):
-            self._closing(line, number, begin, open_blocks)
-        elif child.data == "directive" and not open_blocks and self._looks_outer(line.split()[0]):
+            self._close_block(line, number, begin, open_blocks)
+        elif child.data == "directive" and not open_blocks and self._starts_top_level_block(line.split()[0]):
             span = Span(self.source, number, begin, len(line.rstrip()) + 1)
-            self._bare = " ".join(line.split()), span
+            self._unopened_block = " ".join(line.split()), span
 
-    def _closing(self, line: str, number: int, begin: int, open_blocks: list[Span]) -> None:
+    def _close_block(self, line: str, number: int, begin: int, open_blocks: list[Span]) -> None:
         here = Span(self.source, number, begin, begin + len(line.strip()))
         if open_blocks:
             open_blocks.pop()
-        elif self._bare is not None:
-            words, span = self._bare
+        elif self._unopened_block is not None:
+            words, span = self._unopened_block
             text = f"this block is closed below and has no {{: {words!r}"
-            self.add("no-brace", text, f"write {words} {{", span, ("its }", here))
+            self.report("no-brace", text, f"write {words} {{", span, ("its }", here))
         else:
             fix = "take it away, or look for an opening { that is missing above"
-            self.add("extra-brace", "this } closes nothing", fix, here)
-        self._bare = None
+            self.report("extra-brace", "this } closes nothing", fix, here)
+        self._unopened_block = None
 
     @staticmethod
-    def _looks_outer(kind: str) -> bool:
+    def _starts_top_level_block(kind: str) -> bool:
         from winchdyke.config.schema import BLOCKS
 
         return kind in BLOCKS or kind in ("template", "defaults")
 
-    def _explain(self, error: UnexpectedInput, line: str, number: int, open_blocks: list[Span]) -> None:
+    def _report_syntax_error(
+        self, error: UnexpectedInput, line: str, number: int, open_blocks: list[Span]
+    ) -> None:
         column = max(1, getattr(error, "column", 1) or 1)
-        bare = re.sub(r'"(?:\\.|[^"\\])*"', lambda found: "x" * len(found[0]), line.split("#")[0])
-        if "{" in bare and "}" not in bare:
+        masked = re.sub(r'"(?:\\.|[^"\\])*"', lambda found: "x" * len(found[0]), line.split("#")[0])
+        if "{" in masked and "}" not in masked:
             open_blocks.append(Span(self.source, number, len(line) - len(line.lstrip()) + 1, len(line) + 1))
-        if bare.count('"') % 2:
+        if masked.count('"') % 2:
             at = line.rindex('"') + 1
             span = Span(self.source, number, at, len(line) + 1)
-            self.add("open-string", "this string is never closed", 'end it with " on the same line', span)
+            self.report("open-string", "this string is never closed", 'end it with " on the same line', span)
             return
         span = Span(self.source, number, column, column + 1)
         if isinstance(error, UnexpectedCharacters):
-            self.add(
+            self.report(
                 "bad-sign",
                 f"{line[column - 1 : column]!r} has no place here",
                 "take it away, or quote it",
@@ -233,35 +235,37 @@
         kind = getattr(token, "type", "")
         if kind == "$END":
             span = Span(self.source, number, max(1, len(line.rstrip())), len(line.rstrip()) + 1)
-            ends = bare.rstrip()[-1:]
+            ends = masked.rstrip()[-1:]
             if ends == "=":
-                self.add("no-value", "there is no value after =", "write the value, as in key = 400ms", span)
+                self.report(
+                    "no-value", "there is no value after =", "write the value, as in key = 400ms", span
+                )
             else:
-                self.add(
+                self.report(
                     "unfinished",
                     f"the line ends after {ends!r}",
                     "write what comes next, or take it away",
                     span,
                 )
         elif kind == "EQUAL":
-            text = "a second = on one line" if bare.count("=") > 1 else "there is no key before ="
-            self.add("extra-equals", text, "one setting a line; quote a value that holds =", span)
+            text = "a second = on one line" if masked.count("=") > 1 else "there is no key before ="
+            self.report("extra-equals", text, "one setting a line; quote a value that holds =", span)
         elif kind == "LBRACE":
             text = "a { has no place in a setting"
-            self.add(
+            self.report(
                 "stray-brace", text, "a block is words and {, as in class fetch {, with no = before it", span
             )
         elif kind == "COMMA":
-            self.add(
+            self.report(
                 "stray-comma", "a comma with no value before it", "set values apart by single commas", span
             )
         else:
-            self.add(
+            self.report(
                 "syntax", "this is no setting, block or directive", "write key = value, or kind name {", span
             )
 
 
-def _pieces(line: str) -> Iterator[tuple[int, str]]:
+def _split_statements(line: str) -> Iterator[tuple[int, str]]:
     """The parts of a line between semicolons, with where each begins."""
     start, quoted, at = 0, False, 0
     while at < len(line):
@@ -282,18 +286,18 @@
 def parse(source: Source) -> tuple[tuple[Statement, ...], list[Diagnostic]]:
     """A text's statements and every syntax error in it; with an error the statements are what could be kept."""
     reader = _Reader(source)
-    depth = _deepest(source.text)
-    if depth > 10 * DEEPEST:
-        reader.add("too-deep", f"blocks stand {depth} deep", f"{DEEPEST} is the most", Span(source, 1))
+    depth = _max_brace_depth(source.text)
+    if depth > 10 * MAX_DEPTH:
+        reader.report("too-deep", f"blocks stand {depth} deep", f"{MAX_DEPTH} is the most", Span(source, 1))
         return (), reader.problems
     try:
         tree = _parser().parse(source.text, start="file")
     except UnexpectedInput:
-        reader.lines()
+        reader.parse_line_by_line()
         if (
             not reader.problems
         ):  # each line is good by itself: a block over several lines that the pieces hide
-            reader.add(
+            reader.report(
                 "syntax", "braces and lines do not fit together", "one statement a line", Span(source, 1)
             )
         return (), reader.problems
@@ -302,7 +306,7 @@
     return reader.body(inner), reader.problems
 
 
-def _deepest(text: str) -> int:
+def _max_brace_depth(text: str) -> int:
     """How deep braces stand in each other, outside of strings and comments."""
     depth = most = 0
     for found in re.finditer(r'"(?:\\.|[^"\\\n])*"|#[^\n]*|[{}]', text):
--- a/winchdyke/config/types.py
+++ b/winchdyke/config/types.py
@@ -16,9 +16,17 @@
 from winchdyke.config.model import OPERATIONS, Listen
 from winchdyke.config.syntax import Item, Word
 
-DURATIONS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
-SIZES = {"B": 1, "KiB": 1024, "MiB": 1024**2, "GiB": 1024**3, "kB": 1000, "MB": 1000**2, "GB": 1000**3}
-TIMES = "ms, s, m, h"
+MS_PER_UNIT = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+BYTES_PER_UNIT = {
+    "B": 1,
+    "KiB": 1024,
+    "MiB": 1024**2,
+    "GiB": 1024**3,
+    "kB": 1000,
+    "MB": 1000**2,
+    "GB": 1000**3,
+}
+TIME_UNIT_NAMES = "ms, s, m, h"
 _NUMBER = re.compile(r"([+-]?\d+(?:\.\d+)?)([A-Za-z%/]*)")
 
 
@@ -30,7 +38,7 @@
         self.fix, self.word, self.code = fix, word, code
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
+def suggest(name: str, known: Iterable[str]) -> str:
     """``did you mean ...?`` where one is near, else what is known."""
     names = sorted(set(known))
     near = difflib.get_close_matches(name, names, 1, 0.6)
@@ -41,7 +49,7 @@
     return f"known here: {', '.join(names[:20])}" if names else "none is set up"
 
 
-def _parted(text: str, word: Word, example: str) -> tuple[float, str]:
+def _split_unit(text: str, word: Word, example: str) -> tuple[float, str]:
     found = _NUMBER.fullmatch(text.replace(" ", ""))
     if not found:
         if re.search(r"\d,\d", text):
@@ -61,10 +69,10 @@
 class Type:
     """A type of one value; ``words`` is what a reference page calls it."""
 
-    words: str = "text"
-    several: bool = False
+    label: str = "text"
+    is_list: bool = False
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> Any:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> Any:
         """The value of a setting's items."""
         if len(items) != 1:
             texts = [" ".join(word.text for word in item) for item in items]
@@ -74,9 +82,9 @@
             raise InvalidValueError(
                 f"takes one value, not {len(items)} ({', '.join(texts)})", fix, items[1][0], "too-many-values"
             )
-        return self.one(items[0], bare)
+        return self.read_item(items[0], units_optional)
 
-    def one(self, item: Item, bare: bool) -> Any:
+    def read_item(self, item: Item, units_optional: bool) -> Any:
         """The value of one item."""
         if len(item) != 1:
             text = " ".join(word.text for word in item)
@@ -86,13 +94,13 @@
                 item[1],
                 "too-many-words",
             )
-        return self.text(item[0])
+        return self.read_word(item[0])
 
-    def text(self, word: Word) -> Any:
+    def read_word(self, word: Word) -> Any:
         """The value of one word."""
         return word.text
 
-    def doubt(self, value: Any) -> str:
+    def warning(self, value: Any) -> str:
         """Why a legal value is most likely wrong; empty where it is not."""
         return ""
 
@@ -118,32 +126,32 @@
 class Duration(Type):
     """A time, in milliseconds. ``likely`` is from where to where it usually lies."""
 
-    words: str = "time"
-    likely: tuple[float, float] = (0.0, math.inf)
-    zero: bool = True
+    label: str = "time"
+    usual_range: tuple[float, float] = (0.0, math.inf)
+    allow_zero: bool = True
 
-    def text(self, word: Word) -> float:
-        number, unit = _parted(word.text, word, "400ms")
+    def read_word(self, word: Word) -> float:
+        number, unit = _split_unit(word.text, word, "400ms")
         if not unit and number:
-            fix = f"write one of {TIMES}, as in {word.text}ms"
+            fix = f"write one of {TIME_UNIT_NAMES}, as in {word.text}ms"
             raise InvalidValueError(f"{word.text!r} has no unit", fix, word, "no-unit")
-        if unit and unit not in DURATIONS:
-            size = unit in SIZES
+        if unit and unit not in MS_PER_UNIT:
+            size = unit in BYTES_PER_UNIT
             what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is no unit known here"
-            raise InvalidValueError(what, f"use one of {TIMES}, as in 400ms", word, "bad-unit")
-        if number < 0 or (not number and not self.zero):
+            raise InvalidValueError(what, f"use one of {TIME_UNIT_NAMES}, as in 400ms", word, "bad-unit")
+        if number < 0 or (not number and not self.allow_zero):
             raise InvalidValueError(
                 f"{word.text!r} is not over 0", "write a time over 0", word, "out-of-range"
             )
-        value = number * (DURATIONS[unit] if unit else 1)
+        value = number * (MS_PER_UNIT[unit] if unit else 1)
         if value > 1e13:
             raise InvalidValueError(
                 f"{word.text!r} is longer than 300 years", "write a shorter time", word, "out-of-range"
             )
         return value
 
-    def doubt(self, value: float) -> str:
-        low, high = self.likely
+    def warning(self, value: float) -> str:
+        low, high = self.usual_range
         if value and not low <= value <= high:
             long = value > high
             other = value / 1000 if long else value * 1000
@@ -156,10 +164,10 @@
         if not value:
             return "0"
         for unit in ("h", "m", "s", "ms", "us"):
-            number = value / DURATIONS[unit]
+            number = value / MS_PER_UNIT[unit]
             if (
                 number >= 1
-                and round(number, 3) * DURATIONS[unit] == value
+                and round(number, 3) * MS_PER_UNIT[unit] == value
                 and len(show_number(round(number, 3))) < 8
             ):
                 return show_number(round(number, 3)) + unit
@@ -170,17 +178,17 @@
 class Size(Type):
     """A size, in bytes."""
 
-    words: str = "size"
-    likely: tuple[float, float] = (0.0, math.inf)
+    label: str = "size"
+    usual_range: tuple[float, float] = (0.0, math.inf)
 
-    def text(self, word: Word) -> int:
-        number, unit = _parted(word.text, word, "64KiB")
-        names = ", ".join(SIZES)
+    def read_word(self, word: Word) -> int:
+        number, unit = _split_unit(word.text, word, "64KiB")
+        names = ", ".join(BYTES_PER_UNIT)
         if not unit and number:
             raise InvalidValueError(
                 f"{word.text!r} has no unit", f"write one of {names}, as in {word.text}KiB", word, "no-unit"
             )
-        if unit and unit not in SIZES:
+        if unit and unit not in BYTES_PER_UNIT:
             near = {
                 "K": "KiB",
                 "KB": "kB",
@@ -194,7 +202,7 @@
             fix = f"write {number:g}{near}" if near else f"use one of {names}, as in 64KiB"
             what = (
                 f"{unit!r} is a unit of time, not of size"
-                if unit in DURATIONS
+                if unit in MS_PER_UNIT
                 else f"{unit!r} is no unit known here"
             )
             raise InvalidValueError(what, fix, word, "bad-unit")
@@ -202,15 +210,15 @@
             raise InvalidValueError(
                 f"{word.text!r} is under 0", "write a size of 0 or more", word, "out-of-range"
             )
-        value = number * (SIZES[unit] if unit else 1)
+        value = number * (BYTES_PER_UNIT[unit] if unit else 1)
         if value > 2**60:
             raise InvalidValueError(
                 f"{word.text!r} is larger than any store", "write a smaller size", word, "out-of-range"
             )
         return int(value)
 
-    def doubt(self, value: int) -> str:
-        low, high = self.likely
+    def warning(self, value: int) -> str:
+        low, high = self.usual_range
         if value and not low <= value <= high:
             size = "large" if value > high else "small"
             return f"{self.show(value)} is unusually {size} here (usually {self.show(int(low))} to {self.show(int(high))})"
@@ -220,23 +228,26 @@
         if not value:
             return "0"
         units = ("GiB", "MiB", "KiB", "GB", "MB", "kB", "B")
-        return min((f"{value // SIZES[unit]}{unit}" for unit in units if value % SIZES[unit] == 0), key=len)
+        return min(
+            (f"{value // BYTES_PER_UNIT[unit]}{unit}" for unit in units if value % BYTES_PER_UNIT[unit] == 0),
+            key=len,
+        )
 
 
 @dataclass(frozen=True)
 class Rate(Type):
     """Units a second."""
 
-    words: str = "rate"
+    label: str = "rate"
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> float:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> float:
         if len(items) == 1:
-            return float(self.one(items[0], bare))
-        return float(super().read(items, bare))
+            return float(self.read_item(items[0], units_optional))
+        return float(super().read(items, units_optional))
 
-    def one(self, item: Item, bare: bool) -> float:
+    def read_item(self, item: Item, units_optional: bool) -> float:
         text = "".join(word.text for word in item)
-        number, unit = _parted(text, item[0], "8 units/s")
+        number, unit = _split_unit(text, item[0], "8 units/s")
         if number < 0:
             raise InvalidValueError(
                 f"{text!r} is not a number from 0 to 1e+12",
@@ -244,7 +255,7 @@
                 item[0],
                 "out-of-range",
             )
-        if unit not in ("units/s", "unit/s") and not (bare and not unit) and (unit or number):
+        if unit not in ("units/s", "unit/s") and not (units_optional and not unit) and (unit or number):
             what = f"{text!r} has no unit" if not unit else f"{unit!r} is no rate"
             raise InvalidValueError(
                 what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit"
@@ -259,17 +270,21 @@
 class Share(Type):
     """A part of a whole, 0 to 1; written in percent."""
 
-    words: str = "share"
+    label: str = "share"
 
-    def text(self, word: Word) -> float:
+    def read_word(self, word: Word) -> float:
         return self._value(word, False)
 
-    def one(self, item: Item, bare: bool) -> float:
-        return self._value(item[0], bare) if len(item) == 1 else float(super().one(item, bare))
+    def read_item(self, item: Item, units_optional: bool) -> float:
+        return (
+            self._value(item[0], units_optional)
+            if len(item) == 1
+            else float(super().read_item(item, units_optional))
+        )
 
-    def _value(self, word: Word, bare: bool) -> float:
-        number, unit = _parted(word.text, word, "15%")
-        if unit != "%" and not (bare and not unit) and (unit or number):
+    def _value(self, word: Word, units_optional: bool) -> float:
+        number, unit = _split_unit(word.text, word, "15%")
+        if unit != "%" and not (units_optional and not unit) and (unit or number):
             raise InvalidValueError(
                 f"{word.text!r} is no share", f"write it in percent, as in {number * 100:g}%", word, "no-unit"
             )
@@ -291,11 +306,11 @@
 class Number(Type):
     """A plain number within bounds."""
 
-    words: str = "number"
+    label: str = "number"
     low: float = 0.0
     high: float = 1e12
 
-    def text(self, word: Word) -> float:
+    def read_word(self, word: Word) -> float:
         try:
             value = float(word.text)
         except ValueError:
@@ -318,11 +333,11 @@
 class Count(Type):
     """A whole number within bounds."""
 
-    words: str = "count"
+    label: str = "count"
     low: int = 0
     high: int = 2**31
 
-    def text(self, word: Word) -> int:
+    def read_word(self, word: Word) -> int:
         if not re.fullmatch(r"-?[0-9]{1,12}", word.text) or not self.low <= int(word.text) <= self.high:
             text = f"{word.text!r} is not a whole number from {self.low} to {self.high}"
             raise InvalidValueError(text, "write a whole number, with no unit", word, "out-of-range")
@@ -336,13 +351,13 @@
 class OneOf(Type):
     """One of a few words."""
 
-    words: str = "word"
+    label: str = "word"
     allowed: tuple[str, ...] = ()
 
-    def text(self, word: Word) -> str:
+    def read_word(self, word: Word) -> str:
         if word.text not in self.allowed:
             text = f"{word.text!r} is none of {', '.join(self.allowed)}"
-            raise InvalidValueError(text, nearest(word.text, self.allowed), word, "unknown-word")
+            raise InvalidValueError(text, suggest(word.text, self.allowed), word, "unknown-word")
         return word.text
 
 
@@ -350,9 +365,9 @@
 class Flag(Type):
     """yes or no."""
 
-    words: str = "yes or no"
+    label: str = "yes or no"
 
-    def text(self, word: Word) -> bool:
+    def read_word(self, word: Word) -> bool:
         if word.text not in ("yes", "no"):
             meant = {"true": "yes", "on": "yes", "1": "yes", "false": "no", "off": "no", "0": "no"}.get(
                 word.text.lower()
@@ -369,15 +384,15 @@
 class Many(Type):
     """Several words of a kind, set apart by commas; their order means nothing."""
 
-    words: str = "words"
+    label: str = "words"
     of: Type = Type()
-    several: bool = True
+    is_list: bool = True
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> tuple[Any, ...]:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> tuple[Any, ...]:
         found: list[Any] = []
         for item in items:
             for word in item:
-                value = self.of.text(word)
+                value = self.of.read_word(word)
                 if value in found:
                     raise InvalidValueError(f"{word.text!r} is given twice", "keep one", word, "twice")
                 found.append(value)
@@ -391,10 +406,10 @@
 class Shards(Type):
     """Shards such as ``0-3, 7``."""
 
-    words: str = "shards"
-    several: bool = True
+    label: str = "shards"
+    is_list: bool = True
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> tuple[int, ...]:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> tuple[int, ...]:
         found: list[int] = []
         for word in (word for item in items for word in item):
             ends = re.fullmatch(r"(\d{1,6})(?:-(\d{1,6}))?", word.text)
@@ -429,9 +444,9 @@
 class Address(Type):
     """HOST:PORT."""
 
-    words: str = "address"
+    label: str = "address"
 
-    def text(self, word: Word) -> Listen:
+    def read_word(self, word: Word) -> Listen:
         host, colon, port = word.text.rpartition(":")
         if not colon or not host or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65535:
             raise InvalidValueError(
@@ -447,9 +462,9 @@
 class Url(Type):
     """``http://HOST:PORT/PATH``."""
 
-    words: str = "URL"
+    label: str = "URL"
 
-    def text(self, word: Word) -> tuple[str, int, str]:
+    def read_word(self, word: Word) -> tuple[str, int, str]:
         found = re.fullmatch(r"http://([^/:\s]+):([0-9]{1,5})(/\S*)?", word.text)
         if not found or int(found[2]) > 65535:
             text = f"{word.text!r} is not an address like http://127.0.0.1:7000/nodes"
@@ -464,9 +479,9 @@
 class Pattern(Type):
     """A volume's name, or the beginning of one and ``*``."""
 
-    words: str = "pattern"
+    label: str = "pattern"
 
-    def text(self, word: Word) -> str:
+    def read_word(self, word: Word) -> str:
         if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\*?|\*", word.text):
             star = "*" in word.text[:-1]
             text = f"{word.text!r} is no volume's name or beginning"
@@ -483,9 +498,9 @@
 class Header(Type):
     """``NAME: VALUE``."""
 
-    words: str = "header"
+    label: str = "header"
 
-    def one(self, item: Item, bare: bool) -> tuple[str, str]:
+    def read_item(self, item: Item, units_optional: bool) -> tuple[str, str]:
         text = " ".join(word.text for word in item)
         name, colon, value = text.partition(":")
         if not colon or not re.fullmatch(r"[A-Za-z0-9-]+", name) or not value.strip():
@@ -502,17 +517,17 @@
 class Sizes(Type):
     """A range of sizes: ``over 1MiB``, ``up to 64KiB``, ``1MiB to 64MiB``; first counted out, last in."""
 
-    words: str = "sizes"
+    label: str = "sizes"
 
-    def one(self, item: Item, bare: bool) -> tuple[int, int]:
+    def read_item(self, item: Item, units_optional: bool) -> tuple[int, int]:
         words = [word.text for word in item]
         size = Size()
         if len(item) == 2 and words[0] == "over":
-            return size.text(item[1]), 2**62
+            return size.read_word(item[1]), 2**62
         if len(item) == 3 and words[:2] == ["up", "to"]:
-            return -1, size.text(item[2])
+            return -1, size.read_word(item[2])
         if len(item) == 3 and words[1] == "to":
-            low, high = size.text(item[0]), size.text(item[2])
+            low, high = size.read_word(item[0]), size.read_word(item[2])
             if low >= high:
                 raise InvalidValueError(
                     f"{' '.join(words)!r} holds no size",
--- a/winchdyke/config/units.py
+++ b/winchdyke/config/units.py
@@ -11,7 +11,7 @@
 
 def _value(kind: Type, text: str) -> float:
     try:
-        return float(kind.text(Word(text.strip(), False, _NOWHERE)))
+        return float(kind.read_word(Word(text.strip(), False, _NOWHERE)))
     except InvalidValueError as wrong:
         raise ValueError(f"{wrong}; {wrong.fix}") from wrong
 
