--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -140,11 +140,11 @@
     assert "no volume uses it" in warned("plan basic {", "plan idle {\n}\nplan basic {")
     assert "'other' is never used" in warned("let aim", "let other = 1\nlet aim")
     shadow = "route later {\n    volume = school-*\n    key = archive/x\n    class = import\n    priority = -1\n}\n"
-    assert "route 'archive' takes all its requests first" in warned(
+    assert "route 'archive' matches all its requests first" in warned(
         "route archive {", shadow + "route archive {"
     )
     twin = 'route twin {\n    volume = school-*\n    key = "archive/"\n    class = import\n}\n'
-    assert "the two ask for the same" in warned("route archive {", twin + "route archive {")
+    assert "both match the same requests" in warned("route archive {", twin + "route archive {")
 
 
 def files(folder, **texts: str):
@@ -190,8 +190,8 @@
     [
         ('include "none-*.conf"\n', "matches no file"),
         ('include "missing.conf"\n', "can't be read: No such file"),
-        ('include "out.conf"\n', "lies outside of"),
-        ('include "../main.conf"\n', "outside of|can't be read"),
+        ('include "out.conf"\n', "is outside"),
+        ('include "../main.conf"\n', "is outside|can't be read"),
     ],
 )
 def test_includes_that_lead_nowhere(tmp_path, main_text, said):
@@ -208,14 +208,14 @@
         (b"pool a {\n  x = \xff\n}\n", "main.conf:2:7: error[not-utf8]"),
         ("pool a {}".encode("utf-16"), "is UTF-16"),
         (b"pool a {\n\x00\n}\n", "main.conf:2:1: error[control]"),
-        (b"", "no listener is set up"),
-        (b"# nothing\n", "no listener is set up"),
+        (b"", "no listener is defined"),
+        (b"# nothing\n", "no listener is defined"),
         (b'key = "open', "never closed"),
         (b"pool a {", "text ends before this block is closed"),
         (b"{" * 10_000, "10000 deep"),
         (b"a {\n" * 10_000, "10000 deep"),
         (b"a {\n" * 30 + b"}\n" * 30, "too deep"),
-        (b'include "main.conf"\n', "includes go round: main.conf -> main.conf"),
+        (b'include "main.conf"\n', "includes form a loop: main.conf -> main.conf"),
     ],
 )
 def test_files_that_are_no_settings(tmp_path, data, said):
@@ -438,13 +438,13 @@
         .replace("pool = main", "pool = first")
     )
     blocks = same.split("\n\n")
-    assert diffed(GOOD, "\n\n".join(reversed(blocks)), tmp_path) == (0, "the two mean the same\n")
+    assert diffed(GOOD, "\n\n".join(reversed(blocks)), tmp_path) == (0, "no difference in meaning\n")
     code, said = diffed(GOOD, GOOD.replace("limit = 240", "limit = 100"), tmp_path)
     assert code == 1
     assert "plan basic: limit 240 units/s -> 100 units/s" in said
-    assert "refused what is beyond it" in said
+    assert "requests of volumes beyond the new limit are refused" in said
     _, said = diffed(GOOD, GOOD.replace('key = "archive/"', "key = old/"), tmp_path)
-    assert "goes elsewhere: GET /school-x/" in said
+    assert "rerouted: GET /school-x/" in said
     assert "class fetch, plan school, shards 6-7" in said
     _, said = diffed(GOOD, GOOD.replace("effect = keyed\n    memory = 4s", "effect = idempotent"), tmp_path)
     assert "a rule is loosened" in said
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -93,9 +93,9 @@
         for change in changes:
             click.echo(change.text + (f"\n    risk: {change.risk}" if change.risk else ""))
         for each in moved:
-            click.echo(f"goes elsewhere: {each}")
+            click.echo(f"rerouted: {each}")
         if not changes:
-            click.echo("the two mean the same")
+            click.echo("no difference in meaning")
     raise SystemExit(1 if changes else 0)
 
 
--- a/winchdyke/config/__init__.py
+++ b/winchdyke/config/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: their language, their check, and the typed model that all else reads."""
+"""Settings: the configuration language, its checker, and the typed model that the program reads."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def load_all(path: Path) -> Loaded:
-    """The settings in a file, in the language or in INI, with where each value came from. ConfigError has every mistake."""
+    """Load a settings file, in the configuration language or in INI, with the origin of each value.
+
+    Raises ConfigError with every mistake found.
+    """
     try:
         text = read(path)
     except UnreadableFileError as error:
@@ -25,15 +28,15 @@
 
 
 def load(path: Path) -> Config:
-    """The settings in a file."""
+    """Load a settings file. Raises ConfigError with every mistake found."""
     return load_all(path).config
 
 
 def parse(text: str, file: str = "settings") -> Config:
-    """The settings in a text, in the language or in INI."""
+    """Parse settings from text, in the language or in INI. Raises ConfigError with every mistake found."""
     return (ini.load_text(text, file) if ini.is_ini(text) else loading.load_text(text, file)).config
 
 
 def defaults() -> str:
-    """The embedded settings that ``winchdyke dev`` starts from."""
+    """Return the text of the embedded settings, which ``winchdyke dev`` uses."""
     return resources.files("winchdyke.config").joinpath("defaults.conf").read_text(encoding="utf-8")
--- a/winchdyke/config/crosscheck.py
+++ b/winchdyke/config/crosscheck.py
@@ -1,4 +1,4 @@
-"""What only shows between values: references, limits against plans, routes that never match, classes that can't work."""
+"""Checks across values: references, limits of plans, unreachable routes, contradictions within classes."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:
     from winchdyke.config.loading import Builder
 
-MAX_ROUTES_COMPARED = 4000  # routes up to which each is compared with those that come before it
+MAX_ROUTES_COMPARED = 4000  # with more, a route is compared with fewer of the routes that precede it
 
 
 def check(builder: Builder) -> None:
-    """Check all; findings go to the builder."""
+    """Run all checks; findings are added to the builder."""
     by_kind: dict[str, dict[str, dict[str, Any]]] = {kind: {} for kind in BLOCKS}
     for (kind, name), keys in builder.values.items():
         by_kind[kind][name] = keys
@@ -46,7 +46,7 @@
         for name in by_kind[kind]:
             if name not in used[kind] and (kind, name) in builder.blocks:
                 builder.report_value(kind, name, "", "unused", f"no {'volume' if kind == 'plan' else 'volume or route'} uses it",
-                            "use it, or take it away", WARNING)  # fmt: skip
+                            "use it, or remove it", WARNING)  # fmt: skip
     for name, keys in by_kind["class"].items():
         if (
             "operations" in keys
@@ -59,7 +59,7 @@
                 name,
                 "",
                 "unused",
-                "no operation and no route leads to it",
+                "no operation and no route selects it",
                 "add operations",
                 WARNING,
             )
@@ -69,7 +69,7 @@
     gateway = by_kind["gateway"].get("", {})
     count = gateway.get("gateways", 1)
     if gateway.get("index", 0) >= count:
-        text = f"counts from 0 and must be under gateways = {count}"
+        text = f"counts from 0 and must be less than gateways = {count}"
         builder.report_value("gateway", "", "index", "out-of-range", text, f"write 0 to {count - 1}")
     seen: dict[Any, str] = {}
     for name, keys in by_kind["listener"].items():
@@ -77,7 +77,7 @@
         if address is None or not address.port:
             continue
         if address in seen:
-            text = f"listener {seen[address]!r} has the address {address.host}:{address.port} too"
+            text = f"listener {seen[address]!r} has the same address, {address.host}:{address.port}"
             builder.report_value("listener", name, "address", "same-address", text, "choose another port")
         seen.setdefault(address, name)
 
@@ -85,24 +85,24 @@
 def _check_fleet(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
     fleet = by_kind["fleet"].get("", {})
     if not {"listen", "keys", "timeout", "interval", "advertise"} <= fleet.keys():
-        return  # told already
+        return  # a required value is missing or invalid, which is reported already
     if fleet["listen"] is None:
         if ("fleet", "") in builder.blocks or by_kind["peer"]:
-            text = "there is a fleet or a peer, and no address to listen at: it is off"
+            text = "there is a fleet or peer block but no address to listen on: membership is off"
             builder.report_value("fleet", "", "listen", "off", text, "add listen = HOST:PORT", WARNING)
         return
     if not fleet["keys"]:
-        text = "is missing: what other gateways send is believed by its seal alone"
+        text = "is missing: messages between gateways are authenticated with these keys"
         builder.report_value(
             "fleet", "", "keys", "no-keys", text, "add keys = FILE; `winchdyke keys new` makes one"
         )
     if fleet["timeout"] * 2 > fleet["interval"]:
-        text = "leaves less than half of the interval to those who probe in its place"
+        text = "leaves less than half of the interval for indirect probes"
         builder.report_value(
             "fleet", "", "timeout", "timeout-too-long", text, "write half of the interval, or less"
         )
     if not fleet["advertise"] and fleet["listen"].host in ("0.0.0.0", "::", ""):
-        text = f"is missing, and others can't reach {fleet['listen'].host}"
+        text = f"is missing, and other gateways can't connect to {fleet['listen'].host}"
         builder.report_value("fleet", "", "advertise", "no-address", text, "add advertise = HOST:PORT")
 
 
@@ -115,21 +115,28 @@
             meant = f"; was {show(aim / 1000)} meant?" if aim / 1000 >= 1 else ""
             text = f"is longer than the deadline {show(deadline)}{meant}"
             builder.report_value(
-                "class", name, "aim", "aim-past-deadline", text, "an aim comes before its deadline"
+                "class", name, "aim", "aim-past-deadline", text, "set the aim before its deadline"
             )
         if keys.get("effect") == "keyed" and memory is not None and deadline is not None:
             if not memory:
-                text = "a keyed class states how long stores drop its repeats"
+                text = "a keyed class must state how long stores drop its repeats"
                 builder.report_value(
-                    "class", name, "memory", "no-memory", text, "write memory = 4s, as the stores have it"
+                    "class",
+                    name,
+                    "memory",
+                    "no-memory",
+                    text,
+                    "write memory = 4s, or what the stores are set to",
                 )
             elif memory < deadline:
                 text = f"stores forget its keys after {show(memory)}, before its deadline {show(deadline)}"
-                fix = "a repeat late in a request's time is failed, not sent; raise the memory or lower the deadline"
+                fix = (
+                    "a retry after that time fails without being sent; raise the memory or lower the deadline"
+                )
                 builder.report_value("class", name, "memory", "short-memory", text, fix, WARNING)
         for operation in keys.get("operations") or ():
             if operation in owner and not builder.ini:
-                text = f"{operation} falls into class {owner[operation]!r} already"
+                text = f"{operation} already belongs to class {owner[operation]!r}"
                 builder.report_value(
                     "class", name, "operations", "ambiguous", text, f"write also = {operation} in one of them"
                 )
@@ -137,7 +144,7 @@
 
 
 def _check_aims(builder: Builder, by_kind: dict[str, dict[str, dict[str, Any]]]) -> None:
-    """Times that are legal and a thousand times what stores need."""
+    """Warn of an aim over a thousand times the response time of the slowest store: probably a wrong unit."""
     slowest = max((keys.get("answers_in") or 0.0 for keys in by_kind["store"].values()), default=0.0)
     show = Duration().show
     for name, keys in by_kind["class"].items() if slowest else ():
@@ -154,12 +161,12 @@
     for name, keys in by_kind["plan"].items():
         limit, reserve, burst = keys.get("limit"), keys.get("reserve"), keys.get("limit_burst")
         if limit and burst is not None and burst < largest:
-            text = f"is under largest_units = {largest:g}, so those never fit"
+            text = f"is less than largest_units = {largest:g}, so requests of that size are never admitted"
             builder.report_value(
                 "plan", name, "limit_burst", "burst-too-small", text, f"write {largest:g} or more"
             )
         if limit and reserve and limit < reserve:
-            text = f"is under the reserve of {reserve:g} units/s, which can then never be used"
+            text = f"is less than the reserve of {reserve:g} units/s, which can then never be used up"
             builder.report_value(
                 "plan", name, "limit", "limit-under-reserve", text, "raise the limit or lower the reserve"
             )
@@ -172,7 +179,9 @@
         plan = by_kind["plan"].get(keys.get("plan") or "", {})
         promised += plan.get("reserve") or 0.0
         if promised > capacity and plan.get("reserve"):
-            text = f"reserves come to {promised:g} units/s here, and all stores can do {capacity:g}"
+            text = (
+                f"reserves up to here add up to {promised:g} units/s, but all stores can serve {capacity:g}"
+            )
             builder.report_value(
                 "volume", name, "plan", "reserves-too-large", text, "lower reserves, or add stores"
             )
@@ -183,7 +192,7 @@
     count = by_kind["gateway"].get("", {}).get("gateways", 1)
     for name, keys in by_kind["volume"].items():
         if keys.get("gateways", 1) > count:
-            text = f"is more than the {count} gateways there are"
+            text = f"is more than the {count} gateways of the deployment"
             builder.report_value("volume", name, "gateways", "out-of-range", text, f"write {count} or less")
         pool, shards = keys.get("pool"), keys.get("shards")
         read = {"pool", "shards"} <= keys.keys()
@@ -214,10 +223,10 @@
             text = "gives neither a class nor a pool"
             builder.report_value("route", name, "", "does-nothing", text, "add class = NAME or pool = NAME")
         if keys.get("pool") and (pattern.methods or pattern.header or pattern.size):
-            text = "a route that chooses a pool matches on volume and key alone"
-            fix = "what one method writes another would not find; take method, header and size away, or the pool"
+            text = "a route with a pool may match on volume and key only"
+            fix = "other requests would not find an object on these shards; remove method, header and size, or the pool"
             builder.report_value("route", name, "pool", "pool-by-method", text, fix)
-        # Only a route whose volume pattern is the same or a beginning of this one's can cover it.
+        # Only a route whose volume pattern equals this one's, or is a prefix of it, can cover it.
         volume = pattern.volume.rstrip("*")
         for end in range(len(volume) + 1) if len(patterns) <= MAX_ROUTES_COMPARED else (len(volume),):
             places = [volume[:end] + "*"] + ([pattern.volume] if end == len(volume) else [])
@@ -232,11 +241,11 @@
             )
             if before is not None:
                 same = before.covers(pattern) and pattern.covers(before)
-                text = f"can never match: route {before.name!r} takes all its requests first"
+                text = f"can never match: route {before.name!r} matches all its requests first"
                 fix = (
-                    "the two ask for the same; keep one"
+                    "both match the same requests; keep one"
                     if same
-                    else f"lower the priority of {before.name!r}, or take one away"
+                    else f"lower the priority of {before.name!r}, or remove one"
                 )
                 builder.report_value("route", name, "", "shadowed", text, fix, WARNING)
                 break
--- a/winchdyke/config/diagnostics.py
+++ b/winchdyke/config/diagnostics.py
@@ -1,4 +1,4 @@
-"""What a checker says: where, what is wrong, what to do. Text with a caret, JSON, and SARIF for editors and CI."""
+"""Diagnostics: place, problem and fix, formatted as text with a caret, as JSON, or as SARIF."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Source:
-    """A text that was read, and the includes that led to it: (file, line) from the first file on."""
+    """A text that was read, with its chain of includes: (file, line) from the first file on."""
 
     file: str
     text: str
     chain: tuple[tuple[str, int], ...] = ()
 
     def line(self, number: int) -> str:
-        """A line of it, counted from 1; empty where there is none."""
+        """Return a line by its number, from 1; an empty string if the text has no such line."""
         lines = self.text.split("\n")
         return lines[number - 1] if 0 < number <= len(lines) else ""
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A place in a text: line and columns count from 1, ``end`` is the column after the last."""
+    """A range within one line. Lines and columns count from 1; ``end`` is the column after the last."""
 
     source: Source = field(repr=False)
     line: int
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Diagnostic:
-    """One finding. ``related`` are other places that belong to it, each with a few words."""
+    """One finding about a block or key (``where``). ``related``: other places, each with a short label."""
 
     code: str
     where: str
@@ -50,7 +50,7 @@
 
     @property
     def line(self) -> int:
-        """The line it points to."""
+        """The line that the finding points to."""
         return self.span.line
 
     def __str__(self) -> str:
@@ -60,7 +60,7 @@
         return f"{self.span}: {mark}{where}{self.text}{fix}"
 
     def render(self) -> str:
-        """For people: the line with a caret, the chain of includes, what to do."""
+        """Format for a terminal: source line with a caret, chain of includes, related places and fix."""
         span = self.span
         where = f"{self.where}: " if self.where else ""
         lines = [f"{span}: {self.severity}[{self.code}]: {where}{self.text}"]
@@ -79,7 +79,7 @@
         return "\n".join(lines)
 
     def to_dict(self) -> dict[str, Any]:
-        """As plain values, for JSON."""
+        """Return the finding as plain values for JSON."""
         return {
             "severity": self.severity, "code": self.code, "file": self.span.source.file, "line": self.span.line,
             "column": self.span.column, "end_column": self.span.end, "where": self.where, "message": self.text,
@@ -89,7 +89,7 @@
 
 
 class ConfigError(Exception):
-    """Settings that can't be used; ``problems`` holds every mistake found, in order of place."""
+    """Invalid settings; ``problems`` holds every mistake found, sorted by file, line and column."""
 
     def __init__(self, problems: Iterable[Diagnostic]) -> None:
         self.problems = sorted(
@@ -99,7 +99,7 @@
 
 
 def sarif(found: Sequence[Diagnostic]) -> dict[str, Any]:
-    """A SARIF 2.1.0 log."""
+    """Return findings as a SARIF 2.1.0 log."""
     rules = sorted({problem.code for problem in found})
     results = [
         {
--- a/winchdyke/config/fmt.py
+++ b/winchdyke/config/fmt.py
@@ -1,4 +1,4 @@
-"""The formatter: one spelling for every file, with its comments and its groups of lines. Never changes meaning."""
+"""The formatter: normalizes white space and line breaks. Meaning, comments and groups of lines stay."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 
 
 class _Writer:
-    """Lines as they are made."""
+    """Collects output lines; ``line`` and ``comments`` belong to the line in progress."""
 
     def __init__(self) -> None:
         self.lines: list[str] = []
         self.depth = 0
         self.line: list[str] = []
         self.comments: list[str] = []
-        self.wants_blank_line = False  # an empty line is wanted before the next one
+        self.wants_blank_line = False  # whether an empty line precedes the next one
 
     def end_line(self) -> None:
-        """End the line that is being written."""
+        """Append the line in progress with its comments, if there is one."""
         if not self.line and not self.comments:
             return
         text = "".join(_spaced(self.line))
@@ -31,7 +31,7 @@
         self.line, self.comments = [], []
 
     def add_line(self, text: str) -> None:
-        """A whole line."""
+        """Append a complete line, indented; drops an empty line at the start of a block and at its end."""
         opened = not self.lines or self.lines[-1].split("#")[0].rstrip().endswith("{")
         if self.wants_blank_line and not opened and not text.startswith("}"):
             self.lines.append("")
@@ -47,7 +47,7 @@
 
 
 def fmt(text: str) -> str:
-    """A text that parses, in the one spelling."""
+    """Format a text that has no syntax errors."""
     out = _Writer()
     newlines, at_line_start = 1, True  # newlines since the last token; no token on this source line yet
     for found in _TOKEN.finditer(text):
@@ -64,7 +64,7 @@
             comment_text = token.rstrip()
             if out.line:
                 out.comments.append(comment_text)
-            elif not at_line_start and out.lines:  # behind a brace on its line
+            elif not at_line_start and out.lines:  # after a brace on the same line
                 out.lines[-1] += "  " + comment_text
             else:
                 out.add_line(comment_text)
@@ -77,7 +77,9 @@
             out.depth = max(0, out.depth - 1)
             out.add_line("}")
         elif token == ";":
-            if not (out.line and out.line[-1] == ","):  # behind a comma a value goes on, as over a line end
+            if not (
+                out.line and out.line[-1] == ","
+            ):  # after a comma the value continues, as it does after a line end
                 out.end_line()
         else:
             out.line.append(token)
--- a/winchdyke/config/ini.py
+++ b/winchdyke/config/ini.py
@@ -1,4 +1,4 @@
-"""Settings as INI: the older form. Read into the statements that the language has, and checked by the same table."""
+"""Settings in INI, the older format: sections become blocks, which are checked by the same schema."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def is_ini(text: str) -> bool:
-    """Whether a text is INI: its first line that says something is a section."""
+    """Return whether a text is INI: its first line other than comments is a section header."""
     first = next(
         (
             line.strip()
@@ -27,7 +27,7 @@
 
 
 def _find_spans(source: Source) -> dict[tuple[str, str], Span]:
-    """The place of each section (with an empty key) and of each of its keys."""
+    """Return the span of each section header (under an empty key) and of each key."""
     found: dict[tuple[str, str], Span] = {}
     section = ""
     for number, line in enumerate(source.text.split("\n"), 1):
@@ -57,7 +57,7 @@
 
 
 def load_text(text: str, file: str = "settings") -> Loaded:
-    """Settings in INI. ConfigError with every mistake."""
+    """Load settings from INI text. Raises ConfigError with every mistake found."""
     source = Source(file, text)
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#",), delimiters=("=",))
     try:
@@ -81,7 +81,7 @@
             spans.setdefault((into_kind, into_name), span)
             items = _items(into_kind, into_key, value.strip(), span)
             if (kind, key) == ("class", "operations"):
-                # The first class that names an operation has it; later ones take it when asked.
+                # An operation belongs by default to the first class that lists it, to later ones on request.
                 words = [word for item in items for word in item]
                 own = tuple((word,) for word in words if word.text not in claimed)
                 also = tuple((word,) for word in words if word.text in claimed)
--- a/winchdyke/config/loading.py
+++ b/winchdyke/config/loading.py
@@ -1,7 +1,8 @@
-"""From statements to the typed model: names, references, templates, defaults, types, cross-checks. All errors at once.
+"""Builds the typed model from statements: names, references, templates, defaults, types and cross-checks.
 
-Everything is read into ``Values``, a flat table of (kind, name) -> key -> value; ``assemble`` makes the model of it.
-The flat table is also what the diff compares and what is written back out.
+All errors are collected before any is raised. Every block is read into ``Values``, a flat table of (kind,
+name) -> key -> value, from which ``assemble`` builds the model. The semantic diff and the serializer work on
+the same table.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from winchdyke.config.syntax import Block, Directive, Item, Setting, Statement, Word
 from winchdyke.config.types import InvalidValueError, suggest
 
-BlockId = tuple[str, str]  # kind and name of a block; the name is empty where the kind has none
+BlockId = tuple[str, str]  # kind and name of a block; the name is empty if the kind is unnamed
 Values = dict[BlockId, dict[str, Any]]
 UNSET = None
 _NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}")
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Origin:
-    """Where a value came from: its place (None: built in) and by what way."""
+    """The origin of a value: its place (None: built-in default), and the template or defaults block."""
 
     span: Span | None
     via: str = ""
@@ -39,7 +40,7 @@
 
 @dataclass
 class Loaded:
-    """Settings that can be used, with where each value came from and what is doubtful about them."""
+    """Valid settings, with the origin of each value and the warnings."""
 
     config: model.Config
     values: Values
@@ -49,7 +50,10 @@
 
 
 class Builder:
-    """Statements on their way to values. ``ini`` says that they come from INI, where units of rates may be left out."""
+    """Reads statements into values and collects findings.
+
+    ``ini``: the statements are INI; rates and shares need no unit.
+    """
 
     def __init__(self, ini: bool = False, environ: Mapping[str, str] | None = None) -> None:
         self.ini = ini
@@ -64,10 +68,10 @@
         self.used_names: set[str] = set()
         self.start = Span(Source("settings", ""), 1)
 
-    # What is said.
+    # Findings.
 
     def title(self, kind: str, name: str) -> str:
-        """A block as its own form calls it."""
+        """Return a block's title in the syntax of its file: ``[KIND NAME]`` or ``KIND NAME``."""
         return f"[{kind} {name}]".replace(" ]", "]") if self.ini else f"{kind} {name}".strip()
 
     def report(
@@ -80,13 +84,13 @@
         *related: tuple[str, Span],
         severity: str = ERROR,
     ) -> None:
-        """Note a finding."""
+        """Add a finding."""
         self.problems.append(Diagnostic(code, where, text, fix, span, severity, related))
 
     def report_value(
         self, kind: str, name: str, key: str, code: str, text: str, fix: str, severity: str = ERROR
     ) -> None:
-        """Note a finding about a value, at the place it came from."""
+        """Add a finding about a value, or about a block if ``key`` is empty, at the place it came from."""
         origin = self.origins.get((kind, name, key))
         block = self.blocks.get((kind, name))
         span = origin.span if origin and origin.span else block.span if block else self.start
@@ -97,7 +101,7 @@
     # Statements.
 
     def add_statements(self, statements: list[Statement] | tuple[Statement, ...]) -> None:
-        """Sort statements by what they are."""
+        """Record the blocks and named values of a file."""
         if statements:
             self.start = Span(statements[0].span.source, 1)
         for statement in statements:
@@ -133,7 +137,7 @@
             self.report(
                 "unknown",
                 "",
-                f"{first!r} is no word that begins a line here",
+                f"no statement begins with {first!r}",
                 suggest(first, kinds),
                 words[0].span,
             )
@@ -170,7 +174,7 @@
             if len(rest) != 1 or rest[0].text not in BLOCKS:
                 given = rest[0] if rest else kind
                 fix = suggest(given.text, BLOCKS) if rest else "write defaults class {"
-                self.report("bad-block", "", "defaults are for a kind of block", fix, given.span)
+                self.report("bad-block", "", "defaults must name a kind of block", fix, given.span)
             elif not self._is_duplicate(self.defaults, rest[0].text, block, "defaults"):
                 self.defaults[rest[0].text] = block
             return
@@ -179,7 +183,7 @@
     def _add_block(self, block: Block, kind: Word, rest: list[Word]) -> None:
         known = BLOCKS.get(kind.text)
         if known is None:
-            what = "no section of this name" if self.ini else f"{kind.text!r} is no kind of block"
+            what = "unknown section" if self.ini else f"{kind.text!r} is not a kind of block"
             where = self.title(kind.text, " ".join(word.text for word in rest)) if self.ini else ""
             names = BLOCKS if self.ini else [*BLOCKS, "template", "defaults"]
             self.report("unknown-block", where, what, suggest(kind.text, names), kind.span)
@@ -191,7 +195,7 @@
                 self.report(
                     "bad-block",
                     "",
-                    "from is followed by one template",
+                    "from must be followed by one template",
                     f"write {kind.text} NAME from TEMPLATE {{",
                     kind.span,
                 )
@@ -230,18 +234,18 @@
         odd = next((sign for sign in text if ord(sign) > 127), "")
         if odd:
             shown = f"{odd!r} (U+{ord(odd):04X}, {unicodedata.name(odd, 'unnamed')})"
-            fix = "write names in a-z, A-Z, 0-9, dots, dashes and underscores; other letters may look alike and are not"
-            self.report("look-alike", "", f"the name {text!r} has the letter {shown}", fix, word.span)
+            fix = "use only a-z, A-Z, 0-9, dots, dashes and underscores; other letters may look alike but differ"
+            self.report("look-alike", "", f"the name {text!r} contains the letter {shown}", fix, word.span)
             return False
         if not _NAME.fullmatch(text):
-            fix = "letters, digits, dots, dashes and underscores, 64 at most, a letter or digit first"
-            self.report("bad-name", "", f"{text!r} is no name", fix, word.span)
+            fix = "use up to 64 letters, digits, dots, dashes and underscores; begin with a letter or digit"
+            self.report("bad-name", "", f"{text!r} is not a valid name", fix, word.span)
             return False
         if text in schema.RESERVED_WORDS or (text in BLOCKS and not self.ini):
             self.report(
                 "keyword",
                 "",
-                f"{text!r} is a word of the language",
+                f"{text!r} is a reserved word",
                 f"choose another name for the {what}",
                 word.span,
             )
@@ -263,12 +267,12 @@
                 and not any(there == kind for there, _ in self.blocks)
             ):
                 form = f"[{kind} NAME]" if self.ini else f"{kind} NAME {{ ... }}"
-                text = f"no {kind} is set up; at least one is needed"
+                text = f"no {kind} is defined; at least one is required"
                 self.report("missing-block", form if self.ini else kind, text, f"add {form}", self.start)
         for what, table in (("named value", self.named_values), ("template", self.templates)):
             for name, statement in table.items():
                 if name not in self.used_names:
-                    text, fix = f"the {what} {name!r} is never used", "use it, or take it away"
+                    text, fix = f"the {what} {name!r} is never used", "use it, or remove it"
                     self.report("unused", "", text, fix, statement.span, severity=WARNING)
 
     def _read_block(self, where: BlockId) -> None:
@@ -297,7 +301,7 @@
             layers.append((self._block_settings(self.defaults[kind], keys, where), f"defaults {kind}"))
         values = self.values[where] = {}
         for one, other in schema.EXCLUSIVE_KEYS.get(kind, ()):
-            # The nearer layer's word counts: shards of a volume's own set aside a pool that it would inherit.
+            # The closer layer wins: a volume's own shards override a pool from its defaults.
             near = next((layer for layer, _ in layers if one in layer or other in layer), {})
             for there, gone in ((one, other), (other, one)):
                 if there in near and gone not in near:
@@ -343,11 +347,15 @@
             span = statement.span
             title = self.title(*where)
             if isinstance(statement, Directive) and statement.words[0].text == "include":
-                continue  # told where it was read
+                continue  # reported when the file was read
             if not isinstance(statement, Setting):
                 first = statement.words[0].text
                 inner = isinstance(statement, Block)
-                text = f"a block {first!r} stands inside a {where[0]}" if inner else f"{first!r} has no value"
+                text = (
+                    f"the block {first!r} is inside a {where[0]} block"
+                    if inner
+                    else f"{first!r} has no value"
+                )
                 fix = "close the block above first" if inner else f"write {first} = value"
                 self.report("bad-line", title, text, fix, span)
                 continue
@@ -357,13 +365,13 @@
                 fix = (
                     f"write {key} = {' '.join(word.text for word in words[1:])} ..."
                     if key in keys
-                    else "one word before ="
+                    else "write one word before ="
                 )
                 self.report(
-                    "bad-key", title, f"{' '.join(word.text for word in words)!r} is no key", fix, span
+                    "bad-key", title, f"{' '.join(word.text for word in words)!r} is not a key", fix, span
                 )
             elif key not in keys:
-                text = "no key of this name" if self.ini else f"{key!r} is no key of a {where[0]}"
+                text = "unknown key" if self.ini else f"{key!r} is not a key of a {where[0]}"
                 self.report(
                     "unknown-key", f"{title} {key}" if self.ini else title, text, suggest(key, keys), span
                 )
@@ -405,7 +413,7 @@
                 "doubtful",
                 at,
                 warning,
-                "write what is meant, if this is not",
+                "correct the value if it is not intended",
                 items[0][0].span,
                 severity=WARNING,
             )
@@ -413,7 +421,7 @@
     def _expand_references(
         self, items: tuple[Item, ...], through: tuple[str, ...], setting: Setting
     ) -> tuple[Item, ...]:
-        """Items with their references replaced."""
+        """Return items with references to named values and environment variables replaced by their values."""
         if self.ini or not any(
             word.text.startswith("$") and not word.quoted for item in items for word in item
         ):
@@ -434,7 +442,7 @@
                         "bad-reference",
                         "",
                         f"{word.text} has several values",
-                        "use it alone as a value",
+                        "write it as a value by itself",
                         word.span,
                     )
                 words += inner[0] if inner else ()
@@ -448,7 +456,7 @@
             value = self.environ.get(variable)
             if value is None and not bar:
                 fix = f"set it, or write $env:{variable}|VALUE for a default"
-                self.report("no-env", "", f"the environment has no {variable!r}", fix, word.span)
+                self.report("no-env", "", f"the environment variable {variable!r} is not set", fix, word.span)
                 return ()
             text = default if value is None else value
             return ((Word(text, True, word.span),),)
@@ -466,7 +474,7 @@
             self.report(
                 "let-loop",
                 "",
-                f"named values go round: {loop}",
+                f"named values form a loop: {loop}",
                 "give one of them a value of its own",
                 word.span,
             )
@@ -482,7 +490,10 @@
 
 
 def assemble(values: Values) -> model.Config:
-    """The typed model of a whole table of values. Order of blocks means nothing: they are sorted by name."""
+    """Build the typed model from a complete table of values.
+
+    Blocks are sorted by name; their order has no meaning.
+    """
 
     def named(kind: str) -> list[tuple[str, dict[str, Any]]]:
         return sorted((name, keys) for (there, name), keys in values.items() if there == kind)
@@ -571,7 +582,7 @@
 
 
 def check_and_assemble(builder: Builder, sources: list[Source]) -> Loaded:
-    """Check what was built as a whole, and make the model. ConfigError with every mistake."""
+    """Read all values, cross-check them and build the model. Raises ConfigError with every mistake found."""
     builder.build()
     crosscheck.check(builder)
     errors = [problem for problem in builder.problems if problem.severity == ERROR]
@@ -582,14 +593,17 @@
 
 
 def load_file(path: Path, environ: Mapping[str, str] | None = None, text: str | None = None) -> Loaded:
-    """Settings in the language, from a file and what it includes; ``text`` is the file's where it was read already."""
+    """Load settings in the language from a file and its includes.
+
+    ``text``: the file's content, if it was read before.
+    """
     files = SourceLoader()
     files.load(path, text)
     return _build(files, environ)
 
 
 def load_text(text: str, file: str = "settings", environ: Mapping[str, str] | None = None) -> Loaded:
-    """Settings in the language, from a text."""
+    """Load settings in the language from a text."""
     files = SourceLoader()
     files.load_text_source(text, file)
     return _build(files, environ)
@@ -602,6 +616,6 @@
     if files.sources:
         builder.start = Span(files.sources[0], 1)
     if any(problem.severity == ERROR for problem in files.problems):
-        # What could not be parsed would look missing: only what is certainly wrong is told beside it.
+        # Statements that could not be parsed would be reported as missing, so only the errors found so far are.
         raise ConfigError([problem for problem in builder.problems if problem.severity == ERROR])
     return check_and_assemble(builder, files.sources)
--- a/winchdyke/config/matching.py
+++ b/winchdyke/config/matching.py
@@ -1,8 +1,10 @@
-"""Routes compiled into a matcher whose cost does not grow with their number. Pure.
+"""Route matching: compiles routes into a matcher whose cost does not grow with their number.
 
-A pattern says what it wants of volume, key, method, header and size. Of those that match, the one of the highest rank
-counts: priority, then how much is said of volume, key, header, size and method, in this order, then the name. The order
-in which routes stand in files means nothing.
+Free of side effects.
+
+A pattern has conditions on volume, key, method, header and size. Of all patterns that match a request the one
+with the highest rank wins: by priority, then by how specific its volume, key, header, size and method are, in
+this order, then the first by name. The order of routes in files has no meaning.
 """
 
 from __future__ import annotations
@@ -18,7 +20,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Pattern:
-    """What a route asks of a request. ``volume`` may end in ``*``; ``key`` is a prefix; empty methods are all."""
+    """The conditions of a route.
+
+    ``volume`` may end in ``*``. ``key`` is a prefix. No methods: any method. ``size`` excludes its lower
+    bound and includes its upper bound.
+    """
 
     name: str
     priority: int = 0
@@ -30,7 +36,7 @@
 
     @property
     def rank(self) -> Rank:
-        """Higher counts first."""
+        """The sort key of a pattern; the highest rank wins."""
         star = self.volume.endswith("*")
         return (
             self.priority, not star, len(self.volume), len(self.key), self.header is not None, self.size is not None,
@@ -38,7 +44,7 @@
         )  # fmt: skip
 
     def matches(self, request: RequestAttributes) -> bool:
-        """Whether a request matches."""
+        """Return whether a request matches."""
         volume = (
             request.volume.startswith(self.volume[:-1])
             if self.volume.endswith("*")
@@ -53,7 +59,7 @@
         )
 
     def covers(self, other: Pattern) -> bool:
-        """Whether all that matches another matches this one too."""
+        """Return whether every request that matches ``other`` matches this pattern too."""
         low, high = self.size or ANY_SIZE
         other_low, other_high = other.size or ANY_SIZE
         star = self.volume.endswith("*")
@@ -68,7 +74,10 @@
 
 
 class RequestAttributes(NamedTuple):
-    """A request as far as routes care. ``size`` is 0 where none is stated; header names are in lower case."""
+    """The attributes of a request that routes match on.
+
+    ``size`` is 0 if undeclared; header names are in lower case.
+    """
 
     method: str
     volume: str
@@ -79,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """A route: its pattern, and the class and the shards it gives (empty: not this)."""
+    """A route: its pattern, and the class and shards that it assigns; empty if it does not assign one."""
 
     pattern: Pattern
     class_name: str = ""
@@ -87,7 +96,7 @@
 
 
 def match_linear(patterns: Sequence[tuple[Pattern, T]], request: RequestAttributes) -> T | None:
-    """The plain way, which tries them all: what the compiled matcher must agree with."""
+    """Match by trying every pattern: the reference that the compiled matcher must agree with."""
     found = [(pattern, value) for pattern, value in patterns if pattern.matches(request)]
     if not found:
         return None
@@ -95,7 +104,7 @@
 
 
 class _Leaf(Generic[T]):
-    """Patterns of one volume pattern and one key prefix, by method and header."""
+    """The patterns with one volume condition and one key prefix, indexed by method and header."""
 
     __slots__ = ("_by_header", "_without_header")
 
@@ -135,7 +144,10 @@
 
 
 class Matcher(Generic[T]):
-    """Compiled patterns. A look-up costs by how many lengths of volume and key prefixes there are, not by their number."""
+    """Compiled patterns.
+
+    The cost of a lookup depends on the number of distinct prefix lengths, not of patterns.
+    """
 
     def __init__(self, patterns: Sequence[tuple[Pattern, T]]) -> None:
         exact: dict[str, dict[str, _Leaf[T]]] = {}
@@ -160,7 +172,7 @@
         return keys, tuple(sorted({len(key) for key in keys}))
 
     def match(self, request: RequestAttributes) -> T | None:
-        """What the request matches; None where nothing does."""
+        """Return the value of the highest-ranking pattern that matches; None if no pattern matches."""
         found: list[tuple[Pattern, T]] = []
         tables = []
         if request.volume in self._exact:
--- a/winchdyke/config/model.py
+++ b/winchdyke/config/model.py
@@ -1,5 +1,8 @@
-"""The typed settings that all else reads: immutable, hashable, comparable. Times are milliseconds, sizes bytes, rates
-units a second. Where each value came from is kept beside them (``loading.Loaded``), so that equal settings are equal."""
+"""The typed settings that the rest of the program reads: immutable, hashable and comparable.
+
+Times are in milliseconds, sizes in bytes, rates in units per second. The origin of each value is kept
+separately, in ``loading.Loaded``, so that settings with equal values compare equal.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Listen:
-    """An address to listen at; port 0 lets the system choose."""
+    """An address to listen on; with port 0 the system chooses one."""
 
     host: str
     port: int
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """This gateway: its name, its number among all, where it stands."""
+    """This gateway: its name, index, zone and seed, and the number of gateways."""
 
     name: str
     index: int
@@ -37,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """What is logged, and how."""
+    """The format of the log, and whether requests are logged (``access``)."""
 
     form: str
     access: bool
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accounts:
-    """The ledger of who waited for whom; an empty folder: none is kept."""
+    """The ledger of which requests waited for which others; an empty ``folder``: there is none."""
 
     folder: str
     segment_bytes: int
@@ -57,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """Where versions of the settings are kept; an empty folder: they change with a start alone."""
+    """The change log of settings; an empty ``folder``: settings change at a restart only."""
 
     folder: str = ""
     keep: int = 200  # versions; older ones are moved to archives
@@ -66,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteBack:
-    """The log that writes are acknowledged from; an empty folder: none."""
+    """The write-back log, from which writes are acknowledged; an empty ``folder``: there is none."""
 
     folder: str = ""
     classes: tuple[str, ...] = ()
@@ -80,7 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Admin:
-    """The admin API's listeners: a unix socket (empty: in the folder of changes; ``none``), TCP with a file of keys."""
+    """The admin API: TCP with a key file, and a unix socket.
+
+    ``socket``: its path; empty: admin.sock in the change log's folder; ``none``: no socket.
+    """
 
     socket: str = ""
     listen: Listen | None = None
@@ -89,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fleet:
-    """Membership among gateways; no ``listen``: none."""
+    """Membership of gateways; off if ``listen`` is None."""
 
     listen: Listen | None = None
     advertise: str = ""
@@ -105,7 +111,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Tls:
-    """Certificates of listeners; none where no certificate is given. ``on``: ``s3`` or ``all`` listeners of clients."""
+    """TLS of client listeners; off without a certificate.
+
+    ``on``: the listeners with TLS, ``s3`` or ``all``.
+    """
 
     certificate: str = ""
     key: str = ""
@@ -117,7 +126,10 @@
 
 @dataclass(frozen=True, slots=True)
 class S3:
-    """The S3 dialect's listener, its keys, and what is let in without one (``none``, ``read`` or ``all``)."""
+    """The S3 API: its listener and keys.
+
+    ``unsigned``: requests accepted without a signature, ``none``, ``read`` or ``all``.
+    """
 
     listen: Listen | None = None
     domain: str = ""
@@ -132,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what clients and stores may use of this gateway."""
+    """Limits on the resources of this gateway that clients and stores may use."""
 
     header_bytes: int
     header_timeout: float
@@ -151,7 +163,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Discovery:
-    """The list service: its address, and whether it must be asked before it tells changes."""
+    """The list service and its fallbacks.
+
+    ``must_ask``: the gateway requests changes, the service does not push them.
+    """
 
     host: str
     port: int
@@ -170,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    """The rules in figures, and how worth is counted."""
+    """Parameters of the scheduler's rules."""
 
     mean_units: float
     largest_units: float
@@ -193,7 +208,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassConfig:
-    """A request class: the operations that fall into it by themselves, and those it also takes when asked."""
+    """A request class with its operations: those by default, and those on request (``also``)."""
 
     rules: api.RequestClass
     operations: tuple[str, ...]
@@ -204,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Store:
-    """What is known of a store beforehand."""
+    """Properties of a store that are known in advance."""
 
     address: Listen
     shard: int
@@ -214,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class VolumeRule:
-    """What holds for volumes whose name matches: their plan, their shards, and how many gateways serve them."""
+    """The plan, the shards and the number of gateways of volumes whose name matches ``pattern``."""
 
     pattern: str
     plan: str
@@ -247,7 +262,7 @@
     routes: tuple[Route, ...]
 
     def settings(self) -> api.Settings:
-        """What the scheduler is told at its start."""
+        """Return the scheduler's settings."""
         rules = self.rules
         return api.Settings(
             gateway_count=self.gateway.gateways,
@@ -279,7 +294,7 @@
 
     @cached_property
     def matcher(self) -> Matcher[Route]:
-        """The routes, compiled."""
+        """The matcher compiled from the routes."""
         return Matcher([(route.pattern, route) for route in self.routes])
 
     @cached_property
@@ -292,7 +307,7 @@
         return exact, sorted(lengths.items(), reverse=True)
 
     def volume(self, name: str) -> VolumeRule | None:
-        """The rule of a volume: its own, else the one whose pattern says most of its name; None where none fits."""
+        """Return a volume's rule: by exact name, else by longest prefix; None if no rule matches."""
         exact, prefixes = self._volumes
         if name in exact:
             return exact[name]
@@ -307,7 +322,11 @@
         return {operation: kind for kind in self.kinds for operation in kind.operations}
 
     def kind_for(self, operation: str, requested_class: str | None) -> ClassConfig | None:
-        """The class of an operation: the one asked for where it takes that operation, else the one it falls into."""
+        """Return the requested class, or the operation's default class if none is requested.
+
+        None if the requested class does not exist or does not allow the operation, or if there is no default
+        class.
+        """
         if requested_class is None:
             return self._defaults.get(operation)
         kind = self._kinds.get(requested_class)
--- a/winchdyke/config/semantic_diff.py
+++ b/winchdyke/config/semantic_diff.py
@@ -1,7 +1,9 @@
-"""What a change of settings means: compared after includes, templates, defaults and units are resolved. Pure.
+"""Semantic diff of settings, after includes, templates, defaults and units are resolved.
 
-A change is a path (kind, name, key) with its old and new value; applied to the old settings, all changes together give
-the new ones. For routes it is also told which requests go elsewhere, with one that is answered differently.
+Free of side effects.
+
+A change is a path (kind, name, key) with its old and new value; all changes, applied to the old settings,
+give the new ones. For changed routes, the diff also finds example requests that are handled differently.
 """
 
 from __future__ import annotations
@@ -19,13 +21,13 @@
 from winchdyke.config.types import Address
 
 ABSENT = None
-MAX_SAMPLED = 400  # example requests that are tried for each side's routes at the most
+MAX_SAMPLED = 400  # maximum number of route patterns, and of volumes, that example requests are made for
 EFFECT_NAMES = {
     api.RepeatSafety.IDEMPOTENT: "idempotent",
     api.RepeatSafety.IDEMPOTENCY_KEY: "keyed",
     api.RepeatSafety.AT_MOST_ONCE: "at-most-once",
 }
-LOOSENED_BY_INCREASE = {  # rules' figures that promise less when they grow
+LOOSENED_BY_INCREASE = {  # keys of `rules` that demand more of the stores when increased
     "fall_multiple", "cold_units", "extra_free", "extra_share", "max_attempts", "cold_from",
 }  # fmt: skip
 LOOSENED_BY_DECREASE = {"warm_after", "settle", "extra_window", "fall_window"}
@@ -33,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value that differs; None: there is none on that side. ``key`` is empty for a whole block."""
+    """One value that differs; None on the side that lacks it. ``key`` is empty for a whole block."""
 
     kind: str
     name: str
@@ -44,13 +46,13 @@
     risk: str = ""
 
     def data(self) -> dict[str, Any]:
-        """As plain values, for JSON."""
+        """Return the change as plain values for JSON."""
         path = ".".join(part for part in (self.kind, self.name, self.key) if part)
         return {"path": path, "text": self.text, "risk": self.risk}
 
 
 def to_values(config: Config) -> Values:
-    """The settings as a flat table, with names of pools resolved to shards."""
+    """Return the settings as a flat table, with pool names resolved to shards."""
     values: Values = {
         ("gateway", ""): dataclasses.asdict(config.gateway),
         ("log", ""): dataclasses.asdict(config.log),
@@ -117,7 +119,7 @@
 
 
 def diff(old: Config, new: Config) -> list[Change]:
-    """What differs, in the order of the reference."""
+    """Return the changes from ``old`` to ``new``, in the order of the schema."""
     before, after = to_values(old), to_values(new)
     found: list[Change] = []
     for kind in schema.BLOCKS:
@@ -161,7 +163,7 @@
 
 
 def apply(old: Config, changes: list[Change]) -> Config:
-    """The settings that changes make of old ones."""
+    """Return the settings that result from applying changes."""
     values = {where: dict(keys) for where, keys in to_values(old).items()}
     for change in changes:
         where = change.kind, change.name
@@ -175,7 +177,7 @@
 
 
 def show(kind: str, key: str, value: Any) -> str:
-    """A value as the language writes it."""
+    """Format a value in the syntax of the language; ``nothing`` if there is none."""
     rule = schema.BLOCKS[kind].keys.get(key)
     if value is None or value == ():
         return "nothing"
@@ -189,17 +191,17 @@
 
 
 def _risk(kind: str, key: str, old: Any, new: Any) -> str:
-    """What may go wrong with a changed value; empty where nothing is known to."""
+    """Return the risk of a changed value; an empty string if none is known."""
     if kind == "plan" and key == "limit":
         if new and (not old or new < old):
-            return "volumes that use more now are refused what is beyond it"
-        return "the limit is looser: others on the same stores may get less"
+            return "requests of volumes beyond the new limit are refused"
+        return "the limit is looser: other volumes on the same stores may get less"
     if kind == "plan" and key == "reserve" and new < old:
-        return "less is served in full when stores are busy"
+        return "less is served with full worth when stores are busy"
     if kind == "rules" and (
         (key in LOOSENED_BY_INCREASE and new > old) or (key in LOOSENED_BY_DECREASE and new < old)
     ):
-        return "a rule is loosened: stores must really bear it"
+        return "a rule is loosened: the stores must be able to take the load"
     if kind == "class" and key == "effect":
         order = ("at-most-once", "keyed", "idempotent")
         if order.index(new) > order.index(old):
@@ -215,11 +217,11 @@
     if kind == "class" and key == "in_order" and not new:
         return "a rule is loosened: requests of one key may run side by side"
     if kind == "class" and key == "deadline" and new < old:
-        return "requests that took longer are failed"
+        return "requests that take longer fail"
     if kind in ("volume", "route") and key in ("shards", "volume", "key"):
         return "objects already stored may be looked for on other shards, and not found"
     if kind == "volume" and key == "gateways":
-        return "each gateway's part of reserve and limit changes with it"
+        return "each gateway's part of the reserve and the limit changes"
     if kind == "limits" and key == "object_bytes" and new < old:
         return "larger objects are refused"
     return ""
@@ -227,7 +229,7 @@
 
 def _risk_of_adding(kind: str, keys: dict[str, Any]) -> str:
     if kind in ("volume", "route") and keys.get("shards"):
-        return "objects of the volumes it takes may be looked for on other shards, and not found"
+        return "objects of the volumes that it matches may be looked for on other shards, and not found"
     return ""
 
 
@@ -238,21 +240,21 @@
     if kind == "volume":
         left = new.volume(name.rstrip("*") or "any")
         return (
-            "its volumes are unknown then: 404"
+            "its volumes are unknown after the change: requests get 404"
             if left is None
-            else f"its volumes fall under {left.pattern!r} then"
+            else f"its volumes match {left.pattern!r} after the change"
         )
     if kind == "class":
-        return "its operations have no class then, or another one"
+        return "its operations have no class after the change, or another one"
     return "clients that connect there are refused" if kind == "listener" else ""
 
 
-# Routes: which requests go elsewhere.
+# Routes: requests that are handled differently.
 
 
 @dataclass(frozen=True, slots=True)
 class ReroutedRequest:
-    """A request that is answered differently, and how."""
+    """An example request that is handled differently, with its old and new handling."""
 
     request: RequestAttributes
     old: str
@@ -266,7 +268,7 @@
 
 
 def _sample_requests(patterns: list[Pattern], volumes: list[str]) -> list[RequestAttributes]:
-    """Requests at the edges of patterns: one that each takes, and its neighbours."""
+    """Return requests at the boundaries of patterns: matching ones and ones that just fail to match."""
     found: list[RequestAttributes] = []
     for pattern in patterns[:MAX_SAMPLED]:
         names = (
@@ -294,7 +296,7 @@
 
 
 def routing_summary(config: Config, request: RequestAttributes) -> str:
-    """Where a request goes: its class, its plan and its shards."""
+    """Describe the handling of a request: its class, plan and shards."""
     volume = config.volume(request.volume)
     if volume is None:
         return "404, no such volume"
@@ -310,7 +312,7 @@
 
 
 def find_rerouted_requests(old: Config, new: Config, limit: int = 5) -> list[ReroutedRequest]:
-    """Example requests that go elsewhere, each way of going elsewhere once."""
+    """Return example requests that are handled differently, one for each pair of old and new handling."""
     patterns = [route.pattern for route in (*old.routes, *new.routes)]
     changed = {route.pattern for route in old.routes} ^ {route.pattern for route in new.routes}
     patterns.sort(key=lambda pattern: (pattern not in changed, pattern.name))
--- a/winchdyke/config/serialization.py
+++ b/winchdyke/config/serialization.py
@@ -1,4 +1,4 @@
-"""Values as text in the language: what ``config convert`` writes. Read back, it means the same."""
+"""Writes values as text in the configuration language (``config convert``); parsed again, they are equal."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def serialize(values: Values, heading: str = "") -> str:
-    """All that differs from the built-in defaults, block by block in the order of the reference."""
+    """Return all values that differ from the built-in defaults as text, in the order of the schema."""
     parts = [f"# {heading}\n"] if heading else []
     for kind, known in BLOCKS.items():
         for name, keys in sorted((name, keys) for (there, name), keys in values.items() if there == kind):
--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -1,4 +1,4 @@
-"""Reading settings files and what they include, within bounds."""
+"""Reads settings files and the files they include, with limits on their size and number."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class UnreadableFileError(Exception):
-    """A file that can't be used: the code, what is wrong, what to do, and the line where it shows."""
+    """A file that can't be read or decoded: diagnostic code, problem, fix, and place in the file."""
 
     def __init__(self, code: str, text: str, fix: str, line: int = 1, column: int = 1) -> None:
         super().__init__(text)
@@ -23,7 +23,7 @@
 
 
 def read(path: Path) -> str:
-    """A file's text with plain line ends and no byte-order mark. Unreadable says what is wrong."""
+    """Return a file's text with LF line ends and without a byte-order mark. Raises UnreadableFileError."""
     try:
         for _ in range(READ_ATTEMPTS):
             with path.open("rb") as file:
@@ -34,22 +34,27 @@
                 data = file.read(MAX_FILE_BYTES + 1)
                 after = os.fstat(file.fileno())
             if not stat.S_ISREG(before.st_mode) and len(data) <= MAX_FILE_BYTES:
-                return decode_text(data)  # a pipe has no size to go by
+                return decode_text(data)  # a pipe has no size to compare
             if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(
                 data
             ) == after.st_size:
                 return decode_text(data)
     except OSError as error:
         raise UnreadableFileError(
-            "unreadable", f"can't be read: {error.strerror}", "check the path and who may read it"
+            "unreadable", f"can't be read: {error.strerror}", "check the path and its permissions"
         ) from error
     raise UnreadableFileError(
-        "changing", "changes while it is being read", "write it beside and rename it; then try again"
+        "changing",
+        "changes while it is being read",
+        "write a new file beside it and rename that; then try again",
     )
 
 
 def decode_text(data: bytes) -> str:
-    """Bytes as text. Unreadable where they are not UTF-8, or hold signs that no settings have."""
+    """Decode UTF-8 and normalize line ends.
+
+    Raises UnreadableFileError on other encodings and control characters.
+    """
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
         raise UnreadableFileError("not-utf8", "is UTF-16, not UTF-8", "save it as UTF-8")
     try:
@@ -67,17 +72,17 @@
         ):
             shown = f"U+{ord(line_text[bad]):04X}"
             raise UnreadableFileError(
-                "control", f"a control character ({shown})", "take it away", number, bad + 1
+                "control", f"a control character ({shown})", "remove it", number, bad + 1
             )
         if line_text and (line_text[0] < " " and line_text[0] != "\t"):
             raise UnreadableFileError(
-                "control", f"a control character (U+{ord(line_text[0]):04X})", "take it away", number, 1
+                "control", f"a control character (U+{ord(line_text[0]):04X})", "remove it", number, 1
             )
     return text
 
 
 class SourceLoader:
-    """A settings file and all that it includes, as one run of statements."""
+    """Reads a settings file and all files it includes into one list of statements."""
 
     def __init__(self) -> None:
         self.problems: list[Diagnostic] = []
@@ -88,12 +93,12 @@
         self._root = Path()
 
     def load(self, path: Path, text: str | None = None) -> None:
-        """Read a file and what it includes; ``text`` is the file's where it was read already."""
+        """Read a file and the files it includes. ``text``: the file's content, if it was read before."""
         self._root = path.parent.resolve()
         self._file(path, (), None, text)
 
     def load_text_source(self, text: str, file: str) -> None:
-        """Take a text that is no file; it can't include any."""
+        """Parse a text that does not come from a file; it can't include files."""
         self._statements(Source(file, text), (), False)
 
     def _report(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
@@ -117,29 +122,34 @@
             names = [_short(each, self._root) for each in (*stack[stack.index(real) :], real)]
             self._report(
                 "include-loop",
-                f"includes go round: {' -> '.join(names)}",
-                "take one of these includes away",
+                f"includes form a loop: {' -> '.join(names)}",
+                "remove one of these includes",
                 at,
             )
             return
         if real in self._seen:
-            return  # a diamond: what both include is there once
+            return  # included by several files: read once
         if at is not None and not real.is_relative_to(self._root):
-            text = f"{path.name} lies outside of {self._root}"
+            text = f"{path.name} is outside {self._root}"
             self._report(
-                "outside", text, "include only from the folder of the first file; links may not lead out", at
+                "outside",
+                text,
+                "include only files in the directory of the main file; symbolic links must not lead out of it",
+                at,
             )
             return
         if len(self._seen) >= MAX_FILES:
             assert at is not None
-            self._report("too-many", f"more than {MAX_FILES} files are included", "join some of them", at)
+            self._report("too-many", f"more than {MAX_FILES} files are included", "merge some of them", at)
             return
         try:
             text = read(path) if text is None else text
             self._total += len(text)
             if self._total > MAX_TOTAL_LENGTH:
                 raise UnreadableFileError(
-                    "too-large", f"all files are over {MAX_TOTAL_LENGTH >> 20} MiB", "leave some out"
+                    "too-large",
+                    f"all files together are over {MAX_TOTAL_LENGTH >> 20} MiB",
+                    "include fewer or smaller files",
                 )
         except UnreadableFileError as error:
             place = at or Span(source, error.line, error.column, error.column + 1)
@@ -168,7 +178,7 @@
         for inner in block.body:
             if isinstance(inner, Directive) and inner.words[0].text == "include":
                 self._report(
-                    "include-inside", "include stands in a block", "move it out of every block", inner.span
+                    "include-inside", "include is inside a block", "move it out of all blocks", inner.span
                 )
 
     def _include(self, statement: Directive, stack: tuple[Path, ...], files: bool) -> None:
@@ -179,7 +189,7 @@
         asked = statement.words[1]
         if not files:
             self._report(
-                "bad-include", "a text that is no file includes nothing", "write it to a file", asked.span
+                "bad-include", "only a file can include files", "write the settings to a file", asked.span
             )
             return
         here = Path(span.source.file).parent
@@ -189,7 +199,7 @@
                 self._report(
                     "no-match",
                     f"{asked.text!r} matches no file",
-                    "correct the pattern, or take it away",
+                    "correct the pattern, or remove the include",
                     asked.span,
                 )
             for each in found:
--- a/winchdyke/config/syntax.py
+++ b/winchdyke/config/syntax.py
@@ -1,7 +1,7 @@
-"""From text to statements, by the grammar in ``grammar.lark``; every syntax error of a text is told, not the first.
+"""Parses text into statements by the grammar in ``grammar.lark``, and reports every syntax error.
 
-A good text is parsed in one go. In a broken one each line is parsed by itself, and braces are matched over lines, so
-that a mistake in one place does not hide the others.
+A text without errors is parsed as a whole. If that fails, each line is parsed by itself and braces are
+matched across lines, so that an error in one place does not hide the others.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Word:
-    """A word; ``quoted`` where it stood in double quotes."""
+    """A word; ``quoted`` if it was written in double quotes."""
 
     text: str
     quoted: bool
@@ -43,7 +43,7 @@
 
     @property
     def span(self) -> Span:
-        """Where its key stands."""
+        """The span of the key."""
         return self.words[0].span
 
 
@@ -56,19 +56,19 @@
 
     @property
     def span(self) -> Span:
-        """Where its kind stands."""
+        """The span of the block's kind."""
         return self.words[0].span
 
 
 @dataclass(frozen=True, slots=True)
 class Directive:
-    """Words alone on a line."""
+    """A statement of words only, such as ``include "FILE"``."""
 
     words: tuple[Word, ...]
 
     @property
     def span(self) -> Span:
-        """Where it begins."""
+        """The span of the first word."""
         return self.words[0].span
 
 
@@ -84,15 +84,15 @@
 
 
 class _Reader:
-    """One text being turned into statements."""
+    """Converts the parse tree of one text into statements, and collects its syntax errors."""
 
     def __init__(self, source: Source) -> None:
         self.source = source
         self.problems: list[Diagnostic] = []
-        self._line_offset = 0  # lines before the one that is parsed alone
-        self._last_statement = Span(source, 1)  # the last line that said something
+        self._line_offset = 0  # lines before the line that is parsed by itself
+        self._last_statement = Span(source, 1)  # the last statement seen
         self._unopened_block: tuple[str, Span] | None = (
-            None  # a line that looks like a block's beginning without its brace
+            None  # a line that looks like the start of a block but lacks {
         )
 
     def span(self, token: Token) -> Span:
@@ -112,7 +112,7 @@
         for bad in re.finditer(r"\\(.)", inner):
             if bad[1] not in ESCAPES:
                 fix = 'write \\\\ for a backslash; the escapes are \\" \\\\ \\n \\t'
-                self.report("bad-escape", f"\\{bad[1]} is no escape", fix, span)
+                self.report("bad-escape", f"\\{bad[1]} is no escape sequence", fix, span)
         return Word(re.sub(r"\\(.)", lambda found: ESCAPES.get(found[1], found[1]), inner), True, span)
 
     def words(self, tree: Tree[Token]) -> tuple[Word, ...]:
@@ -138,16 +138,16 @@
                 assert isinstance(words, Tree) and isinstance(inner, Tree)
                 named = self.words(words)
                 if depth >= MAX_DEPTH:
-                    fix = f"blocks go {MAX_DEPTH} deep at the most; is a closing brace missing?"
-                    self.report("too-deep", "blocks stand in blocks too deep", fix, named[0].span)
+                    fix = f"nest blocks {MAX_DEPTH} deep at most; is a closing brace missing?"
+                    self.report("too-deep", "blocks are nested too deep", fix, named[0].span)
                     continue
                 found.append(Block(named, self.body(inner, depth + 1)))
         return tuple(found)
 
-    # A broken text, line by line.
+    # A text with syntax errors, line by line.
 
     def parse_line_by_line(self) -> None:
-        """Find every mistake of a text that does not parse as a whole."""
+        """Report every syntax error of a text that does not parse as a whole."""
         open_blocks: list[Span] = []
         text = self.source.text
         for number, line in enumerate(text.split("\n"), 1):
@@ -181,7 +181,7 @@
             assert isinstance(first, Token)
             is_top_level = bool(open_blocks) and open_blocks[-1].column >= (first.column or 1)
             if is_top_level and self._starts_top_level_block(str(first)):
-                # A block of the outermost kind inside another: the brace is missing before it.
+                # A top-level kind of block begins inside another block: the closing brace before it is missing.
                 self._report_unclosed_block(open_blocks.pop(), "a new block begins before this one is closed")
             self._unopened_block = None
             open_blocks.append(self.span(first))
@@ -197,10 +197,10 @@
             open_blocks.pop()
         elif self._unopened_block is not None:
             words, span = self._unopened_block
-            text = f"this block is closed below and has no {{: {words!r}"
-            self.report("no-brace", text, f"write {words} {{", span, ("its }", here))
+            text = f"this block is closed below but has no {{: {words!r}"
+            self.report("no-brace", text, f"write {words} {{", span, ("its closing brace", here))
         else:
-            fix = "take it away, or look for an opening { that is missing above"
+            fix = "remove it, or add the opening { that is missing above"
             self.report("extra-brace", "this } closes nothing", fix, here)
         self._unopened_block = None
 
@@ -226,8 +226,8 @@
         if isinstance(error, UnexpectedCharacters):
             self.report(
                 "bad-sign",
-                f"{line[column - 1 : column]!r} has no place here",
-                "take it away, or quote it",
+                f"unexpected character {line[column - 1 : column]!r}",
+                "remove it, or put the word in double quotes",
                 span,
             )
             return
@@ -244,29 +244,35 @@
                 self.report(
                     "unfinished",
                     f"the line ends after {ends!r}",
-                    "write what comes next, or take it away",
+                    "complete the line, or remove it",
                     span,
                 )
         elif kind == "EQUAL":
             text = "a second = on one line" if masked.count("=") > 1 else "there is no key before ="
-            self.report("extra-equals", text, "one setting a line; quote a value that holds =", span)
+            self.report("extra-equals", text, "write one setting a line; quote a value that contains =", span)
         elif kind == "LBRACE":
-            text = "a { has no place in a setting"
+            text = "a { can't be part of a setting"
             self.report(
-                "stray-brace", text, "a block is words and {, as in class fetch {, with no = before it", span
+                "stray-brace",
+                text,
+                "begin a block with its kind and name, as in class fetch {, with no = before {",
+                span,
             )
         elif kind == "COMMA":
             self.report(
-                "stray-comma", "a comma with no value before it", "set values apart by single commas", span
+                "stray-comma", "a comma with no value before it", "separate values by single commas", span
             )
         else:
             self.report(
-                "syntax", "this is no setting, block or directive", "write key = value, or kind name {", span
+                "syntax",
+                "this is neither a setting nor a block nor a directive",
+                "write key = value, or kind name {",
+                span,
             )
 
 
 def _split_statements(line: str) -> Iterator[tuple[int, str]]:
-    """The parts of a line between semicolons, with where each begins."""
+    """Yield the parts of a line between semicolons, each with its start column from 0."""
     start, quoted, at = 0, False, 0
     while at < len(line):
         sign = line[at]
@@ -284,21 +290,27 @@
 
 
 def parse(source: Source) -> tuple[tuple[Statement, ...], list[Diagnostic]]:
-    """A text's statements and every syntax error in it; with an error the statements are what could be kept."""
+    """Return the statements of a text and its syntax errors; after most errors there are no statements."""
     reader = _Reader(source)
     depth = _max_brace_depth(source.text)
     if depth > 10 * MAX_DEPTH:
-        reader.report("too-deep", f"blocks stand {depth} deep", f"{MAX_DEPTH} is the most", Span(source, 1))
+        reader.report(
+            "too-deep",
+            f"blocks are nested {depth} deep",
+            f"nest them {MAX_DEPTH} deep at most",
+            Span(source, 1),
+        )
         return (), reader.problems
     try:
         tree = _parser().parse(source.text, start="file")
     except UnexpectedInput:
         reader.parse_line_by_line()
-        if (
-            not reader.problems
-        ):  # each line is good by itself: a block over several lines that the pieces hide
+        if not reader.problems:  # each line parses by itself: the error spans several lines
             reader.report(
-                "syntax", "braces and lines do not fit together", "one statement a line", Span(source, 1)
+                "syntax",
+                "a brace or statement is split across lines",
+                "write one statement a line",
+                Span(source, 1),
             )
         return (), reader.problems
     inner = tree.children[0]
@@ -307,7 +319,7 @@
 
 
 def _max_brace_depth(text: str) -> int:
-    """How deep braces stand in each other, outside of strings and comments."""
+    """Return the maximum nesting depth of braces outside strings and comments."""
     depth = most = 0
     for found in re.finditer(r'"(?:\\.|[^"\\\n])*"|#[^\n]*|[{}]', text):
         if found[0] == "{":
--- a/winchdyke/config/types.py
+++ b/winchdyke/config/types.py
@@ -1,7 +1,8 @@
-"""The types of values: how each is read, checked for what is legal and for what is likely, and shown.
+"""The types of values: each one parses and checks values, warns of unlikely ones, and formats them.
 
-A type's ``read`` takes the items of a setting and raises :class:`Wrong`; ``doubt`` says why a legal value is most likely
-not what was meant. With ``bare`` (INI) rates and shares are plain numbers; the language wants their units.
+A type's ``read`` parses the items of a setting, or raises :class:`InvalidValueError`. ``warning`` says why a
+valid value is probably not what was meant. With ``units_optional`` (INI) rates and shares are plain numbers;
+the language requires units.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 
 
 class InvalidValueError(Exception):
-    """A value that can't be used: what is wrong, what to do, and the word it is about."""
+    """An invalid value: the problem, the fix, the word that it is about, and the diagnostic code."""
 
     def __init__(self, text: str, fix: str, word: Word | None = None, code: str = "bad-value") -> None:
         super().__init__(text)
@@ -39,14 +40,14 @@
 
 
 def suggest(name: str, known: Iterable[str]) -> str:
-    """``did you mean ...?`` where one is near, else what is known."""
+    """Return ``did you mean ...?`` with the most similar known name, else a list of known names."""
     names = sorted(set(known))
     near = difflib.get_close_matches(name, names, 1, 0.6)
     if not near:
         near = [each for each in names if each.lower() == name.lower()][:1]
     if near:
         return f"did you mean {near[0]!r}?"
-    return f"known here: {', '.join(names[:20])}" if names else "none is set up"
+    return f"valid here: {', '.join(names[:20])}" if names else "none is defined"
 
 
 def _split_unit(text: str, word: Word, example: str) -> tuple[float, str]:
@@ -54,7 +55,10 @@
     if not found:
         if re.search(r"\d,\d", text):
             raise InvalidValueError(
-                f"{text!r} has a comma", f"write a dot, as in {text.replace(',', '.')}", word, "bad-number"
+                f"{text!r} contains a comma",
+                f"write a dot, as in {text.replace(',', '.')}",
+                word,
+                "bad-number",
             )
         raise InvalidValueError(
             f"{text!r} is not a number with a unit", f"write it like {example}", word, "bad-number"
@@ -67,13 +71,16 @@
 
 @dataclass(frozen=True)
 class Type:
-    """A type of one value; ``words`` is what a reference page calls it."""
+    """A type of one value.
+
+    ``label`` is its name on the reference page; ``is_list``: it takes several items.
+    """
 
     label: str = "text"
     is_list: bool = False
 
     def read(self, items: tuple[Item, ...], units_optional: bool = False) -> Any:
-        """The value of a setting's items."""
+        """Return the value of a setting's items. Raises InvalidValueError."""
         if len(items) != 1:
             texts = [" ".join(word.text for word in item) for item in items]
             fix = "keep one"
@@ -85,32 +92,32 @@
         return self.read_item(items[0], units_optional)
 
     def read_item(self, item: Item, units_optional: bool) -> Any:
-        """The value of one item."""
+        """Return the value of one item. Raises InvalidValueError."""
         if len(item) != 1:
             text = " ".join(word.text for word in item)
             raise InvalidValueError(
                 f"takes one word, not {text!r}",
-                "quote it, or set values apart by commas",
+                "quote it, or separate values by commas",
                 item[1],
                 "too-many-words",
             )
         return self.read_word(item[0])
 
     def read_word(self, word: Word) -> Any:
-        """The value of one word."""
+        """Return the value of one word. Raises InvalidValueError."""
         return word.text
 
     def warning(self, value: Any) -> str:
-        """Why a legal value is most likely wrong; empty where it is not."""
+        """Return why a valid value is probably a mistake; an empty string if it is not."""
         return ""
 
     def show(self, value: Any) -> str:
-        """The value as the language writes it."""
+        """Format a value in the syntax of the language."""
         return quoted(str(value))
 
 
 def quoted(text: str) -> str:
-    """A word, in quotes where it needs them."""
+    """Return a word, quoted and escaped if necessary."""
     if text and not re.search(r'[\s{}=,;#"$\\]', text):
         return text
     inner = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\t", "\\t")
@@ -118,13 +125,13 @@
 
 
 def show_number(value: float) -> str:
-    """A number with no more digits than it needs."""
+    """Format a number with as few digits as possible."""
     return repr(int(value)) if float(value).is_integer() and abs(value) < 1e15 else repr(float(value))
 
 
 @dataclass(frozen=True)
 class Duration(Type):
-    """A time, in milliseconds. ``likely`` is from where to where it usually lies."""
+    """A duration, in milliseconds. A value outside ``usual_range`` is valid, but causes a warning."""
 
     label: str = "time"
     usual_range: tuple[float, float] = (0.0, math.inf)
@@ -137,11 +144,11 @@
             raise InvalidValueError(f"{word.text!r} has no unit", fix, word, "no-unit")
         if unit and unit not in MS_PER_UNIT:
             size = unit in BYTES_PER_UNIT
-            what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is no unit known here"
+            what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is not a unit of time"
             raise InvalidValueError(what, f"use one of {TIME_UNIT_NAMES}, as in 400ms", word, "bad-unit")
         if number < 0 or (not number and not self.allow_zero):
             raise InvalidValueError(
-                f"{word.text!r} is not over 0", "write a time over 0", word, "out-of-range"
+                f"{word.text!r} is not greater than 0", "write a time greater than 0", word, "out-of-range"
             )
         value = number * (MS_PER_UNIT[unit] if unit else 1)
         if value > 1e13:
@@ -176,7 +183,7 @@
 
 @dataclass(frozen=True)
 class Size(Type):
-    """A size, in bytes."""
+    """A size, in bytes. A value outside ``usual_range`` is valid, but causes a warning."""
 
     label: str = "size"
     usual_range: tuple[float, float] = (0.0, math.inf)
@@ -203,12 +210,12 @@
             what = (
                 f"{unit!r} is a unit of time, not of size"
                 if unit in MS_PER_UNIT
-                else f"{unit!r} is no unit known here"
+                else f"{unit!r} is not a unit of size"
             )
             raise InvalidValueError(what, fix, word, "bad-unit")
         if number < 0:
             raise InvalidValueError(
-                f"{word.text!r} is under 0", "write a size of 0 or more", word, "out-of-range"
+                f"{word.text!r} is less than 0", "write a size of 0 or more", word, "out-of-range"
             )
         value = number * (BYTES_PER_UNIT[unit] if unit else 1)
         if value > 2**60:
@@ -236,7 +243,7 @@
 
 @dataclass(frozen=True)
 class Rate(Type):
-    """Units a second."""
+    """A rate, in units per second."""
 
     label: str = "rate"
 
@@ -256,7 +263,7 @@
                 "out-of-range",
             )
         if unit not in ("units/s", "unit/s") and not (units_optional and not unit) and (unit or number):
-            what = f"{text!r} has no unit" if not unit else f"{unit!r} is no rate"
+            what = f"{text!r} has no unit" if not unit else f"{unit!r} is not a unit of rate"
             raise InvalidValueError(
                 what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit"
             )
@@ -268,7 +275,7 @@
 
 @dataclass(frozen=True)
 class Share(Type):
-    """A part of a whole, 0 to 1; written in percent."""
+    """A share from 0 to 1, written in percent."""
 
     label: str = "share"
 
@@ -286,7 +293,10 @@
         number, unit = _split_unit(word.text, word, "15%")
         if unit != "%" and not (units_optional and not unit) and (unit or number):
             raise InvalidValueError(
-                f"{word.text!r} is no share", f"write it in percent, as in {number * 100:g}%", word, "no-unit"
+                f"{word.text!r} is not a percentage",
+                f"write it in percent, as in {number * 100:g}%",
+                word,
+                "no-unit",
             )
         value = number / 100 if unit == "%" else number
         if not 0 <= value <= 1:
@@ -304,7 +314,7 @@
 
 @dataclass(frozen=True)
 class Number(Type):
-    """A plain number within bounds."""
+    """A number without a unit, from ``low`` to ``high``."""
 
     label: str = "number"
     low: float = 0.0
@@ -331,7 +341,7 @@
 
 @dataclass(frozen=True)
 class Count(Type):
-    """A whole number within bounds."""
+    """A whole number from ``low`` to ``high``."""
 
     label: str = "count"
     low: int = 0
@@ -349,21 +359,21 @@
 
 @dataclass(frozen=True)
 class OneOf(Type):
-    """One of a few words."""
+    """One of the allowed words."""
 
     label: str = "word"
     allowed: tuple[str, ...] = ()
 
     def read_word(self, word: Word) -> str:
         if word.text not in self.allowed:
-            text = f"{word.text!r} is none of {', '.join(self.allowed)}"
+            text = f"{word.text!r} is not one of {', '.join(self.allowed)}"
             raise InvalidValueError(text, suggest(word.text, self.allowed), word, "unknown-word")
         return word.text
 
 
 @dataclass(frozen=True)
 class Flag(Type):
-    """yes or no."""
+    """A flag, written as ``yes`` or ``no``."""
 
     label: str = "yes or no"
 
@@ -373,7 +383,7 @@
                 word.text.lower()
             )
             fix = f"write {meant}" if meant else "write yes or no"
-            raise InvalidValueError(f"{word.text!r} is none of yes, no", fix, word, "unknown-word")
+            raise InvalidValueError(f"{word.text!r} is neither yes nor no", fix, word, "unknown-word")
         return word.text == "yes"
 
     def show(self, value: bool) -> str:
@@ -382,7 +392,7 @@
 
 @dataclass(frozen=True)
 class Many(Type):
-    """Several words of a kind, set apart by commas; their order means nothing."""
+    """Several words of one type, separated by commas. Their order has no meaning; the value is sorted."""
 
     label: str = "words"
     of: Type = Type()
@@ -404,7 +414,7 @@
 
 @dataclass(frozen=True)
 class Shards(Type):
-    """Shards such as ``0-3, 7``."""
+    """Shards and ranges of shards, such as ``0-3, 7``."""
 
     label: str = "shards"
     is_list: bool = True
@@ -427,7 +437,12 @@
                 )
             found += range(first, last + 1)
             if len(set(found)) != len(found):
-                raise InvalidValueError("a shard is named twice", "keep one", word, "twice")
+                raise InvalidValueError(
+                    f"{word.text!r} contains a shard that is already listed",
+                    "list each shard once",
+                    word,
+                    "twice",
+                )
         return tuple(sorted(found))
 
     def show(self, value: tuple[int, ...]) -> str:
@@ -442,7 +457,7 @@
 
 @dataclass(frozen=True)
 class Address(Type):
-    """HOST:PORT."""
+    """An address, written as HOST:PORT."""
 
     label: str = "address"
 
@@ -460,14 +475,14 @@
 
 @dataclass(frozen=True)
 class Url(Type):
-    """``http://HOST:PORT/PATH``."""
+    """A URL of the form ``http://HOST:PORT/PATH``; the default path is ``/nodes``."""
 
     label: str = "URL"
 
     def read_word(self, word: Word) -> tuple[str, int, str]:
         found = re.fullmatch(r"http://([^/:\s]+):([0-9]{1,5})(/\S*)?", word.text)
         if not found or int(found[2]) > 65535:
-            text = f"{word.text!r} is not an address like http://127.0.0.1:7000/nodes"
+            text = f"{word.text!r} is not a URL like http://127.0.0.1:7000/nodes"
             raise InvalidValueError(text, "write http://HOST:PORT/PATH", word, "bad-address")
         return found[1], int(found[2]), found[3] or "/nodes"
 
@@ -477,18 +492,18 @@
 
 @dataclass(frozen=True)
 class Pattern(Type):
-    """A volume's name, or the beginning of one and ``*``."""
+    """A volume name, or a prefix of volume names followed by ``*``."""
 
     label: str = "pattern"
 
     def read_word(self, word: Word) -> str:
         if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\*?|\*", word.text):
             star = "*" in word.text[:-1]
-            text = f"{word.text!r} is no volume's name or beginning"
+            text = f"{word.text!r} is neither a volume name nor a prefix with *"
             fix = (
-                "a * goes at the end alone, as in school-*"
+                "write * only at the end, as in school-*"
                 if star
-                else "letters, digits, dots, dashes and underscores"
+                else "use letters, digits, dots, dashes and underscores"
             )
             raise InvalidValueError(text, fix, word, "bad-pattern")
         return word.text
@@ -496,7 +511,7 @@
 
 @dataclass(frozen=True)
 class Header(Type):
-    """``NAME: VALUE``."""
+    """A header and its value, written as ``NAME: VALUE``."""
 
     label: str = "header"
 
@@ -505,7 +520,10 @@
         name, colon, value = text.partition(":")
         if not colon or not re.fullmatch(r"[A-Za-z0-9-]+", name) or not value.strip():
             raise InvalidValueError(
-                f"{text!r} is no header", "write it like X-Kind: import", item[0], "bad-header"
+                f"{text!r} is not a header with a value",
+                "write it like X-Kind: import",
+                item[0],
+                "bad-header",
             )
         return name.lower(), value.strip()
 
@@ -515,7 +533,10 @@
 
 @dataclass(frozen=True)
 class Sizes(Type):
-    """A range of sizes: ``over 1MiB``, ``up to 64KiB``, ``1MiB to 64MiB``; first counted out, last in."""
+    """A range of sizes: ``over 1MiB``, ``up to 64KiB``, ``1MiB to 64MiB``.
+
+    It excludes the lower bound and includes the upper one.
+    """
 
     label: str = "sizes"
 
@@ -530,14 +551,14 @@
             low, high = size.read_word(item[0]), size.read_word(item[2])
             if low >= high:
                 raise InvalidValueError(
-                    f"{' '.join(words)!r} holds no size",
+                    f"{' '.join(words)!r} is an empty range",
                     "write the smaller one first",
                     item[0],
                     "out-of-range",
                 )
             return low, high
         fix = "write over 1MiB, up to 64KiB, or 1MiB to 64MiB"
-        raise InvalidValueError(f"{' '.join(words)!r} is no range of sizes", fix, item[0], "bad-sizes")
+        raise InvalidValueError(f"{' '.join(words)!r} is not a range of sizes", fix, item[0], "bad-sizes")
 
     def show(self, value: tuple[int, int]) -> str:
         low, high = value
--- a/winchdyke/config/units.py
+++ b/winchdyke/config/units.py
@@ -1,4 +1,4 @@
-"""Durations and sizes as people write them: ``400ms``, ``4s``, ``64KiB``."""
+"""Parses durations and sizes with units: ``400ms``, ``4s``, ``64KiB``."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def duration(text: str) -> float:
-    """Milliseconds in a duration such as ``1.5s``; a bare ``0`` needs no unit. ValueError says what is wrong."""
+    """Return the milliseconds of a duration such as ``1.5s``; ``0`` needs no unit. Raises ValueError."""
     return _value(Duration(), text)
 
 
 def size(text: str) -> int:
-    """Bytes in a size such as ``64KiB``; ValueError says what is wrong."""
+    """Return the bytes of a size such as ``64KiB``; ``0`` needs no unit. Raises ValueError."""
     return int(_value(Size(), text))
