--- a/tests/test_admin.py
+++ b/tests/test_admin.py
@@ -114,7 +114,7 @@
         signed_message(mine), BODY
     )
     listed = run_cli("keys", "list", file)
-    assert fresh in listed and mine.secret not in listed and "does not count" in listed
+    assert fresh in listed and mine.secret not in listed and "not valid" in listed
     assert "has no key" in run_cli("keys", "withdraw", file, "nobody", ends=1)
 
 
--- a/winchdyke/cli/__init__.py
+++ b/winchdyke/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: ``winchdyke``, one file for each sub-command."""
+"""The command line ``winchdyke``; each subcommand has its own module."""
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -1,4 +1,4 @@
-"""``winchdyke access``: keys of S3 clients; ``winchdyke s3``: what is spoken."""
+"""``winchdyke access``: access keys of S3 clients; ``winchdyke s3``: the supported S3 operations."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 PATH = click.Path(path_type=Path, dir_okay=False)
 FILE = click.argument("file", type=PATH)
 MASTER = click.option(
-    "--master", type=PATH, required=True, help="The file with the master key; see 'access master'."
+    "--master", type=PATH, required=True, help="File with the master key; see 'access master'."
 )
 T = TypeVar("T")
 
 
 @click.group("access")
 def command() -> None:
-    """Access keys of S3 clients. FILE is a gateway's `s3, keys`; a running gateway goes by it from the next request on."""
+    """Access keys of S3 clients. FILE is the gateway's `s3, keys`; a running gateway applies changes from the next request on."""
 
 
 def _do(call: Callable[..., T], *words: Any) -> T:
@@ -55,30 +55,34 @@
 @command.command("master")
 @FILE
 def master(file: Path) -> None:
-    """Make a master key in FILE, or put a new one in front of those there; then seal all keys anew with 'access reseal'."""
+    """Create a master key in FILE; if it has one, add a newer one and then run 'access reseal'."""
     from winchdyke.auth.keys import add_master_key
 
     _do(add_master_key, file)
-    click.echo(f"{file}: a new master key")
+    click.echo(f"{file}: new master key added")
 
 
 @command.command("new")
 @FILE
 @MASTER
-@click.option("--who", required=True, help="Whose it is.")
+@click.option("--who", required=True, help="Owner of the key.")
 @click.option(
     "--may",
     "rights",
     multiple=True,
     required=True,
     metavar="VOLUME[/PREFIX]:ACTIONS",
-    help="What it may do, as 'school-*:read,list'; several may be given.",
+    help="What the key may do, such as 'school-*:read,list'; can be repeated.",
 )
 @click.option(
-    "--for", "counts", default=None, metavar="TIME", help="How long it counts; for good where not given."
+    "--for",
+    "counts",
+    default=None,
+    metavar="TIME",
+    help="How long the key is valid; without it, indefinitely.",
 )
 def new(file: Path, master: Path, who: str, rights: tuple[str, ...], counts: str | None) -> None:
-    """Make a key; its secret is shown once."""
+    """Create a key; its secret is shown only once."""
     from winchdyke.auth.keys import create_key, write_keys
 
     now = time.time() * 1000
@@ -93,10 +97,13 @@
 @FILE
 @click.argument("name", metavar="ID")
 @click.option(
-    "--within", default=None, metavar="TIME", help="Let it count so long still: for a change of keys."
+    "--within",
+    default=None,
+    metavar="TIME",
+    help="Keep the key valid for this time, for the change to another key.",
 )
 def withdraw(file: Path, name: str, within: str | None) -> None:
-    """Take key ID away."""
+    """Withdraw key ID, at once unless --within is given."""
     from winchdyke.auth.keys import write_keys
 
     keys = _keys(file)
@@ -114,7 +121,7 @@
 @FILE
 @MASTER
 def reseal(file: Path, master: Path) -> None:
-    """Seal all secrets with the newest master key."""
+    """Encrypt all secrets with the newest master key."""
     from winchdyke.auth.keys import reseal_keys, write_keys
 
     keys = _do(reseal_keys, _keys(file), master)
@@ -125,7 +132,7 @@
 @command.command("list")
 @FILE
 def show(file: Path) -> None:
-    """The keys, without their secrets."""
+    """List the keys, without their secrets."""
     now = time.time() * 1000
     for key in _keys(file):
         until = format_unix_ms(key.until_ms)
@@ -133,18 +140,18 @@
             f"{r.volume}{'/' + r.prefix if r.prefix else ''}:{','.join(r.allow)}" for r in key.rights
         )
         click.echo(
-            f"{key.id:22} {key.who:12} {'counts' if key.is_valid(now) else 'does not count':14} until {until}  {rights}"
+            f"{key.id:22} {key.who:12} {'valid' if key.is_valid(now) else 'not valid':14} until {until}  {rights}"
         )
 
 
 @click.group("s3")
 def s3_command() -> None:
-    """The S3 dialect."""
+    """The S3 API."""
 
 
 @s3_command.command("spoken")
 def spoken() -> None:
-    """What is and isn't spoken, as the table in the docs."""
+    """Print the supported and the unsupported S3 operations, as the table in the docs."""
     from winchdyke.s3.requests import NOT_SPOKEN, SPOKEN
 
     click.echo("| operation | as | right | notes |\n| --- | --- | --- | --- |")
--- a/winchdyke/cli/changes.py
+++ b/winchdyke/cli/changes.py
@@ -1,4 +1,4 @@
-"""``winchdyke changes``: settings as versions, changed while a gateway serves; ``plan``, ``volume`` and ``limit`` for one value."""
+"""``winchdyke changes``: versions of the settings, applied in service; ``plan``, ``volume``, ``limit``: single values."""
 
 from __future__ import annotations
 
@@ -22,35 +22,33 @@
 KINDS = ["plan", "volume", "route", "pool", "template", "peer", "fleet"]
 
 WHERE = click.argument("target", metavar="WHERE")
-WHO = click.option(
-    "--who", "actor", default=None, help="Who does this; the user's name where it is not given."
-)
-WHY = click.option("--why", "reason", default="", help="Why; it stays in the change log.")
+WHO = click.option("--who", "actor", default=None, help="Who makes the change; by default the user's name.")
+WHY = click.option("--why", "reason", default="", help="Reason, recorded in the change log.")
 KEY = click.option(
     "--key",
     "key_file",
     type=click.Path(path_type=Path, dir_okay=False),
     envvar="WINCHDYKE_KEY",
     default=None,
-    help="A file with your key, where WHERE is http://HOST:PORT. [env: WINCHDYKE_KEY]",
+    help="File with your key, for WHERE = http://HOST:PORT. [env: WINCHDYKE_KEY]",
 )
 WAIT = click.option(
     "--wait",
     "wait_seconds",
     default=5.0,
     show_default=True,
-    help="Seconds to wait for the gateway; 0 for none.",
+    help="Seconds to wait for the gateway; 0: do not wait.",
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="As JSON, for programs.")
+JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 PARENT = click.option(
-    "--parent", type=int, default=0, help="The version to begin from; the one served where not given."
+    "--parent", type=int, default=0, help="Version to start from; by default the one in service."
 )
 FILE = click.argument("file", type=click.Path(path_type=Path, dir_okay=False, exists=True))
 
 
 @click.group("changes")
 def command() -> None:
-    """Plans, volumes, routes and pools as versions.
+    """Change plans, volumes, routes and pools in service, as versions.
 
     WHERE is a gateway's `changes, folder`, its admin socket as unix:PATH, or http://HOST:PORT with a key.
     """
@@ -61,7 +59,7 @@
         return file.read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
         raise click.ClickException(
-            f"{file} is no text in UTF-8: {error.reason} at byte {error.start}"
+            f"{file} is not UTF-8 text: {error.reason} at byte {error.start}"
         ) from None
 
 
@@ -75,7 +73,7 @@
 def propose(
     target: str, file: Path, parent: int, actor: str | None, reason: str, key_file: Path | None
 ) -> None:
-    """Keep the settings in FILE as a version, checked, and say what differs."""
+    """Check the settings in FILE, store them as a version, and show the difference."""
     text = _read_text(file)
     execute = connect(target, actor, key_file)
     print_version(execute(op="propose", text=text, parent=parent, why=reason))
@@ -87,10 +85,10 @@
 @PARENT
 @KEY
 def check(target: str, file: Path, parent: int, key_file: Path | None) -> None:
-    """Say what the settings in FILE would change, and whether they can in service; nothing is kept."""
+    """Show what the settings in FILE would change, and whether that is possible in service; store nothing."""
     execute = connect(target, None, key_file)
     found = execute(op="propose", text=_read_text(file), parent=parent, check=True)
-    click.echo(f"it passes; against version {found['parent']}:\n{format_changes(found['changes'])}")
+    click.echo(f"valid; compared with version {found['parent']}:\n{format_changes(found['changes'])}")
 
 
 @command.command("set")
@@ -98,8 +96,8 @@
 @click.argument("kind", type=click.Choice(KINDS))
 @click.argument("name")
 @click.argument("values", nargs=-1, metavar="KEY=VALUE...")
-@click.option("--new", is_flag=True, help="The block is not there yet.")
-@click.option("--remove", is_flag=True, help="Take the block away.")
+@click.option("--new", is_flag=True, help="Add the block.")
+@click.option("--remove", is_flag=True, help="Remove the block.")
 @PARENT
 @WHO
 @WHY
@@ -116,12 +114,12 @@
     reason: str,
     key_file: Path | None,
 ) -> None:
-    """Make a version in which a block has other values. `fleet` has no NAME: `set WHERE fleet seeds=HOST:PORT`."""
+    """Create a version with changed values of one block. `fleet` has no NAME: `set WHERE fleet seeds=HOST:PORT`."""
     if kind == "fleet":
         values = (name, *values)
         name = ""
     if (remove and (values or new)) or not (remove or values):
-        raise click.ClickException("give KEY=VALUE, or --remove alone")
+        raise click.ClickException("give KEY=VALUE arguments, or --remove without any")
     execute = connect(target, actor, key_file)
     print_version(
         execute(
@@ -147,7 +145,7 @@
 def stage(
     target: str, version: int, wait_seconds: float, actor: str | None, reason: str, key_file: Path | None
 ) -> None:
-    """Have the gateway check VERSION and hold it ready, until 'apply' tells it to go."""
+    """Have the gateway check VERSION and hold it ready until 'apply'."""
     execute = connect(target, actor, key_file)
     staged = execute(op="stage", version=version, hold=True, why=reason)
     wait_for_outcome(execute, staged, wait_seconds, is_applied_later=True)
@@ -157,13 +155,16 @@
 @WHERE
 @click.argument("version", type=int)
 @click.option(
-    "--at", default=None, metavar="INSTANT", help="When, by each gateway's clock: ISO 8601, or +TIME."
+    "--at",
+    default=None,
+    metavar="INSTANT",
+    help="When to apply it, by each gateway's clock: ISO 8601, or +TIME.",
 )
 @click.option(
     "--confirm-within",
     default=None,
     metavar="TIME",
-    help="Undo it by itself where it is not confirmed in time.",
+    help="Roll back automatically unless confirmed in time.",
 )
 @WAIT
 @WHO
@@ -179,10 +180,10 @@
     reason: str,
     key_file: Path | None,
 ) -> None:
-    """Have the gateway apply VERSION at one instant: as it arrives, or at a stated one.
+    """Have the gateway apply VERSION, at once or at a set time.
 
-    Where others have gone on since the version it was made from, their values stay where it does not touch them; where both
-    touch the same one, nothing is applied and both edits are shown.
+    Other changes made since the parent of VERSION are kept if they concern other values. If both change the same value,
+    nothing is applied and both changes are shown.
     """
     activate_at_ms = parse_instant_ms(at)
     confirm_within_ms = parse_duration_ms(confirm_within, "--confirm-within")
@@ -199,7 +200,7 @@
 @WHY
 @KEY
 def withdraw(target: str, actor: str | None, reason: str, key_file: Path | None) -> None:
-    """Take back what is staged."""
+    """Withdraw the staged version."""
     execute = connect(target, actor, key_file)
     click.echo(f"version {execute(op='withdraw', why=reason)['version']} is withdrawn")
 
@@ -210,7 +211,7 @@
 @WHY
 @KEY
 def confirm(target: str, actor: str | None, reason: str, key_file: Path | None) -> None:
-    """Keep what was applied on trial."""
+    """Keep the version that was applied on trial."""
     execute = connect(target, actor, key_file)
     click.echo(f"version {execute(op='confirm', why=reason)['version']} stays")
 
@@ -222,18 +223,18 @@
 @WHY
 @KEY
 def undo(target: str, wait_seconds: float, actor: str | None, reason: str, key_file: Path | None) -> None:
-    """Go back to the version before; again: forward to the one that was undone. What is staged is withdrawn."""
+    """Go back to the previous version; a second undo restores the later one. A staged version is withdrawn."""
     execute = connect(target, actor, key_file)
     wait_for_outcome(execute, execute(op="undo", why=reason), wait_seconds)
 
 
 @command.command("log")
 @WHERE
-@click.option("--json", "as_json", is_flag=True, help="A line of JSON for each entry.")
-@click.option("--archives", is_flag=True, help="What was moved out as well.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON per entry.")
+@click.option("--archives", is_flag=True, help="Include archived entries.")
 @KEY
 def log(target: str, as_json: bool, archives: bool, key_file: Path | None) -> None:
-    """All that was done, the oldest first."""
+    """Show the change log, the oldest entry first."""
     execute = connect(target, None, key_file)
     for entry in execute(op="log", archives=archives)["entries"]:
         click.echo(json.dumps(entry) if as_json else _format_entry(entry))
@@ -253,12 +254,14 @@
 @WHERE
 @click.argument("version", type=int, required=False)
 @click.option(
-    "--difference", is_flag=True, help="What differs from the version it was made from, and who made it why."
+    "--difference",
+    is_flag=True,
+    help="Show the difference from the parent version, the author and the reason.",
 )
 @JSON
 @KEY
 def show(target: str, version: int | None, difference: bool, as_json: bool, key_file: Path | None) -> None:
-    """The settings of VERSION, or where the gateway stands."""
+    """Show the settings of VERSION; without VERSION, which versions are in service and staged."""
     execute = connect(target, None, key_file)
     found = execute(op="standing") if version is None else execute(op="show", version=version)
     if as_json:
@@ -294,10 +297,10 @@
 
 @command.command("verify")
 @WHERE
-@click.option("--archives", is_flag=True, help="Over what was moved out as well.")
+@click.option("--archives", is_flag=True, help="Include archived entries.")
 @KEY
 def verify(target: str, archives: bool, key_file: Path | None) -> None:
-    """Whether the change log is complete: no entry altered, removed or inserted. Ends with 1 where it is not."""
+    """Verify that no entry of the change log was altered, removed or inserted. Exits with 1 if one was."""
     execute = connect(target, None, key_file)
     found = execute(op="verify", archives=archives)
     for text in found["wrong"]:
@@ -312,7 +315,7 @@
 @click.argument("path", default="", metavar="[KIND.NAME[.KEY]]")
 @KEY
 def blame(target: str, path: str, key_file: Path | None) -> None:
-    """Who changed each value last, in which version, and why."""
+    """Show who last changed each value, in which version, and why."""
     execute = connect(target, None, key_file)
     for name, entry in execute(op="blame", path=path)["values"].items():
         text = f"{name:40} version {entry['version']:4} {format_unix_ms(entry['unix_ms'])} {entry['who']:12} {entry['note']}"
@@ -323,7 +326,7 @@
 @WHERE
 @KEY
 def export(target: str, key_file: Path | None) -> None:
-    """All versions and the change log as lines of JSON."""
+    """Print all versions and the change log as lines of JSON."""
     execute = connect(target, None, key_file)
     for line in execute(op="export")["lines"]:
         click.echo(line)
@@ -333,11 +336,13 @@
 @WHERE
 @click.argument("file", type=click.File(encoding="utf-8"))
 def import_file(target: str, file: Any) -> None:
-    """Take in an export at a folder that has none; its hash chain must fit."""
+    """Import an export into a folder without a change log; its hash chain must be intact."""
     from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError
 
     if target.startswith(REMOTE_SCHEMES):
-        raise click.ClickException("this is done on a folder of its own, before a gateway starts with it")
+        raise click.ClickException(
+            "import works on a folder only; run it before a gateway starts with that folder"
+        )
     try:
         count = ChangeLog(Path(target)).import_lines(file)
     except ChangeLogError as error:
@@ -345,12 +350,12 @@
     click.echo(f"{count} entries, all in the chain")
 
 
-# Single values: a version is made, and applied
+# Commands that change single values: they create a version and apply it.
 
 
-plan_command = click.Group("plan", help="A plan's figures, changed in service.")
-volume_command = click.Group("volume", help="A volume's plan, shards and gateways, changed in service.")
-limit_command = click.Group("limit", help="A plan's limit, changed in service.")
+plan_command = click.Group("plan", help="Change a plan's values in service.")
+volume_command = click.Group("volume", help="Change a volume's plan, shards and gateways in service.")
+limit_command = click.Group("limit", help="Change a plan's limit in service.")
 
 
 def _add_set_command(
@@ -360,15 +365,18 @@
     metavar: str,
     to_assignments: Callable[[tuple[str, ...]], list[str]] = list,
 ) -> None:
-    """Add ``set`` to a group. ``to_assignments``: makes ``KEY=VALUE`` of the command's arguments."""
+    """Add ``set`` to a group. ``to_assignments`` converts the command's arguments to ``KEY=VALUE``."""
 
     @group.command("set", help=text)
     @WHERE
     @click.argument("name")
     @click.argument("values", nargs=-1, required=True, metavar=metavar)
-    @click.option("--at", default=None, metavar="INSTANT", help="When: ISO 8601, or +TIME.")
+    @click.option("--at", default=None, metavar="INSTANT", help="When to apply it: ISO 8601, or +TIME.")
     @click.option(
-        "--confirm-within", default=None, metavar="TIME", help="Undo it where it is not confirmed in time."
+        "--confirm-within",
+        default=None,
+        metavar="TIME",
+        help="Roll back automatically unless confirmed in time.",
     )
     @WAIT
     @WHO
@@ -403,7 +411,7 @@
 
 def _limit_assignments(values: tuple[str, ...]) -> list[str]:
     if len(values) > 2:
-        raise click.ClickException("give the limit, as 100 units/s, and the burst in units where it changes")
+        raise click.ClickException("give the limit, such as '100 units/s', and optionally the burst in units")
     return [f"limit={values[0]}", *(f"limit_burst={burst}" for burst in values[1:])]
 
 
@@ -412,7 +420,7 @@
 _add_set_command(
     limit_command,
     "plan",
-    "Set the limit of plan NAME, as '100 units/s' [BURST], and apply it.",
+    "Set the limit of plan NAME, such as '100 units/s', and optionally its burst in units; apply it.",
     "RATE [BURST]",
     _limit_assignments,
 )
--- a/winchdyke/cli/check.py
+++ b/winchdyke/cli/check.py
@@ -1,4 +1,4 @@
-"""``winchdyke check``: whether settings can be used."""
+"""``winchdyke check``: checks settings and summarizes them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 @click.command("check")
 @click.argument("file", type=FILE)
 def command(file: Path) -> None:
-    """Check the settings in FILE; every mistake is told with file, line and key."""
+    """Check the settings in FILE and report every mistake with file, line and key."""
     config = load_config_or_exit(file)
     names = ", ".join(kind.rules.name for kind in config.kinds)
     click.echo(
--- a/winchdyke/cli/common.py
+++ b/winchdyke/cli/common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands share."""
+"""Helpers shared by the subcommands."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def load_config_or_exit(path: Path) -> Config:
-    """The settings in a file; where they can't be used, every mistake is printed and the command ends with 2."""
+    """Load the settings in a file. If they are not valid, print every mistake and exit with status 2."""
     return load_or_exit(path).config
 
 
 def load_or_exit(path: Path) -> Loaded:
-    """The same, with where each value came from."""
+    """Like ``load_config_or_exit``, with the origin of each value."""
     try:
         return load_all(path)
     except ConfigError as error:
@@ -28,7 +28,7 @@
 
 
 def parse_duration_ms(text: str | None, option: str) -> float:
-    """A time such as 60s that an option was given, in ms; 0 where it was not."""
+    """Return the milliseconds of an option's value, such as 60s; 0 if the option was not given."""
     from winchdyke.config import units
 
     try:
@@ -38,7 +38,7 @@
 
 
 def format_unix_ms(unix_ms: float, none: str = "-") -> str:
-    """A Unix time (ms) for people, UTC; ``none`` where it is 0."""
+    """Format a Unix time in ms as UTC; ``none`` if it is 0."""
     return datetime.fromtimestamp(unix_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S") if unix_ms else none
 
 
--- a/winchdyke/cli/keys.py
+++ b/winchdyke/cli/keys.py
@@ -1,4 +1,4 @@
-"""``winchdyke keys``: who may use the admin API over TCP."""
+"""``winchdyke keys``: the keys of the admin API over TCP."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @click.group("keys")
 def command() -> None:
-    """Keys of the admin API. FILE is a gateway's `admin, keys`; a running gateway goes by it from the next request on."""
+    """Keys of the admin API. FILE is the gateway's `admin, keys`; a running gateway applies changes from the next request on."""
 
 
 def _read(file: Path, may_be_missing: bool = False) -> list[Any]:
@@ -47,15 +47,21 @@
 
 @command.command("new")
 @FILE
-@click.option("--who", required=True, help="Whose it is; the change log names them.")
+@click.option("--who", required=True, help="Owner of the key, who is named in the change log.")
 @click.option(
-    "--for", "lifetime", default=None, metavar="TIME", help="How long it counts; for good where not given."
+    "--for",
+    "lifetime",
+    default=None,
+    metavar="TIME",
+    help="How long the key is valid; without it, indefinitely.",
 )
 @click.option(
-    "--to", type=click.Path(path_type=Path, dir_okay=False), help="Write it to a file for its owner, too."
+    "--to",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Also write the key to a file for its owner.",
 )
 def new(file: Path, who: str, lifetime: str | None, to: Path | None) -> None:
-    """Make a key, and the file where there is none."""
+    """Create a key, and FILE if it does not exist."""
     from winchdyke.admin.keys import create_key
 
     keys = _read(file, may_be_missing=True)
@@ -72,13 +78,13 @@
 @FILE
 @click.argument("key_id", metavar="ID")
 @click.option(
-    "--overlap", default="24h", show_default=True, metavar="TIME", help="How long the old one counts still."
+    "--overlap", default="24h", show_default=True, metavar="TIME", help="How long the old key remains valid."
 )
 @click.option(
-    "--to", type=click.Path(path_type=Path, dir_okay=False), help="Write the new one to a file for its owner."
+    "--to", type=click.Path(path_type=Path, dir_okay=False), help="Write the new key to a file for its owner."
 )
 def rotate(file: Path, key_id: str, overlap: str, to: Path | None) -> None:
-    """Make another key for the owner of key ID; both count for a while."""
+    """Create a new key for the owner of key ID; both are valid during the overlap."""
     from winchdyke.admin.keys import create_key
 
     keys = _read(file)
@@ -97,7 +103,7 @@
 @FILE
 @click.argument("key_id", metavar="ID")
 def withdraw(file: Path, key_id: str) -> None:
-    """Take key ID away; it is refused from the next request on."""
+    """Withdraw key ID; it is refused from the next request on."""
     keys = _read(file)
     withdrawn = _find(keys, key_id, file)
     _write(file, [key for key in keys if key is not withdrawn])
@@ -107,8 +113,8 @@
 @command.command("list")
 @FILE
 def show(file: Path) -> None:
-    """The keys, without their secrets."""
+    """List the keys, without their secrets."""
     now_ms = time.time() * 1000
     for key in _read(file):
-        validity = "counts" if key.is_valid(now_ms) else "does not count"
+        validity = "valid" if key.is_valid(now_ms) else "not valid"
         click.echo(f"{key.id:24} {key.who:16} {validity:14} until {format_unix_ms(key.valid_until_ms)}")
--- a/winchdyke/cli/main.py
+++ b/winchdyke/cli/main.py
@@ -1,4 +1,4 @@
-"""``winchdyke``: the command that holds the others."""
+"""The ``winchdyke`` command, which contains all subcommands."""
 
 from __future__ import annotations
 
--- a/winchdyke/cli/platform.py
+++ b/winchdyke/cli/platform.py
@@ -1,4 +1,4 @@
-"""``winchdyke platform``: one gateway that speaks the platform's protocol."""
+"""``winchdyke platform``: runs one gateway that speaks the platform's protocol."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @click.command("platform")
 def command() -> None:
-    """Run a gateway as the platform starts it: told by NODE_CONFIG, until SIGTERM."""
+    """Run a gateway as the platform starts it: configured by NODE_CONFIG, until SIGTERM."""
     from winchdyke.platform.__main__ import main
 
     sys.exit(main())
--- a/winchdyke/cli/rollout_client.py
+++ b/winchdyke/cli/rollout_client.py
@@ -1,4 +1,4 @@
-"""What the commands for changes share: carrying out operations here or at a gateway, and printing what came of them."""
+"""Helpers of the commands for changes: run operations on a folder or at a gateway, and print the results."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 
 from winchdyke.cli.common import parse_duration_ms
 
-Execute = Callable[..., dict[str, Any]]  # carries out an operation, given as keyword arguments
+Execute = Callable[..., dict[str, Any]]  # runs an operation, given as keyword arguments
 
 REMOTE_SCHEMES = ("unix:", "http:")
 OUTCOME_POLL_SECONDS = 0.05
-PENDING_OUTCOMES = ("ready", "refused", "withdrawn")  # of a version that is applied later
+PENDING_OUTCOMES = ("ready", "refused", "withdrawn")  # outcomes of a version that is applied later
 FINAL_OUTCOMES = ("applied", "undone", "refused", "withdrawn")
 FAILURES = ("refused", "withdrawn")
 
 
 def connect(target: str, actor: str | None = None, key_file: Path | None = None) -> Execute:
-    """Return what carries out operations: on a folder's change log, or through a gateway's admin API."""
+    """Return a function that runs operations on a folder's change log or through a gateway's admin API.
+
+    The function exits with an error message if an operation fails.
+    """
     from winchdyke.config_rollout.change_log import ChangeLogError
     from winchdyke.config_rollout.operations import OperationError
 
@@ -62,7 +65,7 @@
 
 
 def format_changes(changes: list[dict[str, Any]]) -> str:
-    """Return a difference as text, a line for each changed value."""
+    """Return a difference as text, one line per changed value."""
     lines = []
     for change in changes:
         risk = f"  [{change['risk']}]" if change.get("risk") else ""
@@ -77,7 +80,7 @@
 
 
 def parse_instant_ms(text: str | None) -> float:
-    """Return an instant in Unix ms; 0 where none is given."""
+    """Return an instant in Unix ms; 0 if none is given."""
     if not text:
         return 0.0
     if text.startswith("+"):
@@ -86,7 +89,7 @@
         instant = datetime.fromisoformat(text)
     except ValueError:
         raise click.ClickException(
-            f"--at: {text!r} is no instant; give one as 2026-12-01T18:30:00+01:00, or +10s from now"
+            f"--at: {text!r} is not a time; write 2026-12-01T18:30:00+01:00, or +10s for 10 s from now"
         ) from None
     return (instant if instant.tzinfo else instant.astimezone()).timestamp() * 1000
 
@@ -94,15 +97,15 @@
 def wait_for_outcome(
     execute: Execute, staged: dict[str, Any], wait_seconds: float, is_applied_later: bool = False
 ) -> None:
-    """Follow the log until the gateway has applied or refused a staged version, and report it.
+    """Follow the change log until the gateway has applied or refused a staged version, and print the outcome.
 
-    ``is_applied_later``: until the gateway has checked the version, which it applies at an instant or after another command.
+    ``is_applied_later``: the version is applied at a set time or by a later command; wait only until it is checked.
     """
     version = staged["version"]
     if staged.get("merged_from"):
-        click.echo(f"merged with what is served, as version {version}")
+        click.echo(f"merged with the version in service, as version {version}")
     if staged.get("withdrawn"):
-        click.echo(f"version {staged['withdrawn']}, which was staged, is withdrawn; apply it anew")
+        click.echo(f"version {staged['withdrawn']}, which was staged, is withdrawn; apply it again")
     outcomes = PENDING_OUTCOMES if is_applied_later else FINAL_OUTCOMES
     last_seq = staged["after"]
     deadline = time.monotonic() + wait_seconds
--- a/winchdyke/cli/serve.py
+++ b/winchdyke/cli/serve.py
@@ -1,4 +1,4 @@
-"""``winchdyke serve``: one gateway."""
+"""``winchdyke serve``: runs one gateway."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @click.command("serve")
 @click.option(
-    "-c", "--config", "file", type=FILE, required=True, help="Settings (INI); see 'winchdyke check'."
+    "-c", "--config", "file", type=FILE, required=True, help="Settings file; check it with 'winchdyke check'."
 )
 def command(file: Path) -> None:
-    """Run a gateway until SIGTERM; it answers all that it has taken before it ends."""
+    """Run a gateway until SIGTERM; before it exits, it answers all accepted requests."""
     from winchdyke.gateway import daemon, logs
 
     config = load_config_or_exit(file)
