--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -24,7 +24,7 @@
     """Access keys of S3 clients. FILE is the gateway's `s3, keys`; a running gateway applies changes from the next request on."""
 
 
-def _do(call: Callable[..., T], *words: Any) -> T:
+def _call_or_exit(call: Callable[..., T], *words: Any) -> T:
     from winchdyke.auth.keys import AccessKeyFileError
 
     try:
@@ -33,17 +33,17 @@
         raise click.ClickException(str(error)) from None
 
 
-def _keys(file: Path) -> list[Any]:
+def _read_keys_or_empty(file: Path) -> list[Any]:
     from winchdyke.auth.keys import read_keys
 
-    return _do(read_keys, file) if file.exists() else []
+    return _call_or_exit(read_keys, file) if file.exists() else []
 
 
-def _right(text: str) -> Any:
+def _parse_right(text: str) -> Any:
     from winchdyke.auth.keys import ACTIONS, Right
 
-    where, _, actions = text.rpartition(":")
-    volume, _, prefix = where.partition("/")
+    resource, _, actions = text.rpartition(":")
+    volume, _, prefix = resource.partition("/")
     allow = [part.strip() for part in actions.split(",")]
     if not volume or any(action not in ACTIONS for action in allow):
         raise click.ClickException(
@@ -58,7 +58,7 @@
     """Create a master key in FILE; if it has one, add a newer one and then run 'access reseal'."""
     from winchdyke.auth.keys import add_master_key
 
-    _do(add_master_key, file)
+    _call_or_exit(add_master_key, file)
     click.echo(f"{file}: new master key added")
 
 
@@ -87,9 +87,9 @@
 
     now = time.time() * 1000
     until = now + parse_duration_ms(counts, "--for") if counts else 0.0
-    keys = _keys(file)
-    key, secret = _do(create_key, who, [_right(text) for text in rights], master, now, until)
-    _do(write_keys, file, [*keys, key])
+    keys = _read_keys_or_empty(file)
+    key, secret = _call_or_exit(create_key, who, [_parse_right(text) for text in rights], master, now, until)
+    _call_or_exit(write_keys, file, [*keys, key])
     click.echo(f"access key  {key.id}\nsecret key  {secret}")
 
 
@@ -106,14 +106,14 @@
     """Withdraw key ID, at once unless --within is given."""
     from winchdyke.auth.keys import write_keys
 
-    keys = _keys(file)
+    keys = _read_keys_or_empty(file)
     if name not in {key.id for key in keys}:
         raise click.ClickException(f"{file} has no key {name}; 'winchdyke access list {file}' shows them")
     until = time.time() * 1000 + parse_duration_ms(within, "--within") if within else 0.0
     for key in keys:
         if key.id == name and until:
             key.until_ms = min(key.until_ms, until) if key.until_ms else until
-    _do(write_keys, file, [key for key in keys if key.id != name or until])
+    _call_or_exit(write_keys, file, [key for key in keys if key.id != name or until])
     click.echo(f"{name} is withdrawn" + (f" in {within}" if until else ""))
 
 
@@ -124,8 +124,8 @@
     """Encrypt all secrets with the newest master key."""
     from winchdyke.auth.keys import reseal_keys, write_keys
 
-    keys = _do(reseal_keys, _keys(file), master)
-    _do(write_keys, file, keys)
+    keys = _call_or_exit(reseal_keys, _read_keys_or_empty(file), master)
+    _call_or_exit(write_keys, file, keys)
     click.echo(f"{len(keys)} keys are sealed with the newest master key")
 
 
@@ -134,7 +134,7 @@
 def show(file: Path) -> None:
     """List the keys, without their secrets."""
     now = time.time() * 1000
-    for key in _keys(file):
+    for key in _read_keys_or_empty(file):
         until = format_unix_ms(key.until_ms)
         rights = " ".join(
             f"{r.volume}{'/' + r.prefix if r.prefix else ''}:{','.join(r.allow)}" for r in key.rights
@@ -156,12 +156,12 @@
 
     click.echo("| operation | as | right | notes |\n| --- | --- | --- | --- |")
     for each in SPOKEN:
-        where = {"service": "/", "bucket": "/BUCKET", "object": "/BUCKET/KEY"}[each.level]
+        resource = {"service": "/", "bucket": "/BUCKET", "object": "/BUCKET/KEY"}[each.level]
         query = "&".join(each.query)
         header = f", `{each.header.decode()}`" if each.header else ""
         right = {"own": ""}.get(each.right, each.right)
         click.echo(
-            f"| {each.name} | `{each.method} {where}{'?' + query if query else ''}`{header} | {right} | {each.notes} |"
+            f"| {each.name} | `{each.method} {resource}{'?' + query if query else ''}`{header} | {right} | {each.notes} |"
         )
     click.echo(
         "\nNot spoken (501 `NotImplemented`): " + ", ".join(f"`{name}`" for name in sorted(NOT_SPOKEN)) + "."
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -1,4 +1,4 @@
-"""``winchdyke config``: check, format, compare, explain and convert settings."""
+"""``winchdyke config``: checks, formats, compares, explains and converts settings."""
 
 from __future__ import annotations
 
@@ -15,15 +15,18 @@
 
 @click.group("config")
 def command() -> None:
-    """Work with settings files. Ends with 0: good; 1: something to do (differences, not formatted); 2: mistakes."""
+    """Work with settings files.
+
+    Exits with 0 if all is well, 1 if there is a finding (differences, not formatted, no such volume), 2 on mistakes.
+    """
 
 
 @command.command("check")
 @click.argument("file", type=FILE)
-@click.option("--json", "as_json", is_flag=True, help="Findings as JSON.")
-@click.option("--sarif", "as_sarif", is_flag=True, help="Findings as SARIF 2.1.0, for editors and CI.")
+@click.option("--json", "as_json", is_flag=True, help="Print findings as JSON.")
+@click.option("--sarif", "as_sarif", is_flag=True, help="Print findings as SARIF 2.1.0, for editors and CI.")
 def check(file: Path, as_json: bool, as_sarif: bool) -> None:
-    """Check FILE and all that it includes; every mistake is told at once."""
+    """Check FILE and the files it includes, and report every mistake."""
     try:
         found = load_all(file).warnings
     except ConfigError as error:
@@ -42,17 +45,15 @@
 
 @command.command("fmt")
 @click.argument("files", type=FILE, nargs=-1, required=True)
-@click.option(
-    "--check", "only", is_flag=True, help="Change nothing; end with 1 where a file is not formatted."
-)
+@click.option("--check", "only", is_flag=True, help="Change nothing; exit with 1 if a file is not formatted.")
 def fmt(files: tuple[Path, ...], only: bool) -> None:
-    """Write FILES in the one spelling, with their comments."""
+    """Format FILES in place; comments are kept."""
     from winchdyke.config.diagnostics import Source
     from winchdyke.config.fmt import fmt as formatted
     from winchdyke.config.sources import UnreadableFileError, read
     from winchdyke.config.syntax import parse
 
-    odd = 0
+    unformatted = 0
     for file in files:
         try:
             text = read(file)
@@ -66,34 +67,37 @@
             raise SystemExit(2)
         made = formatted(text)
         if made != file.read_bytes().decode("utf-8"):
-            odd += 1
+            unformatted += 1
             click.echo(f"{file}: {'is not formatted' if only else 'formatted'}")
             if not only:
                 file.write_text(made, encoding="utf-8")
-    raise SystemExit(1 if only and odd else 0)
+    raise SystemExit(1 if only and unformatted else 0)
 
 
 @command.command("diff")
 @click.argument("old", type=FILE)
 @click.argument("new", type=FILE)
-@click.option("--json", "as_json", is_flag=True, help="Changes as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print changes as JSON.")
 def diff(old: Path, new: Path, as_json: bool) -> None:
-    """What the change from OLD to NEW means; nothing where it means nothing."""
+    """Show the difference in meaning between OLD and NEW, with its risks; differences of form are ignored."""
     from winchdyke.config import semantic_diff
 
     before, after = load_config_or_exit(old), load_config_or_exit(new)
-    changes, moved = semantic_diff.diff(before, after), semantic_diff.find_rerouted_requests(before, after)
+    changes, rerouted_requests = (
+        semantic_diff.diff(before, after),
+        semantic_diff.find_rerouted_requests(before, after),
+    )
     if as_json:
-        told = {
+        result = {
             "changes": [change.data() for change in changes],
-            "rerouted": [str(each) for each in moved],
+            "rerouted": [str(request) for request in rerouted_requests],
         }
-        click.echo(json.dumps(told, indent=1))
+        click.echo(json.dumps(result, indent=1))
     else:
         for change in changes:
             click.echo(change.text + (f"\n    risk: {change.risk}" if change.risk else ""))
-        for each in moved:
-            click.echo(f"rerouted: {each}")
+        for request in rerouted_requests:
+            click.echo(f"rerouted: {request}")
         if not changes:
             click.echo("no difference in meaning")
     raise SystemExit(1 if changes else 0)
@@ -103,7 +107,7 @@
 @click.argument("file", type=FILE)
 @click.argument("path", metavar="PATH")
 def explain(file: Path, path: str) -> None:
-    """Where the value at PATH came from, such as class.fetch.aim or limits.connections."""
+    """Show where the value at PATH, such as class.fetch.aim or limits.connections, comes from."""
     from winchdyke.config.schema import BLOCKS
     from winchdyke.config.semantic_diff import show
     from winchdyke.config.types import suggest
@@ -115,10 +119,10 @@
         raise click.ClickException(f"there is no kind of block {kind!r}; {suggest(kind, BLOCKS)}")
     values = loaded.values.get((kind, name))
     if values is None:
-        names = [there for each, there in loaded.values if each == kind]
+        names = [other_name for other_kind, other_name in loaded.values if other_kind == kind]
         raise click.ClickException(f"there is no {kind} {name!r}; {suggest(name, names)}")
     if key not in values:
-        raise click.ClickException(f"{key!r} is no key of a {kind}; {suggest(key, BLOCKS[kind].keys)}")
+        raise click.ClickException(f"{key!r} is not a key of a {kind}; {suggest(key, BLOCKS[kind].keys)}")
     origin = loaded.origins[kind, name, key]
     click.echo(f"{path} = {show(kind, key, values[key])}")
     click.echo(f"  {BLOCKS[kind].keys[key].doc}")
@@ -134,10 +138,10 @@
 @click.argument("file", type=FILE)
 @click.argument("method", type=click.Choice(["GET", "HEAD", "PUT", "POST", "DELETE"]))
 @click.argument("path")
-@click.option("--size", default="0", help="The body's length, such as 3MB.")
-@click.option("--header", "headers", multiple=True, help="NAME: VALUE; several may be given.")
+@click.option("--size", default="0", help="Length of the body, such as 3MB.")
+@click.option("--header", "headers", multiple=True, help="Header as NAME: VALUE; can be repeated.")
 def route(file: Path, method: str, path: str, size: str, headers: tuple[str, ...]) -> None:
-    """What a request would meet, and why: its route, class, plan, shard."""
+    """Show how a request would be handled, and why: its route, class, plan and shard."""
     from winchdyke.config import semantic_diff, units
     from winchdyke.config.matching import RequestAttributes
     from winchdyke.placement import shard_of
@@ -150,49 +154,51 @@
         length = units.size(size)
     except ValueError as error:
         raise click.ClickException(f"--size: {error}") from None
-    parted = [header.partition(":") for header in headers]
-    fields = {name.strip().lower(): value.strip() for name, _, value in parted}
+    pairs = [header.partition(":") for header in headers]
+    fields = {name.strip().lower(): value.strip() for name, _, value in pairs}
     request = RequestAttributes(method, found[1], found[2], length, fields)
     volume = config.volume(request.volume)
     if volume is None:
-        click.echo(f"404: no volume rule takes {request.volume!r}")
+        click.echo(f"404: no volume rule matches {request.volume!r}")
         raise SystemExit(1)
     click.echo(f"volume {volume.pattern}: plan {volume.plan}, {volume.gateways} gateways")
     chosen = config.matcher.match(request)
-    others = [each for each in config.routes if each.pattern.matches(request) and each != chosen]
+    others = [
+        candidate for candidate in config.routes if candidate.pattern.matches(request) and candidate != chosen
+    ]
     if chosen is None:
-        click.echo("route: none matches; the operation's own class and the volume's shards")
+        click.echo("route: none matches; the operation's default class and the volume's shards apply")
     else:
-        click.echo(f"route {chosen.pattern.name}: {_why(chosen.pattern)}")
-        for each in sorted(others, key=lambda other: other.pattern.rank, reverse=True)[:5]:
-            click.echo(f"  before route {each.pattern.name}: {_why(each.pattern)}")
+        click.echo(f"route {chosen.pattern.name}: {_format_conditions(chosen.pattern)}")
+        for candidate in sorted(others, key=lambda other: other.pattern.rank, reverse=True)[:5]:
+            click.echo(f"  before route {candidate.pattern.name}: {_format_conditions(candidate.pattern)}")
     click.echo(semantic_diff.routing_summary(config, request))
     shards = chosen.shards if chosen and chosen.shards else volume.shards
     if request.key:
-        click.echo(f"its object lies on shard {shard_of(request.volume, request.key, shards)}")
+        click.echo(f"the object is on shard {shard_of(request.volume, request.key, shards)}")
 
 
-def _why(pattern: object) -> str:
+def _format_conditions(pattern: object) -> str:
     from winchdyke.config.matching import Pattern
     from winchdyke.config.semantic_diff import show
 
     assert isinstance(pattern, Pattern)
-    said = [f"volume {pattern.volume}"]
-    said += [f"key {pattern.key}*"] if pattern.key else []
-    said += [f"header {show('route', 'header', pattern.header)}"] if pattern.header else []
-    said += [f"size {show('route', 'size', pattern.size)}"] if pattern.size else []
-    said += [f"method {', '.join(pattern.methods)}"] if pattern.methods else []
-    return ", ".join(said) + (f", priority {pattern.priority}" if pattern.priority else "")
+    conditions = [f"volume {pattern.volume}"]
+    conditions += [f"key {pattern.key}*"] if pattern.key else []
+    conditions += [f"header {show('route', 'header', pattern.header)}"] if pattern.header else []
+    conditions += [f"size {show('route', 'size', pattern.size)}"] if pattern.size else []
+    conditions += [f"method {', '.join(pattern.methods)}"] if pattern.methods else []
+    return ", ".join(conditions) + (f", priority {pattern.priority}" if pattern.priority else "")
 
 
 @command.command("convert")
 @click.argument("file", type=FILE)
-@click.option("-o", "--out", type=FILE, help="Where to write; standard output where not given.")
+@click.option("-o", "--out", type=FILE, help="File to write; by default standard output.")
 def convert(file: Path, out: Path | None) -> None:
-    """Write the settings in FILE, INI or not, in the language, resolved to one file."""
+    """Write the settings in FILE, in INI or in the language, as one file in the language, without includes."""
     from winchdyke.config.serialization import serialize
 
-    text = serialize(load_or_exit(file).values, f"Made from {file.name} by winchdyke config convert.")
+    text = serialize(load_or_exit(file).values, f"Generated from {file.name} by winchdyke config convert.")
     if out is None:
         click.echo(text, nl=False)
     else:
@@ -202,7 +208,7 @@
 
 @command.command("reference")
 def reference() -> None:
-    """The reference page of all settings (docs/config.md)."""
+    """Print the reference page of all settings (docs/config.md)."""
     from winchdyke.config.reference import page
 
     click.echo(page(), nl=False)
--- a/winchdyke/cli/day.py
+++ b/winchdyke/cli/day.py
@@ -1,4 +1,4 @@
-"""``winchdyke day``: scripted bad days against real gateways, judged from the sockets."""
+"""``winchdyke day``: plays scripted fault scenarios (days) against real gateways, and judges the traffic on their sockets."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 @click.group("day")
 def command() -> None:
-    """Play scripted bad days on loopback and judge them by the seven rules."""
+    """Play scripted fault scenarios (days) on loopback and judge them by the seven rules."""
 
 
 @command.command("list")
 def list_days() -> None:
-    """The days there are."""
+    """List the available days."""
     from winchdyke.days.script import DAYS
 
     for name, make in DAYS.items():
@@ -31,21 +31,31 @@
 
 @command.command("run")
 @click.argument("name")
-@click.option("--seed", type=int, default=None, help="What the day is drawn from; 1, or a day file's own.")
-@click.option("--length", type=float, default=None, help="Seconds; the day's own length where not given.")
-@click.option("--json", "out", type=FILE, default=None, help="Write verdict, figures and the record here.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path, file_okay=False), help="Keep the gateways' logs here."
+    "--seed", type=int, default=None, help="Seed of the day; by default 1, or the seed in a day file."
+)
+@click.option("--length", type=float, default=None, help="Length in seconds; by default the day's own.")
+@click.option(
+    "--json",
+    "out",
+    type=FILE,
+    default=None,
+    help="Write the verdict, the figures and the record to this file.",
+)
+@click.option(
+    "--keep", type=click.Path(path_type=Path, file_okay=False), help="Keep the gateways' logs in this folder."
+)
+@click.option(
+    "--settings", "more", type=FILE, help="File with settings that are appended to those of each gateway."
 )
-@click.option("--settings", "more", type=FILE, help="Settings put behind those of each gateway of the day.")
 def run(
     name: str, seed: int | None, length: float | None, out: Path | None, more: Path | None, keep: Path | None
 ) -> None:
-    """Play NAME, a day of 'day list' or a file of 'day from-bench'. Ends with 1 where a rule is broken."""
+    """Play NAME, a day of 'day list' or a file of 'day from-bench'. Exits with 1 if a rule is broken."""
     from winchdyke.days import judge
     from winchdyke.days.run import DayError, run_day
 
-    day = _day(name, seed, length)
+    day = _load_day(name, seed, length)
     try:
         verdict, seen, ends = run_day(day, keep, more.read_text(encoding="utf-8") if more else "")
     except DayError as error:
@@ -54,7 +64,7 @@
     if any(ends):
         click.echo(f"  gateways ended with {ends}; 0 is a clean stop")
     if out is not None:
-        told = {
+        result = {
             "day": msgspec.to_builtins(day), "kept": verdict.kept, "figures": verdict.figures, "ends": ends,
             "rules": [
                 {
@@ -65,7 +75,7 @@
             ],
             "logs": verdict.kept_in, "record": seen,
         }  # fmt: skip
-        out.write_text(json.dumps(told))
+        out.write_text(json.dumps(result))
     if verdict.kept_in:
         click.echo(f"  logs: {verdict.kept_in}")
     if not verdict.kept or any(ends):
@@ -73,8 +83,8 @@
         raise SystemExit(1)
 
 
-def _day(name: str, seed: int | None, length: float | None = None) -> Day:
-    """A day of the list, drawn from a seed, or a day file; a seed that is given there draws its traffic anew."""
+def _load_day(name: str, seed: int | None, length: float | None = None) -> Day:
+    """Return a day of the list, generated from a seed, or of a day file, whose seed is replaced if one is given."""
     from winchdyke.days import script
 
     if name in script.DAYS:
@@ -90,25 +100,31 @@
 
 
 @command.command("campaign")
-@click.option("--days", required=True, help="Days of 'day list' and day files, with commas between.")
-@click.option("--seeds", "which", default="1-10", show_default=True, help="As 1-20 or 3,5,8.")
+@click.option("--days", required=True, help="Days of 'day list' and day files, separated by commas.")
+@click.option("--seeds", "which", default="1-10", show_default=True, help="Seeds, such as 1-20 or 3,5,8.")
 @click.option(
-    "--jobs", type=click.IntRange(1, 64), default=None, help="Days at once; by the cores where not given."
+    "--jobs",
+    type=click.IntRange(1, 64),
+    default=None,
+    help="Days played at the same time; by default according to the number of cores.",
 )
 @click.option(
     "--out", type=FILE, default=Path("campaign.jsonl"), show_default=True,
-    help="Results, a line a day; what is there already is not played again.",
+    help="File for the results, one line per day; days with a result there are not played again.",
 )  # fmt: skip
-@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON in place of a table.")
+@click.option("--json", "as_json", is_flag=True, help="Print the results as JSON instead of a table.")
 def campaign(days: str, which: str, jobs: int | None, out: Path, as_json: bool) -> None:
-    """Play many days with many seeds. Ends with 1 where a rule is broken, 2 where one was not tried or a day not played."""
+    """Play many days with many seeds.
+
+    Exits with 1 if a rule is broken, and with 2 if a rule was not tried or a day could not be played.
+    """
     import anyio
 
     from winchdyke.days import campaign as plan
 
     names = [name.strip() for name in days.split(",") if name.strip()]
     for name in names:
-        _day(name, 1)  # a mistake is told before hours of playing
+        _load_day(name, 1)  # reports a wrong name before hours of playing
     try:
         asked = [plan.Asked(name, seed) for name in names for seed in plan.seeds(which)]
         count, width = 0, len(plan.left(asked, plan.done(out)))
@@ -132,34 +148,32 @@
 
 @command.command("shrink")
 @click.argument("name")
-@click.option(
-    "--seed", type=int, default=None, help="What the day is drawn from; a day file's own where not given."
-)
+@click.option("--seed", type=int, default=None, help="Seed of the day; by default the seed in a day file.")
 @click.option(
     "--tries",
     type=click.IntRange(1, 20),
     default=2,
     show_default=True,
-    help="Plays before a part counts as kept.",
+    help="Plays without a broken rule before a set of events counts as kept.",
 )
 @click.option(
     "--most",
     type=click.IntRange(1, 1000),
     default=40,
     show_default=True,
-    help="Parts that are tried at the most.",
+    help="Maximum number of sets of events that are tried.",
 )
-@click.option("-o", "--out", type=FILE, required=True, help="Where to write the shrunk day for 'day run'.")
+@click.option("-o", "--out", type=FILE, required=True, help="File for the shrunk day, for 'day run'.")
 def shrink(name: str, seed: int | None, tries: int, most: int, out: Path) -> None:
-    """Cut the events of a day that breaks a rule to the fewest that still break the same one."""
+    """Reduce the events of a day that breaks a rule to as few as possible that still break it."""
     from winchdyke.days import script
     from winchdyke.days import shrink as cut
     from winchdyke.days.run import DayError, run_day
 
-    day = _day(name, seed)
-    wanted: set[int] = set()
+    day = _load_day(name, seed)
+    target_rules: set[int] = set()
 
-    def broken(events: list[script.Event]) -> set[int]:
+    def broken_rules(events: list[script.Event]) -> set[int]:
         found: set[int] = set()
         for _ in range(tries):
             smaller = msgspec.structs.replace(day, events=events)
@@ -170,19 +184,19 @@
             found |= {ruling.rule for ruling in verdict.rulings if not ruling.kept} | (
                 {0} if any(ends) else set()
             )
-            if found & wanted if wanted else found:
+            if found & target_rules if target_rules else found:
                 break
         return found
 
-    wanted = broken(day.events)
-    if not wanted:
+    target_rules = broken_rules(day.events)
+    if not target_rules:
         raise click.ClickException(
             f"{name} kept all rules in {tries} plays: nothing to shrink; try more --tries"
         )
-    click.echo(f"broken: {', '.join(map(str, sorted(wanted)))}; {len(day.events)} events", err=True)
+    click.echo(f"broken: {', '.join(map(str, sorted(target_rules)))}; {len(day.events)} events", err=True)
 
     def fails(events: list[script.Event]) -> bool:
-        still = bool(broken(events) & wanted)
+        still = bool(broken_rules(events) & target_rules)
         click.echo(f"  {len(events)} events: {'still broken' if still else 'kept'}", err=True)
         return still
 
@@ -190,7 +204,7 @@
     made = msgspec.structs.replace(day, name=f"{day.name}-shrunk", events=events)
     out.write_bytes(msgspec.json.format(msgspec.json.encode(made)) + b"\n")
     click.echo(
-        f"{out}: {len(events)} of {len(day.events)} events{'' if whole else ', more may go: give a larger --most'}"
+        f"{out}: {len(events)} of {len(day.events)} events{'' if whole else '; more may be removable with a larger --most'}"
     )
     for event in events:
         click.echo(f"  {event.kind} at {event.at / 1000:.1f} s on {event.on}")
@@ -200,11 +214,11 @@
 @command.command("from-bench")
 @click.argument("file", type=FILE)
 @click.option(
-    "--length", type=float, default=20.0, show_default=True, help="Seconds of the day made from it."
+    "--length", type=float, default=20.0, show_default=True, help="Length of the resulting day in seconds."
 )
-@click.option("-o", "--out", type=FILE, required=True, help="Where to write the day for 'day run'.")
+@click.option("-o", "--out", type=FILE, required=True, help="File for the day, for 'day run'.")
 def from_bench(file: Path, length: float, out: Path) -> None:
-    """Turn FILE, a day that the simulator's 'draw' printed, into a day at loopback size."""
+    """Convert FILE, a day printed by the simulator's 'draw', to a day at loopback scale."""
     from winchdyke.days import frombench
 
     try:
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -1,4 +1,4 @@
-"""``winchdyke dev``: a gateway, a list service and eight stand-in stores in one process, on embedded defaults."""
+"""``winchdyke dev``: runs a gateway, a list service and eight stand-in stores in one process, on embedded settings."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 STORES = 8
 
 
-async def stand_ins(group: TaskGroup, count: int) -> int:
-    """Start a list service and stores that it lists; the service's port."""
+async def start_stand_ins(group: TaskGroup, count: int) -> int:
+    """Start a list service and ``count`` listed stores; returns the port of the service."""
     from winchdyke.standins.nodelist import ListService
     from winchdyke.standins.record import Record
     from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
@@ -29,17 +29,17 @@
         await store.start(group)
         await listing.set(store.name, "ready", shard, store.spec.zone)
 
-    async def forget() -> None:
+    async def clear_record() -> None:
         while True:
             await anyio.sleep(5)
             record.seen.clear()
 
-    group.start_soon(forget)
+    group.start_soon(clear_record)
     return listing.port
 
 
 def dev_config(list_port: int, host: str, port: int) -> Config:
-    """The embedded settings, at a list service and an address."""
+    """Return the embedded settings with the given list service and listen address."""
     config = parse(defaults(), "defaults.conf")
     nodes = dataclasses.replace(config.nodes, port=list_port)
     return dataclasses.replace(config, listeners=(("main", Listen(host, port)),), nodes=nodes)
@@ -47,16 +47,16 @@
 
 @click.command("dev")
 @click.option(
-    "--port", type=click.IntRange(0, 65535), default=0, help="Where to listen; 0: the system chooses."
+    "--port", type=click.IntRange(0, 65535), default=0, help="Port to listen on; 0: the system chooses one."
 )
-@click.option("--quiet", is_flag=True, help="No access lines.")
+@click.option("--quiet", is_flag=True, help="Write no log.")
 def command(port: int, quiet: bool) -> None:
-    """Run a gateway with stand-in stores on loopback, to try it. Nothing is kept after it ends."""
+    """Run a gateway with stand-in stores on loopback, to try it out. All data is lost when it ends."""
     from winchdyke.gateway import daemon, logs
 
     async def run() -> None:
         async with anyio.create_task_group() as group:
-            config = dev_config(await stand_ins(group, STORES), "127.0.0.1", port)
+            config = dev_config(await start_stand_ins(group, STORES), "127.0.0.1", port)
             logs.configure("none" if quiet else config.log.form)
 
             def started(gateway: daemon.Gateway) -> None:
@@ -66,7 +66,7 @@
                 )
                 click.echo(f"  curl -i -T README.md http://{host}:{chosen}/school-1/hello.md")
                 click.echo(f"  curl -i -r 0-99 http://{host}:{chosen}/school-1/hello.md")
-                click.echo("Ctrl-C stops it.")
+                click.echo("Stop it with Ctrl-C.")
 
             await daemon.serve(config, started)
             group.cancel_scope.cancel()
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -1,4 +1,4 @@
-"""``winchdyke fleet``: the membership as a running gateway sees it, over its admin API."""
+"""``winchdyke fleet``: shows the membership as a running gateway sees it, through its admin API."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from winchdyke.cli.common import format_unix_ms
 
 STATES = {
-    "alive": "it answers, or others say that it does",
-    "cut": "it is there by others' word, and this gateway and it do not hear each other both ways: see its link",
-    "suspect": "nobody reached it; it is dead unless it is heard in time",
-    "dead": "it did not refute that it is gone; it is tried again now and then, and counts for nothing until it answers",
-    "left": "it said goodbye",
+    "alive": "it answers this gateway, or other members report that it does",
+    "cut": "it is alive according to other members, but the link to this gateway does not work both ways: see its link",
+    "suspect": "no member reached it; it is declared dead unless it answers in time",
+    "dead": "it did not refute the suspicion in time; it is probed now and then, and ignored until it answers",
+    "left": "it announced that it left",
 }
 LINKS = {
-    "untried": "not probed from here yet",
-    "both": "each hears the other",
-    "deaf": "heard here; it does not hear this gateway: look at the way from here to there",
-    "mute": "it hears this gateway and is not heard here: look at the way from there to here",
-    "cut": "neither hears the other, and others reach it: look at both ways between the two hosts",
+    "untried": "not probed by this gateway yet",
+    "both": "messages arrive in both directions",
+    "deaf": "it is heard here, but it does not hear this gateway: check the path from here to it",
+    "mute": "it hears this gateway, but is not heard here: check the path from it to here",
+    "cut": "neither hears the other, but other members reach it: check both paths between the two hosts",
 }
 WHERE = click.argument("where")
 KEY = click.option(
     "--key",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="A file of keys, for an admin API over TCP.",
+    help="File with your key, for an admin API over TCP.",
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="As JSON.")
+AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group("fleet")
 def command() -> None:
-    """The gateways that one gateway knows. WHERE is unix:PATH or http://HOST:PORT of its admin API."""
+    """Show the gateways that one gateway knows. WHERE is unix:PATH or http://HOST:PORT of its admin API."""
 
 
 def _fetch_status(where: str, key: Path | None) -> dict[str, Any]:
@@ -56,14 +56,16 @@
 
 
 def _status_lines(status: dict[str, Any]) -> list[str]:
-    more = f", health {status['health']} (its own answers are late)" if status["health"] else ""
+    more = f", health {status['health']} (its own responses are late)" if status["health"] else ""
     lines = [
-        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} there{more}"
+        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} alive{more}"
     ]
     if status["left"]:
-        lines.append("  it has left the fleet; see history")
+        lines.append("  it has left the fleet; see 'winchdyke fleet history'")
     elif status["alone"]:
-        lines.append("  it has heard nobody since its start: are fleet, seeds right, and do they listen?")
+        lines.append(
+            "  it has not heard from any gateway since its start; check that `fleet, seeds` are right and listening"
+        )
     if status["event"] is not None:
         lines.append(f"  {status['event']['text']} since {_format_age(status['event']['since_ms'])} ago")
     lines.append(f"{'member':20}{'state':9}{'for':>9}  {'link':9}{'heard':>9}  {'zone':10}{'address':22}by")
@@ -81,7 +83,7 @@
 @KEY
 @AS_JSON
 def show(where: str, key: Path | None, as_json: bool) -> None:
-    """All members, as the gateway sees them now."""
+    """Show all members, as the gateway sees them now."""
     status = _fetch_status(where, key)
     click.echo(json.dumps(status) if as_json else "\n".join(_status_lines(status)))
 
@@ -90,11 +92,13 @@
 @WHERE
 @KEY
 @click.option(
-    "--every", type=click.FloatRange(0.2, 60), default=1.0, show_default=True, help="Seconds between looks."
+    "--every", type=click.FloatRange(0.2, 60), default=1.0, show_default=True, help="Seconds between polls."
+)
+@click.option(
+    "--times", type=click.IntRange(1), default=None, help="Number of polls; without it, poll until Ctrl-C."
 )
-@click.option("--times", type=click.IntRange(1), default=None, help="Looks, in place of until Ctrl-C.")
 def watch(where: str, key: Path | None, every: float, times: int | None) -> None:
-    """Each change as it comes."""
+    """Print each change when it occurs."""
     last, looks = -1.0, 0
     while times is None or looks < times:
         if looks:
@@ -116,10 +120,10 @@
 @command.command("history")
 @WHERE
 @KEY
-@click.option("--member", help="Only this one.")
+@click.option("--member", help="Show this member only.")
 @AS_JSON
 def history(where: str, key: Path | None, member: str | None, as_json: bool) -> None:
-    """What has changed since the gateway's start, the oldest first (the last 500)."""
+    """Show the last 500 changes since the gateway's start, the oldest first."""
     for row in _fetch_status(where, key)["history"]:
         if member in (None, row["member"]):
             click.echo(json.dumps(row) if as_json else _history_line(row))
@@ -131,12 +135,12 @@
 @KEY
 @AS_JSON
 def explain(member: str, where: str, key: Path | None, as_json: bool) -> None:
-    """What is believed of MEMBER, by whose word, and what to look at."""
+    """Show the state of MEMBER, who reported it, and what to check."""
     status = _fetch_status(where, key)
     row = next((row for row in status["members"] if row["name"] == member), None)
     if row is None:
-        names = ", ".join(row["name"] for row in status["members"][:8]) or "nobody"
-        raise click.ClickException(f"{status['own']} knows no {member}; it knows {names}")
+        names = ", ".join(row["name"] for row in status["members"][:8]) or "none"
+        raise click.ClickException(f"{status['own']} does not know {member}; known members: {names}")
     changes = [entry for entry in status["history"] if entry["member"] == member]
     if as_json:
         means = {"means": STATES[row["state"]], "link_means": LINKS[row["link"]]}
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -1,4 +1,4 @@
-"""``winchdyke load``: requests at a rate, whatever comes back; what clients saw."""
+"""``winchdyke load``: sends requests at a fixed rate (open loop) and reports the responses."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 import click
 
 
-def _work(words: tuple[Any, ...], number: int, workers: int, out: Any, logged: bool) -> None:
+def _run_worker(worker_args: tuple[Any, ...], number: int, workers: int, out: Any, logged: bool) -> None:
     from winchdyke.load.run import Asked, Worker
 
-    worker = Worker(Asked(*words), number, workers)
+    worker = Worker(Asked(*worker_args), number, workers)
     worker.log = [] if logged else None
     anyio.run(worker.run)
     out.send((worker.seen.packed(), worker.log or []))
@@ -27,7 +27,7 @@
     type=click.FloatRange(0.1),
     default=100.0,
     show_default=True,
-    help="Requests a second, over all processes.",
+    help="Requests per second, over all processes.",
 )
 @click.option("--for", "span", default="10s", show_default=True, metavar="TIME", help="How long to send.")
 @click.option(
@@ -37,47 +37,50 @@
     help="Shares of get, range, put, upload, list.",
 )
 @click.option(
-    "--volumes", default="school-1", show_default=True, help="Volumes, each as likely, set apart by commas."
+    "--volumes",
+    default="school-1",
+    show_default=True,
+    help="Volumes, separated by commas; each has the same share.",
 )
 @click.option(
     "--objects",
     type=click.IntRange(1),
     default=100,
     show_default=True,
-    help="Objects in each, some of them hot.",
+    help="Objects per volume, some of them hot.",
 )
-@click.option("--size", default="64KiB", show_default=True, help="Bytes of each object.")
+@click.option("--size", default="64KiB", show_default=True, help="Size of each object.")
 @click.option("--processes", type=click.IntRange(1, 64), default=1, show_default=True)
 @click.option(
-    "--seed", type=int, default=1, show_default=True, help="Times, operations and objects are drawn from it."
+    "--seed", type=int, default=1, show_default=True, help="Seed of the random times, operations and objects."
 )
 @click.option(
     "--patience",
     default="10s",
     show_default=True,
     metavar="TIME",
-    help="How long a client waits for an answer.",
+    help="How long a client waits for a response.",
 )
 @click.option("--s3", is_flag=True, help="URL is an S3 listener.")
-@click.option("--access", default="", metavar="ID", help="An S3 access key.")
+@click.option("--access", default="", metavar="ID", help="S3 access key.")
 @click.option(
     "--secret",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="An owner-only file with its secret.",
+    help="File with the secret of the access key, readable by its owner only.",
 )
 @click.option(
     "--log",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="A line of JSON for each request; see 'standin beside'.",
+    help="Write one line of JSON per request to this file, for 'standin beside'.",
 )
-@click.option("--json", "as_json", is_flag=True, help="All figures as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print all results as JSON.")
 def command(
     url: str, rate: float, span: str, mix: str, volumes: str, objects: int, size: str, processes: int, seed: int,
     patience: str, s3: bool, access: str, secret: Path | None, log: Path | None, as_json: bool,
 ) -> None:  # fmt: skip
-    """Send requests to URL at times drawn beforehand (open loop), and tell what came back.
+    """Send requests to URL at times drawn in advance (open loop), and report the responses.
 
-    Latencies count from each request's own time, so a gateway that stalls is seen by all whose time came meanwhile.
+    Latency is measured from the scheduled time of a request, so a stalled gateway delays all requests scheduled meanwhile.
     """
     from urllib.parse import urlsplit
 
@@ -90,31 +93,34 @@
         parts = urlsplit(url)
         if parts.scheme != "http" or not parts.hostname:
             raise ValueError(f"{url!r} is not http://HOST:PORT")
-        asked = Mix.read(mix), units.duration(span), units.size(size), units.duration(patience)
-        word = read_private_file(secret).decode().strip() if secret else ""
+        workload = Mix.read(mix), units.duration(span), units.size(size), units.duration(patience)
+        secret_text = read_private_file(secret).decode().strip() if secret else ""
     except (ValueError, PrivateFileError) as error:
         raise click.ClickException(str(error)) from None
-    if bool(access) != bool(word):
-        raise click.ClickException("--access and --secret go together")
-    words = (
-        url, rate, asked[1], asked[0], volumes.split(","), objects, asked[2], seed, s3, (access, word), asked[3] / 1000,
+    if bool(access) != bool(secret_text):
+        raise click.ClickException("--access and --secret go together: give both or neither")
+    worker_args = (
+        url, rate, workload[1], workload[0], volumes.split(","), objects, workload[2], seed, s3,
+        (access, secret_text), workload[3] / 1000,
     )  # fmt: skip
     seen, logged = Seen(), []
     context = multiprocessing.get_context("spawn")
     running = []
     for number in range(processes):
-        mine, theirs = context.Pipe(False)
-        process = context.Process(target=_work, args=(words, number, processes, theirs, log is not None))
+        receiver, sender = context.Pipe(False)
+        process = context.Process(
+            target=_run_worker, args=(worker_args, number, processes, sender, log is not None)
+        )
         process.start()
-        theirs.close()
-        running.append((process, mine))
-    for process, mine in running:
+        sender.close()
+        running.append((process, receiver))
+    for process, receiver in running:
         try:
-            packed, lines = mine.recv()
+            packed, lines = receiver.recv()
             seen.merge(packed)
             logged += lines
         except EOFError:
-            click.echo("a worker ended without a word; its requests are not counted", err=True)
+            click.echo("a worker process ended without results; its requests are not counted", err=True)
         process.join()
     if log is not None:
         log.write_text("".join(json.dumps(line) + "\n" for line in logged))
--- a/winchdyke/cli/nodes.py
+++ b/winchdyke/cli/nodes.py
@@ -1,4 +1,4 @@
-"""``winchdyke nodes``: shows a gateway's endpoint view from the directory in which it keeps its cache."""
+"""``winchdyke nodes``: shows a gateway's endpoint view from its cache directory."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 FOLDER = click.argument("folder", type=click.Path(path_type=Path, file_okay=False))
 MEANING_BY_STATE = {
     "usable": "requests go to it",
-    "cold": "requests go to it, within what a cold node bears",
-    "doubtful": "it is tried before anything is sent: it answers nothing yet, or was left out by a list",
-    "draining": "nothing new goes to it; that ends with a later start, or where a list says so",
-    "gone": "nothing goes to it until a list or the node itself tells of it anew",
-    "reused": "another store answers at its address: nothing goes there until a list knows that store",
+    "cold": "requests go to it, up to the capacity of a node that is warming up",
+    "doubtful": "it is probed before requests go to it: it has not answered yet, or a list left it out",
+    "draining": "nothing new goes to it until it restarts, or a list ends the drain",
+    "gone": "nothing goes to it until a list or the node itself announces it again",
+    "reused": "another store answers at its address; nothing goes there until a list contains that store",
 }
 MAX_CHANGES_AS_JSON = 10
 MAX_CHANGES_AS_TEXT = 5
@@ -31,7 +31,7 @@
 
 @click.group("nodes")
 def command() -> None:
-    """What is believed of the nodes, why, and since when. FOLDER is a gateway's `nodes, keep`."""
+    """Show the state of the nodes as a gateway sees it, and why. FOLDER is the gateway's `nodes, keep`."""
 
 
 def _load_cache(directory: Path) -> CachedEndpointList:
@@ -42,7 +42,7 @@
         click.echo(warning, err=True)
     if loaded.cached is None:
         raise click.ClickException(
-            f"{directory} holds no node list that can be used; is it a gateway's `nodes, keep`?"
+            f"{directory} holds no node list that is usable; is it a gateway's `nodes, keep`?"
         )
     return loaded.cached
 
@@ -72,9 +72,9 @@
 
 @command.command("show")
 @FOLDER
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def show(folder: Path, as_json: bool) -> None:
-    """All nodes, as the gateway last wrote them (within a second of a change)."""
+    """Show all nodes, as the gateway last saved them (within a second of a change)."""
     cached = _load_cache(folder)
     endpoints = sorted(cached.endpoints, key=lambda endpoint: (endpoint.shard, endpoint.name))
     rows = [_row(endpoint) for endpoint in endpoints]
@@ -91,10 +91,10 @@
 
 @command.command("history")
 @FOLDER
-@click.option("--node", help="Only this one.")
-@click.option("--json", "as_json", is_flag=True, help="A line of JSON for each change.")
+@click.option("--node", help="Show this node only.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON per change.")
 def history(folder: Path, node: str | None, as_json: bool) -> None:
-    """Changes of state, the oldest first."""
+    """Show changes of state, the oldest first."""
     for entry in _load_history(folder):
         if node in (None, entry.get("node")):
             text = f"{format_unix_ms(entry['unix_ms'], 'never')}  {entry['node']:22}{entry['state']:10}{entry['why']}"
@@ -104,14 +104,14 @@
 @command.command("explain")
 @click.argument("node")
 @FOLDER
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def explain(node: str, folder: Path, as_json: bool) -> None:
-    """What is believed of NODE, why, and what that means for requests."""
+    """Show the state of NODE, why it is so, and what that means for requests."""
     cached = _load_cache(folder)
     endpoint = next((endpoint for endpoint in cached.endpoints if endpoint.name == node), None)
     if endpoint is None:
         names = sorted(endpoint.name for endpoint in cached.endpoints)[:MAX_NAMES_IN_ERROR]
-        raise click.ClickException(f"{node} is not on the list in {folder}; there are {', '.join(names)}")
+        raise click.ClickException(f"{node} is not on the list in {folder}; listed nodes: {', '.join(names)}")
     changes = [entry for entry in _load_history(folder) if entry.get("node") == node]
     row = _row(endpoint)
     meaning = MEANING_BY_STATE[row["state"]]
@@ -122,6 +122,6 @@
     click.echo(f"{node}, shard {row['shard']}: {row['state']} ({row['why']})")
     click.echo(f"  {meaning}")
     click.echo(f"  confirmed last by {row['confirmed_by'] or 'nothing'}, {confirmed} UTC")
-    click.echo(f"  identity {row['identity'] or 'not known'}")
+    click.echo(f"  identity {row['identity'] or 'unknown'}")
     for entry in changes[-MAX_CHANGES_AS_TEXT:]:
         click.echo(f"  {format_unix_ms(entry['unix_ms'], 'never')}  {entry['state']:10}{entry['why']}")
--- a/winchdyke/cli/waits.py
+++ b/winchdyke/cli/waits.py
@@ -1,4 +1,4 @@
-"""``winchdyke waits``: reports from the ledgers of gateways which requests waited, and for what."""
+"""``winchdyke waits``: reports from gateways' ledgers which requests waited, and for which others."""
 
 from __future__ import annotations
 
@@ -34,26 +34,26 @@
 
 @click.group("waits")
 def command() -> None:
-    """Who waited for whom. A LEDGER is a folder that a gateway writes, or one segment of it; several are merged."""
+    """Report which requests waited for which others. A LEDGER is a gateway's folder or one segment; several are merged."""
 
 
 @dataclass(frozen=True)
 class LedgerSummary:
-    """A summary of ledgers, and what of them could not be read."""
+    """A summary of ledgers, and descriptions of the parts that could not be read."""
 
     summary: Summary
     losses: list[str]
 
 
 def _parse_time(text: str | None) -> float | None:
-    """An ISO 8601 time as Unix milliseconds; UTC where no zone is given."""
+    """Return an ISO 8601 time as Unix milliseconds; UTC if no zone is given."""
     if text is None:
         return None
     try:
         parsed = datetime.fromisoformat(text)
     except ValueError:
         raise click.ClickException(
-            f"{text!r} is no time; write it like 2026-12-01T20:00 (UTC) or with +01:00"
+            f"{text!r} is no time; write 2026-12-01T20:00 (UTC) or 2026-12-01T20:00+01:00"
         ) from None
     if parsed.tzinfo is None:
         parsed = parsed.replace(tzinfo=UTC)
@@ -67,7 +67,11 @@
     endpoint: str | None = None,
     clock_skew_ms: float = 0.0,
 ) -> LedgerSummary:
-    """Read ledgers twice, so that only sums are in memory: which requests were where, then what each one waited for."""
+    """Summarize ledgers.
+
+    They are read twice, so that only sums are kept in memory: first for which requests were in flight where, then for what
+    each one waited for.
+    """
     from winchdyke.latency_attribution.errors import LedgerError
     from winchdyke.latency_attribution.ledger import read_accounts, read_entries
     from winchdyke.latency_attribution.merge import ContentionTimeline
@@ -94,22 +98,26 @@
 @command.command("report")
 @LEDGERS
 @click.option(
-    "--from", "since", help="Only what began at or after this time (ISO 8601, UTC where no zone is given)."
+    "--from",
+    "since",
+    help="Only requests that began at or after this time (ISO 8601; UTC unless a zone is given).",
 )
-@click.option("--to", "until", help="Only what began before this time.")
-@click.option("--volume", "volumes", multiple=True, help="Only these courses; several may be given.")
-@click.option("--node", help="Only requests that met this node.")
+@click.option("--to", "until", help="Only requests that began before this time.")
+@click.option("--volume", "volumes", multiple=True, help="Only this volume; can be repeated.")
+@click.option("--node", help="Only requests with an attempt at this node.")
 @click.option(
-    "--html", type=click.Path(path_type=Path, dir_okay=False), help="Write one self-contained page here."
+    "--html",
+    type=click.Path(path_type=Path, dir_okay=False),
+    help="Write a self-contained HTML page to this file.",
 )
 @click.option(
     "--clocks-off",
     default="100ms",
     show_default=True,
     metavar="TIME",
-    help="By how much the gateways' clocks may differ, where several ledgers are given.",
+    help="Maximum difference between the gateways' clocks, if several ledgers are given.",
 )
-@click.option("--json", "as_json", is_flag=True, help="The report as JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print the report as JSON.")
 def report(
     ledgers: tuple[Path, ...],
     since: str | None,
@@ -120,7 +128,7 @@
     clocks_off: str,
     as_json: bool,
 ) -> None:
-    """The worst-served courses, who held them, slow nodes, the worst requests."""
+    """Report the worst-served volumes, which others held them up, slow nodes, and the worst requests."""
     from winchdyke.config import units
     from winchdyke.latency_attribution.report import report_data
 
@@ -142,7 +150,7 @@
     if data["minutes_left_out"]:
         minutes = data["minutes_left_out"]
         click.echo(
-            f"{minutes} minutes are known as sums alone and can't be parted as asked: left out", err=True
+            f"{minutes} minutes are left out: they are stored as sums only, which can't be filtered", err=True
         )
     for line in _report_lines(data):
         click.echo(line)
@@ -157,14 +165,14 @@
     yield f"{data['requests']} requests, held {data['held_ms'] / 1000:.2f} s in all"
     for volume in data["courses"][:MAX_VOLUMES]:
         yield f"  {_printable(volume['sentence'])}"
-    yield "who held whom (s):"
+    yield "waiting volume <- what held it (s):"
     for cell in data["matrix"][:MAX_CELLS]:
         holder = _printable(f"{cell['kind']} {cell['holder']} {cell['what']}")
         yield f"  {cell['ms'] / 1000:9.2f}  {_printable(cell['waiter'])} <- {holder}"
     if data["folded_ms"]:
         error_s = data["cell_error_ms"] / 1000
-        yield f"  {data['folded_ms'] / 1000:9.2f}  in cells that were folded; any one may lack {error_s:.2f}"
-    yield "nodes by what they added beyond their usual:"
+        yield f"  {data['folded_ms'] / 1000:9.2f}  in cells that were merged; each cell may lack up to {error_s:.2f}"
+    yield "nodes by time beyond their usual response times:"
     for endpoint in data["nodes"][:MAX_ENDPOINTS]:
         yield (
             f"  {endpoint['node']}: {endpoint['excess_ms'] / 1000:.2f} s in {endpoint['slow']} of "
@@ -174,16 +182,16 @@
 
 
 def _printable(text: str) -> str:
-    """A name without characters that a terminal would interpret."""
+    """Return text with non-printable characters, which a terminal might interpret, replaced by ?."""
     return "".join(char if char.isprintable() else "?" for char in text)
 
 
 @command.command("explain")
 @click.argument("request")
 @LEDGERS
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def explain(request: str, ledgers: tuple[Path, ...], as_json: bool) -> None:
-    """Where the time of REQUEST went: its spans, its wait by cause, and who held it."""
+    """Show where the time of REQUEST went: its spans, its wait by cause, and the volumes that held it."""
     from winchdyke.latency_attribution.errors import LedgerError
     from winchdyke.latency_attribution.ledger import read_accounts
     from winchdyke.latency_attribution.report import account_data
@@ -220,9 +228,9 @@
 @command.command("diff")
 @click.argument("before", type=click.Path(path_type=Path))
 @click.argument("after", type=click.Path(path_type=Path))
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def diff(before: Path, after: Path, as_json: bool) -> None:
-    """How two evenings differ, course by course: milliseconds held a request."""
+    """Compare two ledgers volume by volume: milliseconds held per request."""
     old = _summarize((before,)).summary.volumes
     new = _summarize((after,)).summary.volumes
     rows: list[dict[str, Any]] = [
@@ -239,7 +247,9 @@
         return
     for row in rows:
         before_text, after_text = (_format_ms(row[key]) for key in ("before_ms", "after_ms"))
-        click.echo(f"{_printable(row['volume']):24} {before_text:>10} -> {after_text:>10} ms held a request")
+        click.echo(
+            f"{_printable(row['volume']):24} {before_text:>10} -> {after_text:>10} ms held per request"
+        )
 
 
 def _queued_ms_per_request(volume: VolumeSummary | None) -> float | None:
@@ -256,14 +266,14 @@
 
 @command.command("compact")
 @click.argument("folder", type=click.Path(path_type=Path, file_okay=False, exists=True))
-@click.option("--most", default=1 << 30, show_default=True, help="Bytes that the whole ledger may have.")
+@click.option("--most", default=1 << 30, show_default=True, help="Maximum size of the ledger in bytes.")
 @click.option(
-    "--older", default=7 * 86400.0, show_default=True, help="Sum up accounts older than so many seconds."
+    "--older", default=7 * 86400.0, show_default=True, help="Sum up accounts older than this many seconds."
 )
-@click.option("--gently", is_flag=True, help="Give way to all else on this machine.")
-@click.option("--json", "as_json", is_flag=True, help="As JSON.")
+@click.option("--gently", is_flag=True, help="Run at low CPU priority.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 def compact(folder: Path, most: int, older: float, gently: bool, as_json: bool) -> None:
-    """Sum up old accounts of the ledger in FOLDER by the minute. A gateway does so by itself."""
+    """Replace old accounts of the ledger in FOLDER by sums per minute, as a gateway does by itself."""
     from winchdyke.latency_attribution.compaction import compact_ledger
 
     if gently:
@@ -272,7 +282,7 @@
         result = compact_ledger(folder, most, older)
     except OSError as error:
         raise click.ClickException(
-            f"{folder}: {error.strerror}; nothing that was not summed up is lost"
+            f"{folder}: {error.strerror}; accounts that were not summed up yet are unchanged"
         ) from None
     if as_json:
         click.echo(json.dumps(_compaction_data(result)))
@@ -285,7 +295,7 @@
 
 
 def _compaction_data(result: CompactionResult) -> dict[str, Any]:
-    """A result with the keys of the command's JSON."""
+    """Return a result with the keys of the command's JSON output."""
     return {
         "segments": result.segments,
         "before": result.bytes_before,
@@ -304,16 +314,18 @@
     type=click.Path(path_type=Path, file_okay=False, exists=True),
     metavar="FOLDER...",
 )
-@click.option("--seconds", default=10.0, show_default=True, help="Show what ended in so many last seconds.")
-@click.option("--every", default=1.0, show_default=True, help="Seconds between looks.")
-@click.option("--once", is_flag=True, help="Look once and end.")
-@click.option("--json", "as_json", is_flag=True, help="A line of JSON for each look.")
+@click.option(
+    "--seconds", default=10.0, show_default=True, help="Show requests that ended within this many seconds."
+)
+@click.option("--every", default=1.0, show_default=True, help="Seconds between updates.")
+@click.option("--once", is_flag=True, help="Print once and exit.")
+@click.option("--json", "as_json", is_flag=True, help="Print one line of JSON per update.")
 def top(folders: tuple[Path, ...], seconds: float, every: float, once: bool, as_json: bool) -> None:
-    """Who waits for whom at this moment, from the ledgers of running gateways, until Ctrl-C."""
+    """Show which requests wait for which others now, from the ledgers of running gateways, until Ctrl-C."""
     from winchdyke.latency_attribution.live import LiveView
 
     if seconds <= 0 or every <= 0:
-        raise click.ClickException("--seconds and --every are more than 0")
+        raise click.ClickException("--seconds and --every must be more than 0")
     view = LiveView(folders, seconds)
     while True:
         data = view.snapshot()
@@ -341,14 +353,14 @@
 
 def _queue_text(gateway: dict[str, Any]) -> str:
     if gateway["age_s"] is None:
-        return "has given no word on what it holds"
+        return "has not reported what it holds"
     count = sum(group["count"] for group in gateway["held"])
-    age = f", by its word {gateway['age_s']:.0f} s ago" if gateway["stale"] else ""
+    age = f", reported {gateway['age_s']:.0f} s ago" if gateway["stale"] else ""
     return f"holds {count}{age}"
 
 
 def _volume_lines(volumes: list[dict[str, Any]]) -> Iterator[str]:
-    yield f"{'course':24}{'per s':>8}{'held ms':>9}{'p99 ms':>9}{'refused':>9}{'failed':>8}  held by"
+    yield f"{'volume':24}{'per s':>8}{'held ms':>9}{'p99 ms':>9}{'refused':>9}{'failed':>8}  held by"
     for volume in volumes[:MAX_LIVE_VOLUMES]:
         name = _printable(volume["volume"])[:MAX_VOLUME_CHARS]
         figures = f"{volume['per_s']:8.1f}{volume['held_ms']:9.1f}{volume['p99_ms']:9.1f}"
