--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -89,7 +89,7 @@
     )
     if as_json:
         result = {
-            "changes": [change.data() for change in changes],
+            "changes": [change.to_dict() for change in changes],
             "rerouted": [str(request) for request in rerouted_requests],
         }
         click.echo(json.dumps(result, indent=1))
--- a/winchdyke/config/semantic_diff.py
+++ b/winchdyke/config/semantic_diff.py
@@ -45,7 +45,7 @@
     text: str
     risk: str = ""
 
-    def data(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """Return the change as plain values for JSON."""
         path = ".".join(part for part in (self.kind, self.name, self.key) if part)
         return {"path": path, "text": self.text, "risk": self.risk}
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -265,7 +265,7 @@
                 f"{', '.join(keys[:MAX_LISTED_KEYS])} can't change in service; change the gateway's"
                 " configuration file and restart it",
             )
-        result: dict[str, Any] = {"parent": parent, "changes": [change.data() for change in changes]}
+        result: dict[str, Any] = {"parent": parent, "changes": [change.to_dict() for change in changes]}
         if not check_only:
             difference = json.dumps(result["changes"], default=str)
             result["version"] = self.change_log.add_version(
@@ -423,5 +423,5 @@
         *(f"  yours: {conflict.own.text}\n  theirs: {conflict.other.text}" for conflict in conflicts),
         "make a new version from the one that is served",
     ]
-    edits = [{"yours": conflict.own.data(), "theirs": conflict.other.data()} for conflict in conflicts]
+    edits = [{"yours": conflict.own.to_dict(), "theirs": conflict.other.to_dict()} for conflict in conflicts]
     return OperationError("conflict", "\n".join(lines), {"edits": edits})
