--- a/winchdyke/config/loading.py
+++ b/winchdyke/config/loading.py
@@ -214,16 +214,16 @@
         if known.name is not None and len(rest) != 1:
             form = f"[{kind.text} NAME]" if self.ini else f"{kind.text} NAME {{"
             text = f"a {kind.text} needs a name" if not rest else f"a {kind.text} has one name"
-            self.report("bad-block", where, text, f"as in {form}", (rest or [kind])[-1].span)
+            self.report("bad-block", where, text, f"write {form}", (rest or [kind])[-1].span)
             return
         name = ""
         if known.name is not None:
             try:
-                read = known.name.read_word(rest[0])
-            except InvalidValueError as wrong:
-                self.report(wrong.code, where, str(wrong), wrong.fix, rest[0].span)
+                value = known.name.read_word(rest[0])
+            except InvalidValueError as error:
+                self.report(error.code, where, str(error), error.fix, rest[0].span)
                 return
-            name = known.name.show(read) if not isinstance(read, str) else read
+            name = known.name.show(value) if not isinstance(value, str) else value
             if kind.text not in ("store", "volume") and not self._is_valid_name(rest[0], kind.text):
                 return
         if not self._is_duplicate(self.blocks, (kind.text, name), block, kind.text):
@@ -231,9 +231,9 @@
 
     def _is_valid_name(self, word: Word, what: str) -> bool:
         text = word.text
-        odd = next((sign for sign in text if ord(sign) > 127), "")
-        if odd:
-            shown = f"{odd!r} (U+{ord(odd):04X}, {unicodedata.name(odd, 'unnamed')})"
+        non_ascii = next((char for char in text if ord(char) > 127), "")
+        if non_ascii:
+            shown = f"{non_ascii!r} (U+{ord(non_ascii):04X}, {unicodedata.name(non_ascii, 'unnamed')})"
             fix = "use only a-z, A-Z, 0-9, dots, dashes and underscores; other letters may look alike but differ"
             self.report("look-alike", "", f"the name {text!r} contains the letter {shown}", fix, word.span)
             return False
@@ -256,15 +256,15 @@
 
     def build(self) -> None:
         """Read every block into values."""
-        for where in self.blocks:
-            self._read_block(where)
+        for block_id in self.blocks:
+            self._read_block(block_id)
         for kind, known in BLOCKS.items():
             if known.name is None and (kind, "") not in self.blocks:
                 self._read_block((kind, ""))
             if (
                 known.required
                 and known.name is not None
-                and not any(there == kind for there, _ in self.blocks)
+                and not any(block_kind == kind for block_kind, _ in self.blocks)
             ):
                 form = f"[{kind} NAME]" if self.ini else f"{kind} NAME {{ ... }}"
                 text = f"no {kind} is defined; at least one is required"
@@ -275,11 +275,11 @@
                     text, fix = f"the {what} {name!r} is never used", "use it, or remove it"
                     self.report("unused", "", text, fix, statement.span, severity=WARNING)
 
-    def _read_block(self, where: BlockId) -> None:
-        kind, name = where
+    def _read_block(self, block_id: BlockId) -> None:
+        kind, name = block_id
         keys = BLOCKS[kind].keys
-        block = self.blocks.get(where)
-        own = self._block_settings(block, keys, where) if block else {}
+        block = self.blocks.get(block_id)
+        own = self._block_settings(block, keys, block_id) if block else {}
         layers: list[tuple[dict[str, Setting], str]] = [(own, "")]
         words = [word.text for word in block.words] if block else []
         if block and "from" in words:
@@ -296,23 +296,23 @@
                 )
             else:
                 self.used_names.add(chosen.text)
-                layers.append((self._block_settings(template, keys, where), f"template {chosen.text}"))
+                layers.append((self._block_settings(template, keys, block_id), f"template {chosen.text}"))
         if kind in self.defaults:
-            layers.append((self._block_settings(self.defaults[kind], keys, where), f"defaults {kind}"))
-        values = self.values[where] = {}
+            layers.append((self._block_settings(self.defaults[kind], keys, block_id), f"defaults {kind}"))
+        values = self.values[block_id] = {}
         for one, other in schema.EXCLUSIVE_KEYS.get(kind, ()):
             # The closer layer wins: a volume's own shards override a pool from its defaults.
-            near = next((layer for layer, _ in layers if one in layer or other in layer), {})
-            for there, gone in ((one, other), (other, one)):
-                if there in near and gone not in near:
+            closest = next((layer for layer, _ in layers if one in layer or other in layer), {})
+            for kept, dropped in ((one, other), (other, one)):
+                if kept in closest and dropped not in closest:
                     for layer, _ in layers:
-                        layer.pop(gone, None)
+                        layer.pop(dropped, None)
         for key, rule in keys.items():
-            found = next(((layer[key], way) for layer, way in layers if key in layer), None)
+            found = next(((layer[key], via) for layer, via in layers if key in layer), None)
             if found is not None:
-                setting, way = found
-                self.origins[kind, name, key] = Origin(setting.span, way)
-                self._read_value(where, key, rule, setting)
+                setting, via = found
+                self.origins[kind, name, key] = Origin(setting.span, via)
+                self._read_value(block_id, key, rule, setting)
             elif rule.default is None:
                 if block is not None or BLOCKS[kind].required:
                     self.report_value(
@@ -340,19 +340,19 @@
         return examples.get(rule.type.label, allowed[0] if allowed else "...")
 
     def _block_settings(
-        self, block: Block, keys: Mapping[str, schema.Key], where: BlockId
+        self, block: Block, keys: Mapping[str, schema.Key], block_id: BlockId
     ) -> dict[str, Setting]:
         found: dict[str, Setting] = {}
         for statement in block.body:
             span = statement.span
-            title = self.title(*where)
+            title = self.title(*block_id)
             if isinstance(statement, Directive) and statement.words[0].text == "include":
                 continue  # reported when the file was read
             if not isinstance(statement, Setting):
                 first = statement.words[0].text
                 inner = isinstance(statement, Block)
                 text = (
-                    f"the block {first!r} is inside a {where[0]} block"
+                    f"the block {first!r} is inside a {block_id[0]} block"
                     if inner
                     else f"{first!r} has no value"
                 )
@@ -371,7 +371,7 @@
                     "bad-key", title, f"{' '.join(word.text for word in words)!r} is not a key", fix, span
                 )
             elif key not in keys:
-                text = "unknown key" if self.ini else f"{key!r} is not a key of a {where[0]}"
+                text = "unknown key" if self.ini else f"{key!r} is not a key of a {block_id[0]}"
                 self.report(
                     "unknown-key", f"{title} {key}" if self.ini else title, text, suggest(key, keys), span
                 )
@@ -390,8 +390,8 @@
                 found[key] = statement
         return found
 
-    def _read_value(self, where: BlockId, key: str, rule: schema.Key, setting: Setting) -> None:
-        kind, name = where
+    def _read_value(self, block_id: BlockId, key: str, rule: schema.Key, setting: Setting) -> None:
+        kind, name = block_id
         before = len(self.problems)
         items = self._expand_references(setting.items, (), setting)
         title = self.title(kind, name)
@@ -403,11 +403,11 @@
             return
         try:
             value = rule.type.read(items, self.ini)
-        except InvalidValueError as wrong:
-            span = wrong.word.span if wrong.word else setting.span
-            self.report(wrong.code, at, str(wrong), wrong.fix, span)
+        except InvalidValueError as error:
+            span = error.word.span if error.word else setting.span
+            self.report(error.code, at, str(error), error.fix, span)
             return
-        self.values[where][key] = value
+        self.values[block_id][key] = value
         if warning := rule.type.warning(value):
             self.report(
                 "doubtful",
@@ -496,7 +496,7 @@
     """
 
     def named(kind: str) -> list[tuple[str, dict[str, Any]]]:
-        return sorted((name, keys) for (there, name), keys in values.items() if there == kind)
+        return sorted((name, keys) for (block_kind, name), keys in values.items() if block_kind == kind)
 
     pools = {name: keys["shards"] for name, keys in named("pool")}
     nodes = values["nodes", ""]
--- a/winchdyke/config/semantic_diff.py
+++ b/winchdyke/config/semantic_diff.py
@@ -123,38 +123,42 @@
     before, after = to_values(old), to_values(new)
     found: list[Change] = []
     for kind in schema.BLOCKS:
-        names = sorted({name for there, name in (*before, *after) if there == kind})
+        names = sorted({name for block_kind, name in (*before, *after) if block_kind == kind})
         for name in names:
-            a, b = before.get((kind, name)), after.get((kind, name))
-            if a == b:
+            old_keys, new_keys = before.get((kind, name)), after.get((kind, name))
+            if old_keys == new_keys:
                 continue
             title = f"{kind} {name}".strip()
-            if a is None:
+            if old_keys is None:
                 found.append(
                     Change(
                         kind,
                         name,
                         "",
                         ABSENT,
-                        _as_items(b or {}),
+                        _as_items(new_keys or {}),
                         f"{title} is new",
-                        _risk_of_adding(kind, b or {}),
+                        _risk_of_adding(kind, new_keys or {}),
                     )
                 )
-            elif b is None:
+            elif new_keys is None:
                 found.append(
                     Change(
                         kind,
                         name,
                         "",
-                        _as_items(a),
+                        _as_items(old_keys),
                         ABSENT,
                         f"{title} is gone",
-                        _risk_of_removing(kind, name, a, new),
+                        _risk_of_removing(kind, name, old_keys, new),
                     )
                 )
             else:
-                found += [_value_change(kind, name, key, a[key], b[key]) for key in a if a[key] != b[key]]
+                found += [
+                    _value_change(kind, name, key, old_keys[key], new_keys[key])
+                    for key in old_keys
+                    if old_keys[key] != new_keys[key]
+                ]
     return found
 
 
@@ -319,9 +323,9 @@
     volumes = sorted({rule.pattern for rule in (*old.volumes, *new.volumes)})
     found: dict[tuple[str, str], ReroutedRequest] = {}
     for request in _sample_requests(patterns, volumes):
-        a, b = routing_summary(old, request), routing_summary(new, request)
-        if a != b and (a, b) not in found:
-            found[a, b] = ReroutedRequest(request, a, b)
+        before, after = routing_summary(old, request), routing_summary(new, request)
+        if before != after and (before, after) not in found:
+            found[before, after] = ReroutedRequest(request, before, after)
             if len(found) >= limit:
                 break
     return list(found.values())
--- a/winchdyke/config/serialization.py
+++ b/winchdyke/config/serialization.py
@@ -11,7 +11,9 @@
     """Return all values that differ from the built-in defaults as text, in the order of the schema."""
     parts = [f"# {heading}\n"] if heading else []
     for kind, known in BLOCKS.items():
-        for name, keys in sorted((name, keys) for (there, name), keys in values.items() if there == kind):
+        for name, keys in sorted(
+            (name, keys) for (block_kind, name), keys in values.items() if block_kind == kind
+        ):
             lines = []
             for key, rule in known.keys.items():
                 value = keys.get(key)
--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -68,7 +68,7 @@
     text = text.replace("\r\n", "\n").replace("\r", "\n")
     for number, line_text in enumerate(text.split("\n"), 1):
         if bad := next(
-            (at for at, sign in enumerate(line_text) if (sign < " " and sign != "\t") or sign == "\x7f"), None
+            (at for at, char in enumerate(line_text) if (char < " " and char != "\t") or char == "\x7f"), None
         ):
             shown = f"U+{ord(line_text[bad]):04X}"
             raise UnreadableFileError(
@@ -119,7 +119,7 @@
         source = Source(str(path), "", chain)
         if real in stack:
             assert at is not None
-            names = [_short(each, self._root) for each in (*stack[stack.index(real) :], real)]
+            names = [_short(path_name, self._root) for path_name in (*stack[stack.index(real) :], real)]
             self._report(
                 "include-loop",
                 f"includes form a loop: {' -> '.join(names)}",
@@ -186,26 +186,26 @@
         if len(statement.words) != 2:
             self._report("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
             return
-        asked = statement.words[1]
+        path_word = statement.words[1]
         if not files:
             self._report(
-                "bad-include", "only a file can include files", "write the settings to a file", asked.span
+                "bad-include", "only a file can include files", "write the settings to a file", path_word.span
             )
             return
         here = Path(span.source.file).parent
-        if any(sign in asked.text for sign in "*?["):
-            found = sorted(glob.glob(str(here / asked.text)))
+        if any(char in path_word.text for char in "*?["):
+            found = sorted(glob.glob(str(here / path_word.text)))
             if not found:
                 self._report(
                     "no-match",
-                    f"{asked.text!r} matches no file",
+                    f"{path_word.text!r} matches no file",
                     "correct the pattern, or remove the include",
-                    asked.span,
+                    path_word.span,
                 )
-            for each in found:
-                self._file(Path(each), stack, asked.span)
+            for path_name in found:
+                self._file(Path(path_name), stack, path_word.span)
             return
-        self._file(here / asked.text, stack, asked.span)
+        self._file(here / path_word.text, stack, path_word.span)
 
 
 def _short(path: Path, root: Path) -> str:
--- a/winchdyke/config/syntax.py
+++ b/winchdyke/config/syntax.py
@@ -275,14 +275,14 @@
     """Yield the parts of a line between semicolons, each with its start column from 0."""
     start, quoted, at = 0, False, 0
     while at < len(line):
-        sign = line[at]
-        if sign == "\\" and quoted:
+        char = line[at]
+        if char == "\\" and quoted:
             at += 1
-        elif sign == '"':
+        elif char == '"':
             quoted = not quoted
-        elif sign == "#" and not quoted:
+        elif char == "#" and not quoted:
             break
-        elif sign == ";" and not quoted:
+        elif char == ";" and not quoted:
             yield start, line[start:at]
             start = at + 1
         at += 1
--- a/winchdyke/config/types.py
+++ b/winchdyke/config/types.py
@@ -42,11 +42,11 @@
 def suggest(name: str, known: Iterable[str]) -> str:
     """Return ``did you mean ...?`` with the most similar known name, else a list of known names."""
     names = sorted(set(known))
-    near = difflib.get_close_matches(name, names, 1, 0.6)
-    if not near:
-        near = [each for each in names if each.lower() == name.lower()][:1]
-    if near:
-        return f"did you mean {near[0]!r}?"
+    similar = difflib.get_close_matches(name, names, 1, 0.6)
+    if not similar:
+        similar = [each for each in names if each.lower() == name.lower()][:1]
+    if similar:
+        return f"did you mean {similar[0]!r}?"
     return f"valid here: {', '.join(names[:20])}" if names else "none is defined"
 
 
@@ -196,7 +196,7 @@
                 f"{word.text!r} has no unit", f"write one of {names}, as in {word.text}KiB", word, "no-unit"
             )
         if unit and unit not in BYTES_PER_UNIT:
-            near = {
+            similar = {
                 "K": "KiB",
                 "KB": "kB",
                 "k": "kB",
@@ -206,7 +206,7 @@
                 "Mib": "MiB",
                 "mb": "MB",
             }.get(unit)
-            fix = f"write {number:g}{near}" if near else f"use one of {names}, as in 64KiB"
+            fix = f"write {number:g}{similar}" if similar else f"use one of {names}, as in 64KiB"
             what = (
                 f"{unit!r} is a unit of time, not of size"
                 if unit in MS_PER_UNIT
