--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Settings: what is good is read, and every mistake is told at once, with its line and what to do."""
+"""Settings: valid ones are loaded; otherwise all mistakes are reported at once, each with its line and fix."""
 
 from __future__ import annotations
 
@@ -20,43 +20,43 @@
     return [str(problem) for problem in caught.value.problems]
 
 
-def changed(old: str, new: str) -> str:
+def ini_with(old: str, new: str) -> str:
     assert old in INI
     return INI.replace(old, new, 1)
 
 
 def test_the_embedded_defaults_become_the_schedulers_settings():
     config = parse(INI, "defaults.ini")
-    told = config.settings()
-    assert {kind.name: kind.repeat_safety for kind in told.classes} == {
+    scheduler_settings = config.settings()
+    assert {kind.name: kind.repeat_safety for kind in scheduler_settings.classes} == {
         "fetch": api.RepeatSafety.IDEMPOTENT, "submit": api.RepeatSafety.IDEMPOTENCY_KEY, "export": api.RepeatSafety.IDEMPOTENT,
     }  # fmt: skip
     assert (
-        told.max_attempts,
-        told.slow_start_overload_window_ms,
-        told.max_retry_after_ms,
-        told.retry_budget_ratio,
+        scheduler_settings.max_attempts,
+        scheduler_settings.slow_start_overload_window_ms,
+        scheduler_settings.max_retry_after_ms,
+        scheduler_settings.retry_budget_ratio,
     ) == (
         3,
         1500.0,
         500.0,
         0.1,
     )
-    assert {plan.name: plan.limit_units_per_s for plan in told.plans} == {
+    assert {plan.name: plan.limit_units_per_s for plan in scheduler_settings.plans} == {
         "basic": 240.0,
         "school": 0.0,
         "contest": 0.0,
     }
 
 
-def test_an_exact_volume_comes_before_a_pattern_and_the_first_pattern_before_the_next():
+def test_an_exact_volume_rule_wins_over_a_prefix_and_a_prefix_over_the_catch_all():
     config = settings("\n[volume school-7]\nplan = contest\nshards = 3\n")
     assert config.volume("school-7").plan == "contest"
     assert config.volume("school-8").plan == "school"
     assert config.volume("other").plan == "basic"
 
 
-def test_the_class_asked_for_must_take_the_operation():
+def test_a_requested_class_must_allow_the_operation():
     config = settings()
     assert config.kind_for("get", None).rules.name == "fetch"
     assert config.kind_for("get", "export").rules.name == "export"
@@ -98,8 +98,8 @@
         ("seed = 1", "what is this", "what", "neither [section] nor key = value"),
     ],
 )
-def test_a_mistake_is_told_with_its_line(old, new, line, said):
-    text = changed(old, new)
+def test_a_mistake_is_reported_with_its_line(old, new, line, said):
+    text = ini_with(old, new)
     found = problems(text)
     matching = [problem for problem in found if said in problem]
     assert matching, found
@@ -107,9 +107,9 @@
     assert line.strip("[]") in text.splitlines()[number - 1] or line in matching[0]
 
 
-def test_all_mistakes_are_told_at_once_in_order_of_line():
+def test_all_mistakes_are_reported_at_once_in_order_of_line():
     text = (
-        changed("worth = 2", "worth = x")
+        ini_with("worth = 2", "worth = x")
         .replace("seed = 1", "seed = one")
         .replace("limit = 240", "limit = -1")
     )
@@ -119,7 +119,7 @@
 
 
 @given(st.text(max_size=300))
-def test_no_text_at_all_brings_anything_but_told_mistakes(text):
+def test_any_text_is_loaded_or_rejected_with_reported_mistakes(text):
     try:
         parse(text, "f.ini")
     except ConfigError as error:
@@ -132,9 +132,9 @@
     assert size(f"{number}KiB") == number * 1024
 
 
-def test_check_says_what_is_wrong_and_ends_with_2(tmp_path):
+def test_check_reports_mistakes_and_exits_with_2(tmp_path):
     file = tmp_path / "bad.ini"
-    file.write_text(changed("aim = 400ms", "aim = 400").replace("seed = 1", "sed = 1"))
+    file.write_text(ini_with("aim = 400ms", "aim = 400").replace("seed = 1", "sed = 1"))
     done = CliRunner().invoke(main, ["check", str(file)])
     assert done.exit_code == 2
     assert done.output.count(f"{file}:") == 3
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The configuration language: a corpus of broken files with the message each must give, files, formatter, diff."""
+"""The configuration language: broken files and their diagnostics, includes, formatter, diff, routes, commands."""
 
 from __future__ import annotations
 
@@ -32,21 +32,21 @@
     return caught.value.problems
 
 
-def test_the_good_file_is_good():
+def test_the_valid_file_has_no_findings():
     assert load_text(GOOD, "f.conf").warnings == []
 
 
 @pytest.mark.parametrize("case", CASES, ids=[case[0] for case in CASES])
-def test_a_broken_file_gives_its_message(case):
-    _, old, new, code, said, fix, line = case
-    assert GOOD.count(old) >= 1, "the corpus does not fit the file"
+def test_a_broken_file_causes_its_diagnostic(case):
+    _, old, new, code, message, fix, line = case
+    assert GOOD.count(old) >= 1, "the case does not apply to the valid file"
     text = GOOD.replace(old, new, 1)
     found = problems(text)
     fits = [
         p
         for p in found
         if p.code in code.split("|")
-        and any(w in p.text for w in said.split("|"))
+        and any(w in p.text for w in message.split("|"))
         and any(w in p.fix for w in fix.split("|"))
     ]
     assert fits, [str(problem) for problem in found]
@@ -57,8 +57,8 @@
 
 
 def mutations() -> list[tuple[str, str, int]]:
-    """Mistakes made by machine in the good file: what was done, the text, and the line it was done in."""
-    draw, made = random.Random(5), []
+    """Return generated mistakes in the valid file: the kind of mistake, the text, and the changed line."""
+    draw, mutants = random.Random(5), []
     lines = GOOD.split("\n")
     swaps = {
         "ms": "msec",
@@ -71,12 +71,12 @@
     }
     for at, line in enumerate(lines):
         if line == "}":
-            made.append(("brace dropped", "\n".join([*lines[:at], "", *lines[at + 1 :]]), at + 1))
+            mutants.append(("brace dropped", "\n".join([*lines[:at], "", *lines[at + 1 :]]), at + 1))
         if line.endswith("{"):
-            made.append(("opening dropped", "\n".join([*lines[:at], line[:-1], *lines[at + 1 :]]), at + 1))
+            mutants.append(("opening dropped", "\n".join([*lines[:at], line[:-1], *lines[at + 1 :]]), at + 1))
         for unit, other in swaps.items():
             if re.search(rf"\d\s?{re.escape(unit)}$", line):
-                made.append(
+                mutants.append(
                     (
                         "unit swapped",
                         "\n".join([*lines[:at], line[: -len(unit)] + other, *lines[at + 1 :]]),
@@ -88,27 +88,27 @@
             place = line.index(word[1]) + draw.randrange(1, len(word[1]) - 1)
             typo = line[:place] + line[place + 1] + line[place] + line[place + 2 :]
             if typo != line:
-                made.append(("letters swapped", "\n".join([*lines[:at], typo, *lines[at + 1 :]]), at + 1))
-    return made
+                mutants.append(("letters swapped", "\n".join([*lines[:at], typo, *lines[at + 1 :]]), at + 1))
+    return mutants
 
 
-def test_mistakes_made_by_machine_are_pointed_to_within_a_line():
-    made = mutations()
-    near, far = 0, []
-    for what, text, line in made:
+def test_generated_mistakes_are_located_within_one_line():
+    mutants = mutations()
+    located, far = 0, []
+    for what, text, line in mutants:
         found = problems(text)
         assert all(p.span.source.file and p.line and p.text and p.fix for p in found), (
-            "file, line, mistake, remedy"
+            "file, line, mistake, fix"
         )
         if any(abs(problem.line - line) <= 1 for problem in found):
-            near += 1
+            located += 1
         else:
             far.append((what, line, str(found[0])))
-    assert len(made) >= 100
-    assert near / len(made) >= 0.95, (near, len(made), far)
+    assert len(mutants) >= 100
+    assert located / len(mutants) >= 0.95, (located, len(mutants), far)
 
 
-def test_several_mistakes_are_all_told():
+def test_several_mistakes_are_all_reported():
     text = GOOD.replace("deadline = 3s", "deadline = 3").replace("effect = keyed", "effect = keeyd")
     text = text.replace("plan = basic", "plan = basc").replace("0-5", "5-0")
     assert len({problem.line for problem in problems(text)}) == 4
@@ -120,15 +120,15 @@
     assert len(problems(broken)) == 3
 
 
-def test_what_is_legal_but_doubtful_is_a_warning_with_its_reason():
-    def warned(old: str, new: str) -> str:
+def test_a_valid_but_doubtful_value_causes_a_warning_with_its_reason():
+    def warnings_for(old: str, new: str) -> str:
         assert old in GOOD
         found = load_text(GOOD.replace(old, new, 1), "f.conf").warnings
         return " ".join(str(problem) for problem in found)
 
-    assert "4h is unusually long here" in warned("connect_timeout = 250ms", "connect_timeout = 4h")
-    assert "was 250ms meant?" in warned("connect_timeout = 250ms", "connect_timeout = 250s")
-    assert "forget its keys after 1s, before its deadline 2.5s" in warned("memory = 4s", "memory = 1s")
+    assert "4h is unusually long here" in warnings_for("connect_timeout = 250ms", "connect_timeout = 4h")
+    assert "was 250ms meant?" in warnings_for("connect_timeout = 250ms", "connect_timeout = 250s")
+    assert "forget its keys after 1s, before its deadline 2.5s" in warnings_for("memory = 4s", "memory = 1s")
     slow = "deadline = 3s", "deadline = 5m"
     waits = GOOD.replace("capacity = 250 units/s", "capacity = 250 units/s\n    answers_in = 10ms").replace(
         *slow
@@ -137,14 +137,14 @@
     assert "is 40s, and the slowest store answers in 10ms; was 40ms meant?" in str(
         load_text(waits).warnings[0]
     )
-    assert "no volume uses it" in warned("plan basic {", "plan idle {\n}\nplan basic {")
-    assert "'other' is never used" in warned("let aim", "let other = 1\nlet aim")
+    assert "no volume uses it" in warnings_for("plan basic {", "plan idle {\n}\nplan basic {")
+    assert "'other' is never used" in warnings_for("let aim", "let other = 1\nlet aim")
     shadow = "route later {\n    volume = school-*\n    key = archive/x\n    class = import\n    priority = -1\n}\n"
-    assert "route 'archive' matches all its requests first" in warned(
+    assert "route 'archive' matches all its requests first" in warnings_for(
         "route archive {", shadow + "route archive {"
     )
     twin = 'route twin {\n    volume = school-*\n    key = "archive/"\n    class = import\n}\n'
-    assert "both match the same requests" in warned("route archive {", twin + "route archive {")
+    assert "both match the same requests" in warnings_for("route archive {", twin + "route archive {")
 
 
 def files(folder, **texts: str):
@@ -153,13 +153,13 @@
     return folder / "main.conf"
 
 
-def told(path) -> str:
+def rendered_problems(path) -> str:
     with pytest.raises(ConfigError) as caught:
         load_all(path)
     return "\n".join(problem.render() for problem in caught.value.problems)
 
 
-def test_includes(tmp_path):
+def test_included_files_are_merged_and_read_once(tmp_path):
     head, _, tail = GOOD.partition("plan basic {")
     main_file = files(
         tmp_path,
@@ -167,22 +167,24 @@
         a1='include "both.conf"\n',
         both="plan basic {" + tail,
     )
-    assert load_all(main_file).config == load_text(GOOD, "f.conf").config, "a diamond is there once"
+    assert load_all(main_file).config == load_text(GOOD, "f.conf").config, (
+        "a file that is included twice is read once"
+    )
     origin = load_all(main_file).origins["plan", "basic", "limit"]
     assert origin.span.source.chain == ((str(main_file), 1), (str(tmp_path / "a1.conf"), 1))
 
 
-def test_an_include_loop_is_shown_whole(tmp_path):
+def test_an_include_loop_is_reported_with_all_its_files(tmp_path):
     files(tmp_path, main='include "one.conf"\n', one='include "two.conf"\n', two='include "one.conf"\n')
-    said = told(tmp_path / "main.conf")
-    assert "one.conf -> two.conf -> one.conf" in said
-    assert f"included from {tmp_path}/one.conf:1" in said
+    output = rendered_problems(tmp_path / "main.conf")
+    assert "one.conf -> two.conf -> one.conf" in output
+    assert f"included from {tmp_path}/one.conf:1" in output
 
 
-def test_a_duplicate_name_across_files_shows_both_places(tmp_path):
+def test_a_duplicate_name_across_files_is_reported_with_both_places(tmp_path):
     files(tmp_path, main='include "other.conf"\n' + GOOD, other="\n\npool main {\n    shards = 1\n}\n")
-    said = told(tmp_path / "main.conf")
-    assert "given twice" in said and f"{tmp_path}/other.conf:3:1" in said
+    output = rendered_problems(tmp_path / "main.conf")
+    assert "given twice" in output and f"{tmp_path}/other.conf:3:1" in output
 
 
 @pytest.mark.parametrize(
@@ -194,12 +196,12 @@
         ('include "../main.conf"\n', "is outside|can't be read"),
     ],
 )
-def test_includes_that_lead_nowhere(tmp_path, main_text, said):
+def test_an_include_that_cannot_be_resolved_is_reported(tmp_path, main_text, said):
     inner = tmp_path / "inner"
     inner.mkdir()
     (tmp_path / "secret.conf").write_text("pool a {\n    shards = 1\n}\n")
     (inner / "out.conf").symlink_to(tmp_path / "secret.conf")
-    assert any(words in told(files(inner, main=main_text)) for words in said.split("|"))
+    assert any(words in rendered_problems(files(inner, main=main_text)) for words in said.split("|"))
 
 
 @pytest.mark.parametrize(
@@ -218,35 +220,33 @@
         (b'include "main.conf"\n', "includes form a loop: main.conf -> main.conf"),
     ],
 )
-def test_files_that_are_no_settings(tmp_path, data, said):
+def test_files_that_are_not_settings_are_rejected(tmp_path, data, said):
     (tmp_path / "main.conf").write_bytes(data)
-    assert said in told(tmp_path / "main.conf")
+    assert said in rendered_problems(tmp_path / "main.conf")
 
 
-def test_an_unfinished_block_at_the_end_of_an_included_file_does_not_reach_into_the_next(tmp_path):
+def test_an_unclosed_block_at_the_end_of_an_included_file_does_not_affect_the_including_file(tmp_path):
     files(tmp_path, main='include "half.conf"\n' + GOOD, half="pool half {\n    shards = 1\n")
-    said = told(tmp_path / "main.conf")
-    assert "half.conf:2:5: error[missing-brace]" in said
-    assert f"it begins here: {tmp_path}/half.conf:1:1" in said
-    assert "error" not in said.replace("error[missing-brace]", "", 1), (
-        "nothing is held against the file that includes it"
-    )
+    output = rendered_problems(tmp_path / "main.conf")
+    assert "half.conf:2:5: error[missing-brace]" in output
+    assert f"it begins here: {tmp_path}/half.conf:1:1" in output
+    assert "error" not in output.replace("error[missing-brace]", "", 1), "the including file has no errors"
 
 
-def test_line_ends_marks_and_tabs_mean_nothing(tmp_path):
+def test_line_ends_byte_order_mark_and_tabs_have_no_meaning(tmp_path):
     (tmp_path / "main.conf").write_bytes(
         b"\xef\xbb\xbf" + GOOD.replace("    ", "\t").replace("\n", "\r\n").encode()
     )
     assert load_all(tmp_path / "main.conf").config == load_text(GOOD, "f").config
 
 
-def test_a_file_of_50_MB_is_refused_at_once(tmp_path):
+def test_a_file_of_50_MB_is_rejected_unread(tmp_path):
     with (tmp_path / "main.conf").open("wb") as file:
         file.truncate(50_000_000)
-    assert "is 47 MiB; 8 MiB is the most" in told(tmp_path / "main.conf")
+    assert "is 47 MiB; 8 MiB is the most" in rendered_problems(tmp_path / "main.conf")
 
 
-def test_a_file_changed_while_it_is_read_is_not_used(tmp_path, monkeypatch):
+def test_a_file_that_changes_while_it_is_read_is_rejected(tmp_path, monkeypatch):
     path = files(tmp_path, main=GOOD)
     real, count = os.fstat, iter(range(100))
 
@@ -256,23 +256,25 @@
         return real(descriptor)
 
     monkeypatch.setattr("winchdyke.config.sources.os.fstat", grows)
-    assert "changes while it is being read" in told(path)
+    assert "changes while it is being read" in rendered_problems(path)
 
 
-def test_what_can_not_be_read_is_said_where_it_is_included(tmp_path):
+def test_an_unreadable_file_is_reported_at_its_include(tmp_path):
     (tmp_path / "folder.conf").mkdir()
-    said = told(files(tmp_path, main='\ninclude "folder.conf"\n'))
-    assert "main.conf:2:9: error[unreadable]" in said and "Is a directory" in said
+    output = rendered_problems(files(tmp_path, main='\ninclude "folder.conf"\n'))
+    assert "main.conf:2:9: error[unreadable]" in output and "Is a directory" in output
 
 
-def test_a_string_left_open_at_the_end_of_an_included_file_stays_there(tmp_path):
-    said = told(files(tmp_path, main='include "half.conf"\n' + GOOD, half='pool a {\n    shards = "1\n}\n'))
-    assert "half.conf:2:14: error[open-string]" in said
-    assert f"included from {tmp_path}/main.conf:1" in said
-    assert said.count("error[") == 1
+def test_an_unclosed_string_in_an_included_file_does_not_affect_the_including_file(tmp_path):
+    output = rendered_problems(
+        files(tmp_path, main='include "half.conf"\n' + GOOD, half='pool a {\n    shards = "1\n}\n')
+    )
+    assert "half.conf:2:14: error[open-string]" in output
+    assert f"included from {tmp_path}/main.conf:1" in output
+    assert output.count("error[") == 1
 
 
-def test_mb_and_mib_are_not_the_same_and_the_diff_says_so():
+def test_mb_and_mib_differ_and_the_diff_shows_it():
     old, new = (
         load_text(GOOD.replace("body_total = 1GiB", f"body_total = {size}")).config
         for size in ("64MiB", "64MB")
@@ -283,7 +285,7 @@
     assert semantic_diff.diff(load_text(GOOD).config, four) == []
 
 
-def test_references_defaults_templates_and_where_values_came_from():
+def test_references_defaults_templates_and_origins_of_values():
     loaded = load_text(GOOD, "f.conf", {"SHARDS": "0-3"})
     assert loaded.values["class", "fetch"]["aim"] == 400.0
     assert loaded.values["class", "import"]["late_share"] == 0.1
@@ -297,22 +299,22 @@
     assert loaded.values["class", "fetch"]["aim"] == 300.0
     inherits = GOOD.replace("defaults plan {", "defaults volume {\n    pool = slow\n}\n\ndefaults plan {")
     assert load_text(inherits).config.volume("other").shards == tuple(range(8)), (
-        "its own shards set aside the pool"
+        "a volume's own shards override the pool of the defaults"
     )
     assert load_text(inherits).config.volume("school-1").shards == (0, 1, 2, 3, 4, 5)
     quoted = GOOD.replace("name = gw-1", 'name = "$env:HOME"')
-    assert load_text(quoted).config.gateway.name == "$env:HOME", "only marked references are replaced"
+    assert load_text(quoted).config.gateway.name == "$env:HOME", "references in quotes are not replaced"
 
 
-def plain(found) -> list:
-    """Statements without their places."""
+def without_spans(found) -> list:
+    """Return statements without their spans."""
     out = []
     for each in found:
         words = [(word.text, word.quoted) for word in each.words]
         if isinstance(each, Setting):
             out.append((words, [[(word.text, word.quoted) for word in item] for item in each.items]))
         else:
-            out.append((words, plain(each.body) if isinstance(each, Block) else None))
+            out.append((words, without_spans(each.body) if isinstance(each, Block) else None))
         assert isinstance(each, (Setting, Block, Directive))
     return out
 
@@ -341,18 +343,18 @@
 
 @given(BODY)
 @settings(max_examples=300)
-def test_formatting_keeps_the_meaning_and_every_comment_and_is_done_once(text):
+def test_formatting_keeps_meaning_and_comments_and_is_idempotent(text):
     before, wrong = statements(Source("f", text))
     if wrong:
         return
-    made = fmt(text)
-    after, problems_after = statements(Source("f", made))
-    assert not problems_after, made
-    assert plain(after) == plain(before)
-    assert fmt(made) == made
+    formatted = fmt(text)
+    after, problems_after = statements(Source("f", formatted))
+    assert not problems_after, formatted
+    assert without_spans(after) == without_spans(before)
+    assert fmt(formatted) == formatted
     strip = re.compile(r'"(?:\\.|[^"\\\n])*"|(#[^\n]*)')
     comments = lambda source: [found[1].rstrip() for found in strip.finditer(source) if found[1]]  # noqa: E731
-    assert sorted(comments(made)) == sorted(comments(text))
+    assert sorted(comments(formatted)) == sorted(comments(text))
 
 
 def test_the_formatter_keeps_groups_and_comments():
@@ -366,7 +368,7 @@
 
 @given(st.text(st.sampled_from('ab ={}"#;,\\\n$"') | st.characters(exclude_categories=("Cs",)), max_size=200))
 @settings(max_examples=300)
-def test_no_text_brings_anything_but_told_mistakes(text):
+def test_any_text_is_loaded_or_rejected_with_reported_mistakes(text):
     try:
         load_text(text, "f.conf")
     except ConfigError as error:
@@ -378,7 +380,7 @@
     st.integers(0, 10**6), st.integers(0, len(GOOD)), st.text(st.sampled_from('ab1 ={}"#;,\n'), max_size=3)
 )
 @settings(max_examples=200)
-def test_a_good_file_with_a_piece_cut_out_or_put_in_never_fails_otherwise(seed, at, piece):
+def test_a_valid_file_with_a_piece_replaced_is_loaded_or_rejected_with_fixes(seed, at, piece):
     end = at + seed % 20
     try:
         load_text(GOOD[:at] + piece + GOOD[end:], "f.conf")
@@ -386,7 +388,7 @@
         assert all(problem.fix for problem in error.problems), [str(p) for p in error.problems if not p.fix]
 
 
-def test_ini_converted_means_the_same():
+def test_converted_ini_has_the_same_meaning():
     loaded = ini.load_text(INI, "d.ini")
     assert load_text(serialize(loaded.values), "made").config == loaded.config == parse(defaults(), "d.conf")
     assert fmt(serialize(loaded.values)) == serialize(loaded.values)
@@ -406,14 +408,14 @@
 
 @given(st.sets(st.sampled_from(CHANGES)), st.sets(st.sampled_from(CHANGES)))
 @settings(max_examples=60)
-def test_a_diff_applied_gives_the_new_settings_and_equals_differ_in_nothing(left, right):
-    def made(changes) -> str:
+def test_an_applied_diff_gives_the_new_settings_and_equal_settings_have_no_diff(left, right):
+    def with_changes(changes) -> str:
         text = GOOD
         for old, new in sorted(changes):
             text = text.replace(old, new, 1)
         return text
 
-    old, new = load_text(made(left)).config, load_text(made(right)).config
+    old, new = load_text(with_changes(left)).config, load_text(with_changes(right)).config
     changes = semantic_diff.diff(old, new)
     assert semantic_diff.apply(old, changes) == new
     assert bool(changes) == (old != new)
@@ -422,7 +424,7 @@
         assert not semantic_diff.find_rerouted_requests(old, new)
 
 
-def diffed(old: str, new: str, tmp_path) -> tuple[int, str]:
+def run_diff(old: str, new: str, tmp_path) -> tuple[int, str]:
     files(tmp_path, old=old, new=new)
     done = CliRunner().invoke(
         main, ["config", "diff", str(tmp_path / "old.conf"), str(tmp_path / "new.conf")]
@@ -430,7 +432,7 @@
     return done.exit_code, done.output
 
 
-def test_the_diff_tells_meaning_and_not_text(tmp_path):
+def test_the_diff_shows_changes_of_meaning_and_ignores_changes_of_text(tmp_path):
     same = GOOD.replace("deadline = 3s", "deadline = 3000ms").replace("template read", "template base")
     same = (
         same.replace("from read", "from base")
@@ -438,19 +440,21 @@
         .replace("pool = main", "pool = first")
     )
     blocks = same.split("\n\n")
-    assert diffed(GOOD, "\n\n".join(reversed(blocks)), tmp_path) == (0, "no difference in meaning\n")
-    code, said = diffed(GOOD, GOOD.replace("limit = 240", "limit = 100"), tmp_path)
+    assert run_diff(GOOD, "\n\n".join(reversed(blocks)), tmp_path) == (0, "no difference in meaning\n")
+    code, output = run_diff(GOOD, GOOD.replace("limit = 240", "limit = 100"), tmp_path)
     assert code == 1
-    assert "plan basic: limit 240 units/s -> 100 units/s" in said
-    assert "requests of volumes beyond the new limit are refused" in said
-    _, said = diffed(GOOD, GOOD.replace('key = "archive/"', "key = old/"), tmp_path)
-    assert "rerouted: GET /school-x/" in said
-    assert "class fetch, plan school, shards 6-7" in said
-    _, said = diffed(GOOD, GOOD.replace("effect = keyed\n    memory = 4s", "effect = idempotent"), tmp_path)
-    assert "a rule is loosened" in said
+    assert "plan basic: limit 240 units/s -> 100 units/s" in output
+    assert "requests of volumes beyond the new limit are refused" in output
+    _, output = run_diff(GOOD, GOOD.replace('key = "archive/"', "key = old/"), tmp_path)
+    assert "rerouted: GET /school-x/" in output
+    assert "class fetch, plan school, shards 6-7" in output
+    _, output = run_diff(
+        GOOD, GOOD.replace("effect = keyed\n    memory = 4s", "effect = idempotent"), tmp_path
+    )
+    assert "a rule is loosened" in output
     store = "store 127.0.0.1:5003 {\n    shard = 3\n    capacity = 250 units/s\n}\n"
-    _, said = diffed(GOOD, GOOD.replace(store, ""), tmp_path)
-    assert "store 127.0.0.1:5003 is gone\n    risk: shard 3 has no store any more" in said
+    _, output = run_diff(GOOD, GOOD.replace(store, ""), tmp_path)
+    assert "store 127.0.0.1:5003 is gone\n    risk: shard 3 has no store any more" in output
     files(tmp_path, old=GOOD, new=GOOD.replace("weight = 2", "weight = 3"))
     done = CliRunner().invoke(
         main, ["config", "diff", "--json", str(tmp_path / "old.conf"), str(tmp_path / "new.conf")]
@@ -461,7 +465,7 @@
     ]
 
 
-def run(*words: str):
+def run_config(*words: str):
     return CliRunner().invoke(main, ["config", *map(str, words)])
 
 
@@ -472,24 +476,26 @@
         bad=GOOD.replace("deadline = 3s", "deadline = 3"),
         messy=GOOD.replace("    ", "  "),
     )
-    assert run("check", path).output == f"{path}: good\n"
-    bad = run("check", tmp_path / "bad.conf")
+    assert run_config("check", path).output == f"{path}: good\n"
+    bad = run_config("check", tmp_path / "bad.conf")
     assert bad.exit_code == 2
     assert "   44 |     deadline = 3\n      |                ^\n" in bad.output
-    found = json.loads(run("check", "--json", tmp_path / "bad.conf").output)
+    found = json.loads(run_config("check", "--json", tmp_path / "bad.conf").output)
     assert (found[0]["line"], found[0]["column"], found[0]["code"]) == (44, 16, "no-unit")
-    log = json.loads(run("check", "--sarif", tmp_path / "bad.conf").output)
+    log = json.loads(run_config("check", "--sarif", tmp_path / "bad.conf").output)
     assert log["runs"][0]["results"][0]["locations"][0]["physicalLocation"]["region"]["startLine"] == 44
-    assert run("fmt", "--check", path).exit_code == 0
-    assert run("fmt", "--check", tmp_path / "messy.conf").exit_code == 1
-    assert run("fmt", tmp_path / "messy.conf").exit_code == 0
+    assert run_config("fmt", "--check", path).exit_code == 0
+    assert run_config("fmt", "--check", tmp_path / "messy.conf").exit_code == 1
+    assert run_config("fmt", tmp_path / "messy.conf").exit_code == 0
     assert (tmp_path / "messy.conf").read_text() == GOOD
-    assert run("fmt", tmp_path / "bad.conf").exit_code == 0, "a mistake of meaning can be formatted"
-    assert f"from {path}:43:5" in run("explain", path, "class.fetch.aim").output
-    assert "by template read" in run("explain", path, "class.import.late_share").output
-    assert "built-in default" in run("explain", path, "limits.idle_timeout").output
-    assert "did you mean 'fetch'?" in run("explain", path, "class.fetsh.aim").output
-    met = run(
+    assert run_config("fmt", tmp_path / "bad.conf").exit_code == 0, (
+        "a file with semantic mistakes can be formatted"
+    )
+    assert f"from {path}:43:5" in run_config("explain", path, "class.fetch.aim").output
+    assert "by template read" in run_config("explain", path, "class.import.late_share").output
+    assert "built-in default" in run_config("explain", path, "limits.idle_timeout").output
+    assert "did you mean 'fetch'?" in run_config("explain", path, "class.fetsh.aim").output
+    met = run_config(
         "route", path, "PUT", "/school-1/archive/a", "--size", "3MB", "--header", "X-Kind: import"
     ).output
     assert "route archive: volume school-*, key archive/*" in met
@@ -497,21 +503,21 @@
     assert "shards 6-7" in met
     assert (
         "class import"
-        in run("route", path, "PUT", "/other/a", "--size", "3MB", "--header", "X-Kind: import").output
+        in run_config("route", path, "PUT", "/other/a", "--size", "3MB", "--header", "X-Kind: import").output
     )
-    assert "none matches" in run("route", path, "GET", "/other/a").output
-    out = run("convert", path).output
+    assert "none matches" in run_config("route", path, "GET", "/other/a").output
+    out = run_config("convert", path).output
     assert load_text(out).config == load_text(GOOD).config
-    assert run("convert", tmp_path / "none.conf").exit_code == 2
+    assert run_config("convert", tmp_path / "none.conf").exit_code == 2
 
 
-def test_the_reference_page_is_the_schemas_own():
-    page = run("reference").output
+def test_the_reference_page_is_generated_from_the_schema():
+    page = run_config("reference").output
     with open("docs/config.md", encoding="utf-8") as file:
-        assert file.read() == page, "make it again: winchdyke config reference > docs/config.md"
+        assert file.read() == page, "generate it again: winchdyke config reference > docs/config.md"
 
 
-def test_the_guides_first_ten_lines_are_settings():
+def test_the_examples_in_the_guide_are_valid_and_formatted():
     with open("docs/config-language.md", encoding="utf-8") as file:
         guide = re.findall(r"```conf\n(.*?)```", file.read(), re.DOTALL)
     assert len(guide) >= 2
@@ -545,7 +551,7 @@
     st.lists(PATTERNS, max_size=25, unique_by=lambda pattern: pattern.name), st.lists(REQUESTS, max_size=20)
 )
 @settings(max_examples=300)
-def test_the_compiled_matcher_answers_as_trying_every_route_does(patterns, requests):
+def test_the_compiled_matcher_agrees_with_linear_matching(patterns, requests):
     table = [(pattern, pattern) for pattern in patterns]
     compiled = Matcher(table)
     for request in requests:
@@ -554,12 +560,12 @@
 
 @given(PATTERNS, PATTERNS, st.lists(REQUESTS, max_size=20))
 @settings(max_examples=300)
-def test_a_pattern_that_covers_another_takes_all_that_it_takes(one, other, requests):
+def test_a_pattern_that_covers_another_matches_all_its_requests(one, other, requests):
     if one.covers(other):
         assert all(one.matches(request) for request in requests if other.matches(request))
 
 
-def test_routes_and_listeners_in_a_running_gateway():
+def test_routes_and_listeners_of_a_running_gateway():
     import anyio
     from rig import rig, run_async
 
@@ -588,5 +594,5 @@
     play()
 
 
-def test_the_embedded_ini_is_there_for_those_who_have_ini():
+def test_the_embedded_ini_settings_are_packaged():
     assert resources.files("winchdyke.config").joinpath("defaults.ini").is_file()
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -21,7 +21,10 @@
 
 @click.group("access")
 def command() -> None:
-    """Access keys of S3 clients. FILE is the gateway's `s3, keys`; a running gateway applies changes from the next request on."""
+    """Access keys of S3 clients.
+
+    FILE is the gateway's `s3, keys`; a running gateway applies changes from the next request on.
+    """
 
 
 def _call_or_exit(call: Callable[..., T], *words: Any) -> T:
--- a/winchdyke/cli/changes.py
+++ b/winchdyke/cli/changes.py
@@ -1,4 +1,4 @@
-"""``winchdyke changes``: versions of the settings, applied in service; ``plan``, ``volume``, ``limit``: single values."""
+"""``winchdyke changes``: applies versions of the settings in service; ``plan``, ``volume``, ``limit``: one value."""
 
 from __future__ import annotations
 
@@ -114,7 +114,10 @@
     reason: str,
     key_file: Path | None,
 ) -> None:
-    """Create a version with changed values of one block. `fleet` has no NAME: `set WHERE fleet seeds=HOST:PORT`."""
+    """Create a version with changed values of one block.
+
+    `fleet` has no NAME: `set WHERE fleet seeds=HOST:PORT`.
+    """
     if kind == "fleet":
         values = (name, *values)
         name = ""
@@ -182,8 +185,8 @@
 ) -> None:
     """Have the gateway apply VERSION, at once or at a set time.
 
-    Other changes made since the parent of VERSION are kept if they concern other values. If both change the same value,
-    nothing is applied and both changes are shown.
+    Other changes made since the parent of VERSION are kept if they concern other values. If both change the
+    same value, nothing is applied and both changes are shown.
     """
     activate_at_ms = parse_instant_ms(at)
     confirm_within_ms = parse_duration_ms(confirm_within, "--confirm-within")
@@ -223,7 +226,10 @@
 @WHY
 @KEY
 def undo(target: str, wait_seconds: float, actor: str | None, reason: str, key_file: Path | None) -> None:
-    """Go back to the previous version; a second undo restores the later one. A staged version is withdrawn."""
+    """Go back to the previous version; a second undo restores the later one.
+
+    A staged version is withdrawn.
+    """
     execute = connect(target, actor, key_file)
     wait_for_outcome(execute, execute(op="undo", why=reason), wait_seconds)
 
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -17,7 +17,8 @@
 def command() -> None:
     """Work with settings files.
 
-    Exits with 0 if all is well, 1 if there is a finding (differences, not formatted, no such volume), 2 on mistakes.
+    Exits with 0 if all is well, 1 if there is a finding (differences, not formatted, no such volume), 2 on
+    mistakes.
     """
 
 
@@ -195,7 +196,7 @@
 @click.argument("file", type=FILE)
 @click.option("-o", "--out", type=FILE, help="File to write; by default standard output.")
 def convert(file: Path, out: Path | None) -> None:
-    """Write the settings in FILE, in INI or in the language, as one file in the language, without includes."""
+    """Write the settings in FILE (INI or the language) as one file in the language, without includes."""
     from winchdyke.config.serialization import serialize
 
     text = serialize(load_or_exit(file).values, f"Generated from {file.name} by winchdyke config convert.")
--- a/winchdyke/cli/day.py
+++ b/winchdyke/cli/day.py
@@ -1,4 +1,4 @@
-"""``winchdyke day``: plays scripted fault scenarios (days) against real gateways, and judges the traffic on their sockets."""
+"""``winchdyke day``: plays scripted fault scenarios (days) against real gateways and judges their traffic."""
 
 from __future__ import annotations
 
@@ -84,7 +84,7 @@
 
 
 def _load_day(name: str, seed: int | None, length: float | None = None) -> Day:
-    """Return a day of the list, generated from a seed, or of a day file, whose seed is replaced if one is given."""
+    """Return a day of the list, generated from a seed, or of a day file, with another seed if given."""
     from winchdyke.days import script
 
     if name in script.DAYS:
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -1,4 +1,4 @@
-"""``winchdyke dev``: runs a gateway, a list service and eight stand-in stores in one process, on embedded settings."""
+"""``winchdyke dev``: runs a gateway, a list service and stand-in stores in one process."""
 
 from __future__ import annotations
 
--- a/winchdyke/cli/keys.py
+++ b/winchdyke/cli/keys.py
@@ -15,7 +15,10 @@
 
 @click.group("keys")
 def command() -> None:
-    """Keys of the admin API. FILE is the gateway's `admin, keys`; a running gateway applies changes from the next request on."""
+    """Keys of the admin API.
+
+    FILE is the gateway's `admin, keys`; a running gateway applies changes from the next request on.
+    """
 
 
 def _read(file: Path, may_be_missing: bool = False) -> list[Any]:
--- a/winchdyke/cli/load.py
+++ b/winchdyke/cli/load.py
@@ -80,7 +80,8 @@
 ) -> None:  # fmt: skip
     """Send requests to URL at times drawn in advance (open loop), and report the responses.
 
-    Latency is measured from the scheduled time of a request, so a stalled gateway delays all requests scheduled meanwhile.
+    Latency is measured from the scheduled time of a request, so a stalled gateway delays all requests
+    scheduled meanwhile.
     """
     from urllib.parse import urlsplit
 
--- a/winchdyke/cli/rollout_client.py
+++ b/winchdyke/cli/rollout_client.py
@@ -99,7 +99,8 @@
 ) -> None:
     """Follow the change log until the gateway has applied or refused a staged version, and print the outcome.
 
-    ``is_applied_later``: the version is applied at a set time or by a later command; wait only until it is checked.
+    ``is_applied_later``: the version is applied at a set time or by a later command; wait only until it is
+    checked.
     """
     version = staged["version"]
     if staged.get("merged_from"):
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -94,7 +94,7 @@
 @click.option("--late", type=click.FloatRange(0), default=0.0, help="Delay of changes in milliseconds.")
 @RECORD
 def nodes(nodes: tuple[str, ...], late: float, out: Path | None) -> None:
-    """Run a list service that lists the stores at ADDRESS as ready, each with its SHARD; prints its own URL."""
+    """Run a list service that lists each store at ADDRESS as ready for SHARD; prints its own URL."""
     from winchdyke.standins.nodelist import ListService
 
     record = Record()
--- a/winchdyke/cli/waits.py
+++ b/winchdyke/cli/waits.py
@@ -34,7 +34,10 @@
 
 @click.group("waits")
 def command() -> None:
-    """Report which requests waited for which others. A LEDGER is a gateway's folder or one segment; several are merged."""
+    """Report which requests waited for which others.
+
+    A LEDGER is a gateway's folder or one segment; several are merged.
+    """
 
 
 @dataclass(frozen=True)
@@ -69,8 +72,8 @@
 ) -> LedgerSummary:
     """Summarize ledgers.
 
-    They are read twice, so that only sums are kept in memory: first for which requests were in flight where, then for what
-    each one waited for.
+    They are read twice, so that only sums are kept in memory: first for which requests were in flight where,
+    then for what each one waited for.
     """
     from winchdyke.latency_attribution.errors import LedgerError
     from winchdyke.latency_attribution.ledger import read_accounts, read_entries
--- a/winchdyke/config/crosscheck.py
+++ b/winchdyke/config/crosscheck.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from winchdyke.config.loading import Builder
 
-MAX_ROUTES_COMPARED = 4000  # with more, a route is compared with fewer of the routes that precede it
+MAX_ROUTES_COMPARED = 4000  # with more, a route is compared only with routes for the same volume name
 
 
 def check(builder: Builder) -> None:
--- a/winchdyke/config/syntax.py
+++ b/winchdyke/config/syntax.py
@@ -290,7 +290,7 @@
 
 
 def parse(source: Source) -> tuple[tuple[Statement, ...], list[Diagnostic]]:
-    """Return the statements of a text and its syntax errors; after most errors there are no statements."""
+    """Return the statements and syntax errors of a text; no statements if it does not parse as a whole."""
     reader = _Reader(source)
     depth = _max_brace_depth(source.text)
     if depth > 10 * MAX_DEPTH:
