--- a/winchdyke/config/fmt.py
+++ b/winchdyke/config/fmt.py
@@ -77,9 +77,8 @@
             out.depth = max(0, out.depth - 1)
             out.add_line("}")
         elif token == ";":
-            if not (
-                out.line and out.line[-1] == ","
-            ):  # after a comma the value continues, as it does after a line end
+            # After a comma the value continues, as it does after a line end.
+            if not (out.line and out.line[-1] == ","):
                 out.end_line()
         else:
             out.line.append(token)
--- a/winchdyke/config/schema.py
+++ b/winchdyke/config/schema.py
@@ -570,13 +570,7 @@
     "limit": "limit_units_per_s",
     "limit_burst": "limit_burst_units",
 }
-EXCLUSIVE_KEYS = {
-    "volume": (("pool", "shards"),)
-}  # pairs of keys: one set in a closer layer (block, template, defaults) overrides the other
-RESERVED_WORDS = (
-    "include",
-    "let",
-    "template",
-    "defaults",
-    "from",
-)  # words of the language; no block may have one as its name
+# Pairs of keys: one that is set in a closer layer (block, then template, then defaults) overrides the other.
+EXCLUSIVE_KEYS = {"volume": (("pool", "shards"),)}
+# Words of the language; no block may have one as its name.
+RESERVED_WORDS = ("include", "let", "template", "defaults", "from")
--- a/winchdyke/config/syntax.py
+++ b/winchdyke/config/syntax.py
@@ -91,9 +91,8 @@
         self.problems: list[Diagnostic] = []
         self._line_offset = 0  # lines before the line that is parsed by itself
         self._last_statement = Span(source, 1)  # the last statement seen
-        self._unopened_block: tuple[str, Span] | None = (
-            None  # a line that looks like the start of a block but lacks {
-        )
+        # A line that looks like the start of a block but lacks {.
+        self._unopened_block: tuple[str, Span] | None = None
 
     def span(self, token: Token) -> Span:
         line = (token.line or 1) + self._line_offset
