--- a/winchdyke/cli/common.py
+++ b/winchdyke/cli/common.py
@@ -1,4 +1,4 @@
-"""What the sub-commands share."""
+"""Helpers shared by the subcommands."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from winchdyke.config import Config, ConfigError, Loaded, load_all
 
 
-def settings_from(path: Path) -> Config:
-    """The settings in a file; where they can't be used, every mistake is printed and the command ends with 2."""
-    return loaded_from(path).config
+def load_config_or_exit(path: Path) -> Config:
+    """Load the settings in a file. If they are not valid, print every mistake and exit with status 2."""
+    return load_or_exit(path).config
 
 
-def loaded_from(path: Path) -> Loaded:
-    """The same, with where each value came from."""
+def load_or_exit(path: Path) -> Loaded:
+    """Like ``load_config_or_exit``, with the origin of each value."""
     try:
         return load_all(path)
     except ConfigError as error:
@@ -27,8 +27,8 @@
         raise SystemExit(2) from None
 
 
-def span(text: str | None, option: str) -> float:
-    """A time such as 60s that an option was given, in ms; 0 where it was not."""
+def parse_duration_ms(text: str | None, option: str) -> float:
+    """Return the milliseconds of an option's value, such as 60s; 0 if the option was not given."""
     from winchdyke.config import units
 
     try:
@@ -37,8 +37,8 @@
         raise click.ClickException(f"{option}: {error}") from None
 
 
-def when(unix_ms: float, none: str = "-") -> str:
-    """A Unix time (ms) for people, UTC; ``none`` where it is 0."""
+def format_unix_ms(unix_ms: float, none: str = "-") -> str:
+    """Format a Unix time in ms as UTC; ``none`` if it is 0."""
     return datetime.fromtimestamp(unix_ms / 1000, UTC).strftime("%Y-%m-%d %H:%M:%S") if unix_ms else none
 
 
--- a/winchdyke/cli/serve.py
+++ b/winchdyke/cli/serve.py
@@ -1,4 +1,4 @@
-"""``winchdyke serve``: one gateway."""
+"""``winchdyke serve``: runs one gateway."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 import anyio
 import click
 
-from winchdyke.cli.common import FILE, settings_from
+from winchdyke.cli.common import FILE, load_config_or_exit
 
 
 @click.command("serve")
 @click.option(
-    "-c", "--config", "file", type=FILE, required=True, help="Settings (INI); see 'winchdyke check'."
+    "-c", "--config", "file", type=FILE, required=True, help="Settings file; check it with 'winchdyke check'."
 )
 def command(file: Path) -> None:
-    """Run a gateway until SIGTERM; it answers all that it has taken before it ends."""
+    """Run a gateway until SIGTERM; before it exits, it answers all accepted requests."""
     from winchdyke.gateway import daemon, logs
 
-    config = settings_from(file)
+    config = load_config_or_exit(file)
     logs.configure(config.log.form, config.log.access)
     try:
         anyio.run(daemon.serve, config)
--- a/winchdyke/config/ini.py
+++ b/winchdyke/config/ini.py
@@ -1,4 +1,4 @@
-"""Settings as INI: the older form. Read into the statements that the language has, and checked by the same table."""
+"""Settings in INI, the older format: sections become blocks, which are checked by the same schema."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 import re
 
 from winchdyke.config.diagnostics import ConfigError, Diagnostic, Source, Span
-from winchdyke.config.loading import Builder, Loaded, finish
+from winchdyke.config.loading import Builder, Loaded, check_and_assemble
 from winchdyke.config.schema import BLOCKS
 from winchdyke.config.syntax import Block, Item, Setting, Word
 
-MOVED = {("gateway", "listen"): ("listener", "main", "address"), ("gateway", "log"): ("log", "", "form")}
+MOVED_KEYS = {("gateway", "listen"): ("listener", "main", "address"), ("gateway", "log"): ("log", "", "form")}
 
 
 def is_ini(text: str) -> bool:
-    """Whether a text is INI: its first line that says something is a section."""
+    """Return whether a text is INI: its first line other than comments is a section header."""
     first = next(
         (
             line.strip()
@@ -26,8 +26,8 @@
     return bool(re.match(r"\[[^]]*\]?", first))
 
 
-def _places(source: Source) -> dict[tuple[str, str], Span]:
-    """The place of each section (with an empty key) and of each of its keys."""
+def _find_spans(source: Source) -> dict[tuple[str, str], Span]:
+    """Return the span of each section header (under an empty key) and of each key."""
     found: dict[tuple[str, str], Span] = {}
     section = ""
     for number, line in enumerate(source.text.split("\n"), 1):
@@ -39,7 +39,7 @@
     return found
 
 
-def _broken(error: configparser.Error, source: Source) -> list[Diagnostic]:
+def _parse_diagnostics(error: configparser.Error, source: Source) -> list[Diagnostic]:
     line = getattr(error, "lineno", None) or 1
     fix = ""
     if isinstance(error, configparser.DuplicateOptionError):
@@ -57,17 +57,17 @@
 
 
 def load_text(text: str, file: str = "settings") -> Loaded:
-    """Settings in INI. ConfigError with every mistake."""
+    """Load settings from INI text. Raises ConfigError with every mistake found."""
     source = Source(file, text)
     parser = configparser.ConfigParser(interpolation=None, inline_comment_prefixes=("#",), delimiters=("=",))
     try:
         parser.read_string(text, source=file)
     except configparser.Error as error:
-        raise ConfigError(_broken(error, source)) from error
-    places = _places(source)
+        raise ConfigError(_parse_diagnostics(error, source)) from error
+    places = _find_spans(source)
     blocks: dict[tuple[str, str], list[Setting]] = {}
     spans: dict[tuple[str, str], Span] = {}
-    taken: set[str] = set()
+    claimed: set[str] = set()
     for section in parser.sections():
         kind, _, name = section.partition(" ")
         name = name.strip()
@@ -76,16 +76,16 @@
         spans.setdefault((kind, name), at)
         for key, value in parser[section].items():
             span = places.get((section, key), at)
-            into_kind, into_name, into_key = MOVED.get((kind, key), (kind, name, key))
+            into_kind, into_name, into_key = MOVED_KEYS.get((kind, key), (kind, name, key))
             into = blocks.setdefault((into_kind, into_name), [])
             spans.setdefault((into_kind, into_name), span)
             items = _items(into_kind, into_key, value.strip(), span)
             if (kind, key) == ("class", "operations"):
-                # The first class that names an operation has it; later ones take it when asked.
+                # An operation belongs by default to the first class that lists it, to later ones on request.
                 words = [word for item in items for word in item]
-                own = tuple((word,) for word in words if word.text not in taken)
-                also = tuple((word,) for word in words if word.text in taken)
-                taken |= {word.text for word in words}
+                own = tuple((word,) for word in words if word.text not in claimed)
+                also = tuple((word,) for word in words if word.text in claimed)
+                claimed |= {word.text for word in words}
                 if also:
                     into.append(Setting((Word("also", False, span),), also))
                 if also and not own:
@@ -101,13 +101,13 @@
         for (kind, name), body in blocks.items()
     ]
     if statements:
-        builder.take(statements)  # type: ignore[arg-type]
-    builder.top = Span(source, 1)
-    return finish(builder, [source])
+        builder.add_statements(statements)  # type: ignore[arg-type]
+    builder.start = Span(source, 1)
+    return check_and_assemble(builder, [source])
 
 
 def _items(kind: str, key: str, value: str, span: Span) -> tuple[Item, ...]:
     rule = BLOCKS[kind].keys.get(key) if kind in BLOCKS else None
-    if rule is not None and rule.type.several:
+    if rule is not None and rule.type.is_list:
         return tuple((Word(part, False, span),) for part in re.split(r"[,\s]+", value) if part)
     return ((Word(value, True, span),),) if value else ()
--- a/winchdyke/config/meaning.py
+++ b/winchdyke/config/semantic_diff.py
@@ -1,7 +1,9 @@
-"""What a change of settings means: compared after includes, templates, defaults and units are resolved. Pure.
+"""Semantic diff of settings, after includes, templates, defaults and units are resolved.
 
-A change is a path (kind, name, key) with its old and new value; applied to the old settings, all changes together give
-the new ones. For routes it is also told which requests go elsewhere, with one that is answered differently.
+Free of side effects.
+
+A change is a path (kind, name, key) with its old and new value; all changes, applied to the old settings,
+give the new ones. For changed routes, the diff also finds example requests that are handled differently.
 """
 
 from __future__ import annotations
@@ -14,26 +16,26 @@
 from winchdyke import interface as api
 from winchdyke.config import schema
 from winchdyke.config.loading import Values, assemble
-from winchdyke.config.matching import Asked, Pattern, Route
+from winchdyke.config.matching import Pattern, RequestAttributes, Route
 from winchdyke.config.model import Config
 from winchdyke.config.types import Address
 
-GONE = None
-SAMPLES = 400  # example requests that are tried for each side's routes at the most
-EFFECTS = {
+ABSENT = None
+MAX_SAMPLED = 400  # maximum number of route patterns, and of volumes, that example requests are made for
+EFFECT_NAMES = {
     api.RepeatSafety.IDEMPOTENT: "idempotent",
     api.RepeatSafety.IDEMPOTENCY_KEY: "keyed",
     api.RepeatSafety.AT_MOST_ONCE: "at-most-once",
 }
-LOOSER_UP = {  # rules' figures that promise less when they grow
+LOOSENED_BY_INCREASE = {  # keys of `rules` that demand more of the stores when increased
     "fall_multiple", "cold_units", "extra_free", "extra_share", "max_attempts", "cold_from",
 }  # fmt: skip
-LOOSER_DOWN = {"warm_after", "settle", "extra_window", "fall_window"}
+LOOSENED_BY_DECREASE = {"warm_after", "settle", "extra_window", "fall_window"}
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One value that differs; None: there is none on that side. ``key`` is empty for a whole block."""
+    """One value that differs; None on the side that lacks it. ``key`` is empty for a whole block."""
 
     kind: str
     name: str
@@ -43,14 +45,14 @@
     text: str
     risk: str = ""
 
-    def data(self) -> dict[str, Any]:
-        """As plain values, for JSON."""
+    def to_dict(self) -> dict[str, Any]:
+        """Return the change as plain values for JSON."""
         path = ".".join(part for part in (self.kind, self.name, self.key) if part)
         return {"path": path, "text": self.text, "risk": self.risk}
 
 
-def table(config: Config) -> Values:
-    """The settings as a flat table, with names of pools resolved to shards."""
+def to_values(config: Config) -> Values:
+    """Return the settings as a flat table, with pool names resolved to shards."""
     values: Values = {
         ("gateway", ""): dataclasses.asdict(config.gateway),
         ("log", ""): dataclasses.asdict(config.log),
@@ -87,7 +89,7 @@
             "aim": rules.latency_objective_ms,
             "deadline": rules.deadline_ms,
             "late_share": rules.late_value_ratio,
-            "effect": EFFECTS[rules.repeat_safety],
+            "effect": EFFECT_NAMES[rules.repeat_safety],
             "scope": rules.deduplication_scope.value,
             "memory": rules.deduplication_window_ms,
             "streamed": rules.streamed,
@@ -117,41 +119,61 @@
 
 
 def diff(old: Config, new: Config) -> list[Change]:
-    """What differs, in the order of the reference."""
-    before, after = table(old), table(new)
+    """Return the changes from ``old`` to ``new``, in the order of the schema."""
+    before, after = to_values(old), to_values(new)
     found: list[Change] = []
     for kind in schema.BLOCKS:
-        names = sorted({name for there, name in (*before, *after) if there == kind})
+        names = sorted({name for block_kind, name in (*before, *after) if block_kind == kind})
         for name in names:
-            a, b = before.get((kind, name)), after.get((kind, name))
-            if a == b:
+            old_keys, new_keys = before.get((kind, name)), after.get((kind, name))
+            if old_keys == new_keys:
                 continue
             title = f"{kind} {name}".strip()
-            if a is None:
+            if old_keys is None:
                 found.append(
-                    Change(kind, name, "", GONE, _frozen(b or {}), f"{title} is new", _added(kind, b or {}))
+                    Change(
+                        kind,
+                        name,
+                        "",
+                        ABSENT,
+                        _as_items(new_keys or {}),
+                        f"{title} is new",
+                        _risk_of_adding(kind, new_keys or {}),
+                    )
                 )
-            elif b is None:
+            elif new_keys is None:
                 found.append(
-                    Change(kind, name, "", _frozen(a), GONE, f"{title} is gone", _removed(kind, name, a, new))
+                    Change(
+                        kind,
+                        name,
+                        "",
+                        _as_items(old_keys),
+                        ABSENT,
+                        f"{title} is gone",
+                        _risk_of_removing(kind, name, old_keys, new),
+                    )
                 )
             else:
-                found += [_changed(kind, name, key, a[key], b[key]) for key in a if a[key] != b[key]]
+                found += [
+                    _value_change(kind, name, key, old_keys[key], new_keys[key])
+                    for key in old_keys
+                    if old_keys[key] != new_keys[key]
+                ]
     return found
 
 
-def _frozen(keys: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
+def _as_items(keys: dict[str, Any]) -> tuple[tuple[str, Any], ...]:
     return tuple(keys.items())
 
 
 def apply(old: Config, changes: list[Change]) -> Config:
-    """The settings that changes make of old ones."""
-    values = {where: dict(keys) for where, keys in table(old).items()}
+    """Return the settings that result from applying changes."""
+    values = {where: dict(keys) for where, keys in to_values(old).items()}
     for change in changes:
         where = change.kind, change.name
         if change.key:
             values[where][change.key] = change.new
-        elif change.new is GONE:
+        elif change.new is ABSENT:
             del values[where]
         else:
             values[where] = dict(change.new)
@@ -159,29 +181,31 @@
 
 
 def show(kind: str, key: str, value: Any) -> str:
-    """A value as the language writes it."""
+    """Format a value in the syntax of the language; ``nothing`` if there is none."""
     rule = schema.BLOCKS[kind].keys.get(key)
     if value is None or value == ():
         return "nothing"
     return rule.type.show(value) if rule else str(value)
 
 
-def _changed(kind: str, name: str, key: str, old: Any, new: Any) -> Change:
+def _value_change(kind: str, name: str, key: str, old: Any, new: Any) -> Change:
     title = f"{kind} {name}".strip()
     text = f"{title}: {key} {show(kind, key, old)} -> {show(kind, key, new)}"
     return Change(kind, name, key, old, new, text, _risk(kind, key, old, new))
 
 
 def _risk(kind: str, key: str, old: Any, new: Any) -> str:
-    """What may go wrong with a changed value; empty where nothing is known to."""
+    """Return the risk of a changed value; an empty string if none is known."""
     if kind == "plan" and key == "limit":
         if new and (not old or new < old):
-            return "volumes that use more now are refused what is beyond it"
-        return "the limit is looser: others on the same stores may get less"
+            return "requests of volumes beyond the new limit are refused"
+        return "the limit is looser: other volumes on the same stores may get less"
     if kind == "plan" and key == "reserve" and new < old:
-        return "less is served in full when stores are busy"
-    if kind == "rules" and ((key in LOOSER_UP and new > old) or (key in LOOSER_DOWN and new < old)):
-        return "a rule is loosened: stores must really bear it"
+        return "less is served with full worth when stores are busy"
+    if kind == "rules" and (
+        (key in LOOSENED_BY_INCREASE and new > old) or (key in LOOSENED_BY_DECREASE and new < old)
+    ):
+        return "a rule is loosened: the stores must be able to take the load"
     if kind == "class" and key == "effect":
         order = ("at-most-once", "keyed", "idempotent")
         if order.index(new) > order.index(old):
@@ -197,60 +221,60 @@
     if kind == "class" and key == "in_order" and not new:
         return "a rule is loosened: requests of one key may run side by side"
     if kind == "class" and key == "deadline" and new < old:
-        return "requests that took longer are failed"
+        return "requests that take longer fail"
     if kind in ("volume", "route") and key in ("shards", "volume", "key"):
         return "objects already stored may be looked for on other shards, and not found"
     if kind == "volume" and key == "gateways":
-        return "each gateway's part of reserve and limit changes with it"
+        return "each gateway's part of the reserve and the limit changes"
     if kind == "limits" and key == "object_bytes" and new < old:
         return "larger objects are refused"
     return ""
 
 
-def _added(kind: str, keys: dict[str, Any]) -> str:
+def _risk_of_adding(kind: str, keys: dict[str, Any]) -> str:
     if kind in ("volume", "route") and keys.get("shards"):
-        return "objects of the volumes it takes may be looked for on other shards, and not found"
+        return "objects of the volumes that it matches may be looked for on other shards, and not found"
     return ""
 
 
-def _removed(kind: str, name: str, keys: dict[str, Any], new: Config) -> str:
+def _risk_of_removing(kind: str, name: str, keys: dict[str, Any], new: Config) -> str:
     if kind == "store":
         others = [store for store in new.stores if store.shard == keys["shard"]]
         return "" if others else f"shard {keys['shard']} has no store any more"
     if kind == "volume":
         left = new.volume(name.rstrip("*") or "any")
         return (
-            "its volumes are unknown then: 404"
+            "its volumes are unknown after the change: requests get 404"
             if left is None
-            else f"its volumes fall under {left.pattern!r} then"
+            else f"its volumes match {left.pattern!r} after the change"
         )
     if kind == "class":
-        return "its operations have no class then, or another one"
+        return "its operations have no class after the change, or another one"
     return "clients that connect there are refused" if kind == "listener" else ""
 
 
-# Routes: which requests go elsewhere.
+# Routes: requests that are handled differently.
 
 
 @dataclass(frozen=True, slots=True)
-class Rerouted:
-    """A request that is answered differently, and how."""
+class ReroutedRequest:
+    """An example request that is handled differently, with its old and new handling."""
 
-    asked: Asked
+    request: RequestAttributes
     old: str
     new: str
 
     def __str__(self) -> str:
-        size = f" of {self.asked.size} bytes" if self.asked.size else ""
-        header = "".join(f" with {name}: {value}" for name, value in self.asked.headers.items())
-        path = f"/{self.asked.volume}/{self.asked.key}"
-        return f"{self.asked.method} {path}{size}{header}: {self.old} -> {self.new}"
+        size = f" of {self.request.size} bytes" if self.request.size else ""
+        header = "".join(f" with {name}: {value}" for name, value in self.request.headers.items())
+        path = f"/{self.request.volume}/{self.request.key}"
+        return f"{self.request.method} {path}{size}{header}: {self.old} -> {self.new}"
 
 
-def _examples(patterns: list[Pattern], volumes: list[str]) -> list[Asked]:
-    """Requests at the edges of patterns: one that each takes, and its neighbours."""
-    found: list[Asked] = []
-    for pattern in patterns[:SAMPLES]:
+def _sample_requests(patterns: list[Pattern], volumes: list[str]) -> list[RequestAttributes]:
+    """Return requests at the boundaries of patterns: matching ones and ones that just fail to match."""
+    found: list[RequestAttributes] = []
+    for pattern in patterns[:MAX_SAMPLED]:
         names = (
             [pattern.volume[:-1] + ("x" if pattern.volume != "*" else "any")]
             if pattern.volume.endswith("*")
@@ -263,25 +287,25 @@
         sizes = sorted({max(0, low), max(0, low) + 1, min(high, 2**40), 0})
         headers: list[dict[str, str]] = [{}] + ([dict([pattern.header])] if pattern.header else [])
         for volume, key, method, size, header in itertools.product(names, keys, methods, sizes, headers):
-            found.append(Asked(method, volume, key, size, header))
+            found.append(RequestAttributes(method, volume, key, size, header))
     found += [
-        Asked(method, (name.rstrip("*") or "any"), "object")
-        for name in volumes[:SAMPLES]
+        RequestAttributes(method, (name.rstrip("*") or "any"), "object")
+        for name in volumes[:MAX_SAMPLED]
         for method in ("GET", "PUT")
     ]
     return found
 
 
-OPERATION = {"GET": "get", "HEAD": "head", "PUT": "put", "POST": "post", "DELETE": "delete"}
+OPERATION_BY_METHOD = {"GET": "get", "HEAD": "head", "PUT": "put", "POST": "post", "DELETE": "delete"}
 
 
-def outcome(config: Config, asked: Asked) -> str:
-    """Where a request goes: its class, its plan and its shards."""
-    volume = config.volume(asked.volume)
+def routing_summary(config: Config, request: RequestAttributes) -> str:
+    """Describe the handling of a request: its class, plan and shards."""
+    volume = config.volume(request.volume)
     if volume is None:
         return "404, no such volume"
-    route: Route | None = config.matcher.match(asked)
-    operation = OPERATION[asked.method]
+    route: Route | None = config.matcher.match(request)
+    operation = OPERATION_BY_METHOD[request.method]
     kind = config.kind_for(operation, route.class_name if route and route.class_name else None)
     kind = kind or config.kind_for(operation, None)
     shards = route.shards if route and route.shards else volume.shards
@@ -291,17 +315,17 @@
     )
 
 
-def rerouted(old: Config, new: Config, most: int = 5) -> list[Rerouted]:
-    """Example requests that go elsewhere, each way of going elsewhere once."""
+def find_rerouted_requests(old: Config, new: Config, limit: int = 5) -> list[ReroutedRequest]:
+    """Return example requests that are handled differently, one for each pair of old and new handling."""
     patterns = [route.pattern for route in (*old.routes, *new.routes)]
     changed = {route.pattern for route in old.routes} ^ {route.pattern for route in new.routes}
     patterns.sort(key=lambda pattern: (pattern not in changed, pattern.name))
     volumes = sorted({rule.pattern for rule in (*old.volumes, *new.volumes)})
-    found: dict[tuple[str, str], Rerouted] = {}
-    for asked in _examples(patterns, volumes):
-        a, b = outcome(old, asked), outcome(new, asked)
-        if a != b and (a, b) not in found:
-            found[a, b] = Rerouted(asked, a, b)
-            if len(found) >= most:
+    found: dict[tuple[str, str], ReroutedRequest] = {}
+    for request in _sample_requests(patterns, volumes):
+        before, after = routing_summary(old, request), routing_summary(new, request)
+        if before != after and (before, after) not in found:
+            found[before, after] = ReroutedRequest(request, before, after)
+            if len(found) >= limit:
                 break
     return list(found.values())
--- a/winchdyke/config/writing.py
+++ b/winchdyke/config/serialization.py
@@ -1,21 +1,23 @@
-"""Values as text in the language: what ``config convert`` writes. Read back, it means the same."""
+"""Writes values as text in the configuration language (``config convert``); parsed again, they are equal."""
 
 from __future__ import annotations
 
-from winchdyke.config.loading import Values, _default
+from winchdyke.config.loading import Values, default_value
 from winchdyke.config.schema import BLOCKS
 from winchdyke.config.types import quoted
 
 
-def written(values: Values, heading: str = "") -> str:
-    """All that differs from the built-in defaults, block by block in the order of the reference."""
+def serialize(values: Values, heading: str = "") -> str:
+    """Return all values that differ from the built-in defaults as text, in the order of the schema."""
     parts = [f"# {heading}\n"] if heading else []
     for kind, known in BLOCKS.items():
-        for name, keys in sorted((name, keys) for (there, name), keys in values.items() if there == kind):
+        for name, keys in sorted(
+            (name, keys) for (block_kind, name), keys in values.items() if block_kind == kind
+        ):
             lines = []
             for key, rule in known.keys.items():
                 value = keys.get(key)
-                if value is None or (rule.default is not None and value == _default(rule)):
+                if value is None or (rule.default is not None and value == default_value(rule)):
                     continue
                 lines.append(f"    {key} = {rule.type.show(value)}\n")
             if lines or known.name is not None:
--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -1,4 +1,4 @@
-"""Reading settings files and what they include, within bounds."""
+"""Reads settings files and the files they include, with limits on their size and number."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from winchdyke.config.diagnostics import Diagnostic, Source, Span
 from winchdyke.config.syntax import Block, Directive, Statement, parse
 
-MOST_BYTES, MOST_FILES, MOST_TOTAL = 8 << 20, 500, 32 << 20
-TRIES = 3
+MAX_FILE_BYTES, MAX_FILES, MAX_TOTAL_LENGTH = 8 << 20, 500, 32 << 20
+READ_ATTEMPTS = 3
 
 
-class Unreadable(Exception):
-    """A file that can't be used: the code, what is wrong, what to do, and the line where it shows."""
+class UnreadableFileError(Exception):
+    """A file that can't be read or decoded: diagnostic code, problem, fix, and place in the file."""
 
     def __init__(self, code: str, text: str, fix: str, line: int = 1, column: int = 1) -> None:
         super().__init__(text)
@@ -23,59 +23,66 @@
 
 
 def read(path: Path) -> str:
-    """A file's text with plain line ends and no byte-order mark. Unreadable says what is wrong."""
+    """Return a file's text with LF line ends and without a byte-order mark. Raises UnreadableFileError."""
     try:
-        for _ in range(TRIES):
+        for _ in range(READ_ATTEMPTS):
             with path.open("rb") as file:
                 before = os.fstat(file.fileno())
-                if before.st_size > MOST_BYTES:
-                    text = f"is {before.st_size >> 20} MiB; {MOST_BYTES >> 20} MiB is the most"
-                    raise Unreadable("too-large", text, "split it, and include the parts")
-                data = file.read(MOST_BYTES + 1)
+                if before.st_size > MAX_FILE_BYTES:
+                    text = f"is {before.st_size >> 20} MiB; {MAX_FILE_BYTES >> 20} MiB is the most"
+                    raise UnreadableFileError("too-large", text, "split it, and include the parts")
+                data = file.read(MAX_FILE_BYTES + 1)
                 after = os.fstat(file.fileno())
-            if not stat.S_ISREG(before.st_mode) and len(data) <= MOST_BYTES:
-                return decoded(data)  # a pipe has no size to go by
+            if not stat.S_ISREG(before.st_mode) and len(data) <= MAX_FILE_BYTES:
+                return decode_text(data)  # a pipe has no size to compare
             if (before.st_mtime_ns, before.st_size) == (after.st_mtime_ns, after.st_size) and len(
                 data
             ) == after.st_size:
-                return decoded(data)
+                return decode_text(data)
     except OSError as error:
-        raise Unreadable(
-            "unreadable", f"can't be read: {error.strerror}", "check the path and who may read it"
+        raise UnreadableFileError(
+            "unreadable", f"can't be read: {error.strerror}", "check the path and its permissions"
         ) from error
-    raise Unreadable(
-        "changing", "changes while it is being read", "write it beside and rename it; then try again"
+    raise UnreadableFileError(
+        "changing",
+        "changes while it is being read",
+        "write a new file beside it and rename that; then try again",
     )
 
 
-def decoded(data: bytes) -> str:
-    """Bytes as text. Unreadable where they are not UTF-8, or hold signs that no settings have."""
+def decode_text(data: bytes) -> str:
+    """Decode UTF-8 and normalize line ends.
+
+    Raises UnreadableFileError on other encodings and control characters.
+    """
     if data.startswith((b"\xff\xfe", b"\xfe\xff")):
-        raise Unreadable("not-utf8", "is UTF-16, not UTF-8", "save it as UTF-8")
+        raise UnreadableFileError("not-utf8", "is UTF-16, not UTF-8", "save it as UTF-8")
     try:
         text = data.decode("utf-8-sig")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - data.rfind(b"\n", 0, error.start)
-        raise Unreadable(
+        raise UnreadableFileError(
             "not-utf8", f"byte 0x{data[error.start]:02x} is not UTF-8", "save it as UTF-8", line, column
         ) from error
     text = text.replace("\r\n", "\n").replace("\r", "\n")
     for number, line_text in enumerate(text.split("\n"), 1):
         if bad := next(
-            (at for at, sign in enumerate(line_text) if (sign < " " and sign != "\t") or sign == "\x7f"), None
+            (at for at, char in enumerate(line_text) if (char < " " and char != "\t") or char == "\x7f"), None
         ):
             shown = f"U+{ord(line_text[bad]):04X}"
-            raise Unreadable("control", f"a control character ({shown})", "take it away", number, bad + 1)
+            raise UnreadableFileError(
+                "control", f"a control character ({shown})", "remove it", number, bad + 1
+            )
         if line_text and (line_text[0] < " " and line_text[0] != "\t"):
-            raise Unreadable(
-                "control", f"a control character (U+{ord(line_text[0]):04X})", "take it away", number, 1
+            raise UnreadableFileError(
+                "control", f"a control character (U+{ord(line_text[0]):04X})", "remove it", number, 1
             )
     return text
 
 
-class Files:
-    """A settings file and all that it includes, as one run of statements."""
+class SourceLoader:
+    """Reads a settings file and all files it includes into one list of statements."""
 
     def __init__(self) -> None:
         self.problems: list[Diagnostic] = []
@@ -86,18 +93,23 @@
         self._root = Path()
 
     def load(self, path: Path, text: str | None = None) -> None:
-        """Read a file and what it includes; ``text`` is the file's where it was read already."""
+        """Read a file and the files it includes. ``text``: the file's content, if it was read before."""
         self._root = path.parent.resolve()
         self._file(path, (), None, text)
 
-    def text(self, text: str, file: str) -> None:
-        """Take a text that is no file; it can't include any."""
+    def load_text_source(self, text: str, file: str) -> None:
+        """Parse a text that does not come from a file; it can't include files."""
         self._statements(Source(file, text), (), False)
 
-    def _add(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
+    def _report(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
         self.problems.append(
             Diagnostic(
-                code, "include" if related or span.source.text else "", text, fix, span, related=related
+                code,
+                "include" if related or span.source.text else "",
+                text,
+                fix,
+                span,
+                related=related,
             )
         )
 
@@ -107,32 +119,39 @@
         source = Source(str(path), "", chain)
         if real in stack:
             assert at is not None
-            names = [_short(each, self._root) for each in (*stack[stack.index(real) :], real)]
-            self._add(
+            names = [_short(path_name, self._root) for path_name in (*stack[stack.index(real) :], real)]
+            self._report(
                 "include-loop",
-                f"includes go round: {' -> '.join(names)}",
-                "take one of these includes away",
+                f"includes form a loop: {' -> '.join(names)}",
+                "remove one of these includes",
                 at,
             )
             return
         if real in self._seen:
-            return  # a diamond: what both include is there once
+            return  # included by several files: read once
         if at is not None and not real.is_relative_to(self._root):
-            text = f"{path.name} lies outside of {self._root}"
-            self._add(
-                "outside", text, "include only from the folder of the first file; links may not lead out", at
+            text = f"{path.name} is outside {self._root}"
+            self._report(
+                "outside",
+                text,
+                "include only files in the directory of the main file; symbolic links must not lead out of it",
+                at,
             )
             return
-        if len(self._seen) >= MOST_FILES:
+        if len(self._seen) >= MAX_FILES:
             assert at is not None
-            self._add("too-many", f"more than {MOST_FILES} files are included", "join some of them", at)
+            self._report("too-many", f"more than {MAX_FILES} files are included", "merge some of them", at)
             return
         try:
             text = read(path) if text is None else text
             self._total += len(text)
-            if self._total > MOST_TOTAL:
-                raise Unreadable("too-large", f"all files are over {MOST_TOTAL >> 20} MiB", "leave some out")
-        except Unreadable as error:
+            if self._total > MAX_TOTAL_LENGTH:
+                raise UnreadableFileError(
+                    "too-large",
+                    f"all files together are over {MAX_TOTAL_LENGTH >> 20} MiB",
+                    "include fewer or smaller files",
+                )
+        except UnreadableFileError as error:
             place = at or Span(source, error.line, error.column, error.column + 1)
             if error.code in ("not-utf8", "control"):
                 place = Span(source, error.line, error.column, error.column + 1)
@@ -152,41 +171,41 @@
                 self._include(statement, stack, files)
             else:
                 if isinstance(statement, Block):
-                    self._inner(statement)
+                    self._reject_inner_includes(statement)
                 self.statements.append(statement)
 
-    def _inner(self, block: Block) -> None:
+    def _reject_inner_includes(self, block: Block) -> None:
         for inner in block.body:
             if isinstance(inner, Directive) and inner.words[0].text == "include":
-                self._add(
-                    "include-inside", "include stands in a block", "move it out of every block", inner.span
+                self._report(
+                    "include-inside", "include is inside a block", "move it out of all blocks", inner.span
                 )
 
     def _include(self, statement: Directive, stack: tuple[Path, ...], files: bool) -> None:
         span = statement.span
         if len(statement.words) != 2:
-            self._add("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
+            self._report("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
             return
-        asked = statement.words[1]
+        path_word = statement.words[1]
         if not files:
-            self._add(
-                "bad-include", "a text that is no file includes nothing", "write it to a file", asked.span
+            self._report(
+                "bad-include", "only a file can include files", "write the settings to a file", path_word.span
             )
             return
         here = Path(span.source.file).parent
-        if any(sign in asked.text for sign in "*?["):
-            found = sorted(glob.glob(str(here / asked.text)))
+        if any(char in path_word.text for char in "*?["):
+            found = sorted(glob.glob(str(here / path_word.text)))
             if not found:
-                self._add(
+                self._report(
                     "no-match",
-                    f"{asked.text!r} matches no file",
-                    "correct the pattern, or take it away",
-                    asked.span,
+                    f"{path_word.text!r} matches no file",
+                    "correct the pattern, or remove the include",
+                    path_word.span,
                 )
-            for each in found:
-                self._file(Path(each), stack, asked.span)
+            for path_name in found:
+                self._file(Path(path_name), stack, path_word.span)
             return
-        self._file(here / asked.text, stack, asked.span)
+        self._file(here / path_word.text, stack, path_word.span)
 
 
 def _short(path: Path, root: Path) -> str:
--- a/winchdyke/config/types.py
+++ b/winchdyke/config/types.py
@@ -1,7 +1,8 @@
-"""The types of values: how each is read, checked for what is legal and for what is likely, and shown.
+"""The types of values: each one parses and checks values, warns of unlikely ones, and formats them.
 
-A type's ``read`` takes the items of a setting and raises :class:`Wrong`; ``doubt`` says why a legal value is most likely
-not what was meant. With ``bare`` (INI) rates and shares are plain numbers; the language wants their units.
+A type's ``read`` parses the items of a setting, or raises :class:`InvalidValueError`. ``warning`` says why a
+valid value is probably not what was meant. With ``units_optional`` (INI) rates and shares are plain numbers;
+the language requires units.
 """
 
 from __future__ import annotations
@@ -16,91 +17,107 @@
 from winchdyke.config.model import OPERATIONS, Listen
 from winchdyke.config.syntax import Item, Word
 
-DURATIONS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
-SIZES = {"B": 1, "KiB": 1024, "MiB": 1024**2, "GiB": 1024**3, "kB": 1000, "MB": 1000**2, "GB": 1000**3}
-TIMES = "ms, s, m, h"
+MS_PER_UNIT = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60_000.0, "h": 3_600_000.0}
+BYTES_PER_UNIT = {
+    "B": 1,
+    "KiB": 1024,
+    "MiB": 1024**2,
+    "GiB": 1024**3,
+    "kB": 1000,
+    "MB": 1000**2,
+    "GB": 1000**3,
+}
+TIME_UNIT_NAMES = "ms, s, m, h"
 _NUMBER = re.compile(r"([+-]?\d+(?:\.\d+)?)([A-Za-z%/]*)")
 
 
-class Wrong(Exception):
-    """A value that can't be used: what is wrong, what to do, and the word it is about."""
+class InvalidValueError(Exception):
+    """An invalid value: the problem, the fix, the word that it is about, and the diagnostic code."""
 
     def __init__(self, text: str, fix: str, word: Word | None = None, code: str = "bad-value") -> None:
         super().__init__(text)
         self.fix, self.word, self.code = fix, word, code
 
 
-def nearest(name: str, known: Iterable[str]) -> str:
-    """``did you mean ...?`` where one is near, else what is known."""
+def suggest(name: str, known: Iterable[str]) -> str:
+    """Return ``did you mean ...?`` with the most similar known name, else a list of known names."""
     names = sorted(set(known))
-    near = difflib.get_close_matches(name, names, 1, 0.6)
-    if not near:
-        near = [each for each in names if each.lower() == name.lower()][:1]
-    if near:
-        return f"did you mean {near[0]!r}?"
-    return f"known here: {', '.join(names[:20])}" if names else "none is set up"
+    similar = difflib.get_close_matches(name, names, 1, 0.6)
+    if not similar:
+        similar = [each for each in names if each.lower() == name.lower()][:1]
+    if similar:
+        return f"did you mean {similar[0]!r}?"
+    return f"valid here: {', '.join(names[:20])}" if names else "none is defined"
 
 
-def _parted(text: str, word: Word, example: str) -> tuple[float, str]:
+def _split_unit(text: str, word: Word, example: str) -> tuple[float, str]:
     found = _NUMBER.fullmatch(text.replace(" ", ""))
     if not found:
         if re.search(r"\d,\d", text):
-            raise Wrong(
-                f"{text!r} has a comma", f"write a dot, as in {text.replace(',', '.')}", word, "bad-number"
+            raise InvalidValueError(
+                f"{text!r} contains a comma",
+                f"write a dot, as in {text.replace(',', '.')}",
+                word,
+                "bad-number",
             )
-        raise Wrong(f"{text!r} is not a number with a unit", f"write it like {example}", word, "bad-number")
+        raise InvalidValueError(
+            f"{text!r} is not a number with a unit", f"write it like {example}", word, "bad-number"
+        )
     number = float(found[1])
     if not math.isfinite(number):
-        raise Wrong(f"{text!r} is too large", f"write it like {example}", word, "bad-number")
+        raise InvalidValueError(f"{text!r} is too large", f"write it like {example}", word, "bad-number")
     return number, found[2]
 
 
 @dataclass(frozen=True)
 class Type:
-    """A type of one value; ``words`` is what a reference page calls it."""
+    """A type of one value.
+
+    ``label`` is its name on the reference page; ``is_list``: it takes several items.
+    """
 
-    words: str = "text"
-    several: bool = False
+    label: str = "text"
+    is_list: bool = False
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> Any:
-        """The value of a setting's items."""
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> Any:
+        """Return the value of a setting's items. Raises InvalidValueError."""
         if len(items) != 1:
             texts = [" ".join(word.text for word in item) for item in items]
             fix = "keep one"
             if len(items) == 2 and re.fullmatch(r"\d+", texts[0]) and re.match(r"\d", texts[1]):
                 fix = f"if it is one number, write a dot: {texts[0]}.{texts[1]}"
-            raise Wrong(
+            raise InvalidValueError(
                 f"takes one value, not {len(items)} ({', '.join(texts)})", fix, items[1][0], "too-many-values"
             )
-        return self.one(items[0], bare)
+        return self.read_item(items[0], units_optional)
 
-    def one(self, item: Item, bare: bool) -> Any:
-        """The value of one item."""
+    def read_item(self, item: Item, units_optional: bool) -> Any:
+        """Return the value of one item. Raises InvalidValueError."""
         if len(item) != 1:
             text = " ".join(word.text for word in item)
-            raise Wrong(
+            raise InvalidValueError(
                 f"takes one word, not {text!r}",
-                "quote it, or set values apart by commas",
+                "quote it, or separate values by commas",
                 item[1],
                 "too-many-words",
             )
-        return self.text(item[0])
+        return self.read_word(item[0])
 
-    def text(self, word: Word) -> Any:
-        """The value of one word."""
+    def read_word(self, word: Word) -> Any:
+        """Return the value of one word. Raises InvalidValueError."""
         return word.text
 
-    def doubt(self, value: Any) -> str:
-        """Why a legal value is most likely wrong; empty where it is not."""
+    def warning(self, value: Any) -> str:
+        """Return why a valid value is probably a mistake; an empty string if it is not."""
         return ""
 
     def show(self, value: Any) -> str:
-        """The value as the language writes it."""
+        """Format a value in the syntax of the language."""
         return quoted(str(value))
 
 
 def quoted(text: str) -> str:
-    """A word, in quotes where it needs them."""
+    """Return a word, quoted and escaped if necessary."""
     if text and not re.search(r'[\s{}=,;#"$\\]', text):
         return text
     inner = text.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n").replace("\t", "\\t")
@@ -108,38 +125,40 @@
 
 
 def show_number(value: float) -> str:
-    """A number with no more digits than it needs."""
+    """Format a number with as few digits as possible."""
     return repr(int(value)) if float(value).is_integer() and abs(value) < 1e15 else repr(float(value))
 
 
 @dataclass(frozen=True)
 class Duration(Type):
-    """A time, in milliseconds. ``likely`` is from where to where it usually lies."""
+    """A duration, in milliseconds. A value outside ``usual_range`` is valid, but causes a warning."""
 
-    words: str = "time"
-    likely: tuple[float, float] = (0.0, math.inf)
-    zero: bool = True
+    label: str = "time"
+    usual_range: tuple[float, float] = (0.0, math.inf)
+    allow_zero: bool = True
 
-    def text(self, word: Word) -> float:
-        number, unit = _parted(word.text, word, "400ms")
+    def read_word(self, word: Word) -> float:
+        number, unit = _split_unit(word.text, word, "400ms")
         if not unit and number:
-            fix = f"write one of {TIMES}, as in {word.text}ms"
-            raise Wrong(f"{word.text!r} has no unit", fix, word, "no-unit")
-        if unit and unit not in DURATIONS:
-            size = unit in SIZES
-            what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is no unit known here"
-            raise Wrong(what, f"use one of {TIMES}, as in 400ms", word, "bad-unit")
-        if number < 0 or (not number and not self.zero):
-            raise Wrong(f"{word.text!r} is not over 0", "write a time over 0", word, "out-of-range")
-        value = number * (DURATIONS[unit] if unit else 1)
+            fix = f"write one of {TIME_UNIT_NAMES}, as in {word.text}ms"
+            raise InvalidValueError(f"{word.text!r} has no unit", fix, word, "no-unit")
+        if unit and unit not in MS_PER_UNIT:
+            size = unit in BYTES_PER_UNIT
+            what = f"{unit!r} is a unit of size, not of time" if size else f"{unit!r} is not a unit of time"
+            raise InvalidValueError(what, f"use one of {TIME_UNIT_NAMES}, as in 400ms", word, "bad-unit")
+        if number < 0 or (not number and not self.allow_zero):
+            raise InvalidValueError(
+                f"{word.text!r} is not greater than 0", "write a time greater than 0", word, "out-of-range"
+            )
+        value = number * (MS_PER_UNIT[unit] if unit else 1)
         if value > 1e13:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is longer than 300 years", "write a shorter time", word, "out-of-range"
             )
         return value
 
-    def doubt(self, value: float) -> str:
-        low, high = self.likely
+    def warning(self, value: float) -> str:
+        low, high = self.usual_range
         if value and not low <= value <= high:
             long = value > high
             other = value / 1000 if long else value * 1000
@@ -152,10 +171,10 @@
         if not value:
             return "0"
         for unit in ("h", "m", "s", "ms", "us"):
-            number = value / DURATIONS[unit]
+            number = value / MS_PER_UNIT[unit]
             if (
                 number >= 1
-                and round(number, 3) * DURATIONS[unit] == value
+                and round(number, 3) * MS_PER_UNIT[unit] == value
                 and len(show_number(round(number, 3))) < 8
             ):
                 return show_number(round(number, 3)) + unit
@@ -164,20 +183,20 @@
 
 @dataclass(frozen=True)
 class Size(Type):
-    """A size, in bytes."""
+    """A size, in bytes. A value outside ``usual_range`` is valid, but causes a warning."""
 
-    words: str = "size"
-    likely: tuple[float, float] = (0.0, math.inf)
+    label: str = "size"
+    usual_range: tuple[float, float] = (0.0, math.inf)
 
-    def text(self, word: Word) -> int:
-        number, unit = _parted(word.text, word, "64KiB")
-        names = ", ".join(SIZES)
+    def read_word(self, word: Word) -> int:
+        number, unit = _split_unit(word.text, word, "64KiB")
+        names = ", ".join(BYTES_PER_UNIT)
         if not unit and number:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} has no unit", f"write one of {names}, as in {word.text}KiB", word, "no-unit"
             )
-        if unit and unit not in SIZES:
-            near = {
+        if unit and unit not in BYTES_PER_UNIT:
+            similar = {
                 "K": "KiB",
                 "KB": "kB",
                 "k": "kB",
@@ -187,24 +206,26 @@
                 "Mib": "MiB",
                 "mb": "MB",
             }.get(unit)
-            fix = f"write {number:g}{near}" if near else f"use one of {names}, as in 64KiB"
+            fix = f"write {number:g}{similar}" if similar else f"use one of {names}, as in 64KiB"
             what = (
                 f"{unit!r} is a unit of time, not of size"
-                if unit in DURATIONS
-                else f"{unit!r} is no unit known here"
+                if unit in MS_PER_UNIT
+                else f"{unit!r} is not a unit of size"
             )
-            raise Wrong(what, fix, word, "bad-unit")
+            raise InvalidValueError(what, fix, word, "bad-unit")
         if number < 0:
-            raise Wrong(f"{word.text!r} is under 0", "write a size of 0 or more", word, "out-of-range")
-        value = number * (SIZES[unit] if unit else 1)
+            raise InvalidValueError(
+                f"{word.text!r} is less than 0", "write a size of 0 or more", word, "out-of-range"
+            )
+        value = number * (BYTES_PER_UNIT[unit] if unit else 1)
         if value > 2**60:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is larger than any store", "write a smaller size", word, "out-of-range"
             )
         return int(value)
 
-    def doubt(self, value: int) -> str:
-        low, high = self.likely
+    def warning(self, value: int) -> str:
+        low, high = self.usual_range
         if value and not low <= value <= high:
             size = "large" if value > high else "small"
             return f"{self.show(value)} is unusually {size} here (usually {self.show(int(low))} to {self.show(int(high))})"
@@ -214,33 +235,38 @@
         if not value:
             return "0"
         units = ("GiB", "MiB", "KiB", "GB", "MB", "kB", "B")
-        return min((f"{value // SIZES[unit]}{unit}" for unit in units if value % SIZES[unit] == 0), key=len)
+        return min(
+            (f"{value // BYTES_PER_UNIT[unit]}{unit}" for unit in units if value % BYTES_PER_UNIT[unit] == 0),
+            key=len,
+        )
 
 
 @dataclass(frozen=True)
 class Rate(Type):
-    """Units a second."""
+    """A rate, in units per second."""
 
-    words: str = "rate"
+    label: str = "rate"
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> float:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> float:
         if len(items) == 1:
-            return float(self.one(items[0], bare))
-        return float(super().read(items, bare))
+            return float(self.read_item(items[0], units_optional))
+        return float(super().read(items, units_optional))
 
-    def one(self, item: Item, bare: bool) -> float:
+    def read_item(self, item: Item, units_optional: bool) -> float:
         text = "".join(word.text for word in item)
-        number, unit = _parted(text, item[0], "8 units/s")
+        number, unit = _split_unit(text, item[0], "8 units/s")
         if number < 0:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{text!r} is not a number from 0 to 1e+12",
                 "write a rate of 0 or more",
                 item[0],
                 "out-of-range",
             )
-        if unit not in ("units/s", "unit/s") and not (bare and not unit) and (unit or number):
-            what = f"{text!r} has no unit" if not unit else f"{unit!r} is no rate"
-            raise Wrong(what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit")
+        if unit not in ("units/s", "unit/s") and not (units_optional and not unit) and (unit or number):
+            what = f"{text!r} has no unit" if not unit else f"{unit!r} is not a unit of rate"
+            raise InvalidValueError(
+                what, f"write {number:g} units/s", item[0], "no-unit" if not unit else "bad-unit"
+            )
         return number
 
     def show(self, value: float) -> str:
@@ -249,25 +275,32 @@
 
 @dataclass(frozen=True)
 class Share(Type):
-    """A part of a whole, 0 to 1; written in percent."""
+    """A share from 0 to 1, written in percent."""
 
-    words: str = "share"
+    label: str = "share"
 
-    def text(self, word: Word) -> float:
+    def read_word(self, word: Word) -> float:
         return self._value(word, False)
 
-    def one(self, item: Item, bare: bool) -> float:
-        return self._value(item[0], bare) if len(item) == 1 else float(super().one(item, bare))
-
-    def _value(self, word: Word, bare: bool) -> float:
-        number, unit = _parted(word.text, word, "15%")
-        if unit != "%" and not (bare and not unit) and (unit or number):
-            raise Wrong(
-                f"{word.text!r} is no share", f"write it in percent, as in {number * 100:g}%", word, "no-unit"
+    def read_item(self, item: Item, units_optional: bool) -> float:
+        return (
+            self._value(item[0], units_optional)
+            if len(item) == 1
+            else float(super().read_item(item, units_optional))
+        )
+
+    def _value(self, word: Word, units_optional: bool) -> float:
+        number, unit = _split_unit(word.text, word, "15%")
+        if unit != "%" and not (units_optional and not unit) and (unit or number):
+            raise InvalidValueError(
+                f"{word.text!r} is not a percentage",
+                f"write it in percent, as in {number * 100:g}%",
+                word,
+                "no-unit",
             )
         value = number / 100 if unit == "%" else number
         if not 0 <= value <= 1:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is not a number from 0 to 1 (0% to 100%)",
                 "write 0% to 100%",
                 word,
@@ -281,13 +314,13 @@
 
 @dataclass(frozen=True)
 class Number(Type):
-    """A plain number within bounds."""
+    """A number without a unit, from ``low`` to ``high``."""
 
-    words: str = "number"
+    label: str = "number"
     low: float = 0.0
     high: float = 1e12
 
-    def text(self, word: Word) -> float:
+    def read_word(self, word: Word) -> float:
         try:
             value = float(word.text)
         except ValueError:
@@ -299,7 +332,7 @@
                 if "," in word.text
                 else "write a plain number, as in 2.5"
             )
-            raise Wrong(text, fix, word, "out-of-range")
+            raise InvalidValueError(text, fix, word, "out-of-range")
         return value
 
     def show(self, value: float) -> str:
@@ -308,16 +341,16 @@
 
 @dataclass(frozen=True)
 class Count(Type):
-    """A whole number within bounds."""
+    """A whole number from ``low`` to ``high``."""
 
-    words: str = "count"
+    label: str = "count"
     low: int = 0
     high: int = 2**31
 
-    def text(self, word: Word) -> int:
+    def read_word(self, word: Word) -> int:
         if not re.fullmatch(r"-?[0-9]{1,12}", word.text) or not self.low <= int(word.text) <= self.high:
             text = f"{word.text!r} is not a whole number from {self.low} to {self.high}"
-            raise Wrong(text, "write a whole number, with no unit", word, "out-of-range")
+            raise InvalidValueError(text, "write a whole number, with no unit", word, "out-of-range")
         return int(word.text)
 
     def show(self, value: int) -> str:
@@ -326,31 +359,31 @@
 
 @dataclass(frozen=True)
 class OneOf(Type):
-    """One of a few words."""
+    """One of the allowed words."""
 
-    words: str = "word"
+    label: str = "word"
     allowed: tuple[str, ...] = ()
 
-    def text(self, word: Word) -> str:
+    def read_word(self, word: Word) -> str:
         if word.text not in self.allowed:
-            text = f"{word.text!r} is none of {', '.join(self.allowed)}"
-            raise Wrong(text, nearest(word.text, self.allowed), word, "unknown-word")
+            text = f"{word.text!r} is not one of {', '.join(self.allowed)}"
+            raise InvalidValueError(text, suggest(word.text, self.allowed), word, "unknown-word")
         return word.text
 
 
 @dataclass(frozen=True)
 class Flag(Type):
-    """yes or no."""
+    """A flag, written as ``yes`` or ``no``."""
 
-    words: str = "yes or no"
+    label: str = "yes or no"
 
-    def text(self, word: Word) -> bool:
+    def read_word(self, word: Word) -> bool:
         if word.text not in ("yes", "no"):
             meant = {"true": "yes", "on": "yes", "1": "yes", "false": "no", "off": "no", "0": "no"}.get(
                 word.text.lower()
             )
             fix = f"write {meant}" if meant else "write yes or no"
-            raise Wrong(f"{word.text!r} is none of yes, no", fix, word, "unknown-word")
+            raise InvalidValueError(f"{word.text!r} is neither yes nor no", fix, word, "unknown-word")
         return word.text == "yes"
 
     def show(self, value: bool) -> str:
@@ -359,19 +392,19 @@
 
 @dataclass(frozen=True)
 class Many(Type):
-    """Several words of a kind, set apart by commas; their order means nothing."""
+    """Several words of one type, separated by commas. Their order has no meaning; the value is sorted."""
 
-    words: str = "words"
+    label: str = "words"
     of: Type = Type()
-    several: bool = True
+    is_list: bool = True
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> tuple[Any, ...]:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> tuple[Any, ...]:
         found: list[Any] = []
         for item in items:
             for word in item:
-                value = self.of.text(word)
+                value = self.of.read_word(word)
                 if value in found:
-                    raise Wrong(f"{word.text!r} is given twice", "keep one", word, "twice")
+                    raise InvalidValueError(f"{word.text!r} is given twice", "keep one", word, "twice")
                 found.append(value)
         return tuple(sorted(found))
 
@@ -381,22 +414,22 @@
 
 @dataclass(frozen=True)
 class Shards(Type):
-    """Shards such as ``0-3, 7``."""
+    """Shards and ranges of shards, such as ``0-3, 7``."""
 
-    words: str = "shards"
-    several: bool = True
+    label: str = "shards"
+    is_list: bool = True
 
-    def read(self, items: tuple[Item, ...], bare: bool = False) -> tuple[int, ...]:
+    def read(self, items: tuple[Item, ...], units_optional: bool = False) -> tuple[int, ...]:
         found: list[int] = []
         for word in (word for item in items for word in item):
             ends = re.fullmatch(r"(\d{1,6})(?:-(\d{1,6}))?", word.text)
             if not ends:
                 text = f"{word.text!r} is not a shard or a range of shards"
-                raise Wrong(text, "write them like 0-3, 7", word, "bad-shards")
+                raise InvalidValueError(text, "write them like 0-3, 7", word, "bad-shards")
             first, last = int(ends[1]), int(ends[2] or ends[1])
             if last < first or last > 100_000:
                 text = f"{word.text!r} is not a range from low to high (100000 at most)"
-                raise Wrong(
+                raise InvalidValueError(
                     text,
                     f"write {last}-{first}" if last < first else "write smaller numbers",
                     word,
@@ -404,7 +437,12 @@
                 )
             found += range(first, last + 1)
             if len(set(found)) != len(found):
-                raise Wrong("a shard is named twice", "keep one", word, "twice")
+                raise InvalidValueError(
+                    f"{word.text!r} contains a shard that is already listed",
+                    "list each shard once",
+                    word,
+                    "twice",
+                )
         return tuple(sorted(found))
 
     def show(self, value: tuple[int, ...]) -> str:
@@ -419,14 +457,14 @@
 
 @dataclass(frozen=True)
 class Address(Type):
-    """HOST:PORT."""
+    """An address, written as HOST:PORT."""
 
-    words: str = "address"
+    label: str = "address"
 
-    def text(self, word: Word) -> Listen:
+    def read_word(self, word: Word) -> Listen:
         host, colon, port = word.text.rpartition(":")
         if not colon or not host or not re.fullmatch(r"[0-9]{1,5}", port) or int(port) > 65535:
-            raise Wrong(
+            raise InvalidValueError(
                 f"{word.text!r} is not HOST:PORT", "write it like 127.0.0.1:8080", word, "bad-address"
             )
         return Listen(host.strip("[]"), int(port))
@@ -437,15 +475,15 @@
 
 @dataclass(frozen=True)
 class Url(Type):
-    """``http://HOST:PORT/PATH``."""
+    """A URL of the form ``http://HOST:PORT/PATH``; the default path is ``/nodes``."""
 
-    words: str = "URL"
+    label: str = "URL"
 
-    def text(self, word: Word) -> tuple[str, int, str]:
+    def read_word(self, word: Word) -> tuple[str, int, str]:
         found = re.fullmatch(r"http://([^/:\s]+):([0-9]{1,5})(/\S*)?", word.text)
         if not found or int(found[2]) > 65535:
-            text = f"{word.text!r} is not an address like http://127.0.0.1:7000/nodes"
-            raise Wrong(text, "write http://HOST:PORT/PATH", word, "bad-address")
+            text = f"{word.text!r} is not a URL like http://127.0.0.1:7000/nodes"
+            raise InvalidValueError(text, "write http://HOST:PORT/PATH", word, "bad-address")
         return found[1], int(found[2]), found[3] or "/nodes"
 
     def show(self, value: tuple[str, int, str]) -> str:
@@ -454,34 +492,39 @@
 
 @dataclass(frozen=True)
 class Pattern(Type):
-    """A volume's name, or the beginning of one and ``*``."""
+    """A volume name, or a prefix of volume names followed by ``*``."""
 
-    words: str = "pattern"
+    label: str = "pattern"
 
-    def text(self, word: Word) -> str:
+    def read_word(self, word: Word) -> str:
         if not re.fullmatch(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}\*?|\*", word.text):
             star = "*" in word.text[:-1]
-            text = f"{word.text!r} is no volume's name or beginning"
+            text = f"{word.text!r} is neither a volume name nor a prefix with *"
             fix = (
-                "a * goes at the end alone, as in school-*"
+                "write * only at the end, as in school-*"
                 if star
-                else "letters, digits, dots, dashes and underscores"
+                else "use letters, digits, dots, dashes and underscores"
             )
-            raise Wrong(text, fix, word, "bad-pattern")
+            raise InvalidValueError(text, fix, word, "bad-pattern")
         return word.text
 
 
 @dataclass(frozen=True)
 class Header(Type):
-    """``NAME: VALUE``."""
+    """A header and its value, written as ``NAME: VALUE``."""
 
-    words: str = "header"
+    label: str = "header"
 
-    def one(self, item: Item, bare: bool) -> tuple[str, str]:
+    def read_item(self, item: Item, units_optional: bool) -> tuple[str, str]:
         text = " ".join(word.text for word in item)
         name, colon, value = text.partition(":")
         if not colon or not re.fullmatch(r"[A-Za-z0-9-]+", name) or not value.strip():
-            raise Wrong(f"{text!r} is no header", "write it like X-Kind: import", item[0], "bad-header")
+            raise InvalidValueError(
+                f"{text!r} is not a header with a value",
+                "write it like X-Kind: import",
+                item[0],
+                "bad-header",
+            )
         return name.lower(), value.strip()
 
     def show(self, value: tuple[str, str]) -> str:
@@ -490,29 +533,32 @@
 
 @dataclass(frozen=True)
 class Sizes(Type):
-    """A range of sizes: ``over 1MiB``, ``up to 64KiB``, ``1MiB to 64MiB``; first counted out, last in."""
+    """A range of sizes: ``over 1MiB``, ``up to 64KiB``, ``1MiB to 64MiB``.
+
+    It excludes the lower bound and includes the upper one.
+    """
 
-    words: str = "sizes"
+    label: str = "sizes"
 
-    def one(self, item: Item, bare: bool) -> tuple[int, int]:
+    def read_item(self, item: Item, units_optional: bool) -> tuple[int, int]:
         words = [word.text for word in item]
         size = Size()
         if len(item) == 2 and words[0] == "over":
-            return size.text(item[1]), 2**62
+            return size.read_word(item[1]), 2**62
         if len(item) == 3 and words[:2] == ["up", "to"]:
-            return -1, size.text(item[2])
+            return -1, size.read_word(item[2])
         if len(item) == 3 and words[1] == "to":
-            low, high = size.text(item[0]), size.text(item[2])
+            low, high = size.read_word(item[0]), size.read_word(item[2])
             if low >= high:
-                raise Wrong(
-                    f"{' '.join(words)!r} holds no size",
+                raise InvalidValueError(
+                    f"{' '.join(words)!r} is an empty range",
                     "write the smaller one first",
                     item[0],
                     "out-of-range",
                 )
             return low, high
         fix = "write over 1MiB, up to 64KiB, or 1MiB to 64MiB"
-        raise Wrong(f"{' '.join(words)!r} is no range of sizes", fix, item[0], "bad-sizes")
+        raise InvalidValueError(f"{' '.join(words)!r} is not a range of sizes", fix, item[0], "bad-sizes")
 
     def show(self, value: tuple[int, int]) -> str:
         low, high = value
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from winchdyke.config import Config, ConfigError, parse
-from winchdyke.config.meaning import diff
+from winchdyke.config.semantic_diff import diff
 from winchdyke.config_rollout.change_log import ChangeLog, ChangeLogError, ConcurrentStepError, LogEntry
 from winchdyke.config_rollout.edit import Conflict, EditError, rebase, remove_block, set_values
 from winchdyke.config_rollout.hot_reload import requiring_restart
@@ -265,7 +265,7 @@
                 f"{', '.join(keys[:MAX_LISTED_KEYS])} can't change in service; change the gateway's"
                 " configuration file and restart it",
             )
-        result: dict[str, Any] = {"parent": parent, "changes": [change.data() for change in changes]}
+        result: dict[str, Any] = {"parent": parent, "changes": [change.to_dict() for change in changes]}
         if not check_only:
             difference = json.dumps(result["changes"], default=str)
             result["version"] = self.change_log.add_version(
@@ -423,5 +423,5 @@
         *(f"  yours: {conflict.own.text}\n  theirs: {conflict.other.text}" for conflict in conflicts),
         "make a new version from the one that is served",
     ]
-    edits = [{"yours": conflict.own.data(), "theirs": conflict.other.data()} for conflict in conflicts]
+    edits = [{"yours": conflict.own.to_dict(), "theirs": conflict.other.to_dict()} for conflict in conflicts]
     return OperationError("conflict", "\n".join(lines), {"edits": edits})
