--- a/benchmarks/membership_variants.py
+++ b/benchmarks/membership_variants.py
@@ -165,14 +165,14 @@
 def false_deaths(fleet: Fleet, since: float) -> int:
     """Returns the number of transitions to dead of running members, in all views."""
     return sum(
-        transition.at >= since and transition.state == "dead" and transition.member in fleet.lives
-        for transition in fleet.told
+        transition.at >= since and transition.state == "dead" and transition.member in fleet.processes
+        for transition in fleet.transitions
     )
 
 
 def mean_bytes_per_second(fleet: Fleet, since: float) -> float:
     """Returns the mean number of bytes per second that a member sent."""
-    rates = fleet.rate(since, fleet.now)
+    rates = fleet.bytes_per_second(since, fleet.now)
     return sum(rates) / len(rates)
 
 
@@ -194,7 +194,7 @@
             fleet.run(fleet.now + 500.0)
         times_ms = [
             transition.at - killed_at_ms
-            for transition in fleet.told
+            for transition in fleet.transitions
             if transition.at >= killed_at_ms and transition.member == "g1" and transition.state == "dead"
         ]
         detection_ms.append(
@@ -207,10 +207,10 @@
     """Whether every view has declared a member dead since a time."""
     viewers = {
         transition.viewer
-        for transition in fleet.told
+        for transition in fleet.transitions
         if transition.at >= since and transition.member == member and transition.state == "dead"
     }
-    return viewers >= set(fleet.lives)
+    return viewers >= set(fleet.processes)
 
 
 def measure_faults(variant: str, members: int, fault: str) -> tuple[float, float, float]:
@@ -249,7 +249,7 @@
 def _rate_at_rest(variant: str, members: int) -> tuple[float, int]:
     fleet = Fleet(members, 1, VARIANTS[variant][1], make=VARIANTS[variant][0])
     fleet.run(14_000.0)
-    return mean_bytes_per_second(fleet, 9000.0), fleet.largest
+    return mean_bytes_per_second(fleet, 9000.0), fleet.largest_datagram
 
 
 def main() -> None:
--- a/benchmarks/merging.py
+++ b/benchmarks/merging.py
@@ -17,7 +17,7 @@
 
 from winchdyke.latency_attribution.merge import merge_accounts
 from winchdyke.latency_attribution.records import Account
-from winchdyke.model.world import Course, Scene, World, accounts
+from winchdyke.model.world import Simulation, SimulationSetup, Workload, accounts
 
 CLOCK_OFFSETS_MS = (0.0, 50.0, 250.0, 1000.0)
 Matrix = Counter[tuple[str, tuple[str, str, str]]]
@@ -44,10 +44,10 @@
     return sum(ms for (_, holder), ms in cells.items() if holder[:2] == (kind, name)) / 1000
 
 
-def scene(gateways: int, seed: int) -> Scene:
+def scene(gateways: int, seed: int) -> SimulationSetup:
     """Returns a scene whose load does not depend on the number of gateways."""
     courses = [
-        Course(
+        Workload(
             f"course-{n}", 5.0, "fetch", 2.0, shards=(n % 40, (n + 11) % 40),
             gateways=tuple(sorted({(n * 7 + step) % gateways for step in range(8)})),
         )
@@ -55,9 +55,9 @@
     ]  # fmt: skip
     through = tuple(range(0, gateways, 2))
     courses.append(
-        Course("burst", 150.0, "export", 4.0, "basic", (0, 1), through, begin_ms=2000.0, end_ms=5000.0)
+        Workload("burst", 150.0, "export", 4.0, "basic", (0, 1), through, begin_ms=2000.0, end_ms=5000.0)
     )
-    return Scene(
+    return SimulationSetup(
         tuple(courses), gateways=gateways, stores=40, slow=((2, 8.0),), slow_from_ms=4000.0,
         length_ms=8000.0, seed=seed,
     )  # fmt: skip
@@ -83,12 +83,12 @@
         seed_rows: list[list[float]] = []
         slow_node_seconds: list[tuple[float, float, float]] = []
         for seed in range(1, arguments.seeds + 1):
-            world = World(scene(gateways, seed), seeing=True)
+            world = Simulation(scene(gateways, seed), omniscient=True)
             requests = world.run()
             expected: Matrix = Counter()
             for request in requests:
-                for holder, ms in request.seen.items():
-                    expected[request.course, holder] += ms  # type: ignore[assignment]
+                for holder, ms in request.true_blame.items():
+                    expected[request.volume, holder] += ms  # type: ignore[assignment]
             rng = random.Random(seed)
             unmerged = blame_matrix(accounts(requests))
             row = [misattributed_share(unmerged, expected)]
--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -23,7 +23,7 @@
 
 from winchdyke import interface as api
 from winchdyke.latency_attribution.records import Account
-from winchdyke.model.world import Course, Scene, World, accounts
+from winchdyke.model.world import Simulation, SimulationSetup, Workload, accounts
 from winchdyke.placement import shard_of
 from winchdyke.standins.record import clock
 from winchdyke.standins.wire import LOST
@@ -31,14 +31,14 @@
 UNIT_MS = 10.0
 
 
-def scene(rate: float, seconds: float, slow: bool) -> Scene:
+def scene(rate: float, seconds: float, slow: bool) -> SimulationSetup:
     """Four courses of fetches and, halfway, a burst of exports at one shard."""
-    courses = [Course(f"school-{n}", rate / 4, "fetch", 1.0, "school", tuple(range(8))) for n in range(4)]
+    courses = [Workload(f"school-{n}", rate / 4, "fetch", 1.0, "school", tuple(range(8))) for n in range(4)]
     length = seconds * 1000
     courses.append(
-        Course("burst", rate / 2, "export", 4.0, "basic", (0,), begin_ms=length / 3, end_ms=2 * length / 3)
+        Workload("burst", rate / 2, "export", 4.0, "basic", (0,), begin_ms=length / 3, end_ms=2 * length / 3)
     )
-    return Scene(
+    return SimulationSetup(
         tuple(courses), stores=8, cores=1, unit_ms=UNIT_MS, net_ms=0.0, length_ms=length, seed=5,
         slow=((1, 4.0),) if slow else (), slow_from_ms=length / 2,
     )  # fmt: skip
@@ -50,7 +50,9 @@
     return f"/{course}/{key}"
 
 
-async def measured(folder: Path, chosen: Scene, arrivals: list[tuple[float, api.Request]]) -> list[Account]:
+async def measured(
+    folder: Path, chosen: SimulationSetup, arrivals: list[tuple[float, api.Request]]
+) -> list[Account]:
     """The accounts of the same arrivals at a gateway on loopback."""
     config = with_ledger(folder)
     async with rig(config, unit_ms=UNIT_MS, cores=1) as it:
@@ -106,7 +108,7 @@
     for name, rate, slow in (("calm", 80.0, False), ("busy", 200.0, False), ("a slow node", 120.0, True)):
         made = scene(rate, chosen.seconds, slow)
         with tempfile.TemporaryDirectory() as where:
-            world = World(made, given=with_ledger(Path(where)).settings())
+            world = Simulation(made, scheduler_settings=with_ledger(Path(where)).settings())
             arrivals = world.arrivals()
             model = accounts(world.run())
             real = anyio.run(measured, Path(where), made, arrivals)
--- a/benchmarks/starts.py
+++ b/benchmarks/starts.py
@@ -9,25 +9,25 @@
 import statistics
 from pathlib import Path
 
-from winchdyke.model.starts import Start, Starting, fleet
+from winchdyke.model.starts import StartupConditions, StartupSimulation, startup_simulation_setup
 
 POLICIES = ("belief", "outright", "wait")
 
 
 def simulate(
-    gateways: int, stores: int, seed: int, start: Start, length_ms: float
+    gateways: int, stores: int, seed: int, start: StartupConditions, length_ms: float
 ) -> tuple[float, float, int, int, int]:
     """Returns value served in time, first answer in ms, stores overloaded, misdirected requests, peak list calls per second."""
-    world = Starting(fleet(gateways, stores, seed, length_ms), start)
+    world = StartupSimulation(startup_simulation_setup(gateways, stores, seed, length_ms), start)
     world.run()
-    overloaded = sum(machine.fallen for machine in world.machines.values())
-    misdirected = sum(machine.misled for machine in world.machines.values())
+    overloaded = sum(machine.overloaded for machine in world.simulated_stores.values())
+    misdirected = sum(machine.misdirected_requests for machine in world.simulated_stores.values())
     return (
-        world.worth(length_ms),
-        world.first_ms(),
+        world.value_served(length_ms),
+        world.first_served_ms(),
         overloaded,
         misdirected,
-        max(world.calls.values(), default=0),
+        max(world.list_calls.values(), default=0),
     )
 
 
@@ -59,7 +59,7 @@
     for stores in [int(number) for number in arguments.stores.split(",")]:
         seeds = range(1, arguments.seeds + 1)
         with_discovery = {
-            seed: simulate(arguments.gateways, stores, seed, Start("wait", 0.0, 0.05), length_ms)
+            seed: simulate(arguments.gateways, stores, seed, StartupConditions("wait", 0.0, 0.05), length_ms)
             for seed in seeds
         }
         print(
@@ -74,7 +74,7 @@
                             arguments.gateways,
                             stores,
                             seed,
-                            Start(policy, outage_ms, moved_fraction),
+                            StartupConditions(policy, outage_ms, moved_fraction),
                             length_ms,
                         )
                         for seed in seeds
@@ -101,10 +101,15 @@
     for policy in ("belief", "plain"):
         peaks_while_down, peaks_after_recovery = [], []
         for seed in range(1, seeds + 1):
-            world = Starting(fleet(250, 40, seed, 24_000.0, 0.05), Start(policy, 20_000.0, 0.05))
+            world = StartupSimulation(
+                startup_simulation_setup(250, 40, seed, 24_000.0, 0.05),
+                StartupConditions(policy, 20_000.0, 0.05),
+            )
             world.run()
-            peaks_while_down.append(max(calls for second, calls in world.calls.items() if second >= 2))
-            peaks_after_recovery.append(max(calls for second, calls in world.calls.items() if second >= 20))
+            peaks_while_down.append(max(calls for second, calls in world.list_calls.items() if second >= 2))
+            peaks_after_recovery.append(
+                max(calls for second, calls in world.list_calls.items() if second >= 20)
+            )
         print(
             f"{policy:9} peak calls per second, down: {statistics.median(peaks_while_down):.0f}; "
             f"recovered: {statistics.median(peaks_after_recovery):.0f}"
--- a/benchmarks/verdict.py
+++ b/benchmarks/verdict.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 
 from winchdyke.config_rollout.canary_analysis import CanaryCriteria, CanaryObserver
-from winchdyke.model.world import Course, Scene, World
+from winchdyke.model.world import Simulation, SimulationSetup, Workload
 
 LENGTH, APPLIED = 24_000.0, 13_500.0
 SHARD_WITHOUT_STORE = 8
 
 
-class WorldWithEmptyShard(World):
+class WorldWithEmptyShard(Simulation):
     """A simulated cluster that has a shard without an endpoint."""
 
 
@@ -35,7 +35,7 @@
     draw = random.Random(seed)
     bad, disturbance = bool(seed % 2), draw.choice(("surge", "slow", "burst", "calm"))
     courses = [
-        Course(f"course-{n}", draw.uniform(8, 20), "fetch", 2.0, "school", (n % 8, (n + 3) % 8))
+        Workload(f"course-{n}", draw.uniform(8, 20), "fetch", 2.0, "school", (n % 8, (n + 3) % 8))
         for n in range(8)
     ]
     mine = dataclasses.replace(courses[0], name="mine", rate=draw.uniform(15, 40))
@@ -61,7 +61,7 @@
         slow = ((0, draw.uniform(3, 8)),)
     elif disturbance == "burst":
         courses.append(
-            Course(
+            Workload(
                 "burst",
                 draw.uniform(40, 150),
                 "export",
@@ -72,13 +72,15 @@
                 end_ms=APPLIED + 6000,
             )
         )
-    scene = Scene(tuple(courses), stores=8, slow=slow, slow_from_ms=APPLIED, length_ms=LENGTH, seed=seed)
+    scene = SimulationSetup(
+        tuple(courses), stores=8, slow=slow, slow_from_ms=APPLIED, length_ms=LENGTH, seed=seed
+    )
     world = WorldWithEmptyShard(scene)
     shards = {request.request_id: request.shard for _, request in world.arrivals()}
     ended = [
         (
             done.end,
-            "mine" if done.course.startswith("mine") else done.course,
+            "mine" if done.volume.startswith("mine") else done.volume,
             shards[done.id],
             done.outcome,
             done.latency,
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -33,7 +33,7 @@
 from winchdyke.config_rollout.hot_reload import apply_settings
 from winchdyke.config_rollout.rollout_state import RolloutState, Step, due_step, recover, replay
 from winchdyke.latency_attribution import ledger
-from winchdyke.model.changing import Changing
+from winchdyke.model.changing import RolloutModel
 from winchdyke.model.checker import explore
 from winchdyke.scheduling import Scheduler
 
@@ -579,14 +579,14 @@
 
 
 def test_every_interleaving_of_edits_kills_and_time_keeps_reported_versions_and_serves_one_complete_version():
-    found = explore(Changing())
+    found = explore(RolloutModel())
     assert found.complete and not found.violation, (found.violation, found.trace)
     assert found.states > 1000
 
 
 @pytest.mark.parametrize("careless", ["recover", "begin"])
 def test_the_model_checker_detects_a_start_without_recovery_and_an_apply_that_is_not_written_first(careless):
-    assert explore(Changing(careless=careless)).violation
+    assert explore(RolloutModel(omitted_step=careless)).violation
 
 
 @measured
--- a/tests/test_config_rollout_cases.py
+++ b/tests/test_config_rollout_cases.py
@@ -55,7 +55,7 @@
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, Step
 from winchdyke.gateway.daemon import Gateway
 from winchdyke.model.checker import explore
-from winchdyke.model.instant import Clocks
+from winchdyke.model.instant import CutoverModel
 
 
 def with_changes(folder, **more):
@@ -727,11 +727,11 @@
 def test_every_interleaving_of_clocks_kills_and_late_gateways_keeps_the_lower_limit_while_versions_differ():
     lowered, raised = (5, 2), (2, 5)
     for limits in (lowered, raised):
-        found = explore(Clocks(limits=limits))
+        found = explore(CutoverModel(limits=limits))
         assert found.complete and not found.violation, (found.violation, found.trace)
         assert found.states > 500
     for careless, limits in (("early", lowered), ("settle", raised), ("restart", raised)):
-        assert explore(Clocks(careless=careless, limits=limits)).violation, careless
+        assert explore(CutoverModel(omitted_step=careless, limits=limits)).violation, careless
 
 
 @pytest.mark.parametrize("limit", [(200, 24), (24, 200)])
--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -34,7 +34,7 @@
 from winchdyke.latency_attribution.report import report_data
 from winchdyke.latency_attribution.summary import summarize
 from winchdyke.latency_attribution.wording import describe_waits
-from winchdyke.model.world import Course, Scene, World, accounts
+from winchdyke.model.world import Simulation, SimulationSetup, Workload, accounts
 from winchdyke.standins.record import clock
 
 
@@ -284,15 +284,15 @@
     """The model, 12 gateways: less than a third of what gateways alone put elsewhere, also with clocks off by 50 ms."""
     through = tuple(range(12))
     courses = (
-        *(Course(f"c{n}", 6.0, shards=(n % 3,), gateways=(n, (n + 5) % 12)) for n in range(12)),
-        Course("burst", 150.0, "export", 4.0, "basic", (0,), through, 1000.0, 3000.0),
+        *(Workload(f"c{n}", 6.0, shards=(n % 3,), gateways=(n, (n + 5) % 12)) for n in range(12)),
+        Workload("burst", 150.0, "export", 4.0, "basic", (0,), through, 1000.0, 3000.0),
     )
-    world = World(Scene(courses, gateways=12, stores=3, length_ms=5000.0), seeing=True)
+    world = Simulation(SimulationSetup(courses, gateways=12, stores=3, length_ms=5000.0), omniscient=True)
     done = world.run()
     truth = Counter()
     for each in done:
-        for holder, ms in each.seen.items():
-            truth[each.course, holder] += ms
+        for holder, ms in each.true_blame.items():
+            truth[each.volume, holder] += ms
 
     def apart(found: list[Account]) -> float:
         cells = Counter()
--- a/tests/test_membership_logs.py
+++ b/tests/test_membership_logs.py
@@ -47,9 +47,9 @@
     fleet.start("g3", clock=-900_000.0)
     fleet.leave("g4")
     fleet.run(90_000.0)
-    codes = {event.code for _, _, event in fleet.notes}
+    codes = {event.code for _, _, event in fleet.reports}
     assert {"found", "suspect", "dead", "left", "slept", "renewed", "link-deaf"} <= codes
-    assert all(log_events.log_event(event.code, event.member) for _, _, event in fleet.notes)
+    assert all(log_events.log_event(event.code, event.member) for _, _, event in fleet.reports)
 
 
 def test_the_page_for_operators_names_every_log_event():
--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -7,17 +7,17 @@
 from winchdyke.membership.datagrams import MemberRecord, MemberState
 from winchdyke.membership.member_table import Member, MemberTable
 from winchdyke.model.checker import explore
-from winchdyke.model.members import Words
+from winchdyke.model.members import MergeModel
 
 
 def test_two_members_are_explored_completely_without_a_violation():
-    result = explore(Words(2, 3))
+    result = explore(MergeModel(2, 3))
     assert result.complete and not result.violation, result.trace
     assert result.states > 1000
 
 
 def test_three_members_are_explored_to_a_depth_without_a_violation():
-    result = explore(Words(3, 2), max_states=4000)
+    result = explore(MergeModel(3, 2), max_states=4000)
     assert not result.violation, result.trace
 
 
@@ -85,5 +85,5 @@
     ],
 )
 def test_each_mutant_of_the_merge_is_detected(mutant, violation):
-    result = explore(Words(3, 3, mutant), max_states=60_000)
+    result = explore(MergeModel(3, 3, mutant), max_states=60_000)
     assert result.violation.startswith(violation), result
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -20,7 +20,7 @@
     """Returns members whose views have converged."""
     fleet = Fleet(members, seed, **options)  # type: ignore[arg-type]
     fleet.run(1500.0)
-    assert fleet.until_agreed(20_000.0) is not None, fleet.differ()
+    assert fleet.until_agreed(20_000.0) is not None, fleet.differences()
     return fleet
 
 
@@ -28,23 +28,23 @@
     """Returns the (viewer, member) pairs whose state changed to ``state``."""
     return {
         (transition.viewer, transition.member)
-        for transition in fleet.told
+        for transition in fleet.transitions
         if transition.at >= since and transition.state == state and member in ("", transition.member)
     }
 
 
 def link_state(fleet: Fleet, viewer: str, member: str) -> str:
     """Returns the state of the link to a member, as the viewer sees it."""
-    view = fleet.lives[viewer].machine.view(fleet.now)
+    view = fleet.processes[viewer].protocol.view(fleet.now)
     return next(seen.link for seen in view.members if seen.name == member)
 
 
 def longest_false_death_ms(fleet: Fleet, since: float) -> float:
     """Returns the longest time for which a view held a running member dead."""
     longest, dead_since = 0.0, dict[tuple[str, str], float]()
-    for transition in [transition for transition in fleet.told if transition.at >= since]:
+    for transition in [transition for transition in fleet.transitions if transition.at >= since]:
         viewer_and_member = transition.viewer, transition.member
-        if transition.state == "dead" and transition.member in fleet.lives:
+        if transition.state == "dead" and transition.member in fleet.processes:
             dead_since[viewer_and_member] = transition.at
         elif viewer_and_member in dead_since:
             longest = max(longest, transition.at - dead_since.pop(viewer_and_member))
@@ -56,17 +56,17 @@
     fleet = converged_fleet(members)
     fleet.kill("g1")
     detection_ms = fleet.until_agreed(60_000.0)
-    assert detection_ms is not None and detection_ms <= fleet.bounds.detection_bound_ms(members)
+    assert detection_ms is not None and detection_ms <= fleet.config.detection_bound_ms(members)
 
 
 def test_a_restart_within_one_probe_is_a_new_generation_and_no_death():
     fleet = converged_fleet(8)
-    since, generation = fleet.now, fleet.lives["g3"].machine.generation
+    since, generation = fleet.now, fleet.processes["g3"].protocol.generation
     fleet.kill("g3")
     fleet.at(fleet.now + 200.0, lambda: fleet.start("g3"))
     fleet.run(fleet.now + 15_000.0)
     assert fleet.agreed() and not transitions(fleet, since, "dead")
-    assert fleet.lives["g3"].machine.generation > generation
+    assert fleet.processes["g3"].protocol.generation > generation
 
 
 def test_an_asymmetric_partition_kills_no_member_and_both_ends_know_the_link_state():
@@ -103,18 +103,18 @@
     """Timeouts run on the viewers' own clocks: a slow clock extends the bounds only by its drift."""
     drift = 0.01
     fleet = converged_fleet(8, 3, drift=drift)
-    rates = [life.rate for life in fleet.lives.values()]
+    rates = [life.clock_rate for life in fleet.processes.values()]
     assert max(rates) - min(rates) > drift, "the clocks must differ in rate"
     fleet.links.loss = 0.2
     since = fleet.now
     fleet.run(since + 600_000.0)
-    clocks = [life.clock(fleet.now) - fleet.now for life in fleet.lives.values()]
+    clocks = [life.clock(fleet.now) - fleet.now for life in fleet.processes.values()]
     assert max(clocks) - min(clocks) > 5_000.0, "the clocks have drifted apart by seconds"
     assert not transitions(fleet, since, "dead")
     fleet.links.loss = 0.0
     fleet.kill("g1")
     detection_ms = fleet.until_agreed(60_000.0)
-    assert detection_ms is not None and detection_ms <= fleet.bounds.detection_bound_ms(8) / (1 - drift)
+    assert detection_ms is not None and detection_ms <= fleet.config.detection_bound_ms(8) / (1 - drift)
 
 
 def test_loss_of_all_datagrams_or_of_all_streams_causes_no_death():
@@ -137,7 +137,7 @@
     fleet.links.copies, fleet.links.delay, fleet.links.tail = 0.3, (5.0, 20.0), 0.02
     fleet.run(since + 120_000.0)
     assert not transitions(fleet, since, "dead")
-    assert sum(life.machine.counts["replay"] for life in fleet.lives.values()) > 100
+    assert sum(life.protocol.counts["replay"] for life in fleet.processes.values()) > 100
 
 
 def test_a_member_paused_for_3_s_every_10_s_is_never_dead():
@@ -149,7 +149,7 @@
     assert not transitions(fleet, since, "dead")  # 3 s are shorter than any suspicion timeout
     g2_transitions = [
         transition
-        for transition in fleet.told
+        for transition in fleet.transitions
         if transition.at >= since and transition.viewer == "g2" and transition.state in ("suspect", "dead")
     ]
     assert not [transition for transition in g2_transitions if transition.state == "dead"]
@@ -163,10 +163,10 @@
     fleet.run(since + length + 20_000.0)
     assert not [
         transition
-        for transition in fleet.told
+        for transition in fleet.transitions
         if transition.at >= since and transition.viewer == "g4" and transition.state == "dead"
     ]
-    assert fleet.agreed(), fleet.differ()
+    assert fleet.agreed(), fleet.differences()
     assert longest_false_death_ms(fleet, since) <= length
 
 
@@ -198,27 +198,27 @@
     for name in fleet.names[1:]:
         fleet.pause(name, 5000.0)
     fleet.run(since + 5000.0)
-    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.config.convergence_bound_ms(8)) is not None, fleet.differences()
 
 
 def test_a_zone_partition_is_one_outage_on_both_sides_and_heals_at_a_bounded_rate():
     fleet = converged_fleet(24, zones=2)
-    since, rate_at_rest = fleet.now, max(fleet.rate(fleet.now - 5000, fleet.now))
+    since, rate_at_rest = fleet.now, max(fleet.bytes_per_second(fleet.now - 5000, fleet.now))
     sides = [{n for n in fleet.names if fleet.zones[n] == zone} for zone in ("zone-0", "zone-1")]
     fleet.links.cut = {(a, b) for a in sides[0] for b in sides[1]} | {
         (b, a) for a in sides[0] for b in sides[1]
     }
     fleet.run(since + 20_000.0)
     for viewer, zone in (("g0", 1), ("g1", 0)):
-        outage = fleet.lives[viewer].machine.view(fleet.now).outage
+        outage = fleet.processes[viewer].protocol.view(fleet.now).outage
         assert outage is not None and outage.zone == f"zone-{zone}", outage
         assert set(outage.members) == sides[zone] and "zone" in outage.description
     fleet.links.cut = set()
     healed = fleet.now
-    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(24)) is not None, fleet.differ()[:3]
+    assert fleet.until_agreed(fleet.config.convergence_bound_ms(24)) is not None, fleet.differences()[:3]
     fleet.run(fleet.now + 5000.0)
-    assert max(fleet.rate(healed, fleet.now)) < 20 * rate_at_rest + 20_000
-    assert fleet.lives["g0"].machine.view(fleet.now).outage is None
+    assert max(fleet.bytes_per_second(healed, fleet.now)) < 20 * rate_at_rest + 20_000
+    assert fleet.processes["g0"].protocol.view(fleet.now).outage is None
 
 
 def test_seventy_percent_killed_at_once_are_detected_in_time():
@@ -227,8 +227,8 @@
         fleet.kill(name)
     since = fleet.now
     detection_ms = fleet.until_agreed(120_000.0)
-    assert detection_ms is not None and detection_ms <= fleet.bounds.detection_bound_ms(20)
-    outage = fleet.lives["g0"].machine.view(fleet.now).outage
+    assert detection_ms is not None and detection_ms <= fleet.config.detection_bound_ms(20)
+    outage = fleet.processes["g0"].protocol.view(fleet.now).outage
     assert outage is not None and len(outage.members) == 14 and outage.started_at_ms >= since
 
 
@@ -239,7 +239,7 @@
             fleet.at(fleet.now + 2000.0 * n, lambda name=name: fleet.leave(name))
             fleet.at(fleet.now + 2000.0 * n + 1000.0, lambda name=name: fleet.start(name))
     fleet.run(fleet.now + 20_000.0)
-    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(20)) is not None, fleet.differ()[:3]
+    assert fleet.until_agreed(fleet.config.convergence_bound_ms(20)) is not None, fleet.differences()[:3]
 
 
 def test_views_converge_after_all_members_restart_at_once():
@@ -248,24 +248,24 @@
         fleet.kill(name)
     for name in fleet.names:
         fleet.start(name)
-    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(8)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.config.convergence_bound_ms(8)) is not None, fleet.differences()
 
 
 def test_a_leave_reaches_all_members_before_the_process_ends():
     fleet = converged_fleet(8)
     fleet.leave("g5")
     fleet.run(fleet.now + 5000.0)
-    views = [life.machine.view(fleet.now) for life in fleet.lives.values()]
+    views = [life.protocol.view(fleet.now) for life in fleet.processes.values()]
     assert all(next(s.state for s in view.members if s.name == "g5") == "left" for view in views)
 
 
 def test_a_start_without_reachable_seeds_retries_at_a_bounded_rate():
     fleet = Fleet(2, 1, links=Links(datagrams=False, streams=False))
     fleet.run(120_000.0)
-    protocol = fleet.lives["g0"].machine
+    protocol = fleet.processes["g0"].protocol
     assert protocol.view(fleet.now).is_isolated and protocol.counts["exchange-failed"] <= 120 / (0.5 * 10) + 6
     fleet.links = Links()
-    assert fleet.until_agreed(2 * fleet.bounds.max_reconnect_backoff_ms) is not None
+    assert fleet.until_agreed(2 * fleet.config.max_reconnect_backoff_ms) is not None
 
 
 def test_a_new_process_joins_after_its_clock_was_set_back():
@@ -273,8 +273,8 @@
     fleet.kill("g1")
     fleet.now += 100.0
     fleet.start("g1", clock=-900_000.0)
-    assert fleet.until_agreed(30_000.0) is not None, fleet.differ()
-    assert any(report.code == "renewed" for _, name, report in fleet.notes if name == "g1")
+    assert fleet.until_agreed(30_000.0) is not None, fleet.differences()
+    assert any(report.code == "renewed" for _, name, report in fleet.reports if name == "g1")
 
 
 def new_protocol(config: SwimConfig | None = None, **fields: object) -> SwimProtocol:
@@ -513,8 +513,8 @@
             fleet.at(12_000.0 + 2000.0 * n, lambda name=name: fleet.kill(name))
             fleet.at(13_000.0 + 2000.0 * n, lambda name=name: fleet.start(name))
     fleet.run(20_000.0)
-    rates = fleet.rate(12_000.0, 20_000.0)
-    assert sum(rates) / 250 < 40_000 and fleet.largest <= datagrams.MAX_DATAGRAM_BYTES
+    rates = fleet.bytes_per_second(12_000.0, 20_000.0)
+    assert sum(rates) / 250 < 40_000 and fleet.largest_datagram <= datagrams.MAX_DATAGRAM_BYTES
 
 
 KINDS = ["kill", "pause", "cut", "loss", "leave"]
@@ -594,7 +594,7 @@
         if fault == "pauses":
             fleet.links.delay = (100.0, 50.0)
             for n in range(10):
-                fleet.at(since + 20_150.0 * n, lambda: fleet.pause("g2", 13_000.0, forgets=True))
+                fleet.at(since + 20_150.0 * n, lambda: fleet.pause("g2", 13_000.0, drops_messages=True))
         else:
             unreachable_from = ("g0", "g2", "g3", "g4") if fault == "deaf" else ("g0", "g2", "g3", "g4", "g5")
             fleet.links.cut = {(a, "g1") for a in unreachable_from} | {("g1", a) for a in unreachable_from}
@@ -627,4 +627,4 @@
         fleet.run(fleet.now + duration_ms / 2)
     fleet.links = Links()
     fleet.run(fleet.now + 6000.0)
-    assert fleet.until_agreed(fleet.bounds.convergence_bound_ms(5)) is not None, fleet.differ()
+    assert fleet.until_agreed(fleet.config.convergence_bound_ms(5)) is not None, fleet.differences()
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -8,27 +8,27 @@
 from click.testing import CliRunner
 
 from winchdyke.cli.main import main
-from winchdyke.model.world import Course, Scene, counterfactual, play
+from winchdyke.model.world import SimulationSetup, Workload, counterfactual, play
 
 
-def scene(seed: int, burst: float = 60.0, **changes: object) -> Scene:
+def scene(seed: int, burst: float = 60.0, **changes: object) -> SimulationSetup:
     courses = (
-        Course("school", 20.0, "fetch", 2.0, "school"),
-        Course("burst", burst, "export", 4.0, "basic", begin_ms=2000.0, end_ms=5000.0),
+        Workload("school", 20.0, "fetch", 2.0, "school"),
+        Workload("burst", burst, "export", 4.0, "basic", begin_ms=2000.0, end_ms=5000.0),
     )
-    return Scene(courses, seed=seed, length_ms=8000.0, **changes)  # type: ignore[arg-type]
+    return SimulationSetup(courses, seed=seed, length_ms=8000.0, **changes)  # type: ignore[arg-type]
 
 
 def test_every_request_ends_once_and_its_blame_adds_up():
     for done in play(scene(1)):
         assert done.outcome in ("served", "refused", "failed")
-        assert sum(done.blame.values()) == pytest.approx(done.held) == sum(done.causes.values())
-        assert done.held <= done.latency + 1e-6
+        assert sum(done.blame.values()) == pytest.approx(done.queued_ms) == sum(done.causes.values())
+        assert done.queued_ms <= done.latency + 1e-6
 
 
 def test_a_seed_is_a_run_and_a_course_that_is_left_out_changes_no_other_arrival():
     assert play(scene(3)) == play(scene(3))
-    whole = [(done.id, done.at) for done in play(scene(3)) if done.course == "school"]
+    whole = [(done.id, done.at) for done in play(scene(3)) if done.volume == "school"]
     assert whole == [(done.id, done.at) for done in play(scene(3), frozenset({"burst"}))]
 
 
@@ -36,8 +36,8 @@
     """Twenty scenes: the wait falls where the blamed course is taken away, and not where an idle one is."""
     for seed in range(20):
         check = counterfactual(scene(seed), "school", "burst")
-        assert check.blamed > 0.1 * check.held, check
-        assert check.fell > 0.5 * check.held, check
+        assert check.blamed > 0.1 * check.queued_ms, check
+        assert check.fell > 0.5 * check.queued_ms, check
     calm = scene(1, burst=0.5)
     assert (
         counterfactual(calm, "school", "burst").blamed
@@ -46,15 +46,17 @@
 
 
 def test_a_slow_node_is_blamed_in_the_model_too():
-    courses = tuple(Course(f"c{n}", 8.0, "fetch", 2.0, shards=(n % 2,)) for n in range(4))
-    found = play(Scene(courses, stores=2, slow=((1, 6.0),), length_ms=6000.0))
-    held = {n: sum(done.held for done in found if done.course == f"c{n}") for n in range(4)}
+    courses = tuple(Workload(f"c{n}", 8.0, "fetch", 2.0, shards=(n % 2,)) for n in range(4))
+    found = play(SimulationSetup(courses, stores=2, slow=((1, 6.0),), length_ms=6000.0))
+    held = {n: sum(done.queued_ms for done in found if done.volume == f"c{n}") for n in range(4)}
     assert held[1] + held[3] > 5 * (held[0] + held[2])
 
 
 def test_many_gateways_end_all_they_take():
-    courses = tuple(Course(f"c{n}", 4.0, shards=(n % 8,), gateways=(n % 30, (n + 7) % 30)) for n in range(40))
-    found = play(Scene(courses, gateways=30, stores=8, length_ms=2000.0))
+    courses = tuple(
+        Workload(f"c{n}", 4.0, shards=(n % 8,), gateways=(n % 30, (n + 7) % 30)) for n in range(40)
+    )
+    found = play(SimulationSetup(courses, gateways=30, stores=8, length_ms=2000.0))
     assert len(found) > 200
     assert all(done.outcome for done in found)
 
--- a/winchdyke/cli/model.py
+++ b/winchdyke/cli/model.py
@@ -61,22 +61,23 @@
     as_json: bool,
 ) -> None:  # fmt: skip
     """A fleet that starts with a list of its own and discovery down. Simulated; see docs/discovery.md."""
-    from winchdyke.model.starts import Start, Starting, fleet
+    from winchdyke.model.starts import StartupConditions, StartupSimulation, startup_simulation_setup
 
     if min(gateways, stores) < 1 or not 0 <= gone + fresh <= 1 or min(load, seconds) <= 0:
         raise click.ClickException(
             "gateways and stores are 1 or more, load and seconds over 0, gone and fresh parts of 1"
         )
-    world = Starting(
-        fleet(gateways, stores, seed, seconds * 1000, load), Start(policy, down * 1000, gone, fresh)
+    world = StartupSimulation(
+        startup_simulation_setup(gateways, stores, seed, seconds * 1000, load),
+        StartupConditions(policy, down * 1000, gone, fresh),
     )
     found = world.run()
     data = {
-        "requests": len(found), "served": sum(done.outcome == "served" for done in found), "worth": world.worth(seconds * 1000),
-        "first_answer_ms": None if not any(done.outcome == "served" for done in found) else world.first_ms(),
-        "pushed_over": sum(machine.fallen for machine in world.machines.values()),
-        "to_strangers": sum(machine.misled for machine in world.machines.values()),
-        "list_calls_in_a_second": max(world.calls.values(), default=0),
+        "requests": len(found), "served": sum(done.outcome == "served" for done in found), "worth": world.value_served(seconds * 1000),
+        "first_answer_ms": None if not any(done.outcome == "served" for done in found) else world.first_served_ms(),
+        "pushed_over": sum(machine.overloaded for machine in world.simulated_stores.values()),
+        "to_strangers": sum(machine.misdirected_requests for machine in world.simulated_stores.values()),
+        "list_calls_in_a_second": max(world.list_calls.values(), default=0),
     }  # fmt: skip
     click.echo(
         json.dumps(data)
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Changing:
+class RolloutModel:
     """One state: the trail, what the gateway serves (0: it is down), what it is about to write, versions made, and time."""
 
     trail: tuple[Step, ...] = (Step("staged", 1), Step("applying", 1), Step("applied", 1))
@@ -38,7 +38,7 @@
     kills: int = 2
     edits: int = 3
     final: int = 1  # the version last reported applied for good
-    careless: str = ""  # what a mutant leaves out
+    omitted_step: str = ""  # what a mutant leaves out
 
     def steps(self) -> Iterable[str]:
         """All that may happen next."""
@@ -62,13 +62,13 @@
         elif due_step(found, self.now) is not None:
             yield "begin"
 
-    def after(self, step: str) -> Changing:
+    def after(self, step: str) -> RolloutModel:
         """The world one step on."""
-        made: Changing = getattr(self, "_" + step.replace(" ", "_"))()
+        made: RolloutModel = getattr(self, "_" + step.replace(" ", "_"))()
         made._check()
         return made
 
-    def _stage(self, until: float = 0.0) -> Changing:
+    def _stage(self, until: float = 0.0) -> RolloutModel:
         version = self.made + 1
         return replace(
             self,
@@ -78,10 +78,10 @@
             edits=self.edits - 1,
         )
 
-    def _stage_on_trial(self) -> Changing:
+    def _stage_on_trial(self) -> RolloutModel:
         return self._stage(UNTIL)
 
-    def _undo(self) -> Changing:
+    def _undo(self) -> RolloutModel:
         found = replay(self.trail)
         gone = (Step("withdrawn", found.staged),) if found.staged else ()
         # Asked for by a person: what comes back with it, comes back by their will.
@@ -92,23 +92,23 @@
             expired=self.expired - {found.previous},
         )
 
-    def _withdraw(self) -> Changing:
+    def _withdraw(self) -> RolloutModel:
         step = Step("withdrawn", replay(self.trail).staged)
         return replace(self, trail=(*self.trail, step), edits=self.edits - 1)
 
-    def _confirm(self) -> Changing:
+    def _confirm(self) -> RolloutModel:
         version = replay(self.trail).serving
         return replace(self, trail=(*self.trail, Step("confirmed", version)), final=version)
 
-    def _time(self) -> Changing:
+    def _time(self) -> RolloutModel:
         return replace(self, now=self.now + 1)
 
-    def _kill(self) -> Changing:
+    def _kill(self) -> RolloutModel:
         return replace(self, serves=0, doing=(), target=0, kills=self.kills - 1)
 
-    def _start(self) -> Changing:
+    def _start(self) -> RolloutModel:
         found = replay(self.trail)
-        added = () if self.careless == "recover" else tuple(recover(found)[0])
+        added = () if self.omitted_step == "recover" else tuple(recover(found)[0])
         trail = (*self.trail, *added)
         serving = replay(trail).serving
         final = serving if added else self.final
@@ -117,7 +117,7 @@
         expired = self.expired | ({found.serving} if found.confirm_by_ms and added else set())
         return replace(self, trail=trail, serves=serving, final=final, expired=frozenset(expired))
 
-    def _begin(self) -> Changing:
+    def _begin(self) -> RolloutModel:
         found = replay(self.trail)
         step = due_step(found, self.now)
         assert step is not None
@@ -127,16 +127,16 @@
         expired = self.expired
         if undoing and found.confirm_by_ms and step.version != found.staged:
             expired |= {found.serving}
-        if not undoing and self.parents[step.version] != found.serving and self.careless != "parent":
+        if not undoing and self.parents[step.version] != found.serving and self.omitted_step != "parent":
             return replace(self, trail=(*self.trail, Step("refused", step.version)))
         until = 0.0 if undoing else found.staged_confirm_by_ms
-        trail = self.trail if self.careless == "begin" else (*self.trail, step)
+        trail = self.trail if self.omitted_step == "begin" else (*self.trail, step)
         return replace(
             self, trail=trail, doing=("swap", "undone" if undoing else "applied"), target=step.version, until=until,
             expired=expired,
         )  # fmt: skip
 
-    def _go_on(self) -> Changing:
+    def _go_on(self) -> RolloutModel:
         what, *rest = self.doing
         if what == "swap":
             return replace(self, serves=self.target, doing=tuple(rest))
--- a/winchdyke/model/experiment.py
+++ b/winchdyke/model/experiment.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from winchdyke.model.world import Course, Done, Scene, play
+from winchdyke.model.world import RequestResult, SimulationSetup, Workload, play
 
 SWEPT = ("gateways", "stores", "cores", "unit_ms", "net_ms", "rate_factor", "slow_factor")
 
@@ -69,7 +69,7 @@
     return found
 
 
-def scene(experiment: Experiment, value: float, seed: int) -> Scene:
+def simulation_setup(experiment: Experiment, value: float, seed: int) -> SimulationSetup:
     """The scene at one value of the sweep."""
     kind = type(getattr(experiment, experiment.sweep))
     made = msgspec.structs.replace(experiment, **{experiment.sweep: kind(value)})
@@ -79,13 +79,13 @@
             shards = tuple(sorted({(number + n) % made.stores for n in range(group.shards)}))
             gateways = tuple(sorted({(number * 7 + n) % made.gateways for n in range(group.gateways)}))
             courses.append(
-                Course(
+                Workload(
                     f"{group.name}-{number}", group.rate * made.rate_factor, group.class_name, group.units, group.plan, shards,
                     gateways, group.begin_ms, group.end_ms,
                 )
             )  # fmt: skip
     slow = ((made.slow_store, made.slow_factor),) if made.slow_store >= 0 else ()
-    return Scene(
+    return SimulationSetup(
         tuple(courses), made.gateways, made.stores, made.cores, made.unit_ms, made.net_ms, made.length_ms, seed, slow
     )  # fmt: skip
 
@@ -103,9 +103,9 @@
     blamed_on_volumes: float
 
 
-def _figures(found: list[Done]) -> tuple[float, ...]:
+def _figures(found: list[RequestResult]) -> tuple[float, ...]:
     waits = sorted(done.latency for done in found if done.outcome == "served") or [0.0]
-    held = sum(done.held for done in found)
+    held = sum(done.queued_ms for done in found)
     volumes = sum(v for done in found for holder, v in done.blame.items() if holder[0] == "volume")
     return (
         float(len(found)), sum(done.outcome == "served" for done in found) / max(1, len(found)),
@@ -117,7 +117,7 @@
     """Every value with every seed. Simulated figures."""
     rows = []
     for value in experiment.values:
-        runs = [_figures(play(scene(experiment, value, seed))) for seed in experiment.seeds]
+        runs = [_figures(play(simulation_setup(experiment, value, seed))) for seed in experiment.seeds]
         rows.append(Row(value, *(statistics.median(run[at] for run in runs) for at in range(6))))
     return rows
 
--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -41,38 +41,40 @@
 
 
 @dataclass
-class Life:
+class SimulatedProcess:
     """One process."""
 
     name: str
     zone: str
     index: int
-    machine: SwimProtocol
+    protocol: SwimProtocol
     began: float
-    rate: float = 1.0  # of its clock: how many of its milliseconds go by in one
+    clock_rate: float = 1.0  # of its clock: how many of its milliseconds go by in one
     ended: float | None = None
     paused_until: float = 0.0
-    forgets: bool = False  # what comes while it stands still is lost, as where its host has no room for it
+    drops_messages: bool = (
+        False  # what comes while it stands still is lost, as where its host has no room for it
+    )
     waiting: list[events.MessageReceived | events.StateExchangeFinished] = field(default_factory=list)
 
     def clock(self, now: float) -> float:
         """What its own clock shows at a time."""
-        return self.began + (now - self.began) * self.rate
+        return self.began + (now - self.began) * self.clock_rate
 
     def when(self, shown: float) -> float:
         """When its own clock shows a time."""
-        return self.began + (shown - self.began) / self.rate
+        return self.began + (shown - self.began) / self.clock_rate
 
 
 @dataclass(frozen=True)
-class Told:
+class StateTransition:
     """What a view said of a member from a time on."""
 
     at: float
     viewer: str
     member: str
     state: str
-    life: int
+    generation: int
 
 
 class Fleet:
@@ -82,7 +84,7 @@
         self,
         members: int,
         seed: int,
-        bounds: SwimConfig | None = None,
+        config: SwimConfig | None = None,
         zones: int = 1,
         make: Callable[[LocalMember, SwimConfig, int, float], SwimProtocol] = SwimProtocol,
         links: Links | None = None,
@@ -90,23 +92,23 @@
         drift: float = 0.0,
     ) -> None:
         """``drift``: by what part of it a clock may run fast or slow, drawn for each process."""
-        self.bounds, self.draw, self.make = bounds or SwimConfig(), random.Random(seed), make
+        self.config, self.rng, self.make = config or SwimConfig(), random.Random(seed), make
         self.links, self.drift = links or Links(), drift
         self.now, self._order = 0.0, 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self.lives: dict[str, Life] = {}
-        self.past: list[Life] = []
-        self.told: list[Told] = []
-        self.notes: list[tuple[float, str, events.ReportEvent]] = []
+        self.processes: dict[str, SimulatedProcess] = {}
+        self.ended_processes: list[SimulatedProcess] = []
+        self.transitions: list[StateTransition] = []
+        self.reports: list[tuple[float, str, events.ReportEvent]] = []
         self.bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
-        self.largest = 0
+        self.largest_datagram = 0
         self._before: dict[str, dict[str, tuple[str, int]]] = defaultdict(dict)
         self._versions: dict[str, int] = {}
         self.names = [f"g{n}" for n in range(members)]
         self.zones = {name: f"zone-{n % zones}" for n, name in enumerate(self.names)}
         self.seeds = tuple(self._address(name) for name in self.names[:3])
         for name in self.names:
-            self.at(self.draw.random() * start_ms, lambda name=name: self.start(name))  # type: ignore[misc]
+            self.at(self.rng.random() * start_ms, lambda name=name: self.start(name))  # type: ignore[misc]
 
     # The script.
 
@@ -117,47 +119,47 @@
 
     def start(self, name: str, clock: float | None = None) -> None:
         """Start a process under a name; ``clock`` is the Unix time that it believes, where that is another."""
-        if name in self.lives:
+        if name in self.processes:
             return
         index = int(name[1:])
-        life = (int(self.now if clock is None else clock) + 1_000_000) << 16 | self.draw.getrandbits(16)
+        generation = (int(self.now if clock is None else clock) + 1_000_000) << 16 | self.rng.getrandbits(16)
         own = LocalMember(
             name,
             self._address(name),
             self.zones.get(name, "zone-0"),
             index,
-            life,
+            generation,
             len(self.names),
             self.seeds,
         )
-        machine = self.make(own, self.bounds, self.draw.getrandbits(32), self.now)
-        rate = 1.0 + (self.draw.uniform(-self.drift, self.drift) if self.drift else 0.0)
-        self.lives[name] = Life(name, own.zone, index, machine, self.now, rate)
+        machine = self.make(own, self.config, self.rng.getrandbits(32), self.now)
+        rate = 1.0 + (self.rng.uniform(-self.drift, self.drift) if self.drift else 0.0)
+        self.processes[name] = SimulatedProcess(name, own.zone, index, machine, self.now, rate)
         self._versions[name] = -1
         self._before[name] = {}
-        self._wake(self.lives[name])
+        self._wake(self.processes[name])
 
     def kill(self, name: str) -> None:
         """End a process; nobody is told."""
-        life = self.lives.pop(name, None)
-        if life is not None:
-            life.ended = self.now
-            self.past.append(life)
+        process = self.processes.pop(name, None)
+        if process is not None:
+            process.ended = self.now
+            self.ended_processes.append(process)
 
     def leave(self, name: str) -> None:
         """End a process in good order."""
-        life = self.lives.get(name)
-        if life is not None:
-            self._do(life, life.machine.leave(life.clock(self.now)))
+        process = self.processes.get(name)
+        if process is not None:
+            self._do(process, process.protocol.leave(process.clock(self.now)))
             self.kill(name)
 
-    def pause(self, name: str, length: float, forgets: bool = False) -> None:
+    def pause(self, name: str, length: float, drops_messages: bool = False) -> None:
         """Stop a process for a time; what comes meanwhile waits for it, or is lost."""
-        life = self.lives.get(name)
-        if life is not None:
-            life.forgets = forgets
-            life.paused_until = max(life.paused_until, self.now + length)
-            self.at(life.paused_until, lambda: self._turn(life))
+        process = self.processes.get(name)
+        if process is not None:
+            process.drops_messages = drops_messages
+            process.paused_until = max(process.paused_until, self.now + length)
+            self.at(process.paused_until, lambda: self._turn(process))
 
     def run(self, until: float) -> None:
         """Play on to a time."""
@@ -170,14 +172,14 @@
 
     def agreed(self) -> bool:
         """Whether all views name just those that run."""
-        return not self.differ()
+        return not self.differences()
 
-    def differ(self) -> list[str]:
+    def differences(self) -> list[str]:
         """What is wrong in which view."""
         found = []
-        for name, life in self.lives.items():
-            want = sorted((n, other.machine.generation) for n, other in self.lives.items() if n != name)
-            have = sorted(life.machine.view(life.clock(self.now)).active_generations())
+        for name, process in self.processes.items():
+            want = sorted((n, other.protocol.generation) for n, other in self.processes.items() if n != name)
+            have = sorted(process.protocol.view(process.clock(self.now)).active_generations())
             if want != have:
                 missing = [n for n, _ in want if n not in dict(have)]
                 extra = [n for n, _ in have if n not in dict(want)]
@@ -193,7 +195,7 @@
             self.run(self.now + step)
         return None
 
-    def rate(self, since: float, until: float) -> list[float]:
+    def bytes_per_second(self, since: float, until: float) -> list[float]:
         """Bytes a second that each member sent over a time."""
         seconds = range(int(since / 1000), int(until / 1000))
         return [
@@ -206,57 +208,63 @@
     def _address(name: str) -> str:
         return f"at-{name}"
 
-    def _wake(self, life: Life) -> None:
-        self.at(max(life.when(life.machine.next_turn_ms), self.now + 0.01), lambda: self._turn(life))
+    def _wake(self, process: SimulatedProcess) -> None:
+        self.at(
+            max(process.when(process.protocol.next_turn_ms), self.now + 0.01), lambda: self._turn(process)
+        )
 
-    def _turn(self, life: Life) -> None:
-        if self.lives.get(life.name) is not life or self.now < life.paused_until:
+    def _turn(self, process: SimulatedProcess) -> None:
+        if self.processes.get(process.name) is not process or self.now < process.paused_until:
             return
-        happened, life.waiting = life.waiting, []
-        self._do(life, life.machine.handle(life.clock(self.now), happened))
+        happened, process.waiting = process.waiting, []
+        self._do(process, process.protocol.handle(process.clock(self.now), happened))
         if not happened:
-            self._wake(life)
+            self._wake(process)
 
-    def _hand(self, life: Life, what: events.MessageReceived | events.StateExchangeFinished) -> None:
-        if self.lives.get(life.name) is not life:
+    def _hand(
+        self, process: SimulatedProcess, what: events.MessageReceived | events.StateExchangeFinished
+    ) -> None:
+        if self.processes.get(process.name) is not process:
             return
-        if self.now < life.paused_until:
-            if not life.forgets or isinstance(what, events.StateExchangeFinished):
-                life.waiting.append(what)
+        if self.now < process.paused_until:
+            if not process.drops_messages or isinstance(what, events.StateExchangeFinished):
+                process.waiting.append(what)
             return
-        self._do(life, life.machine.handle(life.clock(self.now), [what]))
+        self._do(process, process.protocol.handle(process.clock(self.now), [what]))
 
-    def _do(self, life: Life, actions: Iterable[events.Action]) -> None:
+    def _do(self, process: SimulatedProcess, actions: Iterable[events.Action]) -> None:
         for action in actions:
             if isinstance(action, events.SendDatagram):
-                self._datagram(life.name, action.address, action.message)
+                self._datagram(process.name, action.address, action.message)
             elif isinstance(action, events.StartStateExchange):
-                self._stream(life, action.address, action.message)
+                self._stream(process, action.address, action.message)
             elif isinstance(action, events.ReportEvent):
-                self.notes.append((self.now, life.name, action))
+                self.reports.append((self.now, process.name, action))
             elif isinstance(action, events.StopMembership):
-                self.kill(life.name)
-        view = life.machine.view(life.clock(self.now))
-        if view.version != self._versions.get(life.name):
-            self._versions[life.name] = view.version
-            before = self._before[life.name]
+                self.kill(process.name)
+        view = process.protocol.view(process.clock(self.now))
+        if view.version != self._versions.get(process.name):
+            self._versions[process.name] = view.version
+            before = self._before[process.name]
             for member in view.members:
                 if before.get(member.name) != (member.state, member.generation):
                     before[member.name] = member.state, member.generation
-                    self.told.append(Told(self.now, life.name, member.name, member.state, member.generation))
+                    self.transitions.append(
+                        StateTransition(self.now, process.name, member.name, member.state, member.generation)
+                    )
 
     def _count(self, name: str, size: int) -> None:
         self.bytes[name][int(self.now / 1000)] += size
 
     def _delay(self) -> float:
         least, mean = self.links.delay
-        delay = least + self.draw.expovariate(1 / mean)
-        return delay * 100 if self.links.tail and self.draw.random() < self.links.tail else delay
+        delay = least + self.rng.expovariate(1 / mean)
+        return delay * 100 if self.links.tail and self.rng.random() < self.links.tail else delay
 
     def _datagram(self, sender: str, address: str, message: wire.SwimMessage) -> None:
         data, links = wire.seal(message, SECRET), self.links
         assert len(data) <= wire.MAX_DATAGRAM_BYTES, f"{len(data)} bytes"
-        self.largest = max(self.largest, len(data))
+        self.largest_datagram = max(self.largest_datagram, len(data))
         self._count(sender, len(data) + UDP_IP)
         to = address.removeprefix("at-")
         if (
@@ -265,44 +273,46 @@
             or (links.large_lost and len(data) > links.large_lost)
         ):
             return
-        copies = 2 if links.copies and self.draw.random() < links.copies else 1
+        copies = 2 if links.copies and self.rng.random() < links.copies else 1
         for _ in range(copies):
-            if links.loss and self.draw.random() < links.loss:
+            if links.loss and self.rng.random() < links.loss:
                 continue
             self.at(self.now + self._delay(), lambda: self._datagram_comes(to, data, self._address(sender)))
 
     def _datagram_comes(self, to: str, data: bytes, address: str) -> None:
-        life = self.lives.get(to)
-        if life is not None:
-            self._hand(life, events.MessageReceived(wire.unseal(data, [SECRET]), address))
+        process = self.processes.get(to)
+        if process is not None:
+            self._hand(process, events.MessageReceived(wire.unseal(data, [SECRET]), address))
 
-    def _stream(self, life: Life, address: str, message: wire.SwimMessage) -> None:
+    def _stream(self, process: SimulatedProcess, address: str, message: wire.SwimMessage) -> None:
         links, to = self.links, address.removeprefix("at-")
         size = len(wire.seal(message, SECRET))
-        self._count(life.name, size + TCP_SETUP)
+        self._count(process.name, size + TCP_SETUP)
 
         def ended(answer: wire.SwimMessage | None) -> None:
-            self._hand(life, events.StateExchangeFinished(address, message.request_id, answer))
+            self._hand(process, events.StateExchangeFinished(address, message.request_id, answer))
 
         def comes() -> None:
-            other = self.lives.get(to)
-            there = links.streams and links.passes(life.name, to) and links.passes(to, life.name)
+            other = self.processes.get(to)
+            there = links.streams and links.passes(process.name, to) and links.passes(to, process.name)
             if not there or other is None or self.now < other.paused_until:
-                self.at(self.now + self.bounds.probe_timeout_ms, lambda: ended(None))
+                self.at(self.now + self.config.probe_timeout_ms, lambda: ended(None))
                 return
-            told = other.machine.handle(
-                other.clock(self.now), [events.MessageReceived(message, self._address(life.name), True)]
+            actions = other.protocol.handle(
+                other.clock(self.now), [events.MessageReceived(message, self._address(process.name), True)]
             )
-            replies = [action.message for action in told if isinstance(action, events.ReplyToStateExchange)]
-            self._do(other, told)
+            replies = [
+                action.message for action in actions if isinstance(action, events.ReplyToStateExchange)
+            ]
+            self._do(other, actions)
             for reply in replies[:1]:
                 self._count(to, len(wire.seal(reply, SECRET)))
                 self.at(self.now + self._delay(), lambda reply=reply: ended(reply))  # type: ignore[misc]
             if not replies:
-                self.at(self.now + self.bounds.probe_timeout_ms, lambda: ended(None))
+                self.at(self.now + self.config.probe_timeout_ms, lambda: ended(None))
 
         # Lost segments are sent again: TCP answers late rather than not at all.
         again = 0.0
-        while links.loss and again < 3 and self.draw.random() < links.loss:
+        while links.loss and again < 3 and self.rng.random() < links.loss:
             again += 1
         self.at(self.now + 2 * self._delay() + again * 200.0, comes)
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True)
-class Clocks:
+class CutoverModel:
     """One state: true time, what each gateway goes by (None: it is down), and whether each has looked in this tick."""
 
     offsets: tuple[float, ...] = (-0.9, 0.0, 0.9)
@@ -32,7 +32,7 @@
     looked: tuple[bool, ...] = (False, False, False)
     kills: int = 2
     limits: tuple[int, int] = (5, 2)
-    careless: str = ""  # what a mutant leaves out
+    omitted_step: str = ""  # what a mutant leaves out
 
     def steps(self) -> Iterable[str]:
         """All that may happen next."""
@@ -50,7 +50,7 @@
             if self.kills:
                 yield f"kill {number}"
 
-    def after(self, step: str) -> Clocks:
+    def after(self, step: str) -> CutoverModel:
         """The world one step on."""
         what, _, which = step.partition(" ")
         if what == "tick":
@@ -65,15 +65,15 @@
     def _phase(self, number: int, start: bool) -> Phase:
         clock = self.now + self.offsets[number]
         found = phase_at(clock, AT, APART)
-        if self.careless == "early" and found is Phase.OLD_LOWER:
+        if self.omitted_step == "early" and found is Phase.OLD_LOWER:
             return Phase.OLD
-        if self.careless == "settle" and found is Phase.NEW_LOWER:
+        if self.omitted_step == "settle" and found is Phase.NEW_LOWER:
             return Phase.NEW
-        if self.careless == "restart" and start and found is Phase.NEW_LOWER:
+        if self.omitted_step == "restart" and start and found is Phase.NEW_LOWER:
             return Phase.NEW
         return found
 
-    def _with(self, number: int, going: Phase | None) -> Clocks:
+    def _with(self, number: int, going: Phase | None) -> CutoverModel:
         changed, looked = list(self.going), list(self.looked)
         changed[number], looked[number] = going, going is not None
         return replace(self, going=tuple(changed), looked=tuple(looked))
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -24,7 +24,7 @@
 Word = tuple[int, int, int, int]  # member, life, incarnation, state
 
 
-class Words:
+class MergeModel:
     """One state of the world."""
 
     def __init__(self, members: int = 3, faults: int = 3, book: type[MemberTable] = MemberTable) -> None:
@@ -68,7 +68,7 @@
                     elif member.state is MemberState.SUSPECT:
                         yield f"bury {viewer} {member.name}"
 
-    def after(self, step: str) -> Words:
+    def after(self, step: str) -> MergeModel:
         """One step on."""
         world = copy.copy(self)
         world.own, world.heard = list(self.own), list(self.heard)
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True)
-class Course:
+class Workload:
     """A volume's traffic: requests a second of a class, their units, where its data lies, the gateways it comes through."""
 
     name: str
@@ -66,10 +66,10 @@
 
 
 @dataclass(frozen=True)
-class Scene:
+class SimulationSetup:
     """A fleet, its courses, and nodes that are slower by a factor."""
 
-    courses: tuple[Course, ...]
+    workloads: tuple[Workload, ...]
     gateways: int = 1
     stores: int = 1
     cores: int = 2
@@ -82,20 +82,20 @@
 
 
 @dataclass
-class Done:
+class RequestResult:
     """One request's course."""
 
     id: str
-    course: str
+    volume: str
     class_name: str
     gateway: int
     at: float
-    held: float = 0.0
+    queued_ms: float = 0.0
     end: float = 0.0
     outcome: str = ""
     blame: dict[Holder, float] = field(default_factory=dict)
     causes: dict[str, float] = field(default_factory=dict)
-    seen: dict[Holder, float] = field(
+    true_blame: dict[Holder, float] = field(
         default_factory=dict
     )  # blame by one that sees all, where it was asked for
     sent: float = -1.0
@@ -120,21 +120,21 @@
         return self._unit_ms * (self._slow if now >= self._from else 1.0)
 
 
-class Seeing(QueueObserver):
+class OmniscientObserver(QueueObserver):
     """The same shadow as a gateway's, but it sees who is in service at the stores, and which are slow by themselves.
 
     What a gateway puts down to a node's slowness is here shared among those that the store works on; where the store is
     slower than its kind by a factor, the time it lacks is the node's.
     """
 
-    def __init__(self, world: World, index: int) -> None:
+    def __init__(self, world: Simulation, index: int) -> None:
         super().__init__(world.schedulers[index])
         self.world, self.index = world, index
 
     def _in_flight_shares(self, node: EndpointState, now: float) -> dict[Holder, float]:
         world = self.world
         store = world.stores[node.shard]
-        own = 1 - world.scene.unit_ms / store.unit_ms(now)
+        own = 1 - world.setup.unit_ms / store.unit_ms(now)
         shares: dict[Holder, float] = {}
         part = 1.0 / len(node.in_flight)
 
@@ -146,52 +146,56 @@
             if now - sent <= SLOW_ATTEMPT_FACTOR * self.expected_latency_ms(
                 node, class_name, held.request.units if held else 1.0
             ):
-                put(("volume", world.done[request].course, class_name), part)
+                put(("volume", world.done[request].volume, class_name), part)
                 continue
             served = [world.done[other] for _, other in store.busy]
             if (self.index, request) in store.busy or not served:
                 served = [world.done[request]]
             put(("node", node.name, "slow"), part * own)
             for other in served:
-                put(("volume", other.course, other.class_name), part * (1 - own) / len(served))
+                put(("volume", other.volume, other.class_name), part * (1 - own) / len(served))
         return shares
 
 
-class World:
+class Simulation:
     """One run of a scene."""
 
     def __init__(
         self,
-        scene: Scene,
+        setup: SimulationSetup,
         without: frozenset[str] = frozenset(),
-        seeing: bool = False,
-        given: api.Settings | None = None,
+        omniscient: bool = False,
+        scheduler_settings: api.Settings | None = None,
     ) -> None:
-        self.scene = scene
+        self.setup = setup
         self._heap: list[tuple[float, int, str, tuple[object, ...]]] = []
         self._order = itertools.count()
-        self.done: dict[str, Done] = {}
-        given = given or api.Settings(
-            gateway_count=scene.gateways, gateway_index=0, classes=CLASSES, plans=PLANS, mean_request_units=2.0, max_request_units=8.0,
+        self.done: dict[str, RequestResult] = {}
+        scheduler_settings = scheduler_settings or api.Settings(
+            gateway_count=setup.gateways, gateway_index=0, classes=CLASSES, plans=PLANS, mean_request_units=2.0, max_request_units=8.0,
             fair_share_priority_factor=0.3, excess_priority_factor=0.08, max_attempts=3, max_retry_after_ms=500.0,
         )  # fmt: skip
-        self.deadlines = {kind.name: kind.deadline_ms for kind in given.classes}
-        settings = [dataclasses.replace(given, gateway_index=index) for index in range(scene.gateways)]
-        self.schedulers = [Scheduler(each, scene.seed * 1000 + each.gateway_index, 0.0) for each in settings]
+        self.deadlines = {kind.name: kind.deadline_ms for kind in scheduler_settings.classes}
+        settings = [
+            dataclasses.replace(scheduler_settings, gateway_index=index) for index in range(setup.gateways)
+        ]
+        self.schedulers = [Scheduler(each, setup.seed * 1000 + each.gateway_index, 0.0) for each in settings]
         self.observers = [QueueObserver(scheduler) for scheduler in self.schedulers]
-        self.seers = [Seeing(self, index) for index in range(scene.gateways)] if seeing else []
-        slow = dict(scene.slow)
+        self.omniscient_observers = (
+            [OmniscientObserver(self, index) for index in range(setup.gateways)] if omniscient else []
+        )
+        slow = dict(setup.slow)
         self.stores = [
-            _Store(scene.cores, scene.unit_ms, slow.get(n, 1.0), scene.slow_from_ms)
-            for n in range(scene.stores)
+            _Store(setup.cores, setup.unit_ms, slow.get(n, 1.0), setup.slow_from_ms)
+            for n in range(setup.stores)
         ]
         self._open: dict[str, tuple[api.Request, int]] = {}
         nodes = tuple(
-            api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(scene.stores)
+            api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(setup.stores)
         )
-        for index in range(scene.gateways):
+        for index in range(setup.gateways):
             self._begin(index, nodes)
-        for course in scene.courses:
+        for course in setup.workloads:
             if course.name not in without:
                 self._arrivals(course)
 
@@ -202,10 +206,10 @@
     def _at(self, time: float, kind: str, *what: object) -> None:
         heapq.heappush(self._heap, (time, next(self._order), kind, what))
 
-    def _arrivals(self, course: Course) -> None:
-        draw = random.Random(f"{self.scene.seed}/{course.name}")
+    def _arrivals(self, course: Workload) -> None:
+        draw = random.Random(f"{self.setup.seed}/{course.name}")
         now, number = course.begin_ms, 0
-        while (now := now + draw.expovariate(course.rate) * 1000) < min(course.end_ms, self.scene.length_ms):
+        while (now := now + draw.expovariate(course.rate) * 1000) < min(course.end_ms, self.setup.length_ms):
             number += 1
             request = api.Request(
                 f"{course.name}-{number}", course.class_name, course.plan, course.name, f"k{number}", course.units,
@@ -221,7 +225,7 @@
             key=lambda each: each[0],
         )
 
-    def run(self) -> list[Done]:
+    def run(self) -> list[RequestResult]:
         """Play it to its end: every request, in order of coming."""
         while self._heap:
             now, _, kind, what = heapq.heappop(self._heap)
@@ -229,7 +233,7 @@
         return list(self.done.values())
 
     def _on_arrive(self, now: float, gateway: int, request: api.Request) -> None:
-        done = Done(
+        done = RequestResult(
             request.request_id, request.volume, request.request_class, gateway, now, units=request.units
         )
         self.done[request.request_id] = done
@@ -242,7 +246,11 @@
         self._give(now, gateway, [api.TimerFired(tag)])
 
     def _observers(self, index: int) -> list[QueueObserver]:
-        return [self.observers[index], self.seers[index]] if self.seers else [self.observers[index]]
+        return (
+            [self.observers[index], self.omniscient_observers[index]]
+            if self.omniscient_observers
+            else [self.observers[index]]
+        )
 
     def _give(self, now: float, index: int, events: list[api.Event]) -> None:
         for action in self.schedulers[index].handle(now, events):
@@ -269,7 +277,7 @@
 
     def _send(self, now: float, index: int, request: api.Request, attempt: int, node: str) -> None:
         work = request.shard, index, request.request_id, attempt, request.units, now
-        self._at(now + self.scene.net_ms, "work", *work)
+        self._at(now + self.setup.net_ms, "work", *work)
 
     def _watch(self, now: float, index: int) -> None:
         """The scheduler asks for the list: here it has it."""
@@ -277,14 +285,14 @@
     def _held(self, now: float, index: int, request: str) -> None:
         holders, causes = self.observers[index].record_dequeued(request, now)
         done = self.done[request]
-        if self.seers:
-            for holder, value in self.seers[index].record_dequeued(request, now)[0].items():
-                done.seen[holder] = done.seen.get(holder, 0.0) + value
+        if self.omniscient_observers:
+            for holder, value in self.omniscient_observers[index].record_dequeued(request, now)[0].items():
+                done.true_blame[holder] = done.true_blame.get(holder, 0.0) + value
         for holder, value in holders.items():
             done.blame[holder] = done.blame.get(holder, 0.0) + value
         for cause, value in causes.items():
             done.causes[cause] = done.causes.get(cause, 0.0) + value
-        done.held += sum(holders.values())
+        done.queued_ms += sum(holders.values())
 
     def _on_work(
         self, now: float, shard: int, gateway: int, request: str, attempt: int, units: float, sent: float
@@ -307,7 +315,7 @@
         self.stores[shard].free += 1
         self.stores[shard].busy.discard((gateway, request))
         self._next(now, shard)
-        end = now + self.scene.net_ms
+        end = now + self.setup.net_ms
         event = api.AttemptEnded(request, attempt, f"n{shard}", api.AttemptOutcome.SERVED, end - sent, True)
         self._at(end, "answer", gateway, event)
 
@@ -319,17 +327,17 @@
         self._give(now, gateway, [event])
 
 
-def accounts(found: list[Done], off_ms: Mapping[int, float] | None = None) -> list[Account]:
+def accounts(found: list[RequestResult], off_ms: Mapping[int, float] | None = None) -> list[Account]:
     """What the gateways' ledgers would hold of a run; ``off_ms``: by how much each gateway's clock is off."""
     made = []
     for done in found:
-        latency, held = round(done.latency * 1e6), round(done.held * 1e6)
+        latency, held = round(done.latency * 1e6), round(done.queued_ms * 1e6)
         out = latency - held
         blame = apportion(held, done.blame)
         made.append(
             Account(
                 request=done.id, began_unix_ms=done.at + (off_ms or {}).get(done.gateway, 0.0),
-                gateway=f"gateway-{done.gateway}", volume=done.course, class_name=done.class_name, key="",
+                gateway=f"gateway-{done.gateway}", volume=done.volume, class_name=done.class_name, key="",
                 outcome=done.outcome, reason="", status=0, latency_ns=latency,
                 phases_ns=[span for span in (("held", held), ("store", out)) if span[1]],
                 causes_ns=apportion_causes(held, done.causes),
@@ -343,27 +351,27 @@
     return made
 
 
-def play(scene: Scene, without: frozenset[str] = frozenset()) -> list[Done]:
+def play(setup: SimulationSetup, without: frozenset[str] = frozenset()) -> list[RequestResult]:
     """All requests of a scene, without some courses."""
-    return World(scene, without).run()
+    return Simulation(setup, without).run()
 
 
 @dataclass(frozen=True)
-class Check:
+class BlameCheck:
     """Blame held against the same scene without the blamed course: milliseconds of the waiter's requests in all."""
 
     blamed: float
     fell: float
-    held: float
+    queued_ms: float
 
 
-def counterfactual(scene: Scene, waiter: str, blamed: str) -> Check:
+def counterfactual(setup: SimulationSetup, waiter: str, blamed: str) -> BlameCheck:
     """How much of a course's wait is put on another, and by how much it falls where that one never came."""
-    whole, less = play(scene), play(scene, frozenset({blamed}))
+    whole, less = play(setup), play(setup, frozenset({blamed}))
     told = [account for account in merge_accounts(accounts(whole)) if account.volume == waiter]
     put = sum(
         share for account in told for *holder, share in account.blame if holder[:2] == ["volume", blamed]
     )
     held = sum(account.queued_ns for account in told)
-    rest = sum(done.held for done in less if done.course == waiter)
-    return Check(put / 1e6, held / 1e6 - rest, held / 1e6)
+    rest = sum(done.queued_ms for done in less if done.volume == waiter)
+    return BlameCheck(put / 1e6, held / 1e6 - rest, held / 1e6)
