--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -1,11 +1,12 @@
-"""The judge of membership: what views said, against the links' record and the processes' own lives. Pure but for reading logs.
+"""Checks what gateways believed of each other against the record of a played scenario. Reads the gateways' logs; else pure.
 
-Who ran, who was stopped, and which links passed is known from the record alone. What each gateway believed is read from the
-lines that its fleet wrote, each with its time. Three things are held:
+The record alone says which processes ran, which were stopped, and which links passed messages. The view of each gateway is
+read from the timestamped membership events in its log. Three invariants are checked:
 
-    no false death    a member that ran, and that the viewer could reach by some way, was not dead in its view for longer than stated
-    every death told  a killed member was dead, or seen to have started anew, in every view that could be told, within the stated time
-    agreement         the stated time after the last trouble all views are the same, and right
+    no false death    a view doesn't hold a member dead for longer than the bound while the member runs and can be reached,
+                      directly or through one other member
+    every death told  each view that could learn of the end of a member holds it dead, or restarted, within the bound
+    agreement         within the bound after the last fault all views are equal and correct
 """
 
 from __future__ import annotations
@@ -24,10 +25,10 @@
 from winchdyke.days.script import Scenario
 from winchdyke.membership.swim_config import SwimConfig
 
-Seen = dict[str, Any]
-HOST_MS = 1500.0  # by which a busy host may run processes late
-USABLE = 0.65  # of the datagrams lost at the most, on a link that counts as a way
-TURNS = {
+Entry = dict[str, Any]  # one entry of the record
+HOST_DELAY_MS = 1500.0  # by which a busy host may delay its processes
+MAX_USABLE_LOSS = 0.65  # share of lost datagrams up to which a link counts as usable
+STATE_BY_EVENT = {
     "membership_member_found": "alive",
     "membership_member_restarted": "alive",
     "membership_member_alive": "alive",
@@ -35,23 +36,23 @@
     "membership_member_dead": "dead",
     "membership_member_left": "left",
 }
-Span = tuple[float, float]
+Span = tuple[float, float]  # start and end, in ms of the record's clock
 
 
-def pause_spans(record: Sequence[Seen]) -> defaultdict[str, list[tuple[float, float]]]:
-    """From when to when each gateway's process was stopped."""
-    found: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
+def pause_spans(record: Sequence[Entry]) -> defaultdict[str, list[tuple[float, float]]]:
+    """The spans for which each gateway's process was stopped."""
+    result: defaultdict[str, list[tuple[float, float]]] = defaultdict(list)
     since: dict[str, float] = {}
-    for seen in record:
-        if seen["what"] == "gateway-stopped":
-            since[seen["gateway"]] = seen["t"]
-        elif seen["what"] == "gateway-goes-on" and seen["gateway"] in since:
-            found[seen["gateway"]].append((since.pop(seen["gateway"]), seen["t"]))
-    return found
+    for entry in record:
+        if entry["what"] == "gateway-stopped":
+            since[entry["gateway"]] = entry["t"]
+        elif entry["what"] == "gateway-goes-on" and entry["gateway"] in since:
+            result[entry["gateway"]].append((since.pop(entry["gateway"]), entry["t"]))
+    return result
 
 
 def swim_config_of(scenario: Scenario) -> SwimConfig:
-    """The figures that the day's gateways go by."""
+    """The membership settings of the scenario's gateways."""
     ms = scenario.fleet
     return SwimConfig(
         probe_interval_ms=ms,
@@ -64,70 +65,84 @@
 
 @dataclass
 class MembershipResult:
-    """What holds of the three, with how often each was tried and how near its bound it came."""
+    """The results of the three invariants, in the order of ``names``.
+
+    Attributes:
+        checked: How often each invariant was checked.
+        longest_ms: The longest time of each that counts against its bound.
+        bounds_ms: The bound of each.
+        violations: Index of the invariant, and message.
+        final_views: What the admin sockets said at the end, by gateway.
+    """
 
     names: tuple[str, ...] = ("no false death", "every death told", "agreement")
     checked: list[int] = field(default_factory=lambda: [0, 0, 0])
-    longest_ms: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])  # ms
-    bounds: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
+    longest_ms: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
+    bounds_ms: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
     violations: list[tuple[int, str]] = field(default_factory=list)
     final_views: dict[str, Any] = field(default_factory=dict)
 
     @property
     def kept(self) -> bool:
-        """Whether all three hold."""
+        """Whether there is no violation."""
         return not self.violations
 
     def lines(self) -> list[str]:
-        """For people."""
-        found = []
-        for at, name in enumerate(self.names):
-            here = [why for which, why in self.violations if which == at]
-            word = f"BROKEN {len(here)} times" if here else "kept" if self.checked[at] else "not tried"
-            near = f"{self.longest_ms[at]:.0f} of {self.bounds[at]:.0f} ms at the most"
-            found.append(f"  members, {name}: {word} ({self.checked[at]} looked at, {near})")
-            found += [f"      {why}" for why in here[:5]]
-        return found
+        """The results as lines of the report."""
+        result = []
+        for index, name in enumerate(self.names):
+            messages = [message for number, message in self.violations if number == index]
+            summary = (
+                f"BROKEN {len(messages)} times"
+                if messages
+                else "kept"
+                if self.checked[index]
+                else "not tried"
+            )
+            longest = f"{self.longest_ms[index]:.0f} ms of {self.bounds_ms[index]:.0f} ms used"
+            result.append(f"  members, {name}: {summary} ({self.checked[index]} checked, {longest})")
+            result += [f"      {message}" for message in messages[:5]]
+        return result
 
 
 class MembershipChecker:
-    """One day's record and logs before the judge."""
+    """Checks the record and the logs of one played scenario."""
 
-    def __init__(self, scenario: Scenario, record: Sequence[Seen], where: Path) -> None:
-        self.scenario, self.record = scenario, sorted(record, key=lambda seen: seen["t"])
+    def __init__(self, scenario: Scenario, record: Sequence[Entry], where: Path) -> None:
+        self.scenario, self.record = scenario, sorted(record, key=lambda entry: entry["t"])
         self.names = [f"gateway-{index}" for index in range(scenario.gateways)]
-        self.bounds = swim_config_of(scenario)
+        self.config = swim_config_of(scenario)
         self.end = max(
-            (seen["t"] for seen in record if seen["what"] == "settled"), default=self.record[-1]["t"]
+            (entry["t"] for entry in record if entry["what"] == "settled"), default=self.record[-1]["t"]
         )
-        self.offset = next(seen["unix_ms"] - seen["t"] for seen in record if seen["what"] == "clock")
-        self.lives, self.gone = self._lives()
-        self.stopped = dict(pause_spans(self.record))
-        self.turns = {name: self._read(where / f"{name}.log") for name in self.names}
-        self.faults = self._faults()
-
-    def _lives(self) -> tuple[dict[str, list[Span]], dict[str, list[Span]]]:
-        """When a process ran under each name, and by kill or leave when not: (from the end to the next start)."""
-        ran: dict[str, list[Span]] = defaultdict(list)
+        self.offset = next(entry["unix_ms"] - entry["t"] for entry in record if entry["what"] == "clock")
+        self.run_spans, self.down_spans = self._find_run_spans()
+        self.pause_spans = dict(pause_spans(self.record))
+        self.transitions = {name: self._read_transitions(where / f"{name}.log") for name in self.names}
+        self.fault_periods = self._find_fault_periods()
+
+    def _find_run_spans(self) -> tuple[dict[str, list[Span]], dict[str, list[Span]]]:
+        """The spans for which each gateway ran, and those from each of its ends to its next start."""
+        run_spans: dict[str, list[Span]] = defaultdict(list)
         up: dict[str, float] = {}
-        for seen in self.record:
-            if seen["what"] == "gateway-up":
-                up[seen["gateway"]] = seen["t"]
-            elif seen["what"] in ("gateway-down", "gateway-leaves") and seen["gateway"] in up:
-                ran[seen["gateway"]].append((up.pop(seen["gateway"]), seen["t"]))
+        for entry in self.record:
+            if entry["what"] == "gateway-up":
+                up[entry["gateway"]] = entry["t"]
+            elif entry["what"] in ("gateway-down", "gateway-leaves") and entry["gateway"] in up:
+                run_spans[entry["gateway"]].append((up.pop(entry["gateway"]), entry["t"]))
         for name, since in up.items():
-            ran[name].append((since, self.end))
-        away: dict[str, list[Span]] = defaultdict(list)
-        for name, spans in ran.items():
+            run_spans[name].append((since, self.end))
+        down_spans: dict[str, list[Span]] = defaultdict(list)
+        for name, spans in run_spans.items():
             for at, (_, until) in enumerate(spans):
                 following = spans[at + 1][0] if at + 1 < len(spans) else self.end
                 if until < self.end:
-                    away[name].append((until, following))
-        return ran, away
+                    down_spans[name].append((until, following))
+        return run_spans, down_spans
 
-    def _read(self, log: Path) -> list[tuple[float, str, str]]:
-        """(time, member, state) in order; a start of the viewer's process is the member "" in state "began"."""
-        found: list[tuple[float, str, str]] = []
+    def _read_transitions(self, log: Path) -> list[tuple[float, str, str]]:
+        """(time, member, state) in order of time; a start of the viewer's process has member "" and state "began"."""
+        result: list[tuple[float, str, str]] = []
         for line in log.read_bytes().splitlines():
             try:
                 row = json.loads(line)
@@ -137,177 +152,187 @@
                 continue
             at = row["timestamp"] * 1000 - self.offset
             if at > self.end:
-                break  # the day is over, and all are told to stop
+                break  # the scenario has ended, and all gateways are being stopped
             if row.get("event") == "started":
-                found.append((at, "", "began"))
-            elif row.get("event") in TURNS and row.get("member"):
-                found.append((at, row["member"], TURNS[row["event"]]))
-        return found
+                result.append((at, "", "began"))
+            elif row.get("event") in STATE_BY_EVENT and row.get("member"):
+                result.append((at, row["member"], STATE_BY_EVENT[row["event"]]))
+        return result
 
-    def _faults(self) -> list[tuple[float, float, dict[tuple[str, str], dict[str, Any]]]]:
-        """From when to when which links had which faults."""
+    def _find_fault_periods(self) -> list[tuple[float, float, dict[tuple[str, str], dict[str, Any]]]]:
+        """The faults of all links, by the span for which they were in force."""
         now: dict[tuple[str, str], dict[str, Any]] = {}
-        found, since = [], self.record[0]["t"]
-        for seen in self.record:
-            if seen["who"] == "links" and seen["what"] == "set":
-                found.append((since, seen["t"], dict(now)))
-                since = seen["t"]
-                for a, b in seen["pairs"]:
-                    now[a, b] = seen["fault"]
-        found.append((since, self.end, dict(now)))
-        return found
+        result, since = [], self.record[0]["t"]
+        for entry in self.record:
+            if entry["who"] == "links" and entry["what"] == "set":
+                result.append((since, entry["t"], dict(now)))
+                since = entry["t"]
+                for a, b in entry["pairs"]:
+                    now[a, b] = entry["fault"]
+        result.append((since, self.end, dict(now)))
+        return result
 
     def verdict(self) -> MembershipResult:
-        """Judge the three."""
-        found, size = MembershipResult(), self.scenario.gateways
-        false_most = self.bounds.convergence_bound_ms(size) + HOST_MS
-        told_most = self.bounds.detection_bound_ms(size) + HOST_MS
-        found.bounds = [false_most, told_most, self.bounds.convergence_bound_ms(size) + HOST_MS]
+        """Check the three invariants."""
+        result, size = MembershipResult(), self.scenario.gateways
+        false_death_bound_ms = self.config.convergence_bound_ms(size) + HOST_DELAY_MS
+        detection_bound_ms = self.config.detection_bound_ms(size) + HOST_DELAY_MS
+        result.bounds_ms = [
+            false_death_bound_ms,
+            detection_bound_ms,
+            self.config.convergence_bound_ms(size) + HOST_DELAY_MS,
+        ]
         for viewer in self.names:
-            spans = self._states(viewer)
+            spans = self._states_in_view(viewer)
             for member in self.names:
                 if member != viewer:
-                    self._false_deaths(found, viewer, member, spans[member], false_most)
-                    self._deaths(found, viewer, member, spans[member], told_most)
-        self._agreement(found)
-        return found
-
-    def _states(self, viewer: str) -> dict[str, list[tuple[float, float, str]]]:
-        """What a viewer said of each member, from when to when; nothing where its process did not run."""
-        found: dict[str, list[tuple[float, float, str]]] = {name: [] for name in self.names}
+                    self._check_false_deaths(result, viewer, member, spans[member], false_death_bound_ms)
+                    self._check_detections(result, viewer, member, spans[member], detection_bound_ms)
+        self._check_agreement(result)
+        return result
+
+    def _states_in_view(self, viewer: str) -> dict[str, list[tuple[float, float, str]]]:
+        """The states of each member in a viewer's view, with their spans; none while the viewer's process did not run."""
+        result: dict[str, list[tuple[float, float, str]]] = {name: [] for name in self.names}
         now: dict[str, tuple[float, str]] = {}
 
         def close(at: float) -> None:
             for name, (since, state) in now.items():
-                found[name].append((since, at, state))
+                result[name].append((since, at, state))
             now.clear()
 
-        for at, member, state in self.turns[viewer]:
+        for at, member, state in self.transitions[viewer]:
             if state == "began":
                 close(at)
-            elif member in found:
+            elif member in result:
                 if member in now:
-                    found[member].append((now[member][0], at, now[member][1]))
+                    result[member].append((now[member][0], at, now[member][1]))
                 now[member] = at, state
-        ends = [until for _, until in self.lives.get(viewer, []) if until < self.end]
+        ends = [until for _, until in self.run_spans.get(viewer, []) if until < self.end]
         close(self.end)
-        # A process that was killed says nothing more: what it said last ends there.
-        for name, spans in found.items():
-            found[name] = [
+        # The last state in the view of a killed process ends with the process.
+        for name, spans in result.items():
+            result[name] = [
                 (since, min([until, *(end for end in ends if since <= end)]), state)
                 for since, until, state in spans
             ]
-        return found
+        return result
 
-    def _whole(self, viewer: str, member: str) -> list[Span]:
-        """When both ran, unstopped, with a way between them both ways, straight or through one other that ran."""
+    def _reachable_spans(self, viewer: str, member: str) -> list[Span]:
+        """The spans for which both ran, and messages passed both ways, directly or through one other running member."""
         times = sorted(
             {
                 at
                 for name in (viewer, member)
-                for span in self.lives.get(name, []) + self.stopped.get(name, [])
+                for span in self.run_spans.get(name, []) + self.pause_spans.get(name, [])
                 for at in span
             }
-            | {at for since, until, _ in self.faults for at in (since, until)}
+            | {at for since, until, _ in self.fault_periods for at in (since, until)}
             | {
                 at
                 for name in self.names
-                for span in self.lives.get(name, []) + self.stopped.get(name, [])
+                for span in self.run_spans.get(name, []) + self.pause_spans.get(name, [])
                 for at in span
             }
         )
-        found: list[Span] = []
+        result: list[Span] = []
         for since, until in itertools.pairwise(times):
             middle = (since + until) / 2
-            if until <= since or not all(self._runs(name, middle) for name in (viewer, member)):
+            if until <= since or not all(self._is_running(name, middle) for name in (viewer, member)):
                 continue
-            faults = next((links for a, b, links in self.faults if a <= middle < b), {})
-            if not self._way(viewer, member, middle, faults):
+            faults = next((links for a, b, links in self.fault_periods if a <= middle < b), {})
+            if not self._has_path(viewer, member, middle, faults):
                 continue
-            if found and found[-1][1] == since:
-                found[-1] = found[-1][0], until
+            if result and result[-1][1] == since:
+                result[-1] = result[-1][0], until
             else:
-                found.append((since, until))
-        return found
+                result.append((since, until))
+        return result
 
-    def _runs(self, name: str, at: float) -> bool:
-        up = any(since <= at < until for since, until in self.lives.get(name, []))
-        return up and not any(since <= at < until for since, until in self.stopped.get(name, []))
+    def _is_running(self, name: str, at: float) -> bool:
+        up = any(since <= at < until for since, until in self.run_spans.get(name, []))
+        return up and not any(since <= at < until for since, until in self.pause_spans.get(name, []))
 
-    def _way(
+    def _has_path(
         self, viewer: str, member: str, at: float, faults: dict[tuple[str, str], dict[str, Any]]
     ) -> bool:
         def passes(a: str, b: str) -> bool:
             fault = faults.get((a, b), {})
-            return not fault.get("cut") and fault.get("datagrams", True) and fault.get("loss", 0.0) <= USABLE
+            return (
+                not fault.get("cut")
+                and fault.get("datagrams", True)
+                and fault.get("loss", 0.0) <= MAX_USABLE_LOSS
+            )
 
         def both(a: str, b: str) -> bool:
             return passes(a, b) and passes(b, a)
 
         if both(viewer, member):
             return True
-        others = (name for name in self.names if name not in (viewer, member) and self._runs(name, at))
+        others = (name for name in self.names if name not in (viewer, member) and self._is_running(name, at))
         return any(both(viewer, other) and both(other, member) for other in others)
 
-    def _false_deaths(
+    def _check_false_deaths(
         self,
-        found: MembershipResult,
+        result: MembershipResult,
         viewer: str,
         member: str,
         spans: list[tuple[float, float, str]],
-        most: float,
+        bound_ms: float,
     ) -> None:
-        whole = self._whole(viewer, member)
+        reachable = self._reachable_spans(viewer, member)
         for since, until, state in spans:
             if state != "dead":
                 continue
-            for first, last in whole:
+            for first, last in reachable:
                 length = min(until, last) - max(since, first)
                 if length <= 0:
                     continue
-                found.checked[0] += 1
-                found.longest_ms[0] = max(found.longest_ms[0], length)
-                if length > most:
-                    found.violations.append(
-                        (0, f"{viewer} held {member} dead for {length:.0f} ms while it could be reached")
+                result.checked[0] += 1
+                result.longest_ms[0] = max(result.longest_ms[0], length)
+                if length > bound_ms:
+                    result.violations.append(
+                        (0, f"{viewer} held {member} dead for {length:.0f} ms although it could be reached")
                     )
 
-    def _deaths(
+    def _check_detections(
         self,
-        found: MembershipResult,
+        result: MembershipResult,
         viewer: str,
         member: str,
         spans: list[tuple[float, float, str]],
-        most: float,
+        bound_ms: float,
     ) -> None:
-        for down, back in self.gone.get(member, []):
-            if back - down <= most:
-                continue  # it was back before the time was over
-            # The viewer's own time: it ran unstopped, and could hear others, from the death until the bound.
-            if not self._calm(viewer, member, down, down + most):
+        for down, back in self.down_spans.get(member, []):
+            if back - down <= bound_ms:
+                continue  # it restarted within the bound
+            # Viewers that were stopped or cut off between the death and the bound don't count.
+            if not self._could_detect(viewer, member, down, down + bound_ms):
                 continue
-            gone = [since for since, until, state in spans if state in ("dead", "left") and until > down]
+            death_times = [
+                since for since, until, state in spans if state in ("dead", "left") and until > down
+            ]
             known = any(since <= down < until for since, until, _ in spans)
             if not known:
-                continue  # it had not heard of it
-            found.checked[1] += 1
-            took = max(0.0, min(gone) - down) if gone else float("inf")
-            found.longest_ms[1] = max(found.longest_ms[1], min(took, back - down))
-            if took > most:
-                found.violations.append(
+                continue  # the viewer did not know the member
+            result.checked[1] += 1
+            took = max(0.0, min(death_times) - down) if death_times else float("inf")
+            result.longest_ms[1] = max(result.longest_ms[1], min(took, back - down))
+            if took > bound_ms:
+                result.violations.append(
                     (
                         1,
-                        f"{viewer} was not told of the end of {member} within {most:.0f} ms (took {took:.0f})",
+                        f"{viewer} did not learn of the end of {member} within {bound_ms:.0f} ms (took {took:.0f} ms)",
                     )
                 )
 
-    def _calm(self, viewer: str, member: str, since: float, until: float) -> bool:
-        """Whether the viewer ran all the time, and was not cut off from most of the others."""
-        if until > self.end or not any(a <= since and until <= b for a, b in self.lives.get(viewer, [])):
+    def _could_detect(self, viewer: str, member: str, since: float, until: float) -> bool:
+        """Whether the viewer ran for the whole span, without a stop, and was not cut off from half of the members."""
+        if until > self.end or not any(a <= since and until <= b for a, b in self.run_spans.get(viewer, [])):
             return False
-        if any(a < until and since < b for a, b in self.stopped.get(viewer, [])):
+        if any(a < until and since < b for a, b in self.pause_spans.get(viewer, [])):
             return False
-        for a, b, faults in self.faults:
+        for a, b, faults in self.fault_periods:
             if a < until and since < b:
                 cut = {x for (x, y), fault in faults.items() if fault.get("cut") and y == viewer}
                 cut |= {y for (x, y), fault in faults.items() if fault.get("cut") and x == viewer}
@@ -315,65 +340,68 @@
                     return False
         return True
 
-    def _agreement(self, found: MembershipResult) -> None:
+    def _check_agreement(self, result: MembershipResult) -> None:
         last = max(
             [
-                seen["t"]
-                for seen in self.record
-                if seen["what"] in ("set", "gateway-up", "gateway-goes-on", "gateway-down")
+                entry["t"]
+                for entry in self.record
+                if entry["what"] in ("set", "gateway-up", "gateway-goes-on", "gateway-down")
             ],
             default=0.0,
         )
-        if self.end - last < found.bounds[2]:
-            found.violations.append(
-                (2, f"the day ended {self.end - last:.0f} ms after its last trouble: it is no trial")
+        if self.end - last < result.bounds_ms[2]:
+            result.violations.append(
+                (
+                    2,
+                    f"the scenario ended {self.end - last:.0f} ms after its last fault, before views had to agree",
+                )
             )
             return
         for viewer in self.names:
-            if not self._runs(viewer, self.end - 1):
+            if not self._is_running(viewer, self.end - 1):
                 continue
-            spans = self._states(viewer)
+            spans = self._states_in_view(viewer)
             for member in self.names:
                 if member == viewer:
                     continue
-                found.checked[2] += 1
+                result.checked[2] += 1
                 final = spans[member][-1] if spans[member] else (0.0, 0.0, "unknown")
-                # How long after the last trouble this view still turned.
-                found.longest_ms[2] = max(found.longest_ms[2], final[0] - last)
+                # The time from the last fault to the last change of this view.
+                result.longest_ms[2] = max(result.longest_ms[2], final[0] - last)
                 right = (
                     (final[2] == "alive")
-                    if self._runs(member, self.end - 1)
+                    if self._is_running(member, self.end - 1)
                     else final[2] in ("dead", "left")
                 )
                 if not right:
-                    found.violations.append((2, f"at the end {viewer} holds {member} {final[2]}"))
-                elif final[0] - last > found.bounds[2]:
-                    found.violations.append(
-                        (2, f"{viewer} came to agree on {member} only {final[0] - last:.0f} ms later")
+                    result.violations.append((2, f"at the end {viewer} holds {member} as {final[2]}"))
+                elif final[0] - last > result.bounds_ms[2]:
+                    result.violations.append(
+                        (2, f"{viewer} agreed on {member} only {final[0] - last:.0f} ms after the last fault")
                     )
 
 
 async def read_final_views(names: list[str], where: Path) -> dict[str, Any]:
-    """What each running gateway's admin socket says of the others now: states by member."""
+    """The current view of each running gateway, from its admin socket, with counts and health."""
     from winchdyke.admin.client import AdminClient
     from winchdyke.config_rollout.operations import OperationError
 
-    found: dict[str, Any] = {}
+    result: dict[str, Any] = {}
 
-    def ask(path: Path) -> dict[str, Any] | None:
+    def fetch(path: Path) -> dict[str, Any] | None:
         try:
             return AdminClient(f"unix:{path}").fleet_status()
         except OperationError:
             return None
 
     for index, name in enumerate(names):
-        told = await anyio.to_thread.run_sync(ask, where / f"members-{index}" / "admin.sock")
-        if told is not None:
-            rows = {row["name"]: [row["state"], row["life"]] for row in told["members"]}
-            found[name] = {
+        status = await anyio.to_thread.run_sync(fetch, where / f"members-{index}" / "admin.sock")
+        if status is not None:
+            rows = {row["name"]: [row["state"], row["life"]] for row in status["members"]}
+            result[name] = {
                 "members": rows,
-                "life": told["life"],
-                "counts": told["counts"],
-                "health": told["health"],
+                "life": status["life"],
+                "counts": status["counts"],
+                "health": status["health"],
             }
-    return found
+    return result
