--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -230,6 +230,6 @@
     with tempfile.TemporaryDirectory() as where:
         fleet = anyio.run(play, Path(where))
     verdict = InvariantChecker(day, fleet.record.seen).verdict()
-    assert fleet.ends == [0]
+    assert fleet.exit_codes == [0]
     assert verdict.kept, report(day, verdict)
     assert verdict.figures["served"] + verdict.figures["refused"] + verdict.figures["failed"] == 200
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -1,4 +1,4 @@
-"""Running a day: real gateway processes, stand-ins in this process, troubles at their times. Loopback only."""
+"""Runs a scenario: real gateway processes, stand-ins for clients and stores in this process, and scheduled faults. Loopback only."""
 
 from __future__ import annotations
 
@@ -27,32 +27,35 @@
 from winchdyke.standins.record import Record, Seen, clock
 from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
 
-START_S = 15.0
-WARM_UP_S = 0.3
-DRAIN_NOTICE_S = 2.2  # between a deploy's drain and the end of the process
-AFTER_S = 0.2
-PROGRAM = ("-m", "winchdyke")  # what the gateways' interpreter runs; benchmarks put mutants in its place
-INSTANT_S = 3.5  # from when a change is asked for to the instant that it is staged for
+GATEWAY_START_TIMEOUT_S = 15.0
+SETTLE_S = 0.3
+DRAIN_NOTICE_S = 2.2  # from the start of a drain in a deploy to the end of the process
+TRAILING_S = 0.2
+PROGRAM = (
+    "-m",
+    "winchdyke",
+)  # arguments of the gateways' interpreter; benchmarks replace them to run mutants
+ACTIVATION_DELAY_S = 3.5  # from the request for a change to its scheduled activation
 
 
 class ScenarioError(Exception):
-    """The day could not be played; says what went wrong."""
+    """The scenario could not be run; the message says why."""
 
 
 class Testbed:
-    """The gateways, stores and list service of a day while it is played."""
+    """The gateways, stores and list service of a running scenario."""
 
     def __init__(
         self,
         scenario: script.Scenario,
-        where: Path,
+        directory: Path,
         group: TaskGroup,
         extra_settings: str = "",
         program: tuple[str, ...] = PROGRAM,
     ) -> None:
-        self.scenario, self.where, self.group, self.extra_settings, self.program = (
+        self.scenario, self.directory, self.group, self.extra_settings, self.program = (
             scenario,
-            where,
+            directory,
             group,
             extra_settings,
             program,
@@ -64,41 +67,41 @@
         self.processes: dict[int, Process] = {}
         self.addresses: dict[int, tuple[str, int]] = {}
         self.s3_addresses: dict[int, tuple[str, int]] = {}
-        self.ends: list[int] = []
+        self.exit_codes: list[int] = []
         self.links: Links | None = None
 
     @property
     def names(self) -> list[str]:
-        """The gateways' names, by their index."""
+        """The names of the gateways, by index."""
         return [f"gateway-{index}" for index in range(self.scenario.gateways)]
 
-    def _fleet_port(self, name: str) -> int:
-        """Where a gateway listens for the others now; 0 where it does not."""
+    def _membership_port(self, name: str) -> int:
+        """The port a gateway currently listens at for membership; 0 if it does not."""
         try:
-            return int((self.where / f"{name}.port.fleet").read_text().strip().rpartition(":")[2])
+            return int((self.directory / f"{name}.port.fleet").read_text().strip().rpartition(":")[2])
         except (OSError, ValueError):
             return 0
 
     async def _start_links(self) -> None:
         secret = base64.b64encode(random.Random(self.scenario.seed).randbytes(32)).decode()
-        keys.write_keys(self.where / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
-        self.links = Links(self.names, self.scenario.seed, self.record, self._fleet_port)
+        keys.write_keys(self.directory / "fleet.keys", [keys.Key("fleet", secret, "fleet")])
+        self.links = Links(self.names, self.scenario.seed, self.record, self._membership_port)
         await self.links.start()
 
-    def _fleet_settings(self, index: int) -> str:
+    def _membership_settings(self, index: int) -> str:
         if self.links is None:
             return ""
         peers = self.links.peers(self.names[index])
         seeds = ", ".join(list(peers.values())[:3])
         ms = self.scenario.fleet
         text = (
-            f'fleet {{\n    listen = 127.0.0.1:0\n    seeds = {seeds}\n    keys = "{self.where}/fleet.keys"\n'
-            f'    keep = "{self.where}/members-{index}"\n    interval = {ms:g}ms\n    timeout = {0.4 * ms:g}ms\n'
+            f'fleet {{\n    listen = 127.0.0.1:0\n    seeds = {seeds}\n    keys = "{self.directory}/fleet.keys"\n'
+            f'    keep = "{self.directory}/members-{index}"\n    interval = {ms:g}ms\n    timeout = {0.4 * ms:g}ms\n'
             f"    exchange = {30 * ms:g}ms\n}}\n"
         )
         return text + "".join(f"peer {name} {{\n    address = {at}\n}}\n" for name, at in peers.items())
 
-    def _store(self, shard: int, shelf: Shelf, number: int) -> Store:
+    def _make_store(self, shard: int, shelf: Shelf, number: int) -> Store:
         scenario = self.scenario
         speed = scenario.speeds[shard % len(scenario.speeds)] if scenario.speeds else 1.0
         spec = Spec(
@@ -112,13 +115,13 @@
         )
 
     async def start(self) -> None:
-        """Start all; ScenarioError where a gateway does not come up."""
+        """Start the list service, stores and gateways. Raises ScenarioError if a gateway does not start."""
         await self.list.start(self.group)
         if self.scenario.fleet:
             self.record.note("day", "clock", unix_ms=time.time() * 1000)
             await self._start_links()
         for shard in range(self.scenario.stores):
-            store = self._store(shard, Shelf(), shard)
+            store = self._make_store(shard, Shelf(), shard)
             self.stores.append(store)
             await store.start(self.group)
             await self.list.set(store.name, "ready", shard, store.spec.zone)
@@ -126,32 +129,34 @@
         async with anyio.create_task_group() as group:
             for index in range(self.scenario.gateways):
                 group.start_soon(self.start_gateway, index)
-        await anyio.sleep(WARM_UP_S)
+        await anyio.sleep(SETTLE_S)
 
     async def start_gateway(self, index: int) -> None:
-        """Start a gateway's process and wait for its address."""
-        port_file = self.where / f"gateway-{index}.port"
+        """Start a gateway process and wait for its address. Raises ScenarioError if it does not start."""
+        port_file = self.directory / f"gateway-{index}.port"
         port_file.unlink(missing_ok=True)
         for beside in (".s3", ".fleet"):
             port_file.with_name(port_file.name + beside).unlink(missing_ok=True)
-        settings = self.where / f"gateway-{index}.conf"
-        extra_settings = self.extra_settings.replace("{name}", f"gateway-{index}") + self._fleet_settings(
-            index
-        )
+        settings = self.directory / f"gateway-{index}.conf"
+        extra_settings = self.extra_settings.replace(
+            "{name}", f"gateway-{index}"
+        ) + self._membership_settings(index)
         settings.write_text(
             script.settings(self.scenario, index, self.list.port, str(port_file), extra_settings)
         )
-        with (self.where / f"gateway-{index}.log").open("ab") as log:
+        with (self.directory / f"gateway-{index}.log").open("ab") as log:
             command = [sys.executable, *self.program, "serve", "-c", str(settings)]
             process = await anyio.open_process(command, stdin=subprocess.DEVNULL, stdout=log, stderr=log)
         self.processes[index] = process
-        until = clock() + START_S * 1000
+        until = clock() + GATEWAY_START_TIMEOUT_S * 1000
         while not port_file.exists():
             if process.returncode is not None or clock() > until:
-                told = (self.where / f"gateway-{index}.log").read_text(errors="replace").strip().splitlines()
-                why = f": {told[-1]}" if told else ""
+                lines = (
+                    (self.directory / f"gateway-{index}.log").read_text(errors="replace").strip().splitlines()
+                )
+                reason = f": {lines[-1]}" if lines else ""
                 raise ScenarioError(
-                    f"gateway {index} did not start{why}; see {self.where}/gateway-{index}.log"
+                    f"gateway {index} did not start{reason}; see {self.directory}/gateway-{index}.log"
                 )
             await anyio.sleep(0.02)
         host, _, port = port_file.read_text().strip().rpartition(":")
@@ -163,23 +168,23 @@
         self.record.note("day", "gateway-up", gateway=f"gateway-{index}")
 
     async def stop(self) -> None:
-        """End the gateways in good order; how they ended is in ``ends``."""
+        """Stop the gateways with SIGTERM; ``exit_codes`` receives their exit codes, -9 after a timeout of 10 s."""
         for process in self.processes.values():
             if process.returncode is None:
                 process.send_signal(signal.SIGTERM)
         for process in self.processes.values():
             with anyio.move_on_after(10) as scope:
-                self.ends.append(await process.wait())
+                self.exit_codes.append(await process.wait())
             if scope.cancelled_caught:
                 process.kill()
-                self.ends.append(-9)
+                self.exit_codes.append(-9)
 
-    # Troubles.
+    # Faults
 
-    async def play(self, event: script.Event, draw: random.Random) -> None:
-        """Bring about one trouble, from its time to its end."""
+    async def inject(self, event: script.Event, rng: random.Random) -> None:
+        """Inject one fault, from its start to its end."""
         await anyio.sleep(event.at / 1000)
-        span = event.length / 1000
+        duration_s = event.length / 1000
         self.record.note("day", "trouble", kind=event.kind, on=event.on, length=event.length)
         stores = [self.stores[at % len(self.stores)] for at in event.on]
         if event.kind == "deploy":
@@ -190,7 +195,7 @@
                     store.silent = True
                 else:
                     store.kill()
-            await anyio.sleep(span)
+            await anyio.sleep(duration_s)
             for store in stores:
                 store.kill()
                 await anyio.sleep(0.05)
@@ -198,44 +203,48 @@
         elif event.kind == "lost":
             for store in stores:
                 store.lost_share, store.lost_how = event.size, event.how or "silence"
-            await anyio.sleep(span)
+            await anyio.sleep(duration_s)
             for store in stores:
                 store.lost_share = 0.0
         elif event.kind == "slow":
             for store in stores:
                 store.slow = event.size
-            await anyio.sleep(span)
+            await anyio.sleep(duration_s)
             for store in stores:
                 store.slow = 1.0
         elif event.kind == "trick":
             for store in stores:
                 store.trick, store.trick_share = event.how, event.size
-            await anyio.sleep(span)
+            await anyio.sleep(duration_s)
             for store in stores:
                 store.trick, store.trick_share = "", 0.0
         elif event.kind in ("pauses", "neighbour"):
-            await self._on_and_off(event, stores, draw)
+            await self._inject_intermittently(event, stores, rng)
         elif event.kind in ("gateway-kill", "gateway-stop", "gateway-leave"):
-            do = {"gateway-kill": self._kill_gateway, "gateway-stop": self._stop_gateway}
+            actions = {"gateway-kill": self._kill_gateway, "gateway-stop": self._stop_gateway}
             async with anyio.create_task_group() as group:
                 for index in event.on:
                     group.start_soon(
-                        do.get(event.kind, self._leave_gateway), index % self.scenario.gateways, span
+                        actions.get(event.kind, self._leave_gateway),
+                        index % self.scenario.gateways,
+                        duration_s,
                     )
         elif event.kind == "link":
-            await self._link(event, span)
+            await self._inject_link_fault(event, duration_s)
         elif event.kind == "change":
             await self._change(event)
         elif event.kind == "own-drain":
-            await self._drained_in_place(stores, span)
+            await self._drain_in_place(stores, duration_s)
         elif event.kind == "reuse":
-            await self._reused(stores[0], span)
+            await self._reuse_address(stores[0], duration_s)
         elif event.kind == "list-down":
             self.list.failing = event.how or "error"
-            await anyio.sleep(span)
+            await anyio.sleep(duration_s)
             self.list.failing = ""
 
-    async def _on_and_off(self, event: script.Event, stores: list[Store], draw: random.Random) -> None:
+    async def _inject_intermittently(
+        self, event: script.Event, stores: list[Store], rng: random.Random
+    ) -> None:
         until = clock() + event.length
         while clock() < until:
             for store in stores:
@@ -243,7 +252,7 @@
                     store.paused_until = clock() + event.size
                 else:
                     store.slow = 1 / max(0.1, 1 - event.size)
-            gap = draw.uniform(1000, 2500) if event.kind == "pauses" else draw.uniform(500, 1500)
+            gap = rng.uniform(1000, 2500) if event.kind == "pauses" else rng.uniform(500, 1500)
             await anyio.sleep(gap / 1000)
             if event.kind == "neighbour":
                 for store in stores:
@@ -256,7 +265,7 @@
         self.group.start_soon(self.list.set, store.name, "ready", store.spec.shard, store.spec.zone, started)
 
     async def _deploy(self, event: script.Event) -> None:
-        """Replace stores a few at a time: drain, end, and a cold successor at another port with the same shelf."""
+        """Replace stores in batches: drain each, end it, and start a cold successor at another port with the same objects."""
         step = max(1, int(event.size))
         steps = [event.on[at : at + step] for at in range(0, len(event.on), step)]
         gap = max(0.1, event.length / 1000 / len(steps) - DRAIN_NOTICE_S - 0.3)
@@ -268,7 +277,7 @@
             for at in batch:
                 old = self.stores[at]
                 old.kill()
-                fresh = self._store(old.spec.shard, old.shelf, len(self.stores) + at)
+                fresh = self._make_store(old.spec.shard, old.shelf, len(self.stores) + at)
                 self.stores[at] = fresh
                 await fresh.start(self.group, cold=True)
                 started = time.time() * 1000
@@ -279,108 +288,116 @@
             await anyio.sleep(gap)
 
     async def _change(self, event: script.Event) -> None:
-        """Every gateway is given the same change, each by itself: a limit for one instant, and by two people at once."""
+        """Change the settings of every gateway separately; a limit at one instant, and together with a concurrent edit."""
         if event.how == "limit":
-            words = ["plan", "basic", f"limit={event.size:g} units/s", f"limit_burst={script.LARGEST_UNITS}"]
-        else:  # a shard that no node has: it passes the checker, and cuts the course off
-            words = ["volume", self.scenario.volumes[event.on[0]].name, f"shards={self.scenario.stores + 5}"]
-        asked: dict[
-            int, list[str]
-        ] = {}  # versions by gateway: the change, and another person's edit of the same base
+            arguments = [
+                "plan",
+                "basic",
+                f"limit={event.size:g} units/s",
+                f"limit_burst={script.LARGEST_UNITS}",
+            ]
+        else:  # a shard without a store is valid in the settings, and makes the volume unreachable
+            arguments = [
+                "volume",
+                self.scenario.volumes[event.on[0]].name,
+                f"shards={self.scenario.stores + 5}",
+            ]
+        # By gateway: the version of the change, and that of another editor with the same base.
+        versions: dict[int, list[str]] = {}
 
         async def prepare(index: int) -> None:
-            folder = str(self.where / f"changes-{index}")
-            edits = [[*words, "--why", event.how]]
+            folder = str(self.directory / f"changes-{index}")
+            edits = [[*arguments, "--why", event.how]]
             if event.how == "limit":
                 edits.append(["plan", "contest", "weight=7", "--who", "other"])
             for edit in edits:
-                said = await self._winchdyke("changes", "set", folder, *edit)
-                if said.startswith("version"):
-                    asked.setdefault(index, []).append(said.split()[1].rstrip(","))
+                output = await self._winchdyke("changes", "set", folder, *edit)
+                if output.startswith("version"):
+                    versions.setdefault(index, []).append(output.split()[1].rstrip(","))
 
-        # However slow this host is to make them, the instant is stated once all are there.
+        # The instant is chosen after all versions exist, so that a slow host does not miss it.
         async with anyio.create_task_group() as group:
             for index in range(self.scenario.gateways):
                 group.start_soon(prepare, index)
-        at = datetime.fromtimestamp(time.time() + INSTANT_S, UTC).isoformat()
+        at = datetime.fromtimestamp(time.time() + ACTIVATION_DELAY_S, UTC).isoformat()
         self.record.note("day", "changing", how=event.how, limit=event.size)
 
-        async def one(index: int) -> None:
-            folder, made = str(self.where / f"changes-{index}"), asked.get(index, [])
-            course = self.scenario.volumes[event.on[0]].name if event.on else ""
-            told = {"gateway": f"gateway-{index}", "how": event.how, "volume": course}
-            version = made[0] if made else ""
+        async def apply(index: int) -> None:
+            folder, own_versions = str(self.directory / f"changes-{index}"), versions.get(index, [])
+            volume = self.scenario.volumes[event.on[0]].name if event.on else ""
+            details = {"gateway": f"gateway-{index}", "how": event.how, "volume": volume}
+            version = own_versions[0] if own_versions else ""
             if event.how != "limit":
                 if version:
                     await self._winchdyke("changes", "apply", folder, version)
-                self.record.note("day", "changed", limit=event.size, version=version, **told)
+                self.record.note("day", "changed", limit=event.size, version=version, **details)
                 return
-            said = await self._winchdyke("changes", "apply", folder, version, "--at", at)
+            output = await self._winchdyke("changes", "apply", folder, version, "--at", at)
             self.record.note(
                 "day",
                 "changed",
                 limit=event.size,
-                version=version if "ready" in said else "",
-                said=said.strip(),
-                **told,
+                version=version if "ready" in output else "",
+                said=output.strip(),
+                **details,
             )
             await anyio.sleep(max(0.0, datetime.fromisoformat(at).timestamp() - time.time()) + 0.5)
             for _ in range(3):
-                said = await self._winchdyke("changes", "apply", folder, made[-1])
-                if "try again" not in said:
-                    break  # as its message has people do
+                output = await self._winchdyke("changes", "apply", folder, own_versions[-1])
+                if "try again" not in output:
+                    break  # the message asks the operator to retry
             log = await self._winchdyke("changes", "log", folder)
-            both = [line.split()[3] for line in log.splitlines() if " proposed " in line]
+            editors = [line.split()[3] for line in log.splitlines() if " proposed " in line]
             self.record.note(
-                "day", "merged", gateway=told["gateway"], said=said.strip(), editors=",".join(both)
+                "day", "merged", gateway=details["gateway"], said=output.strip(), editors=",".join(editors)
             )
 
         async with anyio.create_task_group() as group:
             for index in range(self.scenario.gateways):
-                group.start_soon(one, index)
+                group.start_soon(apply, index)
 
     @staticmethod
-    async def _winchdyke(*words: str) -> str:
-        done = await anyio.run_process([sys.executable, "-m", "winchdyke", *words], check=False)
+    async def _winchdyke(*arguments: str) -> str:
+        done = await anyio.run_process([sys.executable, "-m", "winchdyke", *arguments], check=False)
         return (done.stdout + done.stderr).decode(errors="replace")
 
-    async def _drained_in_place(self, stores: list[Store], span: float) -> None:
-        """Each says itself that it drains, ends, and starts anew at its address, cold."""
+    async def _drain_in_place(self, stores: list[Store], duration_s: float) -> None:
+        """One after another, stores report their drain, end, and restart cold at the same address."""
         for store in stores:
             store.draining = True
-            await anyio.sleep(span / len(stores))
+            await anyio.sleep(duration_s / len(stores))
             store.kill()
             await anyio.sleep(0.05)
             await self._restart(store)
 
-    async def _reused(self, old: Store, span: float) -> None:
-        """Another store takes an address for a while; the one that was there goes on at a new one."""
+    async def _reuse_address(self, old: Store, duration_s: float) -> None:
+        """Another store uses the address of a store for a while; the previous one restarts at a new address."""
         old.kill()
-        other = self._store(old.spec.shard, Shelf(), 900 + old.spec.shard)
+        other = self._make_store(old.spec.shard, Shelf(), 900 + old.spec.shard)
         other.port, other.stranger = old.port, True
         await other.start(self.group)
-        fresh = self._store(old.spec.shard, old.shelf, old.seed - self.scenario.seed * 1000)
+        fresh = self._make_store(old.spec.shard, old.shelf, old.seed - self.scenario.seed * 1000)
         self.stores[self.stores.index(old)] = fresh
         await fresh.start(self.group, cold=True)
         started = time.time() * 1000
         self.group.start_soon(self.list.set, old.name, "gone", old.spec.shard, old.spec.zone)
         self.group.start_soon(self.list.set, fresh.name, "ready", old.spec.shard, old.spec.zone, started)
-        await anyio.sleep(span)
+        await anyio.sleep(duration_s)
         other.kill()
 
-    async def _link(self, event: script.Event, span: float) -> None:
+    async def _inject_link_fault(self, event: script.Event, duration_s: float) -> None:
         links, how, size = self.links, event.how, event.size
         assert links is not None
-        some = [self.names[index] for index in event.on]
-        others = [name for name in self.names if name not in some]
-        if not some:
+        members = [self.names[index] for index in event.on]
+        others = [name for name in self.names if name not in members]
+        if not members:
             pairs = links.between(self.names, self.names, both=False)
         elif how == "apart":
-            pairs = links.between(some[:1], some[1:])
+            pairs = links.between(members[:1], members[1:])
         elif how in ("deaf", "mute"):
-            pairs = links.between(*((others, some) if how == "deaf" else (some, others)), both=False)
+            pairs = links.between(*((others, members) if how == "deaf" else (members, others)), both=False)
         else:
-            pairs = links.between(some, others)
+            pairs = links.between(members, others)
         fault = {
             **dict.fromkeys(("cut", "apart", "deaf", "mute"), Fault(cut=True)), "loss": Fault(loss=size),
             "burst": Fault(loss=size, burst=8.0), "copies": Fault(copies=size), "delay": Fault(delay=size, jitter=size),
@@ -389,22 +406,22 @@
         }[how]  # fmt: skip
         before = {pair: links.links[pair].fault for pair in pairs}
         links.set(pairs, fault)
-        await anyio.sleep(span)
+        await anyio.sleep(duration_s)
         for was in set(before.values()):
             links.set([pair for pair, each in before.items() if each == was], was)
 
-    async def _stop_gateway(self, index: int, span: float) -> None:
+    async def _stop_gateway(self, index: int, duration_s: float) -> None:
         process = self.processes[index]
         if process.returncode is not None:
             return
         process.send_signal(signal.SIGSTOP)
         self.record.note("day", "gateway-stopped", gateway=f"gateway-{index}")
-        await anyio.sleep(span)
+        await anyio.sleep(duration_s)
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
         self.record.note("day", "gateway-goes-on", gateway=f"gateway-{index}")
 
-    async def _leave_gateway(self, index: int, span: float) -> None:
+    async def _leave_gateway(self, index: int, duration_s: float) -> None:
         process = self.processes[index]
         if process.returncode is not None:
             return
@@ -413,32 +430,31 @@
         await process.wait()
         for what in ("gateway-down", "gateway-gone"):
             self.record.note("day", what, gateway=f"gateway-{index}")
-        await anyio.sleep(span)
+        await anyio.sleep(duration_s)
         await self.start_gateway(index)
 
-    async def _kill_gateway(self, index: int, span: float) -> None:
+    async def _kill_gateway(self, index: int, duration_s: float) -> None:
         if self.processes[index].returncode is not None:
-            return  # another trouble has ended it
+            return  # another fault has already ended it
         self.record.note("day", "gateway-down", gateway=f"gateway-{index}")
         process = self.processes[index]
         process.kill()
         await process.wait()
-        self.record.note(
-            "day", "gateway-gone", gateway=f"gateway-{index}"
-        )  # on a busy host a while after the kill
-        await anyio.sleep(span)
+        # On a busy host a process may end some time after the kill.
+        self.record.note("day", "gateway-gone", gateway=f"gateway-{index}")
+        await anyio.sleep(duration_s)
         await self.start_gateway(index)
 
 
-async def play(
-    scenario: script.Scenario, where: Path, extra_settings: str = "", program: tuple[str, ...] = PROGRAM
+async def play_scenario(
+    scenario: script.Scenario, directory: Path, extra_settings: str = "", program: tuple[str, ...] = PROGRAM
 ) -> tuple[list[Seen], list[int]]:
-    """Play a day: what was seen, and how the gateways ended. Logs and settings stay in ``where``."""
+    """Run a scenario; returns its record and the exit codes of the gateways. Logs and settings stay in ``directory``."""
     async with anyio.create_task_group() as group:
-        testbed = Testbed(scenario, where, group, extra_settings, program)
+        testbed = Testbed(scenario, directory, group, extra_settings, program)
         try:
             await testbed.start()
-            draw = random.Random(f"{scenario.name}/{scenario.seed}/troubles")
+            rng = random.Random(f"{scenario.name}/{scenario.seed}/troubles")
             clients = Clients(
                 testbed.record,
                 lambda index: testbed.addresses[index],
@@ -447,11 +463,11 @@
             )
             async with anyio.create_task_group() as troubles:
                 for event in scenario.events:
-                    troubles.start_soon(testbed.play, event, random.Random(draw.random()))
+                    troubles.start_soon(testbed.inject, event, random.Random(rng.random()))
                 await clients.run(script.client_requests(scenario))
-            await anyio.sleep(AFTER_S)
+            await anyio.sleep(TRAILING_S)
             if scenario.fleet:
-                testbed.record.note("day", "settled", views=await read_final_views(testbed.names, where))
+                testbed.record.note("day", "settled", views=await read_final_views(testbed.names, directory))
             await testbed.stop()
         finally:
             if testbed.links is not None:
@@ -461,24 +477,27 @@
                 if process.returncode is None:
                     process.kill()
             group.cancel_scope.cancel()
-    return testbed.record.seen, testbed.ends
+    return testbed.record.seen, testbed.exit_codes
 
 
 def run_scenario(
     scenario: script.Scenario,
-    keep: Path | None = None,
+    keep_directory: Path | None = None,
     extra_settings: str = "",
     program: tuple[str, ...] = PROGRAM,
 ) -> tuple[Verdict, list[Seen], list[int]]:
-    """Play a day in a folder of its own and judge it. ScenarioError where it could not be played.
+    """Run a scenario in a directory of its own and check its record.
 
-    The folder stays where it was asked for, where a rule was broken, where a gateway did not end well, and where the day could
-    not be played; a message that names a log names one that is there.
+    Returns the verdict, the record, and the exit codes of the gateways. The directory stays if it was given, if a rule is
+    violated, if a gateway ended with an error, or if the scenario could not be run, so that logs named in messages exist.
+
+    Raises:
+        ScenarioError: The scenario could not be run.
     """
-    where = keep or Path(tempfile.mkdtemp(prefix="winchdyke-day-"))
-    where.mkdir(parents=True, exist_ok=True)
+    directory = keep_directory or Path(tempfile.mkdtemp(prefix="winchdyke-day-"))
+    directory.mkdir(parents=True, exist_ok=True)
     try:
-        seen, ends = anyio.run(play, scenario, where, extra_settings, program)
+        record, exit_codes = anyio.run(play_scenario, scenario, directory, extra_settings, program)
     except BaseExceptionGroup as group:
         failed, rest = group.split(ScenarioError)
         if failed is None or rest is not None:
@@ -487,13 +506,15 @@
         while isinstance(error, BaseExceptionGroup):
             error = error.exceptions[0]
         raise error from None
-    verdict = InvariantChecker(scenario, seen).verdict()
+    verdict = InvariantChecker(scenario, record).verdict()
     if scenario.fleet:
-        verdict.members = MembershipChecker(scenario, seen, where).verdict()
-        verdict.members.final_views = next((each["views"] for each in seen if each["what"] == "settled"), {})
-    if verdict.kept and not any(ends) and keep is None:
-        shutil.rmtree(where, ignore_errors=True)
+        verdict.members = MembershipChecker(scenario, record, directory).verdict()
+        verdict.members.final_views = next(
+            (each["views"] for each in record if each["what"] == "settled"), {}
+        )
+    if verdict.kept and not any(exit_codes) and keep_directory is None:
+        shutil.rmtree(directory, ignore_errors=True)
     else:
-        verdict.log_directory = str(where)
-        (where / "record.jsonl").write_text("".join(json.dumps(each) + "\n" for each in seen))
-    return verdict, seen, ends
+        verdict.log_directory = str(directory)
+        (directory / "record.jsonl").write_text("".join(json.dumps(each) + "\n" for each in record))
+    return verdict, record, exit_codes
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -1,4 +1,4 @@
-"""A day as data: fleet, traffic, troubles and the rules in figures. Drawn from a seed, or read from a file."""
+"""Scenarios as data: the deployment, its traffic, the faults and the numbers of the rules. From a seed, or from a day file."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class Event(msgspec.Struct, frozen=True):
-    """A trouble: from when, how long (ms), on which stores, gateways or volumes, and how hard.
+    """A fault: its start and length (ms), the stores, gateways or volumes it affects, and its magnitude.
 
-    ``link``: all links between the gateways ``on`` and the others (among all where none are named) have the fault ``how``, one of
-    cut, apart (the links between the first of ``on`` and the rest of them alone), deaf (what comes to them alone), mute (what goes
-    from them alone), loss, burst, copies, delay, tail, large, no-udp, no-tcp.
+    ``link`` applies the fault ``how`` to all links between the gateways ``on`` and the others, or among all if ``on`` is empty.
+    ``how`` is one of cut, loss, burst, copies, delay, tail, large, no-udp, no-tcp; apart cuts the links between the first of
+    ``on`` and the rest of ``on``, deaf cuts those towards ``on``, mute those from ``on``.
     """
 
     kind: FaultKind
@@ -34,7 +34,7 @@
 
 
 class RequestClass(msgspec.Struct, frozen=True):
-    """A request class, for settings and judge alike; times in milliseconds. ``new``: its objects have no fixed place."""
+    """A request class, for the settings and the checker; times in milliseconds. ``new``: writes create objects by POST."""
 
     name: str
     operations: str
@@ -51,7 +51,7 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A plan's figures for each volume, in units a second."""
+    """The rates and limits that a plan gives each of its volumes; rates in units per second, bursts and slack in units."""
 
     name: str
     usual_rate: float
@@ -64,7 +64,7 @@
 
 
 class Volume(msgspec.Struct, frozen=True):
-    """A volume: its plan, its shards, the gateways it comes through, and its requests a second."""
+    """A volume: its plan, its shards, the gateways that serve it, and its requests per second."""
 
     name: str
     plan: str
@@ -74,7 +74,7 @@
 
 
 class Rules(msgspec.Struct, frozen=True):
-    """The rules in figures, as in the settings of the bench."""
+    """The numbers of the rules, named as in the settings of the simulator; times in milliseconds."""
 
     answer_slack: float = 250.0
     drain_grace: float = 1000.0
@@ -92,7 +92,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """A whole day at loopback size."""
+    """A scenario, at a size that one host can run over loopback."""
 
     name: str
     seed: int
@@ -111,12 +111,12 @@
     late_list: float = 300.0
     must_ask: bool = False
     s3_share: float = (
-        0.0  # of plain reads and writes that come over the S3 dialect; some with a body that is spoilt
+        0.0  # of plain reads and writes sent over S3; some writes have a body that fails its checksum
     )
-    keeps: bool = False  # whether gateways keep the node list on their disks
-    changes: bool = False  # whether their settings are changed in service
-    fleet: float = 0.0  # the interval (ms) at which gateways probe each other, over links that can fail; 0: they know nobody
-    zones: int = 1  # that the gateways stand in
+    keeps: bool = False  # whether gateways cache the endpoint list on disk
+    changes: bool = False  # whether settings are changed at run time
+    fleet: float = 0.0  # probe interval of membership (ms), over links with faults; 0: no membership
+    zones: int = 1  # of the gateways
     carried_not: list[str] = []
 
 
@@ -130,7 +130,7 @@
         "turns", "put", 500.0, 2500.0, 2.0, "keyed", memory=4000.0, in_order=True, writes=True, share=0.1
     ),
 ]
-# Forgotten by racks before its time is up: answers are lost within the memory, and beyond it.
+# Its deduplication window ends before its deadline, so that answers are lost within the window and after it.
 SHORT_MEMORY_CLASS = RequestClass(
     "brief", "put", 500.0, 2500.0, 2.0, "keyed", memory=600.0, writes=True, share=0.06
 )
@@ -141,14 +141,17 @@
 ]
 VOLUME_COUNT = 12
 UNIT_BYTES = 1024
-SEEDS = 2**31  # as many seeds as settings take
+SEEDS = 2**31  # the range of seeds that the settings accept
 LARGEST_UNITS = 8
 BIG_BYTES = 384 * 1024
 
 
 def bad_day(seed: int, length: float = 24_000.0, rate: float = 110.0) -> Scenario:
-    """Every trouble of issue 13 in one run: each takes its stretch of the day, some overlap. ``length`` in ms."""
-    draw = random.Random(seed)
+    """Faults of stores, gateways, clients and the list service, one after another and overlapping.
+
+    These are the faults of issue 13. ``length`` is in ms, ``rate`` in requests per second.
+    """
+    rng = random.Random(seed)
     gateways, stores = 3, 8
     shards = list(range(stores))
     volumes = []
@@ -156,8 +159,8 @@
         plan = PLANS[(0, 0, 0, 1, 1, 2)[number % 6]]
         volumes.append(
             Volume(
-                f"course-{number}", plan.name, sorted(draw.sample(shards, draw.randint(2, 4))),
-                sorted(draw.sample(range(gateways), draw.randint(1, gateways))), 0.0,
+                f"course-{number}", plan.name, sorted(rng.sample(shards, rng.randint(2, 4))),
+                sorted(rng.sample(range(gateways), rng.randint(1, gateways))), 0.0,
             )
         )  # fmt: skip
     weights = [next(plan.usual_rate for plan in PLANS if plan.name == volume.plan) for volume in volumes]
@@ -165,22 +168,22 @@
         msgspec.structs.replace(volume, rate=rate * weight / sum(weights))
         for volume, weight in zip(volumes, weights, strict=True)
     ]
-    order = draw.sample(shards, stores)
-    part = length / 24
+    order = rng.sample(shards, stores)
+    hour = length / 24
     limited = [at for at, volume in enumerate(volumes) if volume.plan == "basic"]
     events = [
-        Event("lost", 2 * part, 6 * part, [order[0]], 0.3, draw.choice(["silence", "reset"])),
-        Event("slow", 3 * part, 6 * part, [order[1]], draw.uniform(3, 8)),
-        Event("pauses", 1 * part, 20 * part, [order[2], order[3]], draw.uniform(120, 320)),
-        Event("silent", 5 * part, 4 * part, [order[4]]),
-        Event("burst", 7 * part, 4 * part, [draw.choice(limited)], 60.0),
-        Event("deploy", 9 * part, 7 * part, [order[5], order[6], order[7], order[0]], 2),
-        Event("gateway-kill", 12 * part, 1.5 * part, [draw.randrange(gateways)]),
-        Event("list-down", 4 * part, 3 * part, [], 0, draw.choice(["error", "silence"])),
-        Event("hurry", 16 * part, 3 * part, [], 0.12),
-        Event("crash", 18 * part, 1.5 * part, [order[1]]),
-        *(Event("leave-upload", (3 + 4 * at) * part, 0.0) for at in range(5)),
-        *(Event("leave-download", (4 + 4 * at) * part, 0.0) for at in range(5)),
+        Event("lost", 2 * hour, 6 * hour, [order[0]], 0.3, rng.choice(["silence", "reset"])),
+        Event("slow", 3 * hour, 6 * hour, [order[1]], rng.uniform(3, 8)),
+        Event("pauses", 1 * hour, 20 * hour, [order[2], order[3]], rng.uniform(120, 320)),
+        Event("silent", 5 * hour, 4 * hour, [order[4]]),
+        Event("burst", 7 * hour, 4 * hour, [rng.choice(limited)], 60.0),
+        Event("deploy", 9 * hour, 7 * hour, [order[5], order[6], order[7], order[0]], 2),
+        Event("gateway-kill", 12 * hour, 1.5 * hour, [rng.randrange(gateways)]),
+        Event("list-down", 4 * hour, 3 * hour, [], 0, rng.choice(["error", "silence"])),
+        Event("hurry", 16 * hour, 3 * hour, [], 0.12),
+        Event("crash", 18 * hour, 1.5 * hour, [order[1]]),
+        *(Event("leave-upload", (3 + 4 * at) * hour, 0.0) for at in range(5)),
+        *(Event("leave-download", (4 + 4 * at) * hour, 0.0) for at in range(5)),
     ]
     return with_boundary_load(
         Scenario("bad-day", seed, gateways, stores, length, CLASSES, PLANS, volumes, events), order
@@ -188,42 +191,42 @@
 
 
 def with_boundary_load(scenario: Scenario, order: list[int]) -> Scenario:
-    """The same day with what brings each rule near its bound; ``order`` is the day's own of its stores.
+    """The same scenario with load and faults that bring each rule near its bound; ``order`` is its random order of the stores.
 
-    Courses beyond their limits at all gateways at once after a rest, in small requests and in large objects; stores that turn
-    work away in volleys, during a deploy too; two hot stores that come up cold alone and together; repeats within racks' memory and
-    beyond.
+    Volumes exceed their limits at all gateways at once after a pause, in small requests and in large objects; stores shed work
+    in bursts, also during a deploy; two stores under high load restart cold, alone and together; requests are repeated within
+    the deduplication window and after it.
     """
-    draw = random.Random(f"{scenario.name}/{scenario.seed}/pressed")
-    part, everywhere = scenario.length / 24, list(range(scenario.gateways))
+    rng = random.Random(f"{scenario.name}/{scenario.seed}/pressed")
+    hour, everywhere = scenario.length / 24, list(range(scenario.gateways))
     hot = [order[5], order[6]]
-    calm = [shard for shard in range(scenario.stores) if shard not in hot]
-    more = [
-        Volume("flood", "basic", sorted(draw.sample(calm, 4)), everywhere, 1.0),
-        Volume("large", "basic", sorted(draw.sample(calm, 4)), everywhere, 0.1),
+    other_shards = [shard for shard in range(scenario.stores) if shard not in hot]
+    extra_volumes = [
+        Volume("flood", "basic", sorted(rng.sample(other_shards, 4)), everywhere, 1.0),
+        Volume("large", "basic", sorted(rng.sample(other_shards, 4)), everywhere, 0.1),
         *(Volume(f"hot-{shard}", "contest", [shard], everywhere, 24.0) for shard in hot),
     ]
     first = len(scenario.volumes)
     flood, large = first, first + 1
     events = [
-        # The second one lasts while a gateway that was killed comes back, with nothing in its accounts.
+        # The second burst lasts while a killed gateway restarts, with empty limit and retry budget accounts.
         *(
-            Event("burst", at * part, length * part, [flood], 90.0)
+            Event("burst", at * hour, length * hour, [flood], 90.0)
             for at, length in ((4, 1.8), (11, 4.8), (18, 1.8))
         ),
-        *(Event("large", (5 + 5 * n) * part, 0.0, [large], 60.0) for n in range(4)),
-        Event("trick", 12 * part, 2.2 * part, list(range(scenario.stores)), 0.95, "shed"),
-        Event("trick", 21.5 * part, 2.2 * part, list(range(scenario.stores)), 0.95, "shed"),
-        Event("trick", 15 * part, 3 * part, order[:3], 0.15, "error"),
-        Event("trick", 8.5 * part, 2 * part, order[2:4], 0.2, "die-mid-answer"),
-        Event("lost", 1 * part, 4 * part, [order[4], order[7]], 0.5, "reset"),
-        Event("slow", 1 * part, 3 * part, order[7:], 5.0),
-        Event("crash", 7 * part, 0.8 * part, hot[:1]),
-        Event("crash", 18 * part, 0.8 * part, hot),
+        *(Event("large", (5 + 5 * n) * hour, 0.0, [large], 60.0) for n in range(4)),
+        Event("trick", 12 * hour, 2.2 * hour, list(range(scenario.stores)), 0.95, "shed"),
+        Event("trick", 21.5 * hour, 2.2 * hour, list(range(scenario.stores)), 0.95, "shed"),
+        Event("trick", 15 * hour, 3 * hour, order[:3], 0.15, "error"),
+        Event("trick", 8.5 * hour, 2 * hour, order[2:4], 0.2, "die-mid-answer"),
+        Event("lost", 1 * hour, 4 * hour, [order[4], order[7]], 0.5, "reset"),
+        Event("slow", 1 * hour, 3 * hour, order[7:], 5.0),
+        Event("crash", 7 * hour, 0.8 * hour, hot[:1]),
+        Event("crash", 18 * hour, 0.8 * hour, hot),
     ]
     return msgspec.structs.replace(
         scenario,
-        volumes=[*scenario.volumes, *more],
+        volumes=[*scenario.volumes, *extra_volumes],
         events=[*scenario.events, *events],
         classes=[*scenario.classes, SHORT_MEMORY_CLASS],
         s3_share=0.15,
@@ -232,25 +235,25 @@
 
 
 def quiet_day(seed: int, length: float = 8_000.0) -> Scenario:
-    """The same fleet and traffic with no trouble: the measure for what the troubles cost. It tries little of the rules."""
+    """The deployment and traffic of bad-day without faults, as a baseline; it exercises few rules."""
     return msgspec.structs.replace(bad_day(seed, length), name="quiet-day", events=[])
 
 
 def blind_day(seed: int, length: float = 24_000.0) -> Scenario:
-    """Discovery is down while gateways and stores are deployed: in place, drained by their own word, an address reused."""
+    """The list service is down while gateways and stores restart, stores report their own drains, and an address is reused."""
     scenario = bad_day(seed, length)
-    draw = random.Random(f"blind/{seed}")
-    order, part = draw.sample(range(scenario.stores), scenario.stores), length / 24
+    rng = random.Random(f"blind/{seed}")
+    order, hour = rng.sample(range(scenario.stores), scenario.stores), length / 24
     events = [
-        Event("list-down", 4 * part, 16 * part, [], 0, draw.choice(["error", "silence"])),
-        Event("crash", 5 * part, 0.5 * part, [order[0]]),
-        *(Event("gateway-kill", (6 + 3 * n) * part, 0.5 * part, [n]) for n in range(scenario.gateways)),
-        Event("own-drain", 8 * part, 5 * part, [order[1], order[2]]),
-        Event("reuse", 10 * part, 9 * part, [order[3]]),
-        Event("slow", 11 * part, 4 * part, [order[4]], draw.uniform(3, 6)),
-        Event("crash", 14 * part, 0.5 * part, [order[5]]),
-        Event("own-drain", 16 * part, 2.5 * part, [order[6]]),
-        Event("hurry", 20 * part, 2 * part, [], 0.12),
+        Event("list-down", 4 * hour, 16 * hour, [], 0, rng.choice(["error", "silence"])),
+        Event("crash", 5 * hour, 0.5 * hour, [order[0]]),
+        *(Event("gateway-kill", (6 + 3 * n) * hour, 0.5 * hour, [n]) for n in range(scenario.gateways)),
+        Event("own-drain", 8 * hour, 5 * hour, [order[1], order[2]]),
+        Event("reuse", 10 * hour, 9 * hour, [order[3]]),
+        Event("slow", 11 * hour, 4 * hour, [order[4]], rng.uniform(3, 6)),
+        Event("crash", 14 * hour, 0.5 * hour, [order[5]]),
+        Event("own-drain", 16 * hour, 2.5 * hour, [order[6]]),
+        Event("hurry", 20 * hour, 2 * hour, [], 0.12),
     ]
     return with_boundary_load(
         msgspec.structs.replace(
@@ -261,29 +264,29 @@
 
 
 def _without_boundary_load(scenario: Scenario) -> Scenario:
-    """A bad day before it was pressed, for another day to be made of."""
+    """The scenario without the volumes and classes of :func:`with_boundary_load`, as a base for another scenario."""
     return msgspec.structs.replace(scenario, volumes=scenario.volumes[:VOLUME_COUNT], classes=CLASSES)
 
 
 def change_day(seed: int, length: float = 32_000.0) -> Scenario:
-    """Settings change in service at three gateways: a limit is lowered, a course made unreachable, one killed meanwhile.
+    """Settings change at run time at three gateways: a limit is lowered, a volume made unreachable, a gateway killed.
 
-    Long enough for harm that nobody undoes to last past what is allowed.
+    It is long enough for a harmful change that is not rolled back to exceed the bound of a rollback.
     """
     scenario = bad_day(seed, length, rate=140.0)
-    draw = random.Random(f"change/{seed}")
-    part = length / 24
-    course = draw.choice([at for at, volume in enumerate(scenario.volumes) if volume.plan == "contest"])
-    shard = draw.randrange(scenario.stores)
+    rng = random.Random(f"change/{seed}")
+    hour = length / 24
+    course = rng.choice([at for at, volume in enumerate(scenario.volumes) if volume.plan == "contest"])
+    shard = rng.randrange(scenario.stores)
     events = [
-        Event("slow", 3 * part, 3 * part, [shard], draw.uniform(3, 6)),
-        Event("change", 6 * part, 0.0, [], 4.0, "limit"),
-        Event("change", 13 * part, 0.0, [course], 0.0, "unreachable"),
-        Event("gateway-kill", 21 * part, 1 * part, [draw.randrange(scenario.gateways)]),
-        Event("deploy", 10 * part, 4 * part, draw.sample(range(scenario.stores), 2), 1),
-        Event("hurry", 19 * part, 2 * part, [], 0.12),
+        Event("slow", 3 * hour, 3 * hour, [shard], rng.uniform(3, 6)),
+        Event("change", 6 * hour, 0.0, [], 4.0, "limit"),
+        Event("change", 13 * hour, 0.0, [course], 0.0, "unreachable"),
+        Event("gateway-kill", 21 * hour, 1 * hour, [rng.randrange(scenario.gateways)]),
+        Event("deploy", 10 * hour, 4 * hour, rng.sample(range(scenario.stores), 2), 1),
+        Event("hurry", 19 * hour, 2 * hour, [], 0.12),
     ]
-    order = draw.sample(range(scenario.stores), scenario.stores)
+    order = rng.sample(range(scenario.stores), scenario.stores)
     return with_boundary_load(
         msgspec.structs.replace(
             _without_boundary_load(scenario), name="change-day", events=events, changes=True
@@ -292,36 +295,36 @@
     )
 
 
-PROBE_INTERVAL_MS = 200.0  # between probes in a day: a fifth of what is usual, so that a day is half a minute
+PROBE_INTERVAL_MS = 200.0  # a fifth of the default, so that a scenario takes half a minute
 
 
 def fleet_day(seed: int, length: float = 44_000.0, gateways: int = 8) -> Scenario:
-    """Gateways that know each other lose links, are stopped, killed and started again; the last third is calm."""
-    draw = random.Random(f"fleet/{seed}/{gateways}")
-    part, every = length / 24, list(range(gateways))
-    some = draw.sample(every, gateways)
+    """Gateways with membership lose links, are stopped, killed and restarted; the last third has no faults."""
+    rng = random.Random(f"fleet/{seed}/{gateways}")
+    hour, every = length / 24, list(range(gateways))
+    some = rng.sample(every, gateways)
     few = max(1, gateways // 4)
     scenario = quiet_day(seed, length)
     volumes = [
         msgspec.structs.replace(
-            volume, gateways=sorted(draw.sample(every, min(gateways, 3))), rate=volume.rate / 3
+            volume, gateways=sorted(rng.sample(every, min(gateways, 3))), rate=volume.rate / 3
         )
         for volume in scenario.volumes[:VOLUME_COUNT]
     ]
-    troubles = [
-        Event("link", 0.5 * part, 15 * part, [], draw.choice([0.05, 0.2]), "loss"),
-        Event("link", 1 * part, 4 * part, some[:1], 0.0, draw.choice(["deaf", "mute"])),
-        Event("gateway-stop", 2 * part, 2 * part, some[1:2]),
-        Event("gateway-kill", 3 * part, 5 * part, some[2:3]),
-        Event("gateway-kill", 9 * part, 0.0, some[1:2]),
-        Event("link", 9 * part, 4 * part, some[:few], 0.0, "cut"),
-        Event("gateway-stop", 11 * part, 0.7 * part, some[few:]),
-        Event("gateway-leave", 13.5 * part, 1 * part, some[2:3]),
+    events = [
+        Event("link", 0.5 * hour, 15 * hour, [], rng.choice([0.05, 0.2]), "loss"),
+        Event("link", 1 * hour, 4 * hour, some[:1], 0.0, rng.choice(["deaf", "mute"])),
+        Event("gateway-stop", 2 * hour, 2 * hour, some[1:2]),
+        Event("gateway-kill", 3 * hour, 5 * hour, some[2:3]),
+        Event("gateway-kill", 9 * hour, 0.0, some[1:2]),
+        Event("link", 9 * hour, 4 * hour, some[:few], 0.0, "cut"),
+        Event("gateway-stop", 11 * hour, 0.7 * hour, some[few:]),
+        Event("gateway-leave", 13.5 * hour, 1 * hour, some[2:3]),
     ]
-    if gateways >= 8:  # seven in ten at once
-        troubles.append(Event("gateway-kill", 14.5 * part, 0.5 * part, some[3 : 3 + 7 * gateways // 10 - 2]))
+    if gateways >= 8:  # 70% of the gateways are killed at once
+        events.append(Event("gateway-kill", 14.5 * hour, 0.5 * hour, some[3 : 3 + 7 * gateways // 10 - 2]))
     return msgspec.structs.replace(
-        scenario, name="fleet-day", gateways=gateways, volumes=volumes, events=troubles, fleet=PROBE_INTERVAL_MS,
+        scenario, name="fleet-day", gateways=gateways, volumes=volumes, events=events, fleet=PROBE_INTERVAL_MS,
         zones=2 if gateways >= 8 else 1, length=length,
     )  # fmt: skip
 
@@ -332,55 +335,60 @@
 }  # fmt: skip
 
 
-def _active(scenario: Scenario, kind: str, at: float) -> Event | None:
+def _active_event(scenario: Scenario, kind: str, at: float) -> Event | None:
     return next((e for e in scenario.events if e.kind == kind and e.at <= at < e.at + e.length), None)
 
 
-def _wish(scenario: Scenario, volume: Volume, at: float, draw: random.Random) -> Wish:
-    kind = draw.choices(scenario.classes, [kind.share for kind in scenario.classes])[0]
-    hurry = _active(scenario, "hurry", at)
-    patience = kind.deadline * (draw.uniform(hurry.size, 3 * hurry.size) if hurry else 1.0)
-    number = min(49, int(draw.paretovariate(1.1)) - 1)
+def _draw_request(scenario: Scenario, volume: Volume, at: float, rng: random.Random) -> Wish:
+    request_class = rng.choices(
+        scenario.classes, [request_class.share for request_class in scenario.classes]
+    )[0]
+    hurry = _active_event(scenario, "hurry", at)
+    patience = request_class.deadline * (rng.uniform(hurry.size, 3 * hurry.size) if hurry else 1.0)
+    number = min(49, int(rng.paretovariate(1.1)) - 1)
     path = f"/{volume.name}/object-{number}"
-    size = draw.choice((1, 1, 2, 2, 3, 4, 8)) * UNIT_BYTES - draw.randrange(UNIT_BYTES // 2)
+    size = rng.choice((1, 1, 2, 2, 3, 4, 8)) * UNIT_BYTES - rng.randrange(UNIT_BYTES // 2)
     common: dict[str, Any] = {
-        "at": at, "gateway": draw.choice(volume.gateways), "class_name": kind.name, "patience": min(patience, kind.deadline),
-        "deadline": kind.deadline, "hurry": draw.random() < 0.3,
+        "at": at, "gateway": rng.choice(volume.gateways), "class_name": request_class.name,
+        "patience": min(patience, request_class.deadline), "deadline": request_class.deadline, "hurry": rng.random() < 0.3,
     }  # fmt: skip
-    over_s3 = scenario.s3_share > 0 and kind.name in (scenario.classes[0].name, scenario.classes[1].name)
-    if over_s3 and draw.random() < scenario.s3_share:
-        # Its class is the operation's, its time the class's: this dialect has no words for others.
-        common |= {"s3": True, "patience": kind.deadline}
-        if kind.writes and draw.random() < 0.15:
+    over_s3 = scenario.s3_share > 0 and request_class.name in (
+        scenario.classes[0].name,
+        scenario.classes[1].name,
+    )
+    if over_s3 and rng.random() < scenario.s3_share:
+        # S3 requests can't name a class or a deadline: the operation determines the class, and the class the deadline.
+        common |= {"s3": True, "patience": request_class.deadline}
+        if request_class.writes and rng.random() < 0.15:
             common |= {"spoilt": True}
-    if not kind.writes:
-        first = draw.randrange(512)
-        asked = (first, first + draw.randrange(1, 256)) if draw.random() < 0.2 else None
-        return Wish(method="GET", path=path, range=asked, **common)
-    if kind.name == "turns":
+    if not request_class.writes:
+        first = rng.randrange(512)
+        byte_range = (first, first + rng.randrange(1, 256)) if rng.random() < 0.2 else None
+        return Wish(method="GET", path=path, range=byte_range, **common)
+    if request_class.name == "turns":
         path = f"/{volume.name}/turn-{number % 3}"
-    method, path = ("POST", f"/{volume.name}") if kind.new else ("PUT", path)
+    method, path = ("POST", f"/{volume.name}") if request_class.new else ("PUT", path)
     return Wish(
         method=method,
         path=path,
         size=size,
-        keyed=kind.effect == "keyed" and "s3" not in common,
-        repeatable=kind.effect == "idempotent",
+        keyed=request_class.effect == "keyed" and "s3" not in common,
+        repeatable=request_class.effect == "idempotent",
         **common,
     )
 
 
 def client_requests(scenario: Scenario) -> list[Wish]:
-    """All that the clients of a day want, drawn from its seed: Poisson arrivals by volume, bursts on top."""
-    draw = random.Random(f"{scenario.name}/{scenario.seed}/traffic")
-    found: list[Wish] = []
+    """All requests of a scenario's clients, drawn from its seed: Poisson arrivals for each volume, with bursts added."""
+    rng = random.Random(f"{scenario.name}/{scenario.seed}/traffic")
+    requests: list[Wish] = []
     for at, volume in enumerate(scenario.volumes):
         now = 0.0
         while True:
-            # Thinned from the highest rate, so that a burst's edges are sharp.
+            # Arrivals are drawn at the peak rate and thinned, so that bursts start and end exactly on time.
             bursts = [e.size for e in scenario.events if e.kind == "burst" and at in e.on]
-            most = volume.rate + sum(bursts)
-            now += draw.expovariate(most) * 1000
+            peak_rate = volume.rate + sum(bursts)
+            now += rng.expovariate(peak_rate) * 1000
             if now >= scenario.length:
                 break
             burst = sum(
@@ -388,20 +396,20 @@
                 for e in scenario.events
                 if e.kind == "burst" and at in e.on and e.at <= now < e.at + e.length
             )
-            if draw.random() * most <= volume.rate + burst:
-                found.append(_wish(scenario, volume, now, draw))
+            if rng.random() * peak_rate <= volume.rate + burst:
+                requests.append(_draw_request(scenario, volume, now, rng))
     plain = next(volume for volume in scenario.volumes if volume.plan == scenario.plans[-1].name)
     gateway, big = plain.gateways[0], f"/{plain.name}/big"
-    writer = next(kind for kind in scenario.classes if kind.writes)
-    reader = next(kind for kind in scenario.classes if not kind.writes)
-    leaves = [event for event in scenario.events if event.kind.startswith("leave-")]
-    if leaves:
-        found.append(Wish(0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, keyed=True))
-    for event in leaves:
+    writer = next(request_class for request_class in scenario.classes if request_class.writes)
+    reader = next(request_class for request_class in scenario.classes if not request_class.writes)
+    disconnects = [event for event in scenario.events if event.kind.startswith("leave-")]
+    if disconnects:
+        requests.append(Wish(0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, keyed=True))
+    for event in disconnects:
         method, name = ("PUT", writer.name) if event.kind == "leave-upload" else ("GET", reader.name)
         path = f"{big}-{event.at:.0f}" if method == "PUT" else big
-        leave = event.kind.removeprefix("leave-")
-        found.append(
+        direction = event.kind.removeprefix("leave-")
+        requests.append(
             Wish(
                 event.at,
                 gateway,
@@ -409,25 +417,27 @@
                 path,
                 BIG_BYTES,
                 class_name=name,
-                leave=leave,
+                leave=direction,
                 keyed=method == "PUT",
             )
         )
     for event in scenario.events:
         if event.kind == "large":
-            found += _large(scenario, event, writer, reader)
-    return sorted(found, key=lambda wish: wish.at)
+            requests += _large_object_requests(scenario, event, writer, reader)
+    return sorted(requests, key=lambda wish: wish.at)
 
 
-def _large(scenario: Scenario, event: Event, writer: RequestClass, reader: RequestClass) -> list[Wish]:
-    """Objects of many units at every gateway at once, and reads of one of them, whole and in a range."""
+def _large_object_requests(
+    scenario: Scenario, event: Event, writer: RequestClass, reader: RequestClass
+) -> list[Wish]:
+    """Uploads of large objects at every gateway at once, and reads of one of them, whole and by range."""
     volume, size = scenario.volumes[event.on[0]], int(event.size) * UNIT_BYTES
-    found = []
+    requests = []
     for gateway in volume.gateways:
         for number in range(4):
             path = f"/{volume.name}/large-{event.at:.0f}-{gateway}-{number}"
             over_s3 = number >= 2
-            found.append(
+            requests.append(
                 Wish(
                     event.at,
                     gateway,
@@ -440,26 +450,26 @@
                     s3=over_s3,
                 )
             )
-            asked = (0, size // 2 - 1) if number % 2 else None
+            byte_range = (0, size // 2 - 1) if number % 2 else None
             path = f"/{volume.name}/large-{event.at:.0f}-{gateway}-0"
-            found.append(
+            requests.append(
                 Wish(
                     event.at + 900,
                     gateway,
                     "GET",
                     path,
                     size,
-                    asked,
+                    byte_range,
                     class_name=reader.name,
                     tries=1,
                     s3=over_s3,
                 )
             )
-    return found
+    return requests
 
 
-def settings(scenario: Scenario, index: int, list_port: int, port_file: str, more: str = "") -> str:
-    """The settings of one of the day's gateways, in the configuration language; ``more`` is put behind them."""
+def settings(scenario: Scenario, index: int, list_port: int, port_file: str, extra_settings: str = "") -> str:
+    """The settings of one gateway in the configuration language, with ``extra_settings`` appended."""
     rules = scenario.rules
     blocks: list[tuple[str, dict[str, object]]] = [
         ("gateway", {
@@ -483,19 +493,19 @@
         }),
     ]  # fmt: skip
     taken: set[str] = set()
-    for kind in scenario.classes:
-        operations = kind.operations.split()
+    for request_class in scenario.classes:
+        operations = request_class.operations.split()
         own, also = [o for o in operations if o not in taken], [o for o in operations if o in taken]
         taken |= set(own)
         keys: dict[str, object] = {"operations": ", ".join(own)} if own else {}
         keys |= {"also": ", ".join(also)} if also else {}
         keys |= {
-            "worth": kind.worth, "aim": f"{kind.aim}ms", "deadline": f"{kind.deadline}ms", "late_share": "10%",
-            "effect": kind.effect, "scope": kind.scope, "memory": f"{kind.memory}ms",
-            "in_order": "yes" if kind.in_order else "no", "writes": "yes" if kind.writes else "no",
+            "worth": request_class.worth, "aim": f"{request_class.aim}ms", "deadline": f"{request_class.deadline}ms",
+            "late_share": "10%", "effect": request_class.effect, "scope": request_class.scope, "memory": f"{request_class.memory}ms",
+            "in_order": "yes" if request_class.in_order else "no", "writes": "yes" if request_class.writes else "no",
             "unit_bytes": f"{UNIT_BYTES}B", "usual_units": 2,
         }  # fmt: skip
-        blocks.append((f"class {kind.name}", keys))
+        blocks.append((f"class {request_class.name}", keys))
     for plan in scenario.plans:
         keys = {
             "usual_rate": f"{plan.usual_rate} units/s", "weight": plan.weight, "worth_factor": plan.worth_factor,
@@ -515,7 +525,7 @@
     if scenario.changes:
         texts.append(
             f'changes {{\n    folder = "{Path(port_file).parent}/changes-{index}"\n'
-            # From its arrival on: the judge holds the lower limit against the stores from then.
+            # Longer than run.ACTIVATION_DELAY_S: the lower limit applies from the arrival of a change, and is checked from then.
             "    clocks_apart = 4s\n}\n"
         )
-    return "\n".join(texts) + more
+    return "\n".join(texts) + extra_settings
