--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -197,16 +197,16 @@
 def test_sigterm_with_200_requests_out_answers_them_all():
     """A real process: 200 requests are out or held as it is told to stop."""
     from winchdyke.days.judge import InvariantChecker
-    from winchdyke.days.run import Testbed
+    from winchdyke.days.run import LocalDeployment
     from winchdyke.standins.clients import Clients, Wish
 
     day = msgspec.structs.replace(script.quiet_day(1), gateways=1, unit_ms=200.0, cores=4, volumes=[])
     volume = script.Volume("course", "contest", list(range(8)), [0], 0.0)
     day = msgspec.structs.replace(day, volumes=[volume])
 
-    async def play(where) -> Testbed:
+    async def play(where) -> LocalDeployment:
         async with anyio.create_task_group() as group:
-            fleet = Testbed(day, where, group)
+            fleet = LocalDeployment(day, where, group)
             await fleet.start()
             clients = Clients(fleet.record, lambda index: fleet.addresses[index], 1)
             wishes = [Wish(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1) for n in range(200)]
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -42,7 +42,7 @@
     """The scenario could not be run; the message says why."""
 
 
-class Testbed:
+class LocalDeployment:
     """The gateways, stores and list service of a running scenario."""
 
     def __init__(
@@ -451,33 +451,35 @@
 ) -> tuple[list[Seen], list[int]]:
     """Run a scenario; returns its record and the exit codes of the gateways. Logs and settings stay in ``directory``."""
     async with anyio.create_task_group() as group:
-        testbed = Testbed(scenario, directory, group, extra_settings, program)
+        deployment = LocalDeployment(scenario, directory, group, extra_settings, program)
         try:
-            await testbed.start()
+            await deployment.start()
             rng = random.Random(f"{scenario.name}/{scenario.seed}/troubles")
             clients = Clients(
-                testbed.record,
-                lambda index: testbed.addresses[index],
+                deployment.record,
+                lambda index: deployment.addresses[index],
                 scenario.seed,
-                lambda index: testbed.s3_addresses[index],
+                lambda index: deployment.s3_addresses[index],
             )
             async with anyio.create_task_group() as troubles:
                 for event in scenario.events:
-                    troubles.start_soon(testbed.inject, event, random.Random(rng.random()))
+                    troubles.start_soon(deployment.inject, event, random.Random(rng.random()))
                 await clients.run(script.client_requests(scenario))
             await anyio.sleep(TRAILING_S)
             if scenario.fleet:
-                testbed.record.note("day", "settled", views=await read_final_views(testbed.names, directory))
-            await testbed.stop()
+                deployment.record.note(
+                    "day", "settled", views=await read_final_views(deployment.names, directory)
+                )
+            await deployment.stop()
         finally:
-            if testbed.links is not None:
-                testbed.record.note("links", "counts", **testbed.links.counts)
-                testbed.links.close()
-            for process in testbed.processes.values():
+            if deployment.links is not None:
+                deployment.record.note("links", "counts", **deployment.links.counts)
+                deployment.links.close()
+            for process in deployment.processes.values():
                 if process.returncode is None:
                     process.kill()
             group.cancel_scope.cancel()
-    return testbed.record.seen, testbed.exit_codes
+    return deployment.record.seen, deployment.exit_codes
 
 
 def run_scenario(
