--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -156,7 +156,7 @@
         file.write(b'{"day":"bad-day","se')  # killed while it wrote
     found = anyio.run(campaign.run, asked, out, 2, lambda _: None, play)
     assert sorted(played) == [1, 2, 3, 4, 5, 6] and sorted(each.seed for each in found) == [1, 2, 3, 4, 5, 6]
-    with pytest.raises(CampaignError, match=r"line 4 is no result"):
+    with pytest.raises(CampaignError, match=r"line 4 is not a campaign result"):
         campaign.read_results(out)  # the cut line is inside now, and is told
 
 
--- a/winchdyke/days/frombench.py
+++ b/winchdyke/days/frombench.py
@@ -1,7 +1,7 @@
-"""A day file of the simulator as a day at loopback size. Pure; what can't be carried over is listed in the day.
+"""Converts a day file of the simulator to a scenario at loopback size. Pure; the scenario lists what is not carried over.
 
-The fleet is cut to what one host can carry, in step: fewer stores with their own volumes and rates, the same work,
-aims and load. Troubles keep their order and their part of the day, which is shortened.
+The deployment is reduced in proportion to what one host can run: fewer stores, with their volumes and rates, and the same
+work per request, aims and load. Faults keep their order and their relative times; the whole duration is shortened.
 """
 
 from __future__ import annotations
@@ -12,23 +12,25 @@
 
 from winchdyke.days import script
 
-MOST_RATE = 120.0  # requests a second that stand-ins, clients and gateways of one host keep up with
-MOST_STORES, MOST_GATEWAYS, FEWEST = 8, 4, 3
+MAX_REQUESTS_PER_S = (
+    120.0  # requests per second that stand-ins, clients and gateways on one host can keep up with
+)
+MAX_STORES, MAX_GATEWAYS, MIN_STORES = 8, 4, 3
 NOT_CARRIED = [
-    "network latency between zones and its jitter; loopback has neither",
-    "the list service's capacity, period and spread; its lateness is kept",
-    "true cold shares and warm-up shapes; the stated ones are used",
-    "a node's slots, thrashing, connection caps and handshake work",
-    "work put off by writes and done in one go; work saved by reads of the same piece",
-    "lateness and noise of meter and load reports; probes and messages of other gateways",
-    "how unevenly a volume uses its gateways, and how that changes",
-    "the distributions of work within a class; sizes of one to eight units are used",
-    "reads of objects written a moment before",
+    "network latency between zones and its jitter: loopback has neither",
+    "the list service's capacity, period and spread: its delay is kept",
+    "true cold capacities and warm-up curves: the stated ones are used",
+    "a node's slots, thrashing, connection limits and handshake work",
+    "deferred work of writes, and work saved by reads of the same data",
+    "delay and noise of meter and load reports; probes and messages of other gateways",
+    "the distribution of a volume's requests over its gateways, and its changes",
+    "the distributions of work within a class: sizes of one to eight units are used",
+    "reads of recently written objects",
 ]
 
 
 class BenchError(Exception):
-    """The file is no day of the simulator; says what is missing."""
+    """The file is not a day of the simulator; the message says what is wrong."""
 
 
 class BenchTenant(msgspec.Struct):
@@ -52,14 +54,14 @@
 
 
 class BenchKind(msgspec.Struct):
-    """A kind of machine."""
+    """A machine type: its cores, and the length of its queue."""
 
     cores: int
     queue: int
 
 
 class BenchTier(msgspec.Struct):
-    """The servers' common figures."""
+    """Settings that all servers have in common."""
 
     kinds: list[BenchKind]
     stated_cold_from: float
@@ -67,7 +69,7 @@
 
 
 class BenchServer(msgspec.Struct):
-    """A server: its kind, its shard, its speed, and whether it is up at first."""
+    """A server: its machine type, its shard, its relative speed, and whether it runs at the start."""
 
     kind: int
     cell: int
@@ -75,8 +77,8 @@
     up: bool
 
 
-class BenchTrouble(msgspec.Struct):
-    """A trouble; ``on`` are servers, ``which`` a tenant."""
+class BenchFault(msgspec.Struct):
+    """A fault; ``on`` are servers, ``which`` is a tenant."""
 
     kind: str
     at: float
@@ -90,7 +92,7 @@
 
 
 class BenchPlan(msgspec.Struct):
-    """A plan's figures for each volume."""
+    """The rates and limits that a plan gives each of its volumes."""
 
     limit: float
     limit_burst: float
@@ -102,7 +104,7 @@
 
 
 class BenchVolume(msgspec.Struct):
-    """A volume: its plan, its shards, its gateways, and its size."""
+    """A volume: its plan, its shards, its gateways (``hosts`` of them from ``first``), and its relative size."""
 
     base: float
     first: int
@@ -112,7 +114,7 @@
 
 
 class BenchFamily(msgspec.Struct):
-    """What belongs to storage."""
+    """The part of a day that is specific to storage."""
 
     mean_units: float
     unit_work: float
@@ -121,8 +123,8 @@
     fresh: list[bool] = []
 
 
-class BenchDay(msgspec.Struct):
-    """As much of a day file as is read here; other keys are passed over."""
+class BenchScenario(msgspec.Struct):
+    """The keys of a day file that are converted; others are ignored."""
 
     site: str
     kind: str
@@ -140,7 +142,7 @@
     tiers: list[BenchTier]
     servers: list[BenchServer]
     balancers: list[dict[str, Any]]
-    troubles: list[BenchTrouble]
+    troubles: list[BenchFault]
     fam: BenchFamily
     budget: dict[str, float] | None = None
 
@@ -148,134 +150,140 @@
 EFFECTS = {"safe": "idempotent", "keyed": "keyed", "unsafe": "at-most-once"}
 
 
-def read(data: bytes) -> BenchDay:
-    """A day file's text. BenchError where it is none."""
+def read(data: bytes) -> BenchScenario:
+    """Decode a day file. Raises BenchError if it is not one."""
     try:
-        day = msgspec.json.decode(data, type=BenchDay)
+        day = msgspec.json.decode(data, type=BenchScenario)
     except msgspec.DecodeError as error:
-        raise BenchError(f"this is no day file of the simulator: {error}") from error
+        raise BenchError(f"not a day file of the simulator: {error}") from error
     if not day.tiers or not day.servers or not day.fam.volumes or not day.classes:
         raise BenchError("the day has no servers, volumes or classes")
     return day
 
 
-class _Scaled:
-    """One conversion: the fleet that was chosen, and what was left behind."""
+class _Conversion:
+    """One conversion: the size of the deployment, and what is not carried over."""
 
-    def __init__(self, bench: BenchDay, length_s: float) -> None:
-        self.bench, self.left = bench, list(NOT_CARRIED)
-        self.squeeze = min(1.0, length_s * 1e6 / bench.length)
+    def __init__(self, bench: BenchScenario, length_s: float) -> None:
+        self.bench, self.not_carried = bench, list(NOT_CARRIED)
+        self.time_scale = min(1.0, length_s * 1e6 / bench.length)
         up = [server for server in bench.servers if server.up]
         self.unit_ms = bench.fam.unit_work / 1000
         self.load = float(bench.traffic.get("load", 0.6))
-        cells = sorted({server.cell for server in up})
-        by_cell = {server.cell: server for server in up}
-        count = min(MOST_STORES, len(cells))
-        while count > FEWEST and self._rate([by_cell[cell] for cell in cells[:count]]) > MOST_RATE:
+        shards = sorted({server.cell for server in up})
+        by_shard = {server.cell: server for server in up}
+        count = min(MAX_STORES, len(shards))
+        while (
+            count > MIN_STORES
+            and self._request_rate([by_shard[shard] for shard in shards[:count]]) > MAX_REQUESTS_PER_S
+        ):
             count -= 1
-        self.cells = cells[:count]
-        self.stores = [by_cell[cell] for cell in self.cells]
-        self.rate = min(MOST_RATE, self._rate(self.stores))
-        self.gateways = max(1, min(MOST_GATEWAYS, len(bench.balancers)))
-        self.part = count / len(cells)
-        if self.part < 1 or self.gateways < len(bench.balancers):
-            size = f"{len(bench.balancers)} gateways and {len(cells)} nodes"
-            self.left.append(f"the fleet's size: {size} became {self.gateways} and {count}")
-        if self.squeeze < 1:
-            self.left.append(
-                f"the day's length: times of troubles and warm-up are {self.squeeze:.2f} of what they were"
+        self.shards = shards[:count]
+        self.stores = [by_shard[shard] for shard in self.shards]
+        self.rate = min(MAX_REQUESTS_PER_S, self._request_rate(self.stores))
+        self.gateways = max(1, min(MAX_GATEWAYS, len(bench.balancers)))
+        self.store_fraction = count / len(shards)
+        if self.store_fraction < 1 or self.gateways < len(bench.balancers):
+            size = f"{len(bench.balancers)} gateways and {len(shards)} nodes"
+            self.not_carried.append(f"the size of the deployment: {size} became {self.gateways} and {count}")
+        if self.time_scale < 1:
+            self.not_carried.append(
+                f"the duration: times of faults and warm-up are {self.time_scale:.2f} of the original"
             )
 
-    def _power(self, server: BenchServer) -> float:
+    def _capacity_units_per_s(self, server: BenchServer) -> float:
         return self.bench.tiers[0].kinds[server.kind].cores * server.speed * 1000 / self.unit_ms
 
-    def _rate(self, servers: list[BenchServer]) -> float:
-        return self.load * 0.9 * sum(self._power(server) for server in servers) / self.bench.fam.mean_units
+    def _request_rate(self, servers: list[BenchServer]) -> float:
+        return (
+            self.load
+            * 0.9
+            * sum(self._capacity_units_per_s(server) for server in servers)
+            / self.bench.fam.mean_units
+        )
 
     def shard(self, server: int) -> int:
-        """Where a server of the day file ends up: its own shard's place, or another in turn."""
-        cell = self.bench.servers[server].cell
-        return self.cells.index(cell) if cell in self.cells else cell % len(self.cells)
+        """The shard of a server of the day file: the index of its own shard, or another one if that is left out."""
+        shard = self.bench.servers[server].cell
+        return self.shards.index(shard) if shard in self.shards else shard % len(self.shards)
 
     def volumes(self) -> list[script.Volume]:
-        """A part of the volumes, in step with the stores, every plan among them."""
+        """A part of the volumes, in proportion to the stores, with at least one of each plan."""
         fam = self.bench.fam
-        count = max(len(fam.plans), round(len(fam.volumes) * self.part))
+        count = max(len(fam.plans), round(len(fam.volumes) * self.store_fraction))
         chosen = sorted(range(len(fam.volumes)), key=lambda at: (at * 7919) % len(fam.volumes))[:count]
         for plan in range(len(fam.plans)):
             if not any(fam.volumes[at].plan == plan for at in chosen):
                 chosen += [at for at, volume in enumerate(fam.volumes) if volume.plan == plan][:1]
         sizes = {at: fam.volumes[at].base * fam.plans[fam.volumes[at].plan].rate for at in chosen}
         whole = sum(sizes.values()) or 1.0
-        found = []
+        result = []
         for at in sorted(chosen):
             volume = fam.volumes[at]
-            shards = sorted({node % len(self.cells) for node in volume.nodes})
+            shards = sorted({node % len(self.shards) for node in volume.nodes})
             gateways = sorted({(volume.first + turn) % self.gateways for turn in range(max(1, volume.hosts))})
             name = self.bench.tenants[volume.plan].name
-            found.append(script.Volume(f"v{at}", name, shards, gateways, self.rate * sizes[at] / whole))
-        return found
+            result.append(script.Volume(f"v{at}", name, shards, gateways, self.rate * sizes[at] / whole))
+        return result
 
     def events(self, volumes: list[script.Volume]) -> list[script.Event]:
-        """The troubles, with what can't be brought about here left out and said."""
-        found: list[script.Event] = []
-        for trouble in self.bench.troubles:
-            at, length = trouble.at / 1000 * self.squeeze, trouble.len / 1000 * self.squeeze
-            on = sorted({self.shard(server) for server in trouble.on})
-            if trouble.kind in ("deploy", "preempt"):
-                stops = [[self.shard(server) for server in step.get("stop", [])] for step in trouble.steps]
+        """The faults that can be injected over loopback; others are noted as not carried over."""
+        result: list[script.Event] = []
+        for fault in self.bench.troubles:
+            at, length = fault.at / 1000 * self.time_scale, fault.len / 1000 * self.time_scale
+            on = sorted({self.shard(server) for server in fault.on})
+            if fault.kind in ("deploy", "preempt"):
+                stops = [[self.shard(server) for server in step.get("stop", [])] for step in fault.steps]
                 order = list(dict.fromkeys(shard for batch in stops for shard in batch)) or on
                 batch_size = max(1, round(len(order) / max(1, len(stops))))
                 length = max(length, 2000.0 * len(order) / batch_size)
-                found.append(script.Event("deploy", at, length, order, batch_size))
-            elif trouble.kind in ("crash", "mass_restart", "vanish"):
-                found.append(script.Event("silent" if trouble.kind == "vanish" else "crash", at, length, on))
-            elif trouble.kind in ("slow", "neighbour", "pauses"):
-                size = (
-                    trouble.size if trouble.kind != "pauses" or trouble.size < 5000 else trouble.size / 1000
-                )
-                found.append(script.Event(trouble.kind, at, length, on, size))  # type: ignore[arg-type]
-            elif trouble.kind == "answer_lost":
-                found.append(script.Event("lost", at, length, on, trouble.size, trouble.how or "reset"))
-            elif trouble.kind == "give_up":
-                found.append(script.Event("hurry", at, length, [], max(0.05, min(0.33, trouble.extra))))
-            elif trouble.kind == "hot_key":
-                extra = 2.5 * trouble.size * self.rate / 2
-                found.append(script.Event("burst", at, length, [0, len(volumes) // 2], extra))
-            elif trouble.kind in ("tenant_burst", "burst"):
-                name = self.bench.tenants[trouble.which % len(self.bench.tenants)].name
+                result.append(script.Event("deploy", at, length, order, batch_size))
+            elif fault.kind in ("crash", "mass_restart", "vanish"):
+                result.append(script.Event("silent" if fault.kind == "vanish" else "crash", at, length, on))
+            elif fault.kind in ("slow", "neighbour", "pauses"):
+                size = fault.size if fault.kind != "pauses" or fault.size < 5000 else fault.size / 1000
+                result.append(script.Event(fault.kind, at, length, on, size))  # type: ignore[arg-type]
+            elif fault.kind == "answer_lost":
+                result.append(script.Event("lost", at, length, on, fault.size, fault.how or "reset"))
+            elif fault.kind == "give_up":
+                result.append(script.Event("hurry", at, length, [], max(0.05, min(0.33, fault.extra))))
+            elif fault.kind == "hot_key":
+                extra = 2.5 * fault.size * self.rate / 2
+                result.append(script.Event("burst", at, length, [0, len(volumes) // 2], extra))
+            elif fault.kind in ("tenant_burst", "burst"):
+                name = self.bench.tenants[fault.which % len(self.bench.tenants)].name
                 for number, volume in enumerate(volumes):
-                    if trouble.kind == "burst" or volume.plan == name:
-                        more = volume.rate * max(0.0, trouble.size - 1)
-                        found.append(script.Event("burst", at, length, [number], more))
+                    if fault.kind == "burst" or volume.plan == name:
+                        more = volume.rate * max(0.0, fault.size - 1)
+                        result.append(script.Event("burst", at, length, [number], more))
             else:
-                self.left.append(f"the trouble {trouble.kind!r}, which has no like here")
-        return found
+                self.not_carried.append(f"the fault {fault.kind!r}, which has no counterpart here")
+        return result
 
 
-def convert(bench: BenchDay, length_s: float = 20.0) -> script.Scenario:
-    """The day at loopback size; ``carried_not`` says what was left behind."""
-    scaled = _Scaled(bench, length_s)
-    volumes = scaled.volumes()
-    events = scaled.events(volumes)
+def convert(bench: BenchScenario, length_s: float = 20.0) -> script.Scenario:
+    """The scenario at loopback size; its ``carried_not`` lists what is not carried over."""
+    conversion = _Conversion(bench, length_s)
+    volumes = conversion.volumes()
+    events = conversion.events(volumes)
     tier, budget = bench.tiers[0], bench.budget or {}
-    kinds: list[script.RequestClass] = []
-    for at, kind in enumerate(bench.classes):
-        first = not any(other.writes == kind.write for other in kinds)
+    request_classes: list[script.RequestClass] = []
+    for at, bench_class in enumerate(bench.classes):
+        first = not any(other.writes == bench_class.write for other in request_classes)
         reads, writes = (script.READS, script.WRITES) if first else ("get", "put post")
-        kinds.append(
+        request_classes.append(
             script.RequestClass(
-                name=kind.name,
-                operations=writes if kind.write else reads,
-                aim=kind.aim / 1000,
-                deadline=kind.deadline / 1000,
-                worth=kind.worth,
-                effect=EFFECTS.get(kind.effect, "at-most-once"),
-                scope=kind.group if kind.group in ("all", "zone", "cell") else "cell",
-                memory=kind.window / 1000,
-                writes=kind.write,
-                share=kind.share,
-                new=kind.write and bench.fam.fresh[at : at + 1] == [True],
+                name=bench_class.name,
+                operations=writes if bench_class.write else reads,
+                aim=bench_class.aim / 1000,
+                deadline=bench_class.deadline / 1000,
+                worth=bench_class.worth,
+                effect=EFFECTS.get(bench_class.effect, "at-most-once"),
+                scope=bench_class.group if bench_class.group in ("all", "zone", "cell") else "cell",
+                memory=bench_class.window / 1000,
+                writes=bench_class.write,
+                share=bench_class.share,
+                new=bench_class.write and bench.fam.fresh[at : at + 1] == [True],
             )
         )
     plans = [
@@ -294,7 +302,7 @@
     rules = script.Rules(
         drain_grace=bench.drain_grace / 1000,
         cold_from=tier.stated_cold_from,
-        warm_after=tier.stated_cold / 1000 * scaled.squeeze,
+        warm_after=tier.stated_cold / 1000 * conversion.time_scale,
         fall_multiple=bench.fall_multiple,
         fall_window=bench.fall_for / 1000,
         extra_window=budget.get("window", 0.0) / 1000,
@@ -303,23 +311,25 @@
         max_attempts=int(bench.allow.get("max_attempts", 3)),
         max_retry_after=float(bench.clients.get("max_retry_after", 500_000)) / 1000,
     )
-    machine = tier.kinds[scaled.stores[0].kind]
+    machine_kind = tier.kinds[conversion.stores[0].kind]
     return script.Scenario(
         name=f"{bench.site}-{bench.kind}".replace(":", "-"),
         seed=int(bench.noise) % 100_000,
-        gateways=scaled.gateways,
-        stores=len(scaled.stores),
-        length=bench.length / 1000 * scaled.squeeze,
-        classes=kinds,
+        gateways=conversion.gateways,
+        stores=len(conversion.stores),
+        length=bench.length / 1000 * conversion.time_scale,
+        classes=request_classes,
         plans=plans,
         volumes=volumes,
         events=events,
         rules=rules,
-        unit_ms=scaled.unit_ms,
-        cores=machine.cores,
-        speeds=[server.speed * tier.kinds[server.kind].cores / machine.cores for server in scaled.stores],
-        queue=machine.queue,
+        unit_ms=conversion.unit_ms,
+        cores=machine_kind.cores,
+        speeds=[
+            server.speed * tier.kinds[server.kind].cores / machine_kind.cores for server in conversion.stores
+        ],
+        queue=machine_kind.queue,
         late_list=min(2000.0, float(bench.discovery.get("notice", 300_000)) / 1000),
         must_ask=bool(bench.discovery.get("ask", False)),
-        carried_not=scaled.left,
+        carried_not=conversion.not_carried,
     )
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -28,13 +28,10 @@
 from winchdyke.standins.store import Meter, Rack, Shelf, Spec, Store
 
 GATEWAY_START_TIMEOUT_S = 15.0
-SETTLE_S = 0.3
+SETTLE_S = 0.3  # from the start of all gateways to the first request
 DRAIN_NOTICE_S = 2.2  # from the start of a drain in a deploy to the end of the process
-TRAILING_S = 0.2
-PROGRAM = (
-    "-m",
-    "winchdyke",
-)  # arguments of the gateways' interpreter; benchmarks replace them to run mutants
+TRAILING_S = 0.2  # from the last answer to the stop of the gateways
+PROGRAM = ("-m", "winchdyke")  # arguments of the gateways' interpreter; benchmarks pass others
 ACTIVATION_DELAY_S = 3.5  # from the request for a change to its scheduled activation
 
 
--- a/winchdyke/days/shrink.py
+++ b/winchdyke/days/shrink.py
@@ -1,7 +1,7 @@
-"""The fewest events of a day that still break it: delta debugging (Zeller and Hildebrandt, TSE 28(2), 2002). Pure but for ``fails``.
+"""Minimizes a failing scenario: delta debugging (Zeller and Hildebrandt, TSE 28(2), 2002). Pure except for ``fails``.
 
-A day on real processes does not fail every time, so a smaller one counts as failing where any of a few tries fails; and what is
-returned has failed just then, though not for sure the next time.
+A scenario with real processes may fail only sometimes, so callers count a smaller one as failing if any of a few runs fails.
+The result has failed at least once; it may not fail in every run.
 """
 
 from __future__ import annotations
@@ -15,38 +15,38 @@
 def minimize(
     items: Sequence[T], fails: Callable[[list[T]], bool], max_calls: int = 10_000
 ) -> tuple[list[T], bool]:
-    """A part of ``items`` that fails and from which no single one can be left out, and whether that was reached.
+    """Return a failing subsequence of ``items`` in which each item is needed, and whether it is known to be minimal.
 
-    ``most`` bounds the calls of ``fails``; past it the smallest part found so far is returned. An empty part is tried first:
-    what fails with no event at all needs none.
+    After ``max_calls`` calls of ``fails`` the smallest failing subsequence so far is returned, as not minimal. The empty
+    one is tried first, for a scenario that fails without any fault.
     """
     calls = 0
 
-    def tried(part: list[T]) -> bool:
+    def still_fails(part: list[T]) -> bool:
         nonlocal calls
         calls += 1
         return fails(part)
 
-    kept, pieces = list(items), 2
-    if not kept or tried([]):
+    smallest, part_count = list(items), 2
+    if not smallest or still_fails([]):
         return [], True
-    while len(kept) > 1:
-        size = -(-len(kept) // pieces)
-        parts = [kept[at : at + size] for at in range(0, len(kept), size)]
+    while len(smallest) > 1:
+        size = -(-len(smallest) // part_count)
+        parts = [smallest[at : at + size] for at in range(0, len(smallest), size)]
         smaller: list[T] | None = None
-        # The parts by themselves first, then all but one.
-        rests = [[item for other in parts if other is not part for item in other] for part in parts]
-        for candidate in [*parts, *(rests if len(parts) > 2 else [])]:
+        # Each part alone first, then each complement of a part.
+        complements = [[item for other in parts if other is not part for item in other] for part in parts]
+        for candidate in [*parts, *(complements if len(parts) > 2 else [])]:
             if calls >= max_calls:
-                return kept, False
-            if tried(candidate):
+                return smallest, False
+            if still_fails(candidate):
                 smaller = candidate
                 break
         if smaller is not None:
-            pieces = 2 if smaller in parts else max(2, pieces - 1)
-            kept = smaller
+            part_count = 2 if smaller in parts else max(2, part_count - 1)
+            smallest = smaller
         elif size == 1:
             break
         else:
-            pieces = min(len(kept), 2 * pieces)
-    return kept, True
+            part_count = min(len(smallest), 2 * part_count)
+    return smallest, True
