--- a/tests/test_membership_merge_model.py
+++ b/tests/test_membership_merge_model.py
@@ -77,11 +77,11 @@
 @pytest.mark.parametrize(
     "mutant, violation",
     [
-        (LastRecordWins, "heard is one"),
-        (IgnoresGenerations, "no way back"),
-        (DeathIsFinal, "heard is one"),
-        (FirstRecordWins, "heard is one"),
-        (RaisesIncarnations, "own voice"),
+        (LastRecordWins, "convergence"),
+        (IgnoresGenerations, "no regression"),
+        (DeathIsFinal, "convergence"),
+        (FirstRecordWins, "convergence"),
+        (RaisesIncarnations, "no forgery"),
     ],
 )
 def test_each_mutant_of_the_merge_is_detected(mutant, violation):
--- a/winchdyke/days/__init__.py
+++ b/winchdyke/days/__init__.py
@@ -1,1 +1,1 @@
-"""Scripted bad days against real gateway processes on loopback, judged from what the stand-ins saw."""
+"""Scripted fault scenarios against real gateway processes on loopback, checked from what the stand-ins recorded."""
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -1,14 +1,14 @@
-"""The world in which changes are checked: two editors, one gateway that can be killed between any two of its steps, and time.
+"""A model of settings rollouts for the model checker: editors, time, and one gateway that can be killed between its steps.
 
-The trail is the only thing that outlives a kill. Each of the gateway's steps is its own: writing "applying", swapping, writing
-"applied", and the same for an undo. Invariants:
+Only the change log survives a kill. Writing "applying", swapping the settings, and writing "applied" are separate steps, and
+so are those of an undo. Invariants:
 
-    whole      a gateway that has started serves the version that the trail says, and no other
-    kept       a version that was reported applied for good, or confirmed, is served until another is applied or it is undone
-    known      nothing is ever served that was not staged by an editor, or served before
-    trial      what was applied on trial, and not confirmed, is not served once its time is up and the gateway has acted
-    gone       what was undone because nobody confirmed it is in nothing that is served later, but where it was staged anew
-    finished   an undo that was begun is finished by a start
+    whole      a running gateway serves the version that the change log names
+    kept       a version that was applied without a trial, or confirmed, is served until another is applied or it is undone
+    known      each version that is served was staged by an editor
+    trial      a version applied on trial and not confirmed is not served after its time, once the gateway has acted
+    gone       a version undone for lack of confirmation is no ancestor of a version served later, unless it is staged again
+    finished   a start finishes an undo that had begun
 """
 
 from __future__ import annotations
@@ -19,178 +19,213 @@
 from winchdyke.config_rollout.rollout_state import Step, due_step, recover, replay
 from winchdyke.model.checker import InvariantViolation
 
-UNTIL = 2.0
+CONFIRM_BY = 2.0
 
 
 @dataclass(frozen=True)
 class RolloutModel:
-    """One state: the trail, what the gateway serves (0: it is down), what it is about to write, versions made, and time."""
-
-    trail: tuple[Step, ...] = (Step("staged", 1), Step("applying", 1), Step("applied", 1))
-    serves: int = 1
-    doing: tuple[str, ...] = ()  # the steps of an apply or an undo that are still to come
+    """One state of the model.
+
+    Attributes:
+        change_log: The steps written so far.
+        serving: The version that the gateway serves; 0 while it is down.
+        pending_steps: The remaining steps of an apply or an undo.
+        target: The version that these steps apply.
+        confirm_by: The time by which that version must be confirmed; 0 without a trial.
+        version_count: Versions created so far.
+        parents: The version on which each was based, by version.
+        expired: Versions undone for lack of confirmation.
+        remaining_kills: Kills that may still happen.
+        remaining_edits: Edits that may still happen.
+        final_version: The version that was last applied without a trial, or confirmed.
+        omitted_step: The part that a faulty variant leaves out.
+    """
+
+    change_log: tuple[Step, ...] = (Step("staged", 1), Step("applying", 1), Step("applied", 1))
+    serving: int = 1
+    pending_steps: tuple[str, ...] = ()
     target: int = 0
-    until: float = 0.0
-    made: int = 1
-    parents: tuple[int, ...] = (0, 0)  # by version
-    expired: frozenset[int] = frozenset()  # versions that were undone since nobody confirmed them
+    confirm_by: float = 0.0
+    version_count: int = 1
+    parents: tuple[int, ...] = (0, 0)
+    expired: frozenset[int] = frozenset()
     now: float = 1.0
-    kills: int = 2
-    edits: int = 3
-    final: int = 1  # the version last reported applied for good
-    omitted_step: str = ""  # what a mutant leaves out
+    remaining_kills: int = 2
+    remaining_edits: int = 3
+    final_version: int = 1
+    omitted_step: str = ""
 
     def steps(self) -> Iterable[str]:
-        """All that may happen next."""
-        found = replay(self.trail)
-        if self.edits:
+        """The names of all steps that are possible now."""
+        state = replay(self.change_log)
+        if self.remaining_edits:
             yield from ("stage", "stage on trial")
-            if found.previous and found.previous != found.serving:
+            if state.previous and state.previous != state.serving:
                 yield "undo"
-            if found.staged:
+            if state.staged:
                 yield "withdraw"
-        if found.confirm_by_ms:
+        if state.confirm_by_ms:
             yield "confirm"
-            if self.now < UNTIL + 1:
+            if self.now < CONFIRM_BY + 1:
                 yield "time"
-        if self.serves and self.kills:
+        if self.serving and self.remaining_kills:
             yield "kill"
-        if not self.serves:
+        if not self.serving:
             yield "start"
-        elif self.doing:
+        elif self.pending_steps:
             yield "go on"
-        elif due_step(found, self.now) is not None:
+        elif due_step(state, self.now) is not None:
             yield "begin"
 
     def after(self, step: str) -> RolloutModel:
-        """The world one step on."""
-        made: RolloutModel = getattr(self, "_" + step.replace(" ", "_"))()
-        made._check()
-        return made
+        """The state one step on. Raises InvariantViolation."""
+        successor: RolloutModel = getattr(self, "_" + step.replace(" ", "_"))()
+        successor._check()
+        return successor
 
-    def _stage(self, until: float = 0.0) -> RolloutModel:
-        version = self.made + 1
+    def _stage(self, confirm_by: float = 0.0) -> RolloutModel:
+        version = self.version_count + 1
         return replace(
             self,
-            trail=(*self.trail, Step("staged", version, confirm_by_ms=until)),
-            made=version,
-            parents=(*self.parents, replay(self.trail).serving),
-            edits=self.edits - 1,
+            change_log=(*self.change_log, Step("staged", version, confirm_by_ms=confirm_by)),
+            version_count=version,
+            parents=(*self.parents, replay(self.change_log).serving),
+            remaining_edits=self.remaining_edits - 1,
         )
 
     def _stage_on_trial(self) -> RolloutModel:
-        return self._stage(UNTIL)
+        return self._stage(CONFIRM_BY)
 
     def _undo(self) -> RolloutModel:
-        found = replay(self.trail)
-        gone = (Step("withdrawn", found.staged),) if found.staged else ()
-        # Asked for by a person: what comes back with it, comes back by their will.
+        state = replay(self.change_log)
+        withdrawal = (Step("withdrawn", state.staged),) if state.staged else ()
+        # An undo by an operator deliberately restores the previous version, even an expired one.
         return replace(
             self,
-            trail=(*self.trail, *gone, Step("staged", found.previous)),
-            edits=self.edits - 1,
-            expired=self.expired - {found.previous},
+            change_log=(*self.change_log, *withdrawal, Step("staged", state.previous)),
+            remaining_edits=self.remaining_edits - 1,
+            expired=self.expired - {state.previous},
         )
 
     def _withdraw(self) -> RolloutModel:
-        step = Step("withdrawn", replay(self.trail).staged)
-        return replace(self, trail=(*self.trail, step), edits=self.edits - 1)
+        step = Step("withdrawn", replay(self.change_log).staged)
+        return replace(self, change_log=(*self.change_log, step), remaining_edits=self.remaining_edits - 1)
 
     def _confirm(self) -> RolloutModel:
-        version = replay(self.trail).serving
-        return replace(self, trail=(*self.trail, Step("confirmed", version)), final=version)
+        version = replay(self.change_log).serving
+        return replace(self, change_log=(*self.change_log, Step("confirmed", version)), final_version=version)
 
     def _time(self) -> RolloutModel:
         return replace(self, now=self.now + 1)
 
     def _kill(self) -> RolloutModel:
-        return replace(self, serves=0, doing=(), target=0, kills=self.kills - 1)
+        return replace(self, serving=0, pending_steps=(), target=0, remaining_kills=self.remaining_kills - 1)
 
     def _start(self) -> RolloutModel:
-        found = replay(self.trail)
-        added = () if self.omitted_step == "recover" else tuple(recover(found)[0])
-        trail = (*self.trail, *added)
-        serving = replay(trail).serving
-        final = serving if added else self.final
-        if found.undoing and serving != found.applying:
-            raise InvariantViolation("finished: a start left an undo that was begun")
-        expired = self.expired | ({found.serving} if found.confirm_by_ms and added else set())
-        return replace(self, trail=trail, serves=serving, final=final, expired=frozenset(expired))
+        state = replay(self.change_log)
+        recovery_steps = () if self.omitted_step == "recover" else tuple(recover(state)[0])
+        change_log = (*self.change_log, *recovery_steps)
+        serving = replay(change_log).serving
+        final_version = serving if recovery_steps else self.final_version
+        if state.undoing and serving != state.applying:
+            raise InvariantViolation("finished: a start did not finish an undo that had begun")
+        expired = self.expired | ({state.serving} if state.confirm_by_ms and recovery_steps else set())
+        return replace(
+            self,
+            change_log=change_log,
+            serving=serving,
+            final_version=final_version,
+            expired=frozenset(expired),
+        )
 
     def _begin(self) -> RolloutModel:
-        found = replay(self.trail)
-        step = due_step(found, self.now)
+        state = replay(self.change_log)
+        step = due_step(state, self.now)
         assert step is not None
-        if step.action == "applying" and step.version == found.previous and step.version != self.made:
-            step = Step("undoing", step.version)  # asked for
+        if (
+            step.action == "applying"
+            and step.version == state.previous
+            and step.version != self.version_count
+        ):
+            step = Step("undoing", step.version)  # an undo by an operator
         undoing = step.action == "undoing"
         expired = self.expired
-        if undoing and found.confirm_by_ms and step.version != found.staged:
-            expired |= {found.serving}
-        if not undoing and self.parents[step.version] != found.serving and self.omitted_step != "parent":
-            return replace(self, trail=(*self.trail, Step("refused", step.version)))
-        until = 0.0 if undoing else found.staged_confirm_by_ms
-        trail = self.trail if self.omitted_step == "begin" else (*self.trail, step)
+        if undoing and state.confirm_by_ms and step.version != state.staged:
+            expired |= {state.serving}
+        if not undoing and self.parents[step.version] != state.serving and self.omitted_step != "parent":
+            return replace(self, change_log=(*self.change_log, Step("refused", step.version)))
+        confirm_by = 0.0 if undoing else state.staged_confirm_by_ms
+        change_log = self.change_log if self.omitted_step == "begin" else (*self.change_log, step)
         return replace(
-            self, trail=trail, doing=("swap", "undone" if undoing else "applied"), target=step.version, until=until,
-            expired=expired,
+            self, change_log=change_log, pending_steps=("swap", "undone" if undoing else "applied"),
+            target=step.version, confirm_by=confirm_by, expired=expired,
         )  # fmt: skip
 
     def _go_on(self) -> RolloutModel:
-        what, *rest = self.doing
-        if what == "swap":
-            return replace(self, serves=self.target, doing=tuple(rest))
-        step = Step(what, self.target, confirm_by_ms=self.until if what == "applied" else 0.0)
+        action, *rest = self.pending_steps
+        if action == "swap":
+            return replace(self, serving=self.target, pending_steps=tuple(rest))
+        step = Step(action, self.target, confirm_by_ms=self.confirm_by if action == "applied" else 0.0)
         try:
-            replay(self.trail).advance(step)
+            replay(self.change_log).advance(step)
         except ValueError as error:
             raise InvariantViolation(f"known: {error}") from error
-        final = self.target if what == "undone" or not self.until else self.final
-        return replace(self, trail=(*self.trail, step), doing=tuple(rest), target=0, final=final)
+        final_version = self.target if action == "undone" or not self.confirm_by else self.final_version
+        return replace(
+            self,
+            change_log=(*self.change_log, step),
+            pending_steps=tuple(rest),
+            target=0,
+            final_version=final_version,
+        )
 
-    def _within(self, version: int) -> set[int]:
-        found = set()
+    def _ancestors(self, version: int) -> set[int]:
+        ancestors = set()
         while version:
-            found.add(version)
+            ancestors.add(version)
             version = self.parents[version]
-        return found
+        return ancestors
 
     def _check(self) -> None:
-        found = replay(self.trail)
-        if self.serves and not self.doing and self._within(self.serves) & self.expired:
-            raise InvariantViolation("gone: what nobody confirmed is served within another version")
-        staged = {step.version for step in self.trail if step.action == "staged"}
-        if self.serves and self.serves not in staged:
-            raise InvariantViolation("known: a version is served that nobody staged")
-        if self.serves and not self.doing and self.serves != found.serving:
-            raise InvariantViolation("whole: what is served is not what the trail says")
+        state = replay(self.change_log)
+        if self.serving and not self.pending_steps and self._ancestors(self.serving) & self.expired:
+            raise InvariantViolation(
+                "gone: a version that was not confirmed in time is an ancestor of the served version"
+            )
+        staged = {step.version for step in self.change_log if step.action == "staged"}
+        if self.serving and self.serving not in staged:
+            raise InvariantViolation("known: a version is served that was never staged")
+        if self.serving and not self.pending_steps and self.serving != state.serving:
+            raise InvariantViolation("whole: the served version is not the one that the change log names")
         if (
-            self.serves
-            and not self.doing
-            and not found.confirm_by_ms
-            and not found.applying
-            and self.final != found.serving
+            self.serving
+            and not self.pending_steps
+            and not state.confirm_by_ms
+            and not state.applying
+            and self.final_version != state.serving
         ):
             raise InvariantViolation(
-                "kept: a version that was reported applied for good is not served, and was not undone"
+                "kept: a version that was applied without a trial, or confirmed, is not served although it was not undone"
+            )
+        if self.serving and not self.pending_steps and state.applying:
+            raise InvariantViolation(
+                "whole: the change log says that a version is being applied, but no steps are pending"
             )
-        if self.serves and not self.doing and found.applying:
-            raise InvariantViolation("whole: the trail says that a version is being applied, and nobody does")
 
     def key(self) -> Hashable:
-        """All of it, but for how the trail came to where it stands."""
-        staged = frozenset(step.version for step in self.trail if step.action == "staged")
+        """The whole state, with the change log reduced to what it replays to."""
+        staged = frozenset(step.version for step in self.change_log if step.action == "staged")
         rest = (
-            self.serves,
-            self.doing,
+            self.serving,
+            self.pending_steps,
             self.target,
-            self.until,
-            self.made,
+            self.confirm_by,
+            self.version_count,
             self.now,
-            self.kills,
-            self.edits,
-            self.final,
+            self.remaining_kills,
+            self.remaining_edits,
+            self.final_version,
             self.parents,
             self.expired,
         )
-        return replay(self.trail), staged, rest
+        return replay(self.change_log), staged, rest
--- a/winchdyke/model/checker.py
+++ b/winchdyke/model/checker.py
@@ -8,11 +8,11 @@
 
 
 class InvariantViolation(Exception):
-    """An invariant does not hold; the text names it."""
+    """An invariant does not hold; the message names it."""
 
 
 class Model(Protocol):
-    """One state of what is explored, with the steps that are possible in it."""
+    """One state of a model, with the steps that are possible in it."""
 
     def steps(self) -> Iterable[str]:
         """The names of all steps that are possible now."""
--- a/winchdyke/model/discovery.py
+++ b/winchdyke/model/discovery.py
@@ -2,12 +2,12 @@
 
 Stores drain, restart, give their address to another store, or fail; the list service is up, down, stale or empty, and
 learns late; ``faults`` bounds these events in total. Time is a step of its own, as long as a warmup. A gateway polls,
-checks an unconfirmed endpoint, sends, saves its cache, and restarts from it. Invariants, at each request that reaches a
+checks an unconfirmed endpoint, sends, saves its cache, and restarts from it. Invariants, for each request that reaches a
 store:
 
-    identity  it is the intended store, never another one at its address
-    cold      while it is warming up the gateway counts it as warming up
-    drain     a gateway that learnt of this process's drain (and cached it, where it restarted since) sends it nothing
+    identity  the store is the intended one, not another one at its address
+    cold      the gateway counts a store that is warming up as warming up
+    drain     the gateway had not learnt of a drain of this process, or had restarted without having cached it
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 WARMUP_MS = 1000.0
 START_MS = 100 * WARMUP_MS
-MAX_AGE_STEPS = 4  # older times are not told apart
+MAX_AGE_STEPS = 4  # older times count as equal
 BOUNDS = DiscoveryBounds(
     warmup_ms=WARMUP_MS,
     min_health_check_interval_ms=0.0,
@@ -43,7 +43,7 @@
 
 @dataclass
 class StoreProcess:
-    """A store as it is."""
+    """The true state of a store."""
 
     identity: int = 0
     boot_number: int = 0
@@ -54,7 +54,7 @@
 
 @dataclass
 class ListedState:
-    """A store as the list has it."""
+    """The state of a store on the list."""
 
     status: EndpointStatus
     identity: int
@@ -63,14 +63,14 @@
 
 @dataclass
 class ModelledGateway:
-    """A gateway.
+    """A gateway of the model.
 
     Attributes:
         view: Its endpoint view.
         connections: The identity and boot number at the other end of each open connection, by store.
         cached: Its cache on the disk.
-        known_drains: The drains it learnt of: store and boot number.
-        cached_drains: Those of them that were known when the cache was saved.
+        known_drains: The drains it has learnt of, as store and boot number.
+        cached_drains: The drains that it knew when it last saved the cache.
     """
 
     view: EndpointView
@@ -263,16 +263,16 @@
         self._respond(number, store)
 
     def _check_request(self, gateway: ModelledGateway, store: int) -> None:
-        """The invariants."""
+        """Check the invariants for one request. Raises InvariantViolation."""
         node = self.nodes[store]
         if node.identity:
-            raise InvariantViolation("identity: a request reaches another store at the address")
+            raise InvariantViolation("identity: a request reaches another store at a reused address")
         started_at_ms = gateway.view.endpoints[_name(store)].started_at_ms
         counts_as_warming_up = started_at_ms and self.now_ms - started_at_ms < WARMUP_MS
         if self._is_warming_up(node) and not counts_as_warming_up:
-            raise InvariantViolation("cold: a request goes to a node just started as to a warm one")
+            raise InvariantViolation("cold: a request goes to a node that is warming up and counts as warm")
         if node.draining and (store, node.boot_number) in gateway.known_drains:
-            raise InvariantViolation("drain: a request goes to a node whose drain was told")
+            raise InvariantViolation("drain: a request goes to a node whose drain the gateway had learnt of")
 
     def _save(self, number: int) -> None:
         gateway = self.gateways[number]
@@ -290,7 +290,7 @@
     # The key of a state
 
     def key(self) -> Hashable:
-        """Times as steps ago, at most four; versions relative; gateways in any order, as they are alike."""
+        """The state with times as steps ago, versions as differences, and gateways in sorted order, as they are interchangeable."""
         nodes = tuple(
             (
                 node.identity > 0,
@@ -313,7 +313,7 @@
         )
 
     def _steps_ago(self, at_ms: float | None) -> int | None:
-        """How many steps of time ago, as a negative number down to -4; 1 for long ago."""
+        """The time in steps relative to now, at least -4; 1 for an unset time (0), None for None."""
         if at_ms is None:
             return None
         if not at_ms:
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -1,13 +1,13 @@
-"""The world in which changes at a stated instant are checked: gateways with clocks apart, that look late, are killed, and start.
+"""A model of a cutover at a scheduled instant for the model checker: gateways with different clocks that are killed and start.
 
-Time goes in whole ticks; each gateway's clock is off by its own share. A gateway looks when it likes, at least once a tick: what it
-goes by is what it saw at its last look. Invariants:
+Time passes in ticks; each gateway's clock has its own offset. A gateway checks its clock at least once in a tick, at any
+moment of it, and stays in the phase that it found until its next check. Invariants:
 
-    lower   while two gateways serve different versions, each one that serves holds the lower of the two limits
-    done    once all clocks are past the instant by what they may be apart, each serves the new version with its limit
+    lower   while two gateways serve different versions, all running ones apply the lower of the two limits
+    done    once all clocks are past the instant by their maximum difference, each serves the new version with its limit
 
-A gateway that learns of the change only when its instant is gone is told of apart: it holds the old version till then, so the
-first holds only among those that know of it in time; ``ChangeOperations`` refuses an instant in the past.
+Gateways that learn of the change after its instant are not modelled: they serve the old version until then, which breaks the
+first invariant. ``ChangeOperations`` refuses an instant in the past.
 """
 
 from __future__ import annotations
@@ -18,85 +18,91 @@
 from winchdyke.config_rollout.cutover import Phase, phase_at
 from winchdyke.model.checker import InvariantViolation
 
-AT, APART, END = 4.0, 2.0, 9
+INSTANT, MAX_CLOCK_DIFFERENCE, END = 4.0, 2.0, 9
 OLD, NEW = 1, 2
 
 
 @dataclass(frozen=True)
 class CutoverModel:
-    """One state: true time, what each gateway goes by (None: it is down), and whether each has looked in this tick."""
+    """One state: true time, the phase of each gateway (None: it is down), and whether each has checked its clock in this tick."""
 
     offsets: tuple[float, ...] = (-0.9, 0.0, 0.9)
     now: int = 0
-    going: tuple[Phase | None, ...] = (Phase.OLD, Phase.OLD, Phase.OLD)
-    looked: tuple[bool, ...] = (False, False, False)
-    kills: int = 2
+    phases: tuple[Phase | None, ...] = (Phase.OLD, Phase.OLD, Phase.OLD)
+    checked: tuple[bool, ...] = (False, False, False)
+    remaining_kills: int = 2
     limits: tuple[int, int] = (5, 2)
-    omitted_step: str = ""  # what a mutant leaves out
+    omitted_step: str = ""  # the part that a faulty variant leaves out
 
     def steps(self) -> Iterable[str]:
-        """All that may happen next."""
+        """The names of all steps that are possible now."""
         if (
-            all(seen or going is None for seen, going in zip(self.looked, self.going, strict=True))
+            all(checked or phase is None for checked, phase in zip(self.checked, self.phases, strict=True))
             and self.now < END
         ):
             yield "tick"
-        for number, going in enumerate(self.going):
-            if going is None:
+        for number, phase in enumerate(self.phases):
+            if phase is None:
                 yield f"start {number}"
                 continue
-            if not self.looked[number]:
+            if not self.checked[number]:
                 yield f"look {number}"
-            if self.kills:
+            if self.remaining_kills:
                 yield f"kill {number}"
 
     def after(self, step: str) -> CutoverModel:
-        """The world one step on."""
-        what, _, which = step.partition(" ")
-        if what == "tick":
-            made = replace(self, now=self.now + 1, looked=(False,) * len(self.offsets))
-        elif what == "kill":
-            made = replace(self._with(int(which), None), kills=self.kills - 1)
-        else:  # a start looks as well: it knows the instant from its trail
-            made = self._with(int(which), self._phase(int(which), what == "start"))
-        made._check()
-        return made
+        """The state one step on. Raises InvariantViolation."""
+        kind, _, gateway = step.partition(" ")
+        if kind == "tick":
+            successor = replace(self, now=self.now + 1, checked=(False,) * len(self.offsets))
+        elif kind == "kill":
+            successor = replace(
+                self._with_phase(int(gateway), None), remaining_kills=self.remaining_kills - 1
+            )
+        else:  # a start checks the clock too: it reads the instant from its change log
+            successor = self._with_phase(int(gateway), self._phase(int(gateway), kind == "start"))
+        successor._check()
+        return successor
 
     def _phase(self, number: int, start: bool) -> Phase:
         clock = self.now + self.offsets[number]
-        found = phase_at(clock, AT, APART)
-        if self.omitted_step == "early" and found is Phase.OLD_LOWER:
+        phase = phase_at(clock, INSTANT, MAX_CLOCK_DIFFERENCE)
+        if self.omitted_step == "early" and phase is Phase.OLD_LOWER:
             return Phase.OLD
-        if self.omitted_step == "settle" and found is Phase.NEW_LOWER:
+        if self.omitted_step == "settle" and phase is Phase.NEW_LOWER:
             return Phase.NEW
-        if self.omitted_step == "restart" and start and found is Phase.NEW_LOWER:
+        if self.omitted_step == "restart" and start and phase is Phase.NEW_LOWER:
             return Phase.NEW
-        return found
+        return phase
 
-    def _with(self, number: int, going: Phase | None) -> CutoverModel:
-        changed, looked = list(self.going), list(self.looked)
-        changed[number], looked[number] = going, going is not None
-        return replace(self, going=tuple(changed), looked=tuple(looked))
+    def _with_phase(self, number: int, phase: Phase | None) -> CutoverModel:
+        phases, checked = list(self.phases), list(self.checked)
+        phases[number], checked[number] = phase, phase is not None
+        return replace(self, phases=tuple(phases), checked=tuple(checked))
 
     def _check(self) -> None:
         old, new = self.limits
-        held = {
+        limit_by_phase = {
             Phase.OLD: old,
             Phase.NEW: new,
             Phase.OLD_LOWER: min(old, new),
             Phase.NEW_LOWER: min(old, new),
         }
-        up = [going for going in self.going if going is not None]
-        versions = {NEW if going in (Phase.NEW, Phase.NEW_LOWER) else OLD for going in up}
-        if len(versions) == 2 and any(held[going] != min(old, new) for going in up):
+        running = [phase for phase in self.phases if phase is not None]
+        versions = {NEW if phase in (Phase.NEW, Phase.NEW_LOWER) else OLD for phase in running}
+        if len(versions) == 2 and any(limit_by_phase[phase] != min(old, new) for phase in running):
             raise InvariantViolation(
-                "lower: two versions are served, and one of them with a limit that is not the lower one"
+                "lower: two versions are served, and one gateway does not apply the lower limit"
             )
-        if self.now >= AT + APART + 1 and all(self.looked) and any(going is not Phase.NEW for going in up):
+        if (
+            self.now >= INSTANT + MAX_CLOCK_DIFFERENCE + 1
+            and all(self.checked)
+            and any(phase is not Phase.NEW for phase in running)
+        ):
             raise InvariantViolation(
-                "done: the instant is long gone, and the new version does not count everywhere"
+                "done: all clocks are past the instant, and a gateway does not serve the new version with its limit"
             )
 
     def key(self) -> Hashable:
-        """All of it."""
-        return self.now, self.going, self.looked, self.kills
+        """The whole state, without constants."""
+        return self.now, self.phases, self.checked, self.remaining_kills
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -1,13 +1,14 @@
-"""The world in which the merging of words on members is checked: a few members, words that are lost, copied, late, reordered.
+"""A model of the merging of membership statements for the model checker: a few members, and messages in any order.
 
-Every word that was ever said may arrive anywhere, at any time, as often as it likes, or never: it stays in the world. Members
-accuse each other, let accusations run out, hear of their own, refute, end and start anew (later lives). The code under test is
-:class:`~winchdyke.membership.member_table.MemberTable` as it runs. Invariants, at each step:
+Statements are lost, duplicated, delayed and reordered: each may reach any member at any time, or never. Members suspect each
+other, declare each other dead, learn of suspicions of themselves and refute them, end, and restart with a new generation. The
+code under test is :class:`~winchdyke.membership.member_table.MemberTable`, unchanged. Invariants, after each step:
 
-    own voice     nobody believes of a member a life or incarnation that it has not taken itself
-    no way back   what a view believes of a member never goes back to an earlier (life, incarnation)
-    heard is one  two views that have taken in the same words on a member believe the same of it
-    refuted       a member that runs and has heard all words on itself stands above all of them
+    no forgery     no table has a generation or incarnation of a member that the member itself has not used
+    no regression  a table's (generation, incarnation) of a member never decreases
+    convergence    two tables that received the same statements about a member hold the same record of it
+    refutation     a running member has a higher (generation, incarnation) than each suspicion or death of
+                   itself that it received
 """
 
 from __future__ import annotations
@@ -20,124 +21,146 @@
 from winchdyke.membership.swim_config import SwimConfig
 from winchdyke.model.checker import InvariantViolation
 
-BOUNDS = SwimConfig(direct_evidence_intervals=-1.0)  # sight depends on time; merging must hold without it
-Word = tuple[int, int, int, int]  # member, life, incarnation, state
+CONFIG = SwimConfig(
+    direct_evidence_intervals=-1.0
+)  # direct evidence depends on time; merging must be correct without it
+Statement = tuple[int, int, int, int]  # member, generation, incarnation, state
 
 
 class MergeModel:
-    """One state of the world."""
+    """One state of the model."""
 
-    def __init__(self, members: int = 3, faults: int = 3, book: type[MemberTable] = MemberTable) -> None:
+    def __init__(
+        self, members: int = 3, faults: int = 3, table_type: type[MemberTable] = MemberTable
+    ) -> None:
         self.faults = faults
-        self.own: list[tuple[int, int, bool]] = [(1, 0, True)] * members  # life, incarnation, whether it runs
-        self.books = [book(str(n), BOUNDS) for n in range(members)]
-        self.words: frozenset[Word] = frozenset((n, 1, 0, int(MemberState.ALIVE)) for n in range(members))
-        self.heard: list[frozenset[Word]] = [frozenset() for _ in range(members)]
+        self.own_state: list[tuple[int, int, bool]] = [
+            (1, 0, True)
+        ] * members  # generation, incarnation, whether it runs
+        self.tables = [table_type(str(n), CONFIG) for n in range(members)]
+        self.statements: frozenset[Statement] = frozenset(
+            (n, 1, 0, int(MemberState.ALIVE)) for n in range(members)
+        )
+        self.received: list[frozenset[Statement]] = [frozenset() for _ in range(members)]
         for n in range(members):
-            for word in self.words:
-                if word[0] != n:
-                    self._hear(n, word)
+            for statement in self.statements:
+                if statement[0] != n:
+                    self._receive(n, statement)
 
     @staticmethod
-    def _entry(word: Word) -> MemberRecord:
-        member, life, incarnation, state = word
-        return MemberRecord(str(member), "", "", member, life, incarnation, state, "")
-
-    def _hear(self, viewer: int, word: Word) -> None:
-        book, name = self.books[viewer], str(word[0])
-        before = book.members[name].record.precedence if name in book.members else (-1, -1, -1)
-        book.apply(self._entry(word), 0.0, "x")
-        self.heard[viewer] |= {word}
-        if name in book.members and book.members[name].record.precedence[:2] < before[:2]:
-            raise InvariantViolation(f"no way back: {viewer} goes back on {name}")
+    def _record(statement: Statement) -> MemberRecord:
+        member, generation, incarnation, state = statement
+        return MemberRecord(str(member), "", "", member, generation, incarnation, state, "")
+
+    def _receive(self, viewer: int, statement: Statement) -> None:
+        table, name = self.tables[viewer], str(statement[0])
+        before = table.members[name].record.precedence if name in table.members else (-1, -1, -1)
+        table.apply(self._record(statement), 0.0, "x")
+        self.received[viewer] |= {statement}
+        if name in table.members and table.members[name].record.precedence[:2] < before[:2]:
+            raise InvariantViolation(f"no regression: {viewer} returned to an earlier record of {name}")
 
     def steps(self) -> Iterable[str]:
-        """All that may happen next."""
-        for viewer, (_, _, runs) in enumerate(self.own):
-            if not runs:
+        """The names of all steps that are possible now."""
+        for viewer, (_, _, running) in enumerate(self.own_state):
+            if not running:
                 if self.faults:
                     yield f"start {viewer}"
                 continue
-            for word in sorted(self.words - self.heard[viewer]):
-                yield f"hear {viewer} {'-'.join(map(str, word))}"
+            for statement in sorted(self.statements - self.received[viewer]):
+                yield f"hear {viewer} {'-'.join(map(str, statement))}"
             if self.faults:
                 yield f"end {viewer}"
-                for member in self.books[viewer].members.values():
+                for member in self.tables[viewer].members.values():
                     if member.state is MemberState.ALIVE:
                         yield f"accuse {viewer} {member.name}"
                     elif member.state is MemberState.SUSPECT:
                         yield f"bury {viewer} {member.name}"
 
     def after(self, step: str) -> MergeModel:
-        """One step on."""
-        world = copy.copy(self)
-        world.own, world.heard = list(self.own), list(self.heard)
-        world.books = copy.deepcopy(self.books)
-        what, who, *rest = step.split()
-        viewer = int(who)
-        life, incarnation, _ = world.own[viewer]
-        if what == "hear":
+        """The state one step on. Raises InvariantViolation."""
+        successor = copy.copy(self)
+        successor.own_state, successor.received = list(self.own_state), list(self.received)
+        successor.tables = copy.deepcopy(self.tables)
+        kind, reporter, *rest = step.split()
+        viewer = int(reporter)
+        generation, incarnation, _ = successor.own_state[viewer]
+        if kind == "hear":
             parts = [int(part) for part in rest[0].split("-")]
-            word: Word = (parts[0], parts[1], parts[2], parts[3])
-            if word[0] == viewer:
-                world.heard[viewer] |= {word}
-                world._refute(viewer, word)
+            statement: Statement = (parts[0], parts[1], parts[2], parts[3])
+            if statement[0] == viewer:
+                successor.received[viewer] |= {statement}
+                successor._refute(viewer, statement)
             else:
-                world._hear(viewer, word)
-        elif what == "end":
-            world.faults -= 1
-            world.own[viewer] = life, incarnation, False
-        elif what == "start":
-            world.faults -= 1
-            world.own[viewer] = life + 1, 0, True
-            world.books[viewer] = type(self.books[viewer])(str(viewer), BOUNDS)
-            world.heard[viewer] = frozenset()
-            world.words |= {(viewer, life + 1, 0, int(MemberState.ALIVE))}
+                successor._receive(viewer, statement)
+        elif kind == "end":
+            successor.faults -= 1
+            successor.own_state[viewer] = generation, incarnation, False
+        elif kind == "start":
+            successor.faults -= 1
+            successor.own_state[viewer] = generation + 1, 0, True
+            successor.tables[viewer] = type(self.tables[viewer])(str(viewer), CONFIG)
+            successor.received[viewer] = frozenset()
+            successor.statements |= {(viewer, generation + 1, 0, int(MemberState.ALIVE))}
         else:
-            world.faults -= 1
-            state = MemberState.SUSPECT if what == "accuse" else MemberState.DEAD
-            entry = with_state(world.books[viewer].members[rest[0]].record, state, who)
-            word = (int(rest[0]), entry.generation, entry.incarnation, int(state))
-            world.words |= {word}
-            world._hear(viewer, word)
-        world._check()
-        return world
-
-    def _refute(self, viewer: int, word: Word) -> None:
-        """As the machine does it."""
-        life, incarnation, runs = self.own[viewer]
-        _, said_life, said_incarnation, state = word
-        if said_life == life and state != MemberState.ALIVE and said_incarnation >= incarnation:
-            self.own[viewer] = life, said_incarnation + 1, runs
-            self.words |= {(viewer, life, said_incarnation + 1, int(MemberState.ALIVE))}
+            successor.faults -= 1
+            state = MemberState.SUSPECT if kind == "accuse" else MemberState.DEAD
+            record = with_state(successor.tables[viewer].members[rest[0]].record, state, reporter)
+            statement = (int(rest[0]), record.generation, record.incarnation, int(state))
+            successor.statements |= {statement}
+            successor._receive(viewer, statement)
+        successor._check()
+        return successor
+
+    def _refute(self, viewer: int, statement: Statement) -> None:
+        """Raise the incarnation above a suspicion of this generation, as the protocol does."""
+        generation, incarnation, running = self.own_state[viewer]
+        _, stated_generation, stated_incarnation, state = statement
+        if (
+            stated_generation == generation
+            and state != MemberState.ALIVE
+            and stated_incarnation >= incarnation
+        ):
+            self.own_state[viewer] = generation, stated_incarnation + 1, running
+            self.statements |= {(viewer, generation, stated_incarnation + 1, int(MemberState.ALIVE))}
 
     def _check(self) -> None:
-        for viewer, book in enumerate(self.books):
-            for name, member in book.members.items():
-                life, incarnation, _ = self.own[int(name)]
-                if member.record.precedence[:2] > (life, incarnation):
-                    raise InvariantViolation(f"own voice: {viewer} believes of {name} what it never said")
-        for number in range(len(self.books)):
+        for viewer, table in enumerate(self.tables):
+            for name, member in table.members.items():
+                generation, incarnation, _ = self.own_state[int(name)]
+                if member.record.precedence[:2] > (generation, incarnation):
+                    raise InvariantViolation(
+                        f"no forgery: {viewer} holds a record of {name} with a generation or incarnation it never used"
+                    )
+        for number in range(len(self.tables)):
             name = str(number)
-            believed: dict[frozenset[Word], tuple[int, int, int]] = {}
-            for viewer, book in enumerate(self.books):
-                if name not in book.members:
+            precedence_by_received: dict[frozenset[Statement], tuple[int, int, int]] = {}
+            for viewer, table in enumerate(self.tables):
+                if name not in table.members:
                     continue
-                heard = frozenset(word for word in self.heard[viewer] if word[0] == number)
-                order = book.members[name].record.precedence
-                if believed.setdefault(heard, order) != order:
-                    raise InvariantViolation(f"heard is one: views that heard the same differ on {name}")
-            life, incarnation, runs = self.own[number]
-            mine = {word for word in self.words if word[0] == number}
-            accused = [word[1:3] for word in mine & self.heard[number] if word[3] != MemberState.ALIVE]
-            if runs and any(word >= (life, incarnation) for word in accused):
+                received = frozenset(
+                    statement for statement in self.received[viewer] if statement[0] == number
+                )
+                precedence = table.members[name].record.precedence
+                if precedence_by_received.setdefault(received, precedence) != precedence:
+                    raise InvariantViolation(
+                        f"convergence: tables that received the same statements differ on {name}"
+                    )
+            generation, incarnation, running = self.own_state[number]
+            own_statements = {statement for statement in self.statements if statement[0] == number}
+            accusations = [
+                statement[1:3]
+                for statement in own_statements & self.received[number]
+                if statement[3] != MemberState.ALIVE
+            ]
+            if running and any(statement >= (generation, incarnation) for statement in accusations):
                 raise InvariantViolation(
-                    f"refuted: {name} has heard an accusation and does not stand above it"
+                    f"refutation: {name} received a suspicion or death of itself and has no higher incarnation"
                 )
 
     def key(self) -> Hashable:
-        """Equal for worlds from which the same can follow."""
-        books = tuple(
-            tuple(sorted((n, m.record.precedence) for n, m in book.members.items())) for book in self.books
+        """Equal for states from which the same can follow."""
+        tables = tuple(
+            tuple(sorted((n, m.record.precedence) for n, m in table.members.items())) for table in self.tables
         )
-        return self.faults, tuple(self.own), books, self.words, tuple(self.heard)
+        return self.faults, tuple(self.own_state), tables, self.statements, tuple(self.received)
