--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -1,7 +1,7 @@
-"""Membership in virtual time: real machines, sealed and opened messages' bytes counted, links with faults, pauses, kills.
+"""Simulates membership in virtual time: the real protocol and message encoding, links with faults, pauses and kills.
 
-Everything is drawn from the seed. A :class:`Fleet` plays a script of steps and keeps what a judge needs: when each member ran,
-what each view said when, bytes by member and second.
+All randomness comes from the seed. A :class:`Fleet` runs scheduled steps and records what tests check: the processes, the
+state transitions of each view, and the bytes that each member sent in each second.
 """
 
 from __future__ import annotations
@@ -18,57 +18,57 @@
 from winchdyke.membership.swim import SwimProtocol
 from winchdyke.membership.swim_config import SwimConfig
 
-UDP_IP, TCP_SETUP = 28, 400  # bytes around a datagram, and of a short TCP connection beside what it carries
+UDP_OVERHEAD_BYTES, TCP_OVERHEAD_BYTES = 28, 400  # bytes added to a datagram, and to a message over TCP
 SECRET = b"the model's key, sixteen or more"
 
 
 @dataclass
 class Links:
-    """What the network does, by ordered pair."""
+    """The faults of the network. ``cut`` holds ordered pairs of members, sender first."""
 
     loss: float = 0.0
     copies: float = 0.0
-    delay: tuple[float, float] = (0.2, 1.0)  # ms, least and mean beyond it
-    tail: float = 0.0  # part of the datagrams that take a hundred times as long
+    delay: tuple[float, float] = (0.2, 1.0)  # ms: the minimum, and the mean of the part above it
+    tail: float = 0.0  # share of datagrams with a delay 100 times as long
     cut: set[tuple[str, str]] = field(default_factory=set)
     datagrams: bool = True
     streams: bool = True
-    large_lost: int = 0  # datagrams longer than this are lost; 0: none
+    large_lost: int = 0  # datagrams with more bytes are lost; 0: no limit
 
     def passes(self, sender: str, to: str) -> bool:
-        """Whether anything goes this way."""
+        """Whether messages from ``sender`` reach ``to``."""
         return (sender, to) not in self.cut
 
 
 @dataclass
 class SimulatedProcess:
-    """One process."""
+    """One gateway process of the simulation."""
 
     name: str
     zone: str
     index: int
     protocol: SwimProtocol
-    began: float
-    clock_rate: float = 1.0  # of its clock: how many of its milliseconds go by in one
-    ended: float | None = None
+    started_at: float
+    clock_rate: float = 1.0  # milliseconds of its clock per true millisecond
+    ended_at: float | None = None
     paused_until: float = 0.0
     drops_messages: bool = (
-        False  # what comes while it stands still is lost, as where its host has no room for it
+        False  # whether datagrams are lost while it is paused, as with a full socket buffer
     )
-    waiting: list[events.MessageReceived | events.StateExchangeFinished] = field(default_factory=list)
+    queued_messages: list[events.MessageReceived | events.StateExchangeFinished] = field(default_factory=list)
 
     def clock(self, now: float) -> float:
-        """What its own clock shows at a time."""
-        return self.began + (now - self.began) * self.clock_rate
+        """The time of its own clock at a true time."""
+        return self.started_at + (now - self.started_at) * self.clock_rate
 
-    def when(self, shown: float) -> float:
-        """When its own clock shows a time."""
-        return self.began + (shown - self.began) / self.clock_rate
+    def true_time(self, clock_ms: float) -> float:
+        """The true time at which its own clock shows a time."""
+        return self.started_at + (clock_ms - self.started_at) / self.clock_rate
 
 
 @dataclass(frozen=True)
 class StateTransition:
-    """What a view said of a member from a time on."""
+    """A change of a member's state or generation in a view."""
 
     at: float
     viewer: str
@@ -78,7 +78,7 @@
 
 
 class Fleet:
-    """Machines, a network and a clock."""
+    """The simulated processes, their network, and the clock."""
 
     def __init__(
         self,
@@ -91,8 +91,8 @@
         start_ms: float = 1000.0,
         drift: float = 0.0,
     ) -> None:
-        """``drift``: by what part of it a clock may run fast or slow, drawn for each process."""
-        self.config, self.rng, self.make = config or SwimConfig(), random.Random(seed), make
+        """``drift``: the largest relative error of a clock's rate, drawn for each process."""
+        self.config, self.rng, self.make_protocol = config or SwimConfig(), random.Random(seed), make
         self.links, self.drift = links or Links(), drift
         self.now, self._order = 0.0, 0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -102,7 +102,7 @@
         self.reports: list[tuple[float, str, events.ReportEvent]] = []
         self.bytes: dict[str, dict[int, int]] = defaultdict(lambda: defaultdict(int))
         self.largest_datagram = 0
-        self._before: dict[str, dict[str, tuple[str, int]]] = defaultdict(dict)
+        self._reported_states: dict[str, dict[str, tuple[str, int]]] = defaultdict(dict)
         self._versions: dict[str, int] = {}
         self.names = [f"g{n}" for n in range(members)]
         self.zones = {name: f"zone-{n % zones}" for n, name in enumerate(self.names)}
@@ -110,20 +110,20 @@
         for name in self.names:
             self.at(self.rng.random() * start_ms, lambda name=name: self.start(name))  # type: ignore[misc]
 
-    # The script.
+    # Scheduled steps
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
-        """Do something at a time."""
+    def at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback."""
         self._order += 1
-        heapq.heappush(self._events, (max(when, self.now), self._order, what))
+        heapq.heappush(self._events, (max(when, self.now), self._order, callback))
 
     def start(self, name: str, clock: float | None = None) -> None:
-        """Start a process under a name; ``clock`` is the Unix time that it believes, where that is another."""
+        """Start a process under a name, unless it runs. ``clock`` replaces the time from which its generation is made (ms)."""
         if name in self.processes:
             return
         index = int(name[1:])
         generation = (int(self.now if clock is None else clock) + 1_000_000) << 16 | self.rng.getrandbits(16)
-        own = LocalMember(
+        local_member = LocalMember(
             name,
             self._address(name),
             self.zones.get(name, "zone-0"),
@@ -132,112 +132,115 @@
             len(self.names),
             self.seeds,
         )
-        machine = self.make(own, self.config, self.rng.getrandbits(32), self.now)
+        protocol = self.make_protocol(local_member, self.config, self.rng.getrandbits(32), self.now)
         rate = 1.0 + (self.rng.uniform(-self.drift, self.drift) if self.drift else 0.0)
-        self.processes[name] = SimulatedProcess(name, own.zone, index, machine, self.now, rate)
+        self.processes[name] = SimulatedProcess(name, local_member.zone, index, protocol, self.now, rate)
         self._versions[name] = -1
-        self._before[name] = {}
-        self._wake(self.processes[name])
+        self._reported_states[name] = {}
+        self._schedule_timer(self.processes[name])
 
     def kill(self, name: str) -> None:
-        """End a process; nobody is told."""
+        """End a process without a message to other members."""
         process = self.processes.pop(name, None)
         if process is not None:
-            process.ended = self.now
+            process.ended_at = self.now
             self.ended_processes.append(process)
 
     def leave(self, name: str) -> None:
-        """End a process in good order."""
+        """End a process that announces its leave."""
         process = self.processes.get(name)
         if process is not None:
-            self._do(process, process.protocol.leave(process.clock(self.now)))
+            self._execute(process, process.protocol.leave(process.clock(self.now)))
             self.kill(name)
 
     def pause(self, name: str, length: float, drops_messages: bool = False) -> None:
-        """Stop a process for a time; what comes meanwhile waits for it, or is lost."""
+        """Pause a process for a time (ms); messages are queued meanwhile, or lost with ``drops_messages``."""
         process = self.processes.get(name)
         if process is not None:
             process.drops_messages = drops_messages
             process.paused_until = max(process.paused_until, self.now + length)
-            self.at(process.paused_until, lambda: self._turn(process))
+            self.at(process.paused_until, lambda: self._run_timer(process))
 
     def run(self, until: float) -> None:
-        """Play on to a time."""
+        """Advance the simulation to a time."""
         while self._events and self._events[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
         self.now = until
 
-    # What is seen.
+    # Observations
 
     def agreed(self) -> bool:
-        """Whether all views name just those that run."""
+        """Whether each view holds exactly the running members, with their generations."""
         return not self.differences()
 
     def differences(self) -> list[str]:
-        """What is wrong in which view."""
-        found = []
+        """The views that are wrong, each with its missing and extra members."""
+        differences = []
         for name, process in self.processes.items():
-            want = sorted((n, other.protocol.generation) for n, other in self.processes.items() if n != name)
-            have = sorted(process.protocol.view(process.clock(self.now)).active_generations())
-            if want != have:
-                missing = [n for n, _ in want if n not in dict(have)]
-                extra = [n for n, _ in have if n not in dict(want)]
-                found.append(f"{name}: without {missing[:5]}, with {extra[:5]}")
-        return found
-
-    def until_agreed(self, most: float, step: float = 100.0) -> float | None:
-        """Play on until all views agree; ms that took, None where it took more than ``most``."""
-        began = self.now
-        while self.now < began + most:
+            expected = sorted(
+                (n, other.protocol.generation) for n, other in self.processes.items() if n != name
+            )
+            actual = sorted(process.protocol.view(process.clock(self.now)).active_generations())
+            if expected != actual:
+                missing = [n for n, _ in expected if n not in dict(actual)]
+                extra = [n for n, _ in actual if n not in dict(expected)]
+                differences.append(f"{name}: missing {missing[:5]}, extra {extra[:5]}")
+        return differences
+
+    def until_agreed(self, timeout_ms: float, step: float = 100.0) -> float | None:
+        """Advance until all views agree; returns the time it took (ms), or None after ``timeout_ms``."""
+        since = self.now
+        while self.now < since + timeout_ms:
             if self.agreed():
-                return self.now - began
+                return self.now - since
             self.run(self.now + step)
         return None
 
     def bytes_per_second(self, since: float, until: float) -> list[float]:
-        """Bytes a second that each member sent over a time."""
+        """The mean bytes per second that each member sent in a time."""
         seconds = range(int(since / 1000), int(until / 1000))
         return [
             sum(self.bytes[name][second] for second in seconds) / max(1, len(seconds)) for name in self.names
         ]
 
-    # Inside.
+    # Network and timers
 
     @staticmethod
     def _address(name: str) -> str:
         return f"at-{name}"
 
-    def _wake(self, process: SimulatedProcess) -> None:
+    def _schedule_timer(self, process: SimulatedProcess) -> None:
         self.at(
-            max(process.when(process.protocol.next_turn_ms), self.now + 0.01), lambda: self._turn(process)
+            max(process.true_time(process.protocol.next_turn_ms), self.now + 0.01),
+            lambda: self._run_timer(process),
         )
 
-    def _turn(self, process: SimulatedProcess) -> None:
+    def _run_timer(self, process: SimulatedProcess) -> None:
         if self.processes.get(process.name) is not process or self.now < process.paused_until:
             return
-        happened, process.waiting = process.waiting, []
-        self._do(process, process.protocol.handle(process.clock(self.now), happened))
-        if not happened:
-            self._wake(process)
+        messages, process.queued_messages = process.queued_messages, []
+        self._execute(process, process.protocol.handle(process.clock(self.now), messages))
+        if not messages:
+            self._schedule_timer(process)
 
-    def _hand(
-        self, process: SimulatedProcess, what: events.MessageReceived | events.StateExchangeFinished
+    def _deliver(
+        self, process: SimulatedProcess, message: events.MessageReceived | events.StateExchangeFinished
     ) -> None:
         if self.processes.get(process.name) is not process:
             return
         if self.now < process.paused_until:
-            if not process.drops_messages or isinstance(what, events.StateExchangeFinished):
-                process.waiting.append(what)
+            if not process.drops_messages or isinstance(message, events.StateExchangeFinished):
+                process.queued_messages.append(message)
             return
-        self._do(process, process.protocol.handle(process.clock(self.now), [what]))
+        self._execute(process, process.protocol.handle(process.clock(self.now), [message]))
 
-    def _do(self, process: SimulatedProcess, actions: Iterable[events.Action]) -> None:
+    def _execute(self, process: SimulatedProcess, actions: Iterable[events.Action]) -> None:
         for action in actions:
             if isinstance(action, events.SendDatagram):
-                self._datagram(process.name, action.address, action.message)
+                self._send_datagram(process.name, action.address, action.message)
             elif isinstance(action, events.StartStateExchange):
-                self._stream(process, action.address, action.message)
+                self._exchange_state(process, action.address, action.message)
             elif isinstance(action, events.ReportEvent):
                 self.reports.append((self.now, process.name, action))
             elif isinstance(action, events.StopMembership):
@@ -245,27 +248,27 @@
         view = process.protocol.view(process.clock(self.now))
         if view.version != self._versions.get(process.name):
             self._versions[process.name] = view.version
-            before = self._before[process.name]
+            reported = self._reported_states[process.name]
             for member in view.members:
-                if before.get(member.name) != (member.state, member.generation):
-                    before[member.name] = member.state, member.generation
+                if reported.get(member.name) != (member.state, member.generation):
+                    reported[member.name] = member.state, member.generation
                     self.transitions.append(
                         StateTransition(self.now, process.name, member.name, member.state, member.generation)
                     )
 
-    def _count(self, name: str, size: int) -> None:
+    def _count_bytes(self, name: str, size: int) -> None:
         self.bytes[name][int(self.now / 1000)] += size
 
     def _delay(self) -> float:
-        least, mean = self.links.delay
-        delay = least + self.rng.expovariate(1 / mean)
+        min_delay, mean = self.links.delay
+        delay = min_delay + self.rng.expovariate(1 / mean)
         return delay * 100 if self.links.tail and self.rng.random() < self.links.tail else delay
 
-    def _datagram(self, sender: str, address: str, message: wire.SwimMessage) -> None:
+    def _send_datagram(self, sender: str, address: str, message: wire.SwimMessage) -> None:
         data, links = wire.seal(message, SECRET), self.links
         assert len(data) <= wire.MAX_DATAGRAM_BYTES, f"{len(data)} bytes"
         self.largest_datagram = max(self.largest_datagram, len(data))
-        self._count(sender, len(data) + UDP_IP)
+        self._count_bytes(sender, len(data) + UDP_OVERHEAD_BYTES)
         to = address.removeprefix("at-")
         if (
             not links.datagrams
@@ -277,26 +280,26 @@
         for _ in range(copies):
             if links.loss and self.rng.random() < links.loss:
                 continue
-            self.at(self.now + self._delay(), lambda: self._datagram_comes(to, data, self._address(sender)))
+            self.at(self.now + self._delay(), lambda: self._receive_datagram(to, data, self._address(sender)))
 
-    def _datagram_comes(self, to: str, data: bytes, address: str) -> None:
+    def _receive_datagram(self, to: str, data: bytes, address: str) -> None:
         process = self.processes.get(to)
         if process is not None:
-            self._hand(process, events.MessageReceived(wire.unseal(data, [SECRET]), address))
+            self._deliver(process, events.MessageReceived(wire.unseal(data, [SECRET]), address))
 
-    def _stream(self, process: SimulatedProcess, address: str, message: wire.SwimMessage) -> None:
+    def _exchange_state(self, process: SimulatedProcess, address: str, message: wire.SwimMessage) -> None:
         links, to = self.links, address.removeprefix("at-")
         size = len(wire.seal(message, SECRET))
-        self._count(process.name, size + TCP_SETUP)
+        self._count_bytes(process.name, size + TCP_OVERHEAD_BYTES)
 
-        def ended(answer: wire.SwimMessage | None) -> None:
-            self._hand(process, events.StateExchangeFinished(address, message.request_id, answer))
+        def finish(answer: wire.SwimMessage | None) -> None:
+            self._deliver(process, events.StateExchangeFinished(address, message.request_id, answer))
 
-        def comes() -> None:
+        def receive() -> None:
             other = self.processes.get(to)
-            there = links.streams and links.passes(process.name, to) and links.passes(to, process.name)
-            if not there or other is None or self.now < other.paused_until:
-                self.at(self.now + self.config.probe_timeout_ms, lambda: ended(None))
+            connected = links.streams and links.passes(process.name, to) and links.passes(to, process.name)
+            if not connected or other is None or self.now < other.paused_until:
+                self.at(self.now + self.config.probe_timeout_ms, lambda: finish(None))
                 return
             actions = other.protocol.handle(
                 other.clock(self.now), [events.MessageReceived(message, self._address(process.name), True)]
@@ -304,15 +307,15 @@
             replies = [
                 action.message for action in actions if isinstance(action, events.ReplyToStateExchange)
             ]
-            self._do(other, actions)
+            self._execute(other, actions)
             for reply in replies[:1]:
-                self._count(to, len(wire.seal(reply, SECRET)))
-                self.at(self.now + self._delay(), lambda reply=reply: ended(reply))  # type: ignore[misc]
+                self._count_bytes(to, len(wire.seal(reply, SECRET)))
+                self.at(self.now + self._delay(), lambda reply=reply: finish(reply))  # type: ignore[misc]
             if not replies:
-                self.at(self.now + self.config.probe_timeout_ms, lambda: ended(None))
+                self.at(self.now + self.config.probe_timeout_ms, lambda: finish(None))
 
-        # Lost segments are sent again: TCP answers late rather than not at all.
-        again = 0.0
-        while links.loss and again < 3 and self.rng.random() < links.loss:
-            again += 1
-        self.at(self.now + 2 * self._delay() + again * 200.0, comes)
+        # TCP retransmits lost segments, so an exchange is late rather than lost.
+        retransmissions = 0.0
+        while links.loss and retransmissions < 3 and self.rng.random() < links.loss:
+            retransmissions += 1
+        self.at(self.now + 2 * self._delay() + retransmissions * 200.0, receive)
