--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -36,12 +36,12 @@
     """Twenty scenes: the wait falls where the blamed course is taken away, and not where an idle one is."""
     for seed in range(20):
         check = counterfactual(scene(seed), "school", "burst")
-        assert check.blamed > 0.1 * check.queued_ms, check
-        assert check.fell > 0.5 * check.queued_ms, check
+        assert check.blamed_ms > 0.1 * check.queued_ms, check
+        assert check.reduction_ms > 0.5 * check.queued_ms, check
     calm = scene(1, burst=0.5)
     assert (
-        counterfactual(calm, "school", "burst").blamed
-        < 0.05 * counterfactual(scene(1), "school", "burst").blamed
+        counterfactual(calm, "school", "burst").blamed_ms
+        < 0.05 * counterfactual(scene(1), "school", "burst").blamed_ms
     )
 
 
--- a/winchdyke/model/experiment.py
+++ b/winchdyke/model/experiment.py
@@ -1,4 +1,4 @@
-"""Experiments: a scene from a file, one value of it swept, repeated by seeds; a table, and a plot where asked for."""
+"""Experiments read from files: a simulation with one value swept, repeated for several seeds; as a table, and as a plot."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 from winchdyke.model.world import RequestResult, SimulationSetup, Workload, play
 
-SWEPT = ("gateways", "stores", "cores", "unit_ms", "net_ms", "rate_factor", "slow_factor")
+SWEEP_FIELDS = ("gateways", "stores", "cores", "unit_ms", "net_ms", "rate_factor", "slow_factor")
 
 
 class ExperimentError(Exception):
-    """An experiment that can't be run; says what is wrong."""
+    """The experiment can't be run; the message says what is wrong."""
 
 
-class Group(msgspec.Struct, forbid_unknown_fields=True):
-    """Several courses alike, spread over shards and gateways."""
+class WorkloadGroup(msgspec.Struct, forbid_unknown_fields=True):
+    """Several equal workloads, spread over shards and gateways."""
 
     name: str
     count: int = 1
@@ -36,10 +36,10 @@
 
 
 class Experiment(msgspec.Struct, forbid_unknown_fields=True):
-    """What to run: the scene's figures, its groups of courses, what is swept over which values, and the seeds."""
+    """A simulation and its groups of workloads, the field that is swept and its values, and the seeds."""
 
     name: str
-    courses: list[Group]
+    courses: list[WorkloadGroup]
     sweep: str = "gateways"
     values: tuple[float, ...] = (1.0,)
     seeds: tuple[int, ...] = (1, 2, 3)
@@ -55,44 +55,44 @@
 
 
 def read(path: Path) -> Experiment:
-    """An experiment from a TOML file. ExperimentError says what is wrong with it."""
+    """Read an experiment from a TOML file. Raises ExperimentError if it is not valid."""
     try:
-        found = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
+        experiment = msgspec.convert(tomllib.loads(path.read_text(encoding="utf-8")), Experiment)
     except OSError as error:
         raise ExperimentError(f"{path} can't be read: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.ValidationError) as error:
         raise ExperimentError(f"{path}: {error}") from error
-    if found.sweep not in SWEPT:
-        raise ExperimentError(f"{path}: sweep is {found.sweep!r}; it can be {', '.join(SWEPT)}")
-    if not found.values or not found.seeds or not found.courses:
+    if experiment.sweep not in SWEEP_FIELDS:
+        raise ExperimentError(f"{path}: sweep is {experiment.sweep!r}; it can be {', '.join(SWEEP_FIELDS)}")
+    if not experiment.values or not experiment.seeds or not experiment.courses:
         raise ExperimentError(f"{path}: values, seeds and courses need one entry at least")
-    return found
+    return experiment
 
 
 def simulation_setup(experiment: Experiment, value: float, seed: int) -> SimulationSetup:
-    """The scene at one value of the sweep."""
-    kind = type(getattr(experiment, experiment.sweep))
-    made = msgspec.structs.replace(experiment, **{experiment.sweep: kind(value)})
-    courses = []
-    for group in made.courses:
+    """The simulation for one value of the sweep and one seed."""
+    value_type = type(getattr(experiment, experiment.sweep))
+    swept = msgspec.structs.replace(experiment, **{experiment.sweep: value_type(value)})
+    workloads = []
+    for group in swept.courses:
         for number in range(group.count):
-            shards = tuple(sorted({(number + n) % made.stores for n in range(group.shards)}))
-            gateways = tuple(sorted({(number * 7 + n) % made.gateways for n in range(group.gateways)}))
-            courses.append(
+            shards = tuple(sorted({(number + n) % swept.stores for n in range(group.shards)}))
+            gateways = tuple(sorted({(number * 7 + n) % swept.gateways for n in range(group.gateways)}))
+            workloads.append(
                 Workload(
-                    f"{group.name}-{number}", group.rate * made.rate_factor, group.class_name, group.units, group.plan, shards,
+                    f"{group.name}-{number}", group.rate * swept.rate_factor, group.class_name, group.units, group.plan, shards,
                     gateways, group.begin_ms, group.end_ms,
                 )
             )  # fmt: skip
-    slow = ((made.slow_store, made.slow_factor),) if made.slow_store >= 0 else ()
+    slow = ((swept.slow_store, swept.slow_factor),) if swept.slow_store >= 0 else ()
     return SimulationSetup(
-        tuple(courses), made.gateways, made.stores, made.cores, made.unit_ms, made.net_ms, made.length_ms, seed, slow
+        tuple(workloads), swept.gateways, swept.stores, swept.cores, swept.unit_ms, swept.net_ms, swept.length_ms, seed, slow
     )  # fmt: skip
 
 
 @dataclass(frozen=True)
 class Row:
-    """One value of the sweep: medians over the seeds."""
+    """The medians over all seeds for one value of the sweep."""
 
     value: float
     requests: float
@@ -103,18 +103,19 @@
     blamed_on_volumes: float
 
 
-def _figures(found: list[RequestResult]) -> tuple[float, ...]:
-    waits = sorted(done.latency for done in found if done.outcome == "served") or [0.0]
-    held = sum(done.queued_ms for done in found)
-    volumes = sum(v for done in found for holder, v in done.blame.items() if holder[0] == "volume")
+def _figures(requests: list[RequestResult]) -> tuple[float, ...]:
+    waits = sorted(done.latency for done in requests if done.outcome == "served") or [0.0]
+    queued_ms = sum(done.queued_ms for done in requests)
+    volumes = sum(v for done in requests for holder, v in done.blame.items() if holder[0] == "volume")
     return (
-        float(len(found)), sum(done.outcome == "served" for done in found) / max(1, len(found)),
-        waits[len(waits) // 2], waits[int(len(waits) * 0.99)], held / max(1, len(found)), volumes / held if held else 0.0,
+        float(len(requests)), sum(done.outcome == "served" for done in requests) / max(1, len(requests)),
+        waits[len(waits) // 2], waits[int(len(waits) * 0.99)],
+        queued_ms / max(1, len(requests)), volumes / queued_ms if queued_ms else 0.0,
     )  # fmt: skip
 
 
 def run(experiment: Experiment) -> list[Row]:
-    """Every value with every seed. Simulated figures."""
+    """Simulate every value with every seed."""
     rows = []
     for value in experiment.values:
         runs = [_figures(play(simulation_setup(experiment, value, seed))) for seed in experiment.seeds]
@@ -123,7 +124,7 @@
 
 
 def table(experiment: Experiment, rows: list[Row]) -> str:
-    """The rows as text."""
+    """The rows as a text table."""
     names = [field.name for field in dataclasses.fields(Row)]
     lines = [f"{experiment.name}: medians of {len(experiment.seeds)} seeds, simulated"]
     lines.append("".join(f"{experiment.sweep if name == 'value' else name:>19}" for name in names))
@@ -132,7 +133,7 @@
 
 
 def plot(experiment: Experiment, rows: list[Row], path: Path) -> None:
-    """Latency and waiting over the sweep, as a PNG. ExperimentError where matplotlib is not installed."""
+    """Write a PNG of latency and queueing time over the sweep. Raises ExperimentError if matplotlib is not installed."""
     try:
         import matplotlib
     except ImportError as error:
@@ -144,7 +145,7 @@
     values = [row.value for row in rows]
     series: dict[str, Any] = {
         "p50": [row.p50_ms for row in rows], "p99": [row.p99_ms for row in rows],
-        "held a request": [row.held_ms for row in rows],
+        "queueing time per request": [row.held_ms for row in rows],
     }  # fmt: skip
     for name, points in series.items():
         axes.plot(values, points, "o-", label=name)
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -1,8 +1,8 @@
-"""Gateways, stores and clients in virtual time. The scheduler is the real one, unchanged; all else is a model.
+"""A discrete-event simulation of gateways, stores and clients in virtual time, with the real scheduler.
 
-Simulated figures are not measurements. What the model leaves out: networks that lose or reorder, lists that are late,
-clients' second tries, bodies, the gateway's own time. Arrivals of each course are drawn from its own seed, so that a scene
-without a course is the same scene for all others: that is what the counterfactual check needs.
+Its results are simulated, not measured. It leaves out message loss and reordering, delays of endpoint lists, retries by
+clients, bodies, and the processing time of gateways. Each workload draws its arrivals from its own seed, so that removing
+one workload changes no arrival of the others; the counterfactual check depends on this.
 """
 
 from __future__ import annotations
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """A volume's traffic: requests a second of a class, their units, where its data lies, the gateways it comes through."""
+    """The traffic of a volume: requests per second, their class and units, and the volume's shards and gateways."""
 
     name: str
     rate: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class SimulationSetup:
-    """A fleet, its courses, and nodes that are slower by a factor."""
+    """A deployment and its workloads. ``slow`` holds (shard, factor) of stores slowed down from ``slow_from_ms`` on."""
 
     workloads: tuple[Workload, ...]
     gateways: int = 1
@@ -83,7 +83,14 @@
 
 @dataclass
 class RequestResult:
-    """One request's course."""
+    """The result of one request; times in milliseconds.
+
+    Attributes:
+        blame: Queueing time by holder, as the gateway attributes it.
+        causes: Queueing time by cause.
+        true_blame: Queueing time by holder, as :class:`OmniscientObserver` attributes it.
+        expected_ms: The expected latency of its last attempt.
+    """
 
     id: str
     volume: str
@@ -95,50 +102,48 @@
     outcome: str = ""
     blame: dict[Holder, float] = field(default_factory=dict)
     causes: dict[str, float] = field(default_factory=dict)
-    true_blame: dict[Holder, float] = field(
-        default_factory=dict
-    )  # blame by one that sees all, where it was asked for
+    true_blame: dict[Holder, float] = field(default_factory=dict)
     sent: float = -1.0
     node: str = ""
     units: float = 1.0
-    usual: float = 0.0
+    expected_ms: float = 0.0
 
     @property
     def latency(self) -> float:
-        """From its coming to its answer, in milliseconds."""
+        """The time from its arrival to its answer, in milliseconds."""
         return self.end - self.at
 
 
 class _Store:
     def __init__(self, cores: int, unit_ms: float, slow: float, slow_from_ms: float) -> None:
-        self.free, self._unit_ms, self._slow, self._from = cores, unit_ms, slow, slow_from_ms
+        self.free, self._unit_ms, self._slow, self._slow_from_ms = cores, unit_ms, slow, slow_from_ms
         self.queue: deque[tuple[int, str, int, float, float]] = deque()
-        self.busy: set[tuple[int, str]] = set()  # gateway and request in service
+        self.busy: set[tuple[int, str]] = set()  # gateway and request being worked on
 
     def unit_ms(self, now: float) -> float:
-        """Milliseconds of a core for a unit of work."""
-        return self._unit_ms * (self._slow if now >= self._from else 1.0)
+        """Core time per unit of work, in milliseconds."""
+        return self._unit_ms * (self._slow if now >= self._slow_from_ms else 1.0)
 
 
 class OmniscientObserver(QueueObserver):
-    """The same shadow as a gateway's, but it sees who is in service at the stores, and which are slow by themselves.
+    """Attributes queueing time like a gateway, with knowledge of the work in the stores and of their true speed.
 
-    What a gateway puts down to a node's slowness is here shared among those that the store works on; where the store is
-    slower than its kind by a factor, the time it lacks is the node's.
+    The time that a gateway attributes to a slow node is divided among the requests that the store works on. If the store is
+    slowed down, the part of the time due to this is attributed to the node.
     """
 
-    def __init__(self, world: Simulation, index: int) -> None:
-        super().__init__(world.schedulers[index])
-        self.world, self.index = world, index
+    def __init__(self, simulation: Simulation, index: int) -> None:
+        super().__init__(simulation.schedulers[index])
+        self.simulation, self.index = simulation, index
 
     def _in_flight_shares(self, node: EndpointState, now: float) -> dict[Holder, float]:
-        world = self.world
-        store = world.stores[node.shard]
-        own = 1 - world.setup.unit_ms / store.unit_ms(now)
+        simulation = self.simulation
+        store = simulation.stores[node.shard]
+        own = 1 - simulation.setup.unit_ms / store.unit_ms(now)
         shares: dict[Holder, float] = {}
         part = 1.0 / len(node.in_flight)
 
-        def put(holder: Holder, share: float) -> None:
+        def add(holder: Holder, share: float) -> None:
             shares[holder] = shares.get(holder, 0.0) + share
 
         for (request, _), (sent, class_name) in node.in_flight.items():
@@ -146,19 +151,19 @@
             if now - sent <= SLOW_ATTEMPT_FACTOR * self.expected_latency_ms(
                 node, class_name, held.request.units if held else 1.0
             ):
-                put(("volume", world.done[request].volume, class_name), part)
+                add(("volume", simulation.done[request].volume, class_name), part)
                 continue
-            served = [world.done[other] for _, other in store.busy]
+            served = [simulation.done[other] for _, other in store.busy]
             if (self.index, request) in store.busy or not served:
-                served = [world.done[request]]
-            put(("node", node.name, "slow"), part * own)
+                served = [simulation.done[request]]
+            add(("node", node.name, "slow"), part * own)
             for other in served:
-                put(("volume", other.volume, other.class_name), part * (1 - own) / len(served))
+                add(("volume", other.volume, other.class_name), part * (1 - own) / len(served))
         return shares
 
 
 class Simulation:
-    """One run of a scene."""
+    """One run of a simulation."""
 
     def __init__(
         self,
@@ -194,42 +199,42 @@
             api.Endpoint(f"n{shard}", api.EndpointStatus.READY, shard) for shard in range(setup.stores)
         )
         for index in range(setup.gateways):
-            self._begin(index, nodes)
+            self._start_gateway(index, nodes)
         for course in setup.workloads:
             if course.name not in without:
-                self._arrivals(course)
+                self._schedule_arrivals(course)
 
-    def _begin(self, index: int, nodes: tuple[api.Endpoint, ...]) -> None:
-        """A gateway starts: it knows all nodes."""
-        self._give(0.0, index, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
+    def _start_gateway(self, index: int, nodes: tuple[api.Endpoint, ...]) -> None:
+        """Start a gateway that knows all endpoints."""
+        self._handle_events(0.0, index, [api.EndpointList(api.EndpointListKind.FULL, nodes)])
 
-    def _at(self, time: float, kind: str, *what: object) -> None:
-        heapq.heappush(self._heap, (time, next(self._order), kind, what))
+    def _schedule(self, time: float, kind: str, *arguments: object) -> None:
+        heapq.heappush(self._heap, (time, next(self._order), kind, arguments))
 
-    def _arrivals(self, course: Workload) -> None:
-        draw = random.Random(f"{self.setup.seed}/{course.name}")
+    def _schedule_arrivals(self, course: Workload) -> None:
+        rng = random.Random(f"{self.setup.seed}/{course.name}")
         now, number = course.begin_ms, 0
-        while (now := now + draw.expovariate(course.rate) * 1000) < min(course.end_ms, self.setup.length_ms):
+        while (now := now + rng.expovariate(course.rate) * 1000) < min(course.end_ms, self.setup.length_ms):
             number += 1
             request = api.Request(
                 f"{course.name}-{number}", course.class_name, course.plan, course.name, f"k{number}", course.units,
-                draw.choice(course.shards), len(course.gateways), self.deadlines[course.class_name],
+                rng.choice(course.shards), len(course.gateways), self.deadlines[course.class_name],
             )  # fmt: skip
-            self._at(now, "arrive", draw.choice(course.gateways), request)
+            self._schedule(now, "arrive", rng.choice(course.gateways), request)
 
     def arrivals(self) -> list[tuple[float, api.Request]]:
-        """All requests that will come, in order: when, and what."""
-        found = [(at, what[1]) for at, _, kind, what in self._heap if kind == "arrive"]
+        """The scheduled arrivals in order, with their times."""
+        requests = [(at, arguments[1]) for at, _, kind, arguments in self._heap if kind == "arrive"]
         return sorted(
-            ((at, request) for at, request in found if isinstance(request, api.Request)),
+            ((at, request) for at, request in requests if isinstance(request, api.Request)),
             key=lambda each: each[0],
         )
 
     def run(self) -> list[RequestResult]:
-        """Play it to its end: every request, in order of coming."""
+        """Run to the end; returns all requests in order of arrival."""
         while self._heap:
-            now, _, kind, what = heapq.heappop(self._heap)
-            getattr(self, f"_on_{kind}")(now, *what)
+            now, _, kind, arguments = heapq.heappop(self._heap)
+            getattr(self, f"_on_{kind}")(now, *arguments)
         return list(self.done.values())
 
     def _on_arrive(self, now: float, gateway: int, request: api.Request) -> None:
@@ -240,10 +245,10 @@
         self._open[request.request_id] = request, 0
         for observer in self._observers(gateway):
             observer.record_queued(request.request_id, request.shard, request.request_class, now)
-        self._give(now, gateway, [request])
+        self._handle_events(now, gateway, [request])
 
     def _on_timer(self, now: float, gateway: int, tag: int) -> None:
-        self._give(now, gateway, [api.TimerFired(tag)])
+        self._handle_events(now, gateway, [api.TimerFired(tag)])
 
     def _observers(self, index: int) -> list[QueueObserver]:
         return (
@@ -252,37 +257,39 @@
             else [self.observers[index]]
         )
 
-    def _give(self, now: float, index: int, events: list[api.Event]) -> None:
+    def _handle_events(self, now: float, index: int, events: list[api.Event]) -> None:
         for action in self.schedulers[index].handle(now, events):
             if isinstance(action, api.SetTimer):
-                self._at(now + max(0.001, action.after_ms), "timer", index, action.timer_id)
+                self._schedule(now + max(0.001, action.after_ms), "timer", index, action.timer_id)
             elif isinstance(action, api.StartAttempt):
                 request, attempt = self._open[action.request_id]
                 self._open[action.request_id] = request, attempt + 1
-                self._held(now, index, action.request_id)
+                self._record_queueing(now, index, action.request_id)
                 done = self.done[action.request_id]
                 view = self.schedulers[index].endpoints[action.endpoint]
                 done.sent, done.node = now, action.endpoint
-                done.usual = self.observers[index].expected_latency_ms(view, done.class_name, done.units)
-                self._send(now, index, request, attempt, action.endpoint)
+                done.expected_ms = self.observers[index].expected_latency_ms(
+                    view, done.class_name, done.units
+                )
+                self._send_attempt(now, index, request, attempt, action.endpoint)
             elif isinstance(action, (api.ShedRequest, api.FailRequest)):
-                self._held(now, index, action.request_id)
+                self._record_queueing(now, index, action.request_id)
                 done = self.done[action.request_id]
                 done.end, done.outcome = now, "refused" if isinstance(action, api.ShedRequest) else "failed"
                 self._open.pop(action.request_id, None)
             elif isinstance(action, api.WatchEndpoints):
-                self._watch(now, index)
+                self._watch_endpoints(now, index)
         for observer in self._observers(index):
             observer.observe(now)
 
-    def _send(self, now: float, index: int, request: api.Request, attempt: int, node: str) -> None:
+    def _send_attempt(self, now: float, index: int, request: api.Request, attempt: int, node: str) -> None:
         work = request.shard, index, request.request_id, attempt, request.units, now
-        self._at(now + self.setup.net_ms, "work", *work)
+        self._schedule(now + self.setup.net_ms, "work", *work)
 
-    def _watch(self, now: float, index: int) -> None:
-        """The scheduler asks for the list: here it has it."""
+    def _watch_endpoints(self, now: float, index: int) -> None:
+        """The scheduler requests the endpoint list, which it already has here."""
 
-    def _held(self, now: float, index: int, request: str) -> None:
+    def _record_queueing(self, now: float, index: int, request: str) -> None:
         holders, causes = self.observers[index].record_dequeued(request, now)
         done = self.done[request]
         if self.omniscient_observers:
@@ -299,79 +306,85 @@
     ) -> None:
         store = self.stores[shard]
         store.queue.append((gateway, request, attempt, units, sent))
-        self._next(now, shard)
+        self._start_queued_work(now, shard)
 
-    def _next(self, now: float, shard: int) -> None:
+    def _start_queued_work(self, now: float, shard: int) -> None:
         store = self.stores[shard]
         while store.free and store.queue:
             gateway, request, attempt, units, sent = store.queue.popleft()
             store.free -= 1
             store.busy.add((gateway, request))
-            self._at(now + units * store.unit_ms(now), "worked", shard, gateway, request, attempt, sent)
+            self._schedule(now + units * store.unit_ms(now), "worked", shard, gateway, request, attempt, sent)
 
     def _on_worked(
         self, now: float, shard: int, gateway: int, request: str, attempt: int, sent: float
     ) -> None:
         self.stores[shard].free += 1
         self.stores[shard].busy.discard((gateway, request))
-        self._next(now, shard)
+        self._start_queued_work(now, shard)
         end = now + self.setup.net_ms
         event = api.AttemptEnded(request, attempt, f"n{shard}", api.AttemptOutcome.SERVED, end - sent, True)
-        self._at(end, "answer", gateway, event)
+        self._schedule(end, "answer", gateway, event)
 
     def _on_answer(self, now: float, gateway: int, event: api.AttemptEnded) -> None:
         done = self.done[event.request_id]
         if not done.outcome:
             done.end, done.outcome = now, "served"
             self._open.pop(event.request_id, None)
-        self._give(now, gateway, [event])
+        self._handle_events(now, gateway, [event])
 
 
-def accounts(found: list[RequestResult], off_ms: Mapping[int, float] | None = None) -> list[Account]:
-    """What the gateways' ledgers would hold of a run; ``off_ms``: by how much each gateway's clock is off."""
-    made = []
-    for done in found:
-        latency, held = round(done.latency * 1e6), round(done.queued_ms * 1e6)
-        out = latency - held
-        blame = apportion(held, done.blame)
-        made.append(
+def accounts(requests: list[RequestResult], off_ms: Mapping[int, float] | None = None) -> list[Account]:
+    """The accounts that the gateways' ledgers would hold; ``off_ms`` is the clock offset of each gateway."""
+    result = []
+    for done in requests:
+        latency_ns, queued_ns = round(done.latency * 1e6), round(done.queued_ms * 1e6)
+        store_ns = latency_ns - queued_ns
+        blame = apportion(queued_ns, done.blame)
+        result.append(
             Account(
                 request=done.id, began_unix_ms=done.at + (off_ms or {}).get(done.gateway, 0.0),
                 gateway=f"gateway-{done.gateway}", volume=done.volume, class_name=done.class_name, key="",
-                outcome=done.outcome, reason="", status=0, latency_ns=latency,
-                phases_ns=[span for span in (("held", held), ("store", out)) if span[1]],
-                causes_ns=apportion_causes(held, done.causes),
+                outcome=done.outcome, reason="", status=0, latency_ns=latency_ns,
+                phases_ns=[span for span in (("held", queued_ns), ("store", store_ns)) if span[1]],
+                causes_ns=apportion_causes(queued_ns, done.causes),
                 blame=[(*holder, share) for holder, share in blame.items()],
                 attempt_endpoints=[done.node] if done.node else [], attempt_outcomes=["served"] if done.node else [],
-                units=done.units, attempt_times_ns=[out] if done.node else [],
-                expected_times_ns=[round(done.usual * 1e6)] if done.node else [],
-                timeline=[("held", 0, held), ("store", held, latency)],
+                units=done.units, attempt_times_ns=[store_ns] if done.node else [],
+                expected_times_ns=[round(done.expected_ms * 1e6)] if done.node else [],
+                timeline=[("held", 0, queued_ns), ("store", queued_ns, latency_ns)],
             )
         )  # fmt: skip
-    return made
+    return result
 
 
 def play(setup: SimulationSetup, without: frozenset[str] = frozenset()) -> list[RequestResult]:
-    """All requests of a scene, without some courses."""
+    """Run a simulation without some of its workloads; returns all requests in order of arrival."""
     return Simulation(setup, without).run()
 
 
 @dataclass(frozen=True)
 class BlameCheck:
-    """Blame held against the same scene without the blamed course: milliseconds of the waiter's requests in all."""
+    """Blame compared with a run without the blamed workload; milliseconds, summed over the waiter's requests.
+
+    Attributes:
+        blamed_ms: Queueing time attributed to the blamed workload.
+        reduction_ms: The reduction of queueing time without it.
+        queued_ms: Queueing time with it.
+    """
 
-    blamed: float
-    fell: float
+    blamed_ms: float
+    reduction_ms: float
     queued_ms: float
 
 
 def counterfactual(setup: SimulationSetup, waiter: str, blamed: str) -> BlameCheck:
-    """How much of a course's wait is put on another, and by how much it falls where that one never came."""
-    whole, less = play(setup), play(setup, frozenset({blamed}))
-    told = [account for account in merge_accounts(accounts(whole)) if account.volume == waiter]
-    put = sum(
-        share for account in told for *holder, share in account.blame if holder[:2] == ["volume", blamed]
+    """Compare the queueing time of one workload that is attributed to another with its reduction without the other."""
+    full, reduced = play(setup), play(setup, frozenset({blamed}))
+    merged = [account for account in merge_accounts(accounts(full)) if account.volume == waiter]
+    blamed_ns = sum(
+        share for account in merged for *holder, share in account.blame if holder[:2] == ["volume", blamed]
     )
-    held = sum(account.queued_ns for account in told)
-    rest = sum(done.queued_ms for done in less if done.volume == waiter)
-    return BlameCheck(put / 1e6, held / 1e6 - rest, held / 1e6)
+    queued_ns = sum(account.queued_ns for account in merged)
+    remaining_ms = sum(done.queued_ms for done in reduced if done.volume == waiter)
+    return BlameCheck(blamed_ns / 1e6, queued_ns / 1e6 - remaining_ms, queued_ns / 1e6)
