--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Days on real gateway processes: a short bad day, a day of the simulator's form, kill and stop of a process."""
+"""Scenarios with real gateway processes: a short bad day, a converted day file of the simulator, SIGKILL and SIGTERM."""
 
 from __future__ import annotations
 
@@ -29,20 +29,20 @@
 
 @measured
 def test_a_short_bad_day_keeps_all_seven_rules():
-    day = script.bad_day(3, length=12_000.0, rate=70.0)
-    assert {event.kind for event in day.events} >= {
+    scenario = script.bad_day(3, length=12_000.0, rate=70.0)
+    assert {event.kind for event in scenario.events} >= {
         "deploy", "silent", "lost", "slow", "pauses", "burst", "gateway-kill", "list-down", "leave-upload",
         "leave-download", "hurry",
     }  # fmt: skip
-    verdict, seen, ends = run_scenario(day)
-    assert verdict.kept, report(day, verdict)
-    assert ends == [0, 0, 0], "every gateway stops in good order"
+    verdict, record, exit_codes = run_scenario(scenario)
+    assert verdict.kept, report(scenario, verdict)
+    assert exit_codes == [0, 0, 0], "every gateway exits with 0"
     assert verdict.figures["served"] > 400
-    assert {entry["what"] for entry in seen} >= {"told", "lost", "unheard", "fallen"} - {"fallen"}
+    assert {entry["what"] for entry in record} >= {"told", "lost", "unheard", "fallen"} - {"fallen"}
     assert all(ruling.checked for ruling in verdict.rule_results if ruling.rule != 6)
 
 
-def test_a_day_is_the_same_for_a_seed_and_differs_between_seeds():
+def test_a_scenario_depends_on_its_seed_alone():
     assert script.client_requests(script.bad_day(5)) == script.client_requests(script.bad_day(5))
     assert script.client_requests(script.bad_day(5)) != script.client_requests(script.bad_day(6))
 
@@ -81,41 +81,41 @@
 
 
 @measured
-def test_a_day_of_the_simulator_is_played_at_loopback_size(tmp_path):
+def test_a_day_file_of_the_simulator_is_run_at_loopback_size(tmp_path):
     source, out = tmp_path / "bench.json", tmp_path / "day.json"
     source.write_text(json.dumps(BENCH))
-    made = CliRunner().invoke(main, ["day", "from-bench", str(source), "--length", "6", "-o", str(out)])
-    assert made.exit_code == 0, made.output
-    assert "moonquake" in made.output
-    assert "9 gateways and 6 nodes became 4 and" in made.output
-    day = msgspec.json.decode(out.read_bytes(), type=script.Scenario)
-    assert (day.must_ask, day.length, day.rules.extra_share) == (True, 6000.0, 0.1)
-    assert {event.kind for event in day.events} == {"deploy", "slow", "lost", "burst"}
-    assert next(kind for kind in day.classes if kind.name == "save").new
-    verdict, seen, _ = run_scenario(day)
-    assert verdict.kept, report(day, verdict)
-    assert any(entry["what"] == "lost" for entry in seen)
+    result = CliRunner().invoke(main, ["day", "from-bench", str(source), "--length", "6", "-o", str(out)])
+    assert result.exit_code == 0, result.output
+    assert "moonquake" in result.output
+    assert "9 gateways and 6 nodes became 4 and" in result.output
+    scenario = msgspec.json.decode(out.read_bytes(), type=script.Scenario)
+    assert (scenario.must_ask, scenario.length, scenario.rules.extra_share) == (True, 6000.0, 0.1)
+    assert {event.kind for event in scenario.events} == {"deploy", "slow", "lost", "burst"}
+    assert next(kind for kind in scenario.classes if kind.name == "save").new
+    verdict, record, _ = run_scenario(scenario)
+    assert verdict.kept, report(scenario, verdict)
+    assert any(entry["what"] == "lost" for entry in record)
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"site": 3}', json.dumps({**BENCH, "servers": []})])
-def test_what_is_no_day_file_is_said(tmp_path, text):
+def test_an_invalid_day_file_is_reported(tmp_path, text):
     source = tmp_path / "bench.json"
     source.write_text(text)
-    done = CliRunner().invoke(main, ["day", "from-bench", str(source), "-o", str(tmp_path / "out")])
-    assert done.exit_code == 1
-    assert done.output.startswith("Error: ") and "day" in done.output
+    result = CliRunner().invoke(main, ["day", "from-bench", str(source), "-o", str(tmp_path / "out")])
+    assert result.exit_code == 1
+    assert result.output.startswith("Error: ") and "day" in result.output
     with pytest.raises(frombench.BenchError):
         frombench.read(text.encode())
 
 
-def test_unknown_days_are_told():
-    done = CliRunner().invoke(main, ["day", "run", "no-such"])
-    assert (done.exit_code, "is no day of" in done.output) == (1, True)
+def test_an_unknown_scenario_is_reported():
+    result = CliRunner().invoke(main, ["day", "run", "no-such"])
+    assert (result.exit_code, "is no day of" in result.output) == (1, True)
     assert "bad-day" in CliRunner().invoke(main, ["day", "list"]).output
 
 
-def started(*command: str) -> tuple[subprocess.Popen, str]:
-    """A process of ours, and the address that it prints or writes."""
+def start_process(*command: str) -> tuple[subprocess.Popen, str]:
+    """Start a winchdyke command; returns the process and the first address that it prints."""
     process = subprocess.Popen(
         [sys.executable, "-m", "winchdyke", *command],
         stdout=subprocess.PIPE,
@@ -126,11 +126,11 @@
     for line in process.stdout:
         if found := re.search(r"http://127\.0\.0\.1:\d+", line):
             return process, found[0]
-    raise AssertionError("it ended without an address")
+    raise AssertionError("the process ended without printing an address")
 
 
-def call(url: str, data: bytes | None = None, method: str | None = None) -> tuple[int, bytes]:
-    """One request by the standard library."""
+def send_request(url: str, data: bytes | None = None, method: str | None = None) -> tuple[int, bytes]:
+    """Send one request with the standard library's client; returns status and body."""
     try:
         with urllib.request.urlopen(urllib.request.Request(url, data, method=method), timeout=5) as answer:
             return answer.status, answer.read()
@@ -138,40 +138,40 @@
         return error.code, error.read()
 
 
-def test_dev_serves_and_a_stop_ends_it_with_0():
-    process, url = started("dev", "--quiet")
+def test_dev_serves_and_exits_with_0_on_sigterm():
+    process, url = start_process("dev", "--quiet")
     try:
-        until = time.monotonic() + 5  # its first list may still be on its way
-        while call(f"{url}/school-1/a", b"hello", "PUT")[0] != 201:
+        until = time.monotonic() + 5  # the first endpoint list may not have arrived yet
+        while send_request(f"{url}/school-1/a", b"hello", "PUT")[0] != 201:
             assert time.monotonic() < until
             time.sleep(0.05)
-        assert call(f"{url}/school-1/a") == (200, b"hello")
-        assert json.loads(call(f"{url}/nowhere/../a")[1])["reason"] == "bad-path"
+        assert send_request(f"{url}/school-1/a") == (200, b"hello")
+        assert json.loads(send_request(f"{url}/nowhere/../a")[1])["reason"] == "bad-path"
         process.send_signal(signal.SIGTERM)
         assert process.wait(10) == 0
     finally:
         process.kill()
 
 
-def test_a_port_that_is_taken_is_said_without_a_traceback():
-    process, url = started("dev", "--quiet")
+def test_a_port_in_use_is_reported_without_a_traceback():
+    process, url = start_process("dev", "--quiet")
     try:
         port = url.rpartition(":")[2]
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "winchdyke", "dev", "--port", port], capture_output=True, text=True
         )
-        assert done.returncode == 1
-        assert "Traceback" not in done.stderr
-        assert f"can't listen at port {port}" in done.stderr
+        assert result.returncode == 1
+        assert "Traceback" not in result.stderr
+        assert f"can't listen at port {port}" in result.stderr
     finally:
         process.terminate()
         process.wait(10)
 
 
-def test_a_gateway_killed_outright_serves_again_after_a_restart(tmp_path):
-    dev, _ = started("dev", "--quiet")
+def test_a_gateway_serves_again_after_sigkill_and_a_restart(tmp_path):
+    dev_process, _ = start_process("dev", "--quiet")
     try:
-        # A second gateway of its own, with no list service: it starts, answers, dies and starts again.
+        # A second gateway, without a list service.
         port_file = tmp_path / "port"
         settings = tmp_path / "g.ini"
         settings.write_text(INI.replace("[gateway]\n", f"[gateway]\nport_file = {port_file}\n", 1))
@@ -183,53 +183,53 @@
                 until = time.monotonic() + 10
                 while not port_file.exists() and time.monotonic() < until:
                     time.sleep(0.02)
-                status, body = call(f"http://{port_file.read_text().strip()}/school-1/a")
+                status, body = send_request(f"http://{port_file.read_text().strip()}/school-1/a")
                 assert (status, json.loads(body)["outcome"]) == (503, "refused")
             finally:
                 os.kill(gateway.pid, signal.SIGKILL)
                 assert gateway.wait(5) == -signal.SIGKILL
     finally:
-        dev.terminate()
-        assert dev.wait(10) == 0
+        dev_process.terminate()
+        assert dev_process.wait(10) == 0
 
 
 @measured
-def test_sigterm_with_200_requests_out_answers_them_all():
-    """A real process: 200 requests are out or held as it is told to stop."""
+def test_a_gateway_answers_200_requests_in_flight_after_sigterm():
+    """A real process has 200 requests in flight or queued when it receives SIGTERM."""
     from winchdyke.days.judge import InvariantChecker
     from winchdyke.days.run import LocalDeployment
     from winchdyke.standins.clients import Clients, Wish
 
-    day = msgspec.structs.replace(script.quiet_day(1), gateways=1, unit_ms=200.0, cores=4, volumes=[])
+    scenario = msgspec.structs.replace(script.quiet_day(1), gateways=1, unit_ms=200.0, cores=4, volumes=[])
     volume = script.Volume("course", "contest", list(range(8)), [0], 0.0)
-    day = msgspec.structs.replace(day, volumes=[volume])
+    scenario = msgspec.structs.replace(scenario, volumes=[volume])
 
-    async def play(where) -> LocalDeployment:
+    async def play(directory) -> LocalDeployment:
         async with anyio.create_task_group() as group:
-            fleet = LocalDeployment(day, where, group)
-            await fleet.start()
-            clients = Clients(fleet.record, lambda index: fleet.addresses[index], 1)
-            wishes = [Wish(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1) for n in range(200)]
-            async with anyio.create_task_group() as both:
-                clients.start(both, wishes)
-                # Until the gateway has what is needed to fill its windows; the rest is in its queues by then.
+            deployment = LocalDeployment(scenario, directory, group)
+            await deployment.start()
+            clients = Clients(deployment.record, lambda index: deployment.addresses[index], 1)
+            requests = [Wish(0.0, 0, "GET", f"/course/k{n}", class_name="fetch", tries=1) for n in range(200)]
+            async with anyio.create_task_group() as client_group:
+                clients.start(client_group, requests)
+                # 24 attempts fill the gateway's windows; the other requests are queued by then.
                 with anyio.fail_after(10):
                     while (
-                        sum(seen["what"] == "head" for seen in fleet.record.seen) < 24
-                        or sum(seen["what"] == "try" for seen in fleet.record.seen) < 200
+                        sum(entry["what"] == "head" for entry in deployment.record.seen) < 24
+                        or sum(entry["what"] == "try" for entry in deployment.record.seen) < 200
                     ):
                         await anyio.sleep(0.02)
                 await anyio.sleep(0.25)
-                tries = sum(seen["what"] == "try" for seen in fleet.record.seen)
-                over = sum(seen["what"] == "answer" for seen in fleet.record.seen)
-                assert (tries, over < 190) == (200, True)
-                await fleet.stop()
+                tries = sum(entry["what"] == "try" for entry in deployment.record.seen)
+                answered = sum(entry["what"] == "answer" for entry in deployment.record.seen)
+                assert (tries, answered < 190) == (200, True)
+                await deployment.stop()
             group.cancel_scope.cancel()
-        return fleet
+        return deployment
 
-    with tempfile.TemporaryDirectory() as where:
-        fleet = anyio.run(play, Path(where))
-    verdict = InvariantChecker(day, fleet.record.seen).verdict()
-    assert fleet.exit_codes == [0]
-    assert verdict.kept, report(day, verdict)
+    with tempfile.TemporaryDirectory() as directory:
+        deployment = anyio.run(play, Path(directory))
+    verdict = InvariantChecker(scenario, deployment.record.seen).verdict()
+    assert deployment.exit_codes == [0]
+    assert verdict.kept, report(scenario, verdict)
     assert verdict.figures["served"] + verdict.figures["refused"] + verdict.figures["failed"] == 200
