--- a/benchmarks/model_check.py
+++ b/benchmarks/model_check.py
@@ -1,10 +1,10 @@
-"""The model against a loopback gateway on the same day: latencies and outcomes side by side.
+"""Compares the simulation with a gateway on loopback under the same load: latencies and outcomes.
 
 python benchmarks/model_check.py [--seconds N] [--plot FILE.png]
 
-One gateway, eight stores of one core. The arrivals of the model's scene are sent to a real gateway process's code at the
-same moments, by the same names, to the same shards; stores work a unit in the same time. The model leaves out the gateway's
-own time, the network's and the host's: its latencies are the lower ones.
+One gateway and eight stores with one core each. The simulated arrivals are sent to the real gateway at the same times, for the
+same volumes and shards; a unit takes the stores the same time. The simulation leaves out the time that the gateway, the
+network and the host take, so its latencies are lower.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 UNIT_MS = 10.0
 
 
-def scene(rate: float, seconds: float, slow: bool) -> SimulationSetup:
-    """Four courses of fetches and, halfway, a burst of exports at one shard."""
+def simulation_setup(rate: float, seconds: float, slow: bool) -> SimulationSetup:
+    """Four workloads of fetches and, in the middle third, a burst of exports at one shard."""
     courses = [Workload(f"school-{n}", rate / 4, "fetch", 1.0, "school", tuple(range(8))) for n in range(4)]
     length = seconds * 1000
     courses.append(
@@ -45,33 +45,33 @@
 
 
 def path(course: str, shard: int, number: int) -> str:
-    """An object of a course that lies at a shard."""
+    """The path of an object of a volume that is placed on a shard."""
     key = next(k for k in (f"{number}-{n}" for n in range(10_000)) if shard_of(course, k, range(8)) == shard)
     return f"/{course}/{key}"
 
 
 async def measured(
-    folder: Path, chosen: SimulationSetup, arrivals: list[tuple[float, api.Request]]
+    folder: Path, setup: SimulationSetup, arrivals: list[tuple[float, api.Request]]
 ) -> list[Account]:
-    """The accounts of the same arrivals at a gateway on loopback."""
+    """Send the arrivals to a gateway on loopback; returns its accounts."""
     config = with_ledger(folder)
     async with rig(config, unit_ms=UNIT_MS, cores=1) as it:
-        peers = [await it.connect() for _ in range(200)]
-        free = list(peers)
-        began = clock() + 100
+        connections = [await it.connect() for _ in range(200)]
+        idle = list(connections)
+        started_at = clock() + 100
 
         async def ask(at: float, request: api.Request, where: str) -> None:
-            await anyio.sleep(max(0.0, (began + at - clock()) / 1000))
-            own = free.pop() if free else await it.connect()
+            await anyio.sleep(max(0.0, (started_at + at - clock()) / 1000))
+            connection = idle.pop() if idle else await it.connect()
             try:
-                await it.ask("GET", where, peer=own, winchdyke_class=request.request_class)
-                free.append(own)
+                await it.ask("GET", where, peer=connection, winchdyke_class=request.request_class)
+                idle.append(connection)
             except LOST:
-                await anyio.aclose_forcefully(own.stream)
+                await anyio.aclose_forcefully(connection.stream)
 
         async def slowing() -> None:
-            for number, factor in chosen.slow:
-                await anyio.sleep((began + chosen.slow_from_ms - clock()) / 1000)
+            for number, factor in setup.slow:
+                await anyio.sleep((started_at + setup.slow_from_ms - clock()) / 1000)
                 it.stores[number].slow = factor
 
         async with anyio.create_task_group() as group:
@@ -82,40 +82,42 @@
 
 
 def quantile(values: list[float], part: float) -> float:
-    """A quantile of sorted values; 0 of none."""
+    """A quantile of the values; 0 if there are none."""
     return sorted(values)[int(part * (len(values) - 1))] if values else 0.0
 
 
 def figures(found: list[Account], class_name: str) -> dict[str, float]:
-    """Of one class: requests, share served and refused, latency of the served and what they were held (ms)."""
-    mine = [a for a in found if a.class_name == class_name]
-    served = [a.latency_ns / 1e6 for a in mine if a.outcome == "served"]
-    held = [a.queued_ns / 1e6 for a in mine]
-    count = max(1, len(mine))
+    """The results of one class: requests, share served, latency quantiles of those served, and mean queueing time (ms)."""
+    class_accounts = [account for account in found if account.class_name == class_name]
+    served = [account.latency_ns / 1e6 for account in class_accounts if account.outcome == "served"]
+    queued_ms = [account.queued_ns / 1e6 for account in class_accounts]
+    count = max(1, len(class_accounts))
     return {
-        "requests": len(mine), "served": len(served) / count,
+        "requests": len(class_accounts), "served": len(served) / count,
         "p50 ms": quantile(served, 0.5), "p90 ms": quantile(served, 0.9), "p99 ms": quantile(served, 0.99),
-        "held ms": sum(held) / count,
+        "held ms": sum(queued_ms) / count,
     }  # fmt: skip
 
 
 def main() -> None:
-    words = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    words.add_argument("--seconds", type=float, default=9.0)
-    words.add_argument("--plot", type=Path)
-    chosen = words.parse_args()
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--seconds", type=float, default=9.0)
+    parser.add_argument("--plot", type=Path)
+    arguments = parser.parse_args()
     series: dict[str, tuple[list[float], list[float]]] = {}
     for name, rate, slow in (("calm", 80.0, False), ("busy", 200.0, False), ("a slow node", 120.0, True)):
-        made = scene(rate, chosen.seconds, slow)
+        setup = simulation_setup(rate, arguments.seconds, slow)
         with tempfile.TemporaryDirectory() as where:
-            world = Simulation(made, scheduler_settings=with_ledger(Path(where)).settings())
+            world = Simulation(setup, scheduler_settings=with_ledger(Path(where)).settings())
             arrivals = world.arrivals()
             model = accounts(world.run())
-            real = anyio.run(measured, Path(where), made, arrivals)
+            real = anyio.run(measured, Path(where), setup, arrivals)
         print(f"{name}: {rate:g} fetches/s and, for a third, {rate / 2:g} exports/s at one shard")
         for class_name in ("fetch", "export"):
-            a, b = figures(model, class_name), figures(real, class_name)
-            for row, found in (("model", a), ("loopback", b)):
+            simulated, real_figures = figures(model, class_name), figures(real, class_name)
+            for row, found in (("model", simulated), ("loopback", real_figures)):
                 print(
                     f"  {class_name:7}{row:9}"
                     + "".join(f"{key} {value:8.3f}  " for key, value in found.items())
@@ -124,12 +126,12 @@
             sorted(x.latency_ns / 1e6 for x in found if x.outcome == "served" and x.class_name == "fetch")
             for found in (model, real)
         )  # type: ignore[assignment]
-    if chosen.plot:
-        plot(series, chosen.plot)
+    if arguments.plot:
+        plot(series, arguments.plot)
 
 
 def plot(series: dict[str, tuple[list[float], list[float]]], where: Path) -> None:
-    """Latency of fetches by share of requests, model and loopback."""
+    """Plot the latency distribution of fetches, simulated and measured."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 from test_judge import SCENARIO, exchange, find_entry, valid_record
 
-from benchmarks.mutants import HOME, MUTANTS, taken_out
+from benchmarks.mutants import HOME, MUTANTS, remove_defence
 from winchdyke.cli.main import main
 from winchdyke.days import campaign, script
 from winchdyke.days.campaign import CampaignError, RuleViolation, ScenarioResult, ScenarioRun
@@ -269,7 +269,7 @@
 @pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
 def test_the_source_of_each_mutant_occurs_once_and_the_result_is_valid_python(mutant):
     text = (HOME / "winchdyke" / mutant.file).read_text()
-    changed = taken_out(mutant, text)
+    changed = remove_defence(mutant, text)
     assert changed != text
     ast.parse(changed)
 
