--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -241,16 +241,16 @@
 
 def test_violations_of_rule_3_are_detected():
     record = valid_record()
-    common = next(entry for entry in record if entry["what"] == "told")
-    record.append({**common, "t": 500.0, "form": "changes", "states": {"s0": "draining"}, "starts": {}})
+    list_report = next(entry for entry in record if entry["what"] == "told")
+    record.append({**list_report, "t": 500.0, "form": "changes", "states": {"s0": "draining"}, "starts": {}})
     result = check_rule(record, 3)
     assert result.violations and all(entry["t"] > 1500.0 for _, entry in result.violations)
 
 
 def test_rule_3_counts_a_full_list_without_the_store_as_its_removal():
     record = valid_record()
-    common = next(entry for entry in record if entry["what"] == "told")
-    record.append({**common, "t": 500.0, "states": {"s1": "ready"}, "starts": {}})
+    list_report = next(entry for entry in record if entry["what"] == "told")
+    record.append({**list_report, "t": 500.0, "states": {"s1": "ready"}, "starts": {}})
     assert not check_rule(record, 3).kept
 
 
@@ -259,9 +259,9 @@
     record = valid_record()
     record.append({"t": 50.0, "who": "s0", "what": "up", "cold": True, "shard": 0})
     if informed:
-        common = next(entry for entry in record if entry["what"] == "told")
+        list_report = next(entry for entry in record if entry["what"] == "told")
         record.append(
-            {**common, "t": 60.0, "form": "changes", "states": {"s0": "ready"}, "starts": {"s0": 1e12}}
+            {**list_report, "t": 60.0, "form": "changes", "states": {"s0": "ready"}, "starts": {"s0": 1e12}}
         )
     record.append({"t": 1000.0, "who": "s0", "what": "fallen", "sent": 9.0, "most": 5.0, "by": {}})
     assert check_rule(record, 4).kept is not informed
--- a/winchdyke/days/campaign.py
+++ b/winchdyke/days/campaign.py
@@ -21,9 +21,7 @@
 
 from winchdyke.days.judge import RULES
 
-CORES_PER_SCENARIO = (
-    3  # three gateways and a process of stand-ins and clients, which are not all busy at once
-)
+CORES_PER_SCENARIO = 3  # for three gateways and a process of stand-ins and clients, not all busy at once
 SCENARIO_TIMEOUT_S = 300.0  # after which a scenario counts as hung
 MAX_KEPT_VIOLATIONS = 3  # violations kept for each rule
 
@@ -52,7 +50,7 @@
     held: list[int] = []
     near: list[float] = []
     figures: dict[str, float] = {}
-    trouble: str = ""  # why the run failed
+    trouble: str = ""  # why the run failed, or the exit codes of gateways that ended with an error
     seconds: float = 0.0
     logs: str = ""
 
@@ -83,7 +81,7 @@
 
 def parse_seeds(text: str) -> list[int]:
     """Parse seeds written as ``1-20``, ``3,5,8`` or both. Raises CampaignError for anything else."""
-    results: list[int] = []
+    seeds: list[int] = []
     for word in text.split(","):
         match = re.fullmatch(r"\s*(\d+)(?:\s*-\s*(\d+))?\s*", word)
         if match is None:
@@ -93,8 +91,8 @@
             raise CampaignError(
                 f"{word.strip()!r} is not a range of at most 10000 seeds: write the lower seed first"
             )
-        results += range(first, last + 1)
-    return list(dict.fromkeys(results))
+        seeds += range(first, last + 1)
+    return list(dict.fromkeys(seeds))
 
 
 def read_results(path: Path) -> list[ScenarioResult]:
@@ -133,7 +131,7 @@
     started_at, mark = time.monotonic(), scenario_run.mark
     with tempfile.TemporaryDirectory(prefix="winchdyke-campaign-") as folder:
         out = Path(folder) / "day.json"
-        words = [
+        arguments = [
             "-m",
             "winchdyke",
             "day",
@@ -146,8 +144,8 @@
         ]
         try:
             process = subprocess.run(
-                [sys.executable, *words], stdin=subprocess.DEVNULL, capture_output=True, timeout=SCENARIO_TIMEOUT_S, env=environment,
-                cwd=tree, text=True, errors="replace", check=False,
+                [sys.executable, *arguments], stdin=subprocess.DEVNULL, capture_output=True,
+                timeout=SCENARIO_TIMEOUT_S, env=environment, cwd=tree, text=True, errors="replace", check=False,
             )  # fmt: skip
         except subprocess.TimeoutExpired:
             trouble = f"did not end within {SCENARIO_TIMEOUT_S:.0f} s"
@@ -242,15 +240,15 @@
         counts = [
             sum(each.outcome == word for each in runs) for word in ("kept", "untried", "broken", "failed")
         ]
-        report_data = [each for each in runs if each.held]
+        finished = [each for each in runs if each.held]
         held = (
-            " ".join(f"{min(each.held[n] for each in report_data):>3}" for n in range(len(RULES)))
-            if report_data
+            " ".join(f"{min(each.held[n] for each in finished):>3}" for n in range(len(RULES)))
+            if finished
             else ""
         )
         near = (
-            " ".join(f"{max(each.near[n] for each in report_data) * 100:>3.0f}" for n in range(len(RULES)))
-            if report_data
+            " ".join(f"{max(each.near[n] for each in finished) * 100:>3.0f}" for n in range(len(RULES)))
+            if finished
             else ""
         )
         lines.append(
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -5,7 +5,7 @@
 
     no false death    a view doesn't hold a member dead for longer than the bound while the member runs and can be reached,
                       directly or through one other member
-    every death told  each view that could learn of the end of a member holds it dead, or restarted, within the bound
+    deaths detected   each view that could learn of the end of a member holds it dead, or restarted, within the bound
     agreement         within the bound after the last fault all views are equal and correct
 """
 
@@ -75,7 +75,7 @@
         final_views: What the admin sockets said at the end, by gateway.
     """
 
-    names: tuple[str, ...] = ("no false death", "every death told", "agreement")
+    names: tuple[str, ...] = ("no false death", "deaths detected", "agreement")
     checked: list[int] = field(default_factory=lambda: [0, 0, 0])
     longest_ms: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
     bounds_ms: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -458,9 +458,9 @@
                 scenario.seed,
                 lambda index: deployment.s3_addresses[index],
             )
-            async with anyio.create_task_group() as troubles:
+            async with anyio.create_task_group() as fault_group:
                 for event in scenario.events:
-                    troubles.start_soon(deployment.inject, event, random.Random(rng.random()))
+                    fault_group.start_soon(deployment.inject, event, random.Random(rng.random()))
                 await clients.run(script.client_requests(scenario))
             await anyio.sleep(TRAILING_S)
             if scenario.fleet:
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -276,12 +276,12 @@
     scenario = bad_day(seed, length, rate=140.0)
     rng = random.Random(f"change/{seed}")
     hour = length / 24
-    course = rng.choice([at for at, volume in enumerate(scenario.volumes) if volume.plan == "contest"])
+    volume_index = rng.choice([at for at, volume in enumerate(scenario.volumes) if volume.plan == "contest"])
     shard = rng.randrange(scenario.stores)
     events = [
         Event("slow", 3 * hour, 3 * hour, [shard], rng.uniform(3, 6)),
         Event("change", 6 * hour, 0.0, [], 4.0, "limit"),
-        Event("change", 13 * hour, 0.0, [course], 0.0, "unreachable"),
+        Event("change", 13 * hour, 0.0, [volume_index], 0.0, "unreachable"),
         Event("gateway-kill", 21 * hour, 1 * hour, [rng.randrange(scenario.gateways)]),
         Event("deploy", 10 * hour, 4 * hour, rng.sample(range(scenario.stores), 2), 1),
         Event("hurry", 19 * hour, 2 * hour, [], 0.12),
--- a/winchdyke/model/starts.py
+++ b/winchdyke/model/starts.py
@@ -367,11 +367,11 @@
     """Workloads that together use a part, ``load``, of the capacity of all stores."""
     rate = load * stores * 2 * 1000 / 10.0 / 2.0  # requests per second; 2 units each, 2 cores, 10 ms per unit
     count = 2 * stores
-    courses = tuple(
+    workloads = tuple(
         Workload(
             f"course-{n}", rate / count, ("fetch", "fetch", "submit")[n % 3], 2.0, ("school", "basic", "contest")[n % 3],
             (n % stores, (n + 5) % stores), tuple(sorted({(n * 7 + step) % gateways for step in range(8)})),
         )
         for n in range(count)
     )  # fmt: skip
-    return SimulationSetup(courses, gateways=gateways, stores=stores, length_ms=length_ms, seed=seed)
+    return SimulationSetup(workloads, gateways=gateways, stores=stores, length_ms=length_ms, seed=seed)
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -139,9 +139,9 @@
     def _in_flight_shares(self, node: EndpointState, now: float) -> dict[Holder, float]:
         simulation = self.simulation
         store = simulation.stores[node.shard]
-        own = 1 - simulation.setup.unit_ms / store.unit_ms(now)
+        slow_share = 1 - simulation.setup.unit_ms / store.unit_ms(now)
         shares: dict[Holder, float] = {}
-        part = 1.0 / len(node.in_flight)
+        share_of_node = 1.0 / len(node.in_flight)
 
         def add(holder: Holder, share: float) -> None:
             shares[holder] = shares.get(holder, 0.0) + share
@@ -151,14 +151,16 @@
             if now - sent <= SLOW_ATTEMPT_FACTOR * self.expected_latency_ms(
                 node, class_name, held.request.units if held else 1.0
             ):
-                add(("volume", simulation.done[request].volume, class_name), part)
+                add(("volume", simulation.done[request].volume, class_name), share_of_node)
                 continue
             served = [simulation.done[other] for _, other in store.busy]
             if (self.index, request) in store.busy or not served:
                 served = [simulation.done[request]]
-            add(("node", node.name, "slow"), part * own)
+            add(("node", node.name, "slow"), share_of_node * slow_share)
             for other in served:
-                add(("volume", other.volume, other.class_name), part * (1 - own) / len(served))
+                add(
+                    ("volume", other.volume, other.class_name), share_of_node * (1 - slow_share) / len(served)
+                )
         return shares
 
 
@@ -200,9 +202,9 @@
         )
         for index in range(setup.gateways):
             self._start_gateway(index, nodes)
-        for course in setup.workloads:
-            if course.name not in without:
-                self._schedule_arrivals(course)
+        for workload in setup.workloads:
+            if workload.name not in without:
+                self._schedule_arrivals(workload)
 
     def _start_gateway(self, index: int, nodes: tuple[api.Endpoint, ...]) -> None:
         """Start a gateway that knows all endpoints."""
@@ -211,16 +213,18 @@
     def _schedule(self, time: float, kind: str, *arguments: object) -> None:
         heapq.heappush(self._heap, (time, next(self._order), kind, arguments))
 
-    def _schedule_arrivals(self, course: Workload) -> None:
-        rng = random.Random(f"{self.setup.seed}/{course.name}")
-        now, number = course.begin_ms, 0
-        while (now := now + rng.expovariate(course.rate) * 1000) < min(course.end_ms, self.setup.length_ms):
+    def _schedule_arrivals(self, workload: Workload) -> None:
+        rng = random.Random(f"{self.setup.seed}/{workload.name}")
+        now, number = workload.begin_ms, 0
+        while (now := now + rng.expovariate(workload.rate) * 1000) < min(
+            workload.end_ms, self.setup.length_ms
+        ):
             number += 1
             request = api.Request(
-                f"{course.name}-{number}", course.class_name, course.plan, course.name, f"k{number}", course.units,
-                rng.choice(course.shards), len(course.gateways), self.deadlines[course.class_name],
+                f"{workload.name}-{number}", workload.class_name, workload.plan, workload.name, f"k{number}", workload.units,
+                rng.choice(workload.shards), len(workload.gateways), self.deadlines[workload.class_name],
             )  # fmt: skip
-            self._schedule(now, "arrive", rng.choice(course.gateways), request)
+            self._schedule(now, "arrive", rng.choice(workload.gateways), request)
 
     def arrivals(self) -> list[tuple[float, api.Request]]:
         """The scheduled arrivals in order, with their times."""
