--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -34,7 +34,7 @@
 from winchdyke.latency_attribution.report import report_data
 from winchdyke.latency_attribution.summary import summarize
 from winchdyke.latency_attribution.wording import describe_waits
-from winchdyke.model.world import Course, Scene, World, accounts
+from winchdyke.model.world import Simulation, SimulationSetup, Workload, accounts
 from winchdyke.standins.record import clock
 
 
@@ -301,15 +301,15 @@
     """
     all_gateways = tuple(range(12))
     courses = (
-        *(Course(f"c{n}", 6.0, shards=(n % 3,), gateways=(n, (n + 5) % 12)) for n in range(12)),
-        Course("burst", 150.0, "export", 4.0, "basic", (0,), all_gateways, 1000.0, 3000.0),
+        *(Workload(f"c{n}", 6.0, shards=(n % 3,), gateways=(n, (n + 5) % 12)) for n in range(12)),
+        Workload("burst", 150.0, "export", 4.0, "basic", (0,), all_gateways, 1000.0, 3000.0),
     )
-    world = World(Scene(courses, gateways=12, stores=3, length_ms=5000.0), seeing=True)
+    world = Simulation(SimulationSetup(courses, gateways=12, stores=3, length_ms=5000.0), omniscient=True)
     requests = world.run()
     truth = Counter()
     for each in requests:
-        for holder, ms in each.seen.items():
-            truth[each.course, holder] += ms
+        for holder, ms in each.true_blame.items():
+            truth[each.volume, holder] += ms
 
     def error_fraction(attributed: list[Account]) -> float:
         cells = Counter()
