--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -91,11 +91,7 @@
 
 def check_rule(record: list[dict], number: int):
     verdict = InvariantChecker(SCENARIO, record).verdict()
-    others = [
-        ruling.rule
-        for ruling in verdict.rule_results
-        if not ruling.kept and ruling.rule != number
-    ]
+    others = [ruling.rule for ruling in verdict.rule_results if not ruling.kept and ruling.rule != number]
     assert not others, f"only rule {number} should be violated: {others}"
     return verdict.rule_results[number - 1]
 
