--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -201,7 +201,7 @@
                 assert (held["shard"], held["cause"], held["class"]) == (0, "window", "submit")
                 assert held["count"] >= 4 and held["holders"]
             await it.wait_until(lambda: view.snapshot()["requests"] == 12)
-            volumes = {row["volume"]: row for row in view.snapshot()["volumes"]}
+            volumes = {row["volume"]: row for row in view.snapshot()["courses"]}
             assert set(volumes) == {"school-0", "school-1"}
             assert volumes["school-1"]["held_ms"] > 100
             await it.wait_until(lambda: not view.snapshot()["gateways"][0]["held"])
