--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -199,7 +199,7 @@
     """Write the settings in FILE (INI or the language) as one file in the language, without includes."""
     from winchdyke.config.serialization import serialize
 
-    text = serialize(load_or_exit(file).values, f"Generated from {file.name} by winchdyke config convert.")
+    text = serialize(load_or_exit(file).values, f"Made from {file.name} by winchdyke config convert.")
     if out is None:
         click.echo(text, nl=False)
     else:
