--- a/winchdyke/scheduling/pending_request.py
+++ b/winchdyke/scheduling/pending_request.py
@@ -90,7 +90,7 @@
         remembered = now < executed.sent_at_ms + self.request_class.deduplication_window_ms
         return remembered and self._deduplicated_at(endpoint, executed.endpoint)
 
-    def may_have_been_executed_by(self, attempt: SentAttempt) -> None:
+    def record_possible_execution(self, attempt: SentAttempt) -> None:
         """Records an attempt that may have been executed; only the first one is kept."""
         if self.first_possible_execution is None:
             self.first_possible_execution = attempt
--- a/winchdyke/scheduling/scheduler.py
+++ b/winchdyke/scheduling/scheduler.py
@@ -74,7 +74,7 @@
         """Records what the end of an attempt implies for repeats, the volume's limit and the key order."""
         outcome = event.outcome
         if not outcome.proves_no_effect:
-            pending.may_have_been_executed_by(pending.attempts[event.attempt])
+            pending.record_possible_execution(pending.attempts[event.attempt])
         # After an attempt that did not reach its endpoint, the next one is charged again: units charged long
         # before they are sent would come on top of those accrued since, and together exceed the limit.
         never_arrived = outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.NOT_SENT)
