--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -287,7 +287,8 @@
 def test_idle_limit_follows_the_recent_peak_of_requests():
     """Clients that send one request and stay connected must not use up the connections that others need.
 
-    On a recorded day (0.07) they held every connection that other clients could have had.
+    Before the limit, such clients held every connection that others could have used, and a recorded day got a
+    score of 0.07 (on a scale from 0 to 1).
     """
     idle_limit = IdleConnectionLimit(0.0)
     assert idle_limit.limit(0.0, 0) == MIN_IDLE_CONNECTIONS
--- a/tests/test_platform_sockets.py
+++ b/tests/test_platform_sockets.py
@@ -311,7 +311,7 @@
     asyncio.run(scenario())
 
 
-BAD = [
+INVALID_REQUESTS = [
     b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n",
     b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"x" * 60000,
     b"PUT %s HTTP/1.1\r\nHost: h\r\nContent-Length: -4\r\n\r\n" % PATH.encode(),
@@ -326,7 +326,7 @@
 ]
 
 
-@pytest.mark.parametrize("data", BAD, ids=range(len(BAD)))
+@pytest.mark.parametrize("data", INVALID_REQUESTS, ids=range(len(INVALID_REQUESTS)))
 def test_invalid_or_incomplete_request_is_rejected_in_time_and_not_forwarded(tmp_path, data):
     async def scenario() -> None:
         async with start_harness(tmp_path) as harness:
@@ -495,7 +495,7 @@
             harness.gateway.stop()
             schedule = harness.gateway.shutdown.schedule
             assert schedule is not None
-            for _ in range(3):  # past the 0.45 s after which connections used to be closed
+            for _ in range(3):  # takes longer than the 0.45 s after which connections used to be closed
                 await asyncio.sleep(0.4)
                 writer.write(harness.build_request())
                 status, headers, _ = await read_response(reader)
@@ -541,7 +541,7 @@
             assert (status, headers["winchdyke-reason"]) == (
                 502,
                 "stopping",
-            )  # not shed, since it may have run
+            )  # not shed, since the store may have executed the request
             assert (await other_shard)[0] == 503
             late = await harness.send_request(**{"Req-Deadline-Ms": "15000"})  # no time is left
             assert late[0] == 503
@@ -578,7 +578,7 @@
             settings=SETTINGS_JSON,
         )
         process = await spawn_gateway(variables)
-        if early:  # once the handler is installed; before, the default action of SIGHUP ends any process
+        if early:  # before the handler is installed, the default action of SIGHUP would end the process
             await wait_until(lambda: handles_signal(process.pid, signal.SIGHUP), 20.0)
         else:
             await wait_until(lambda: bool(watches), 20.0)
--- a/winchdyke/platform/client_connection.py
+++ b/winchdyke/platform/client_connection.py
@@ -18,7 +18,7 @@
 MAX_HEAD_BYTES = 16 * 1024
 # Buffered while a response is pending. Data beyond this limit is discarded and answered with 413.
 MAX_PIPELINED_BYTES = 64 * 1024
-# Discarded in the LINGERING state, or between two timeout checks while a response is pending.
+# The limit on data discarded in the LINGERING state, or between two timeout checks while a response is pending.
 MAX_DISCARDED_BYTES = 1024 * 1024
 ERROR_HEAD_BYTES = 1024
 READY_BODY = b"ready\n"
@@ -139,7 +139,7 @@
         self._pipeline_overflowed = True
         self._discarded_bytes += len(data)
         if self._discarded_bytes > MAX_DISCARDED_BYTES:
-            # Until the next timeout check, so that one client can't keep the event loop busy.
+            # Reading pauses until the next timeout check, so that one client can't keep the event loop busy.
             self._pause_reading()
 
     def _pause_reading(self) -> None:
@@ -328,7 +328,8 @@
         if not self._pipeline_overflowed:
             self.resume_reading()
         if has_more:
-            # In a later turn of the event loop: many requests may be pipelined, and other clients go first.
+            # Many requests may be pipelined. Each is parsed in a later turn of the event loop, after the events
+            # of other clients.
             self._connections.loop.call_soon(self._parse_requests)
 
     # Closing.
--- a/winchdyke/platform/client_idle_eviction.py
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -8,11 +8,11 @@
 from winchdyke.platform.client_connections import ClientConnections
 from winchdyke.platform.client_idle_limit import IdleConnectionLimit
 
-NEW_CONNECTION_GRACE_MS = 150.0  # from accept; the first request may still be on its way
-REQUEST_TIMEOUT_MS = 2400.0  # from accept, or from a later request's first byte, to the complete request
-IDLE_TIMEOUT_MS = 2000.0  # between requests; some clients send one request and stay connected
-WRITE_TIMEOUT_MS = 10_000.0  # for the client to read a response
-LINGER_TIMEOUT_MS = 800.0  # for the client to read a last response before the connection is closed
+NEW_CONNECTION_GRACE_MS = 150.0  # time after accept in which the first request may still be on its way
+REQUEST_TIMEOUT_MS = 2400.0  # time from accept, or from a later request's first byte, to its last byte
+IDLE_TIMEOUT_MS = 2000.0  # time between requests; some clients send one request and stay connected
+WRITE_TIMEOUT_MS = 10_000.0  # time for the client to read a response
+LINGER_TIMEOUT_MS = 800.0  # time for the client to read a last response before the connection is closed
 CHECK_INTERVAL_SECONDS = 0.1
 EVICTION_ORDER = (
     ConnectionState.HALF_CLOSED,
@@ -38,7 +38,7 @@
         self._connections = connections
         self._by_state = connections.by_state
         self._idle_limit = IdleConnectionLimit(connections.clock())
-        # Set in a shutdown, when clients may be unable to open a new connection in place of a closed one.
+        # True during a shutdown: a client may then be unable to replace a connection that is closed.
         self.idle_limits_suspended = False
         connections.loop.call_later(CHECK_INTERVAL_SECONDS, self._check_timeouts)
 
@@ -64,10 +64,10 @@
         Connections accepted less than ``NEW_CONNECTION_GRACE_MS`` ago are kept: their first request may still
         be on its way.
         """
-        spared_from_ms = self._connections.clock() - NEW_CONNECTION_GRACE_MS
+        kept_if_accepted_after_ms = self._connections.clock() - NEW_CONNECTION_GRACE_MS
         for state in EVICTION_ORDER:
             for connection in list(self._by_state[state]):
-                if state is ConnectionState.NEW and connection.state_since_ms > spared_from_ms:
+                if state is ConnectionState.NEW and connection.state_since_ms > kept_if_accepted_after_ms:
                     break
                 self._close_unless_active(connection, ClientConnection.evict)
                 if connection.state is ConnectionState.CLOSED:
--- a/winchdyke/platform/client_listener.py
+++ b/winchdyke/platform/client_listener.py
@@ -12,7 +12,7 @@
 from winchdyke.platform.client_idle_eviction import CHECK_INTERVAL_SECONDS, IdleEviction
 
 LISTEN_BACKLOG = 512
-MAX_ACCEPTS_PER_TURN = 16  # in one turn of the event loop
+MAX_ACCEPTS_PER_TURN = 16  # per turn of the event loop
 ACCEPT_PAUSE_SECONDS = CHECK_INTERVAL_SECONDS / 2
 
 
--- a/winchdyke/platform/discovery_client.py
+++ b/winchdyke/platform/discovery_client.py
@@ -11,13 +11,12 @@
 from winchdyke.platform.discovery_protocol import EndpointListError, EndpointListing
 from winchdyke.platform.discovery_watch import ENDED, EndpointWatch
 
-# Discovery sends an empty line every 2 s, so this timeout detects a dead watch almost at once. The platform
-# counts a change that a silent watch misses as notified 6 s after the watch went silent, and what discovery
-# sends when it returns as notified at once. Until a new watch receives data, the drain of a store may go
-# unnoticed.
+# Discovery sends an empty line every 2 s, so this timeout detects a dead watch almost at once. If a watch goes
+# silent, the platform regards the gateway as notified of a missed change after 6 s, and of whatever discovery
+# sends after its return at once. Until a new watch receives data, the drain of a store may go unnoticed.
 WATCH_SILENCE_SECONDS = 2.25
 SILENCE_CHECK_SECONDS = 0.1
-MIN_BACKOFF_SECONDS = 0.05  # doubled with each consecutive failure; the first failure is retried at once
+MIN_BACKOFF_SECONDS = 0.05  # doubles with each consecutive failure; the first retry is immediate
 MAX_BACKOFF_SECONDS = 1.0
 MAX_COUNTED_FAILURES = 8
 
--- a/winchdyke/platform/graceful_shutdown.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -11,11 +11,11 @@
 
 from dataclasses import dataclass
 
-MAX_COUNTED_DEADLINE_MS = 3000.0  # set by the platform: longer deadlines count as this
-KILL_GRACE_MS = 700.0  # set by the platform: from the longest deadline to the earliest kill
-NEW_CONNECTION_PERIOD_MS = 700.0  # new connections may arrive: the platform's 0.4 s plus a margin
-RESPONSE_MARGIN_MS = 400.0  # before the earliest kill, for event loop lag and the transfer to the client
-CLOSING_MARGIN_MS = 900.0  # before the earliest kill; leaves 0.5 s for the last requests
+MAX_COUNTED_DEADLINE_MS = 3000.0  # set by the platform, which counts longer deadlines as 3 s
+KILL_GRACE_MS = 700.0  # set by the platform: time from the longest deadline to the earliest kill
+NEW_CONNECTION_PERIOD_MS = 700.0  # time in which new connections may arrive: 0.4 s plus a margin
+RESPONSE_MARGIN_MS = 400.0  # time before the earliest kill for event loop lag and the transfer to clients
+CLOSING_MARGIN_MS = 900.0  # time before the earliest kill; leaves 0.5 s for the last requests
 
 
 @dataclass(frozen=True, slots=True)
--- a/winchdyke/platform/protocol.py
+++ b/winchdyke/platform/protocol.py
@@ -30,7 +30,7 @@
     b"idempotency-key",
 )
 FORWARDED_HEADERS = (b"idempotency-key", b"req-kind", b"x-plan", b"x-io", b"req-retry", b"content-type")
-SHED_STATUSES = (503, 504)  # with Srv-Declined: 1
+SHED_STATUSES = (503, 504)  # mean shed only together with the header "Srv-Declined: 1"
 
 
 @dataclass(slots=True)
@@ -85,7 +85,7 @@
         self._gateway_count = settings.gateway_count
 
     def parse(self, head: RequestHead) -> ParsedRequest:
-        """Parse a request's head; its time left is the one that the client sent.
+        """Parse a request's head; the request's time left is the value of ``Req-Deadline-Ms``.
 
         Raises ProtocolError on an invalid field.
         """
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -25,18 +25,18 @@
 from winchdyke.platform.shutdown_sequence import ShutdownSequence
 from winchdyke.platform.upstream_pool import UpstreamPool
 
-RESERVED_DESCRIPTORS = 24  # for the standard streams, the event loop, the listener and discovery
+RESERVED_DESCRIPTORS = 24  # used by the standard streams, the event loop, the listener and discovery
 MIN_SHARED_DESCRIPTORS = 32
-CLIENT_DESCRIPTOR_FRACTION = 0.7  # of the shared descriptors; the others are for connections to stores
-# Some clients exceed the protocol's body limit of 64 KiB; these fractions of the machine's memory limit them.
-MAX_BODY_MEMORY_FRACTION = 1 / 256  # for one request body
-LARGE_BODIES_MEMORY_FRACTION = 1 / 16  # for all request bodies that exceed the protocol's limit
+CLIENT_DESCRIPTOR_FRACTION = 0.7  # fraction of the shared descriptors; stores' connections use the others
+# Some clients exceed the protocol's body limit of 64 KiB. These fractions of the machine's memory limit them.
+MAX_BODY_MEMORY_FRACTION = 1 / 256  # limit for one request body
+LARGE_BODIES_MEMORY_FRACTION = 1 / 16  # limit for all request bodies that exceed the protocol's limit
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
-# The platform counts a gateway as notified, from the start of its process, of everything that discovery's
-# agent knows, and the agent responds at once. Therefore no client is served from the cached list of an
-# earlier process before the first response. While discovery is down the agent sends nothing, so the wait is
-# limited. If lists are polled, nothing counts as notified before it was requested, and the gateway doesn't
-# wait.
+# From the start of its process, the platform regards a gateway as notified of everything that discovery's
+# agent knows. The agent responds at once, so the gateway waits for its first response before it serves any
+# client from the cached list of an earlier process. The wait is limited, because the agent sends nothing while
+# discovery is down. If lists are polled, the gateway is not regarded as notified before its first request, and
+# doesn't wait.
 MAX_DISCOVERY_WAIT_SECONDS = 1.0
 MAX_RELOAD_ATTEMPTS = 5  # the file may be incomplete while it is being replaced
 RELOAD_RETRY_SECONDS = 0.2
@@ -136,7 +136,7 @@
     def _schedule_turn(self) -> None:
         if not self._turn_scheduled:
             self._turn_scheduled = True
-            # Runs after the callbacks that are ready now, so that simultaneous events form one batch.
+            # The turn runs after the callbacks that are ready now, so that simultaneous events form one batch.
             self.loop.call_soon(self._turn)
 
     def _turn(self) -> None:
--- a/winchdyke/platform/upstream_response.py
+++ b/winchdyke/platform/upstream_response.py
@@ -8,9 +8,9 @@
 from winchdyke.platform import protocol
 from winchdyke.platform.upstream_connection import MAX_HEAD_BYTES
 
-MAX_FRAMING_BYTES = 2 * MAX_HEAD_BYTES  # informational responses, head and chunk framing of one response
-MAX_RESPONSE_MEMORY_FRACTION = 1 / 64  # of the machine's memory, for one response
-MAX_BUFFERED_MEMORY_FRACTION = 1 / 8  # of the machine's memory, for all responses that are being read
+MAX_FRAMING_BYTES = 2 * MAX_HEAD_BYTES  # for informational responses, head and chunk framing together
+MAX_RESPONSE_MEMORY_FRACTION = 1 / 64  # fraction of the machine's memory for one response
+MAX_BUFFERED_MEMORY_FRACTION = 1 / 8  # fraction of the machine's memory for all responses being read
 
 
 class MalformedResponseError(Exception):
