--- a/tests/test_hard_cases.py
+++ b/tests/test_hard_cases.py
@@ -16,7 +16,7 @@
 from winchdyke.standins.wire import CONNECTION_ERRORS
 
 READ = "/school-1/object"
-SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25
+SLACK_S = 0.2  # tolerance for a stalled host; the judge of simulated days allows 0.25 s
 
 
 def _head(raw: bytes) -> tuple[int, dict[str, str]]:
@@ -156,7 +156,7 @@
             heads = [seen["client"] for seen in it.record.entries if seen["what"] == "head"]
             assert len(heads) < len(busy) or when != "before", "some requests were queued and are never sent"
             await it.wait_until(lambda: not it.gateway.service.active_requests)
-            # Attempts in flight are awaited, so that the concurrency limit accounts for them; nothing else is sent.
+            # The gateway waits for attempts in flight, which count against the concurrency limit, and sends no others.
             assert all(
                 event.outcome is api.AttemptOutcome.SERVED and event.request_finished for event in it.ended
             )
@@ -461,7 +461,7 @@
                         held.append(open("/dev/null", "rb"))  # noqa: SIM115
                 for store in it.stores:
                     store.tricks.append("close-idle")
-                # On the open connection: that to the store is open too, or there is no file descriptor for a new one.
+                # The client's connection is open already. Only a connection to the store may need a new descriptor.
                 answers = [await it.request("GET", READ, peer=peer) for _ in range(3)]
                 assert {answer.status for answer in answers} <= {200, 503}
                 big = await it.request("PUT", READ, b"x" * 600_000, peer=peer)
@@ -470,7 +470,7 @@
                 for file in held:
                     file.close()
                 resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            # The emulated stores have the same limit: a store that could not accept has to retry that first.
+            # The emulated stores had no descriptors left either: a store that could not accept retries that first.
             with anyio.fail_after(5):
                 while (await it.request("GET", READ)).status != 200:
                     await anyio.sleep(0.05)
@@ -543,7 +543,7 @@
             it.gateway.scheduler_loop.post(api.EndpointList(api.EndpointListKind.FULL, (endpoint,)))
             sock = socket.create_connection(it.gateway.address)
             head = b"PUT /school-1/object HTTP/1.1\r\nhost: t\r\ncontent-length: 900000000\r\n\r\n"
-            # Arrives before the gateway's first read: in this case the transport once never paused.
+            # These bytes arrive before the gateway's first read. In this case the transport once never paused.
             sock.sendall(head + b"x" * 200_000)
             sock.setblocking(False)
             sent, until = 0, anyio.current_time() + 1.0
@@ -637,7 +637,7 @@
 
 
 def test_a_body_that_arrived_with_its_head_ends_without_more_data():
-    """Otherwise reading more would wait until the client's deadline."""
+    """If the codec asked for more data here, the request would wait until the client's deadline."""
     from winchdyke.http1 import EndOfBody, RequestHead, ServerCodec
 
     codec = ServerCodec(1000)
--- a/winchdyke/gateway/attempts.py
+++ b/winchdyke/gateway/attempts.py
@@ -308,7 +308,7 @@
         report: store_protocol.EndpointReport,
         first_chunk: bytes,
     ) -> AttemptResult:
-        self._scope.deadline = float("inf")  # from here on, the client's pace determines the duration
+        self._scope.deadline = float("inf")  # the client's pace now determines the duration
         self._on_stream_start()
         body_bytes = 0
         result = AttemptResult(
--- a/winchdyke/gateway/clients.py
+++ b/winchdyke/gateway/clients.py
@@ -140,7 +140,7 @@
         return any(event & select.POLLIN for _, event in poll.poll(0))
 
     async def expire(self) -> None:
-        """Time out the current wait for the client: an incomplete head gets an error response, a response is cut."""
+        """Time out the current wait for the client: reject an incomplete head, cut off a response that is being sent."""
         self._timed_out = True
         self.timeout_at_ms = float("inf")
         self._data_arrived.set()
--- a/winchdyke/gateway/daemon.py
+++ b/winchdyke/gateway/daemon.py
@@ -44,7 +44,7 @@
 
 __all__ = ["Gateway", "StartError", "serve"]
 
-# At shutdown, the wait for requests that are in transit before idle connections are closed.
+# How long a shutdown leaves idle connections open, because a request may be in transit on one of them.
 LAST_REQUEST_SECONDS = 0.1
 SHUTDOWN_MARGIN_SECONDS = 1.0  # added to the longest deadline
 SHUTDOWN_POLL_SECONDS = 0.01
@@ -124,9 +124,9 @@
                 self._shards_without_endpoint,
                 self.scheduler_loop.refill_quotas,
             )
-            watch = rollout.canary
+            canary = rollout.canary
             clock = self.scheduler_loop.clock
-            self.service.on_request_end = lambda volume, shard, outcome, total_ms: watch.record_request(
+            self.service.on_request_end = lambda volume, shard, outcome, total_ms: canary.record_request(
                 clock(), volume, shard, outcome, total_ms
             )
             rollout.start()
@@ -145,7 +145,7 @@
         # The scheduler must process the requests of the old version under that version: the new one may lack their plans.
         self.scheduler_loop.process_events()
         plans = prepared.plans
-        # Volumes that have got a quota since the swap was prepared.
+        # A volume may have got a quota since the swap was prepared.
         if new_volumes := self.scheduler_loop.volumes_with_quota(prepared.volume_count):
             plans = {**plans, **changed_plans(new_volumes, prepared.old, prepared.new)}
         if self.service.snapshot.version != prepared.version:
@@ -331,7 +331,7 @@
 
     async def _shut_down(self) -> None:
         if self.membership_agent is not None:
-            # Early, so that the other gateways have learned of it before this one ends.
+            # Leaving first gives the other gateways time to learn of it before this one ends.
             self.membership_agent.leave()
         self.clients.stop_accepting()
         self.admins.stop_accepting()
--- a/winchdyke/gateway/exchange.py
+++ b/winchdyke/gateway/exchange.py
@@ -87,7 +87,8 @@
         try:
             return await self._run(exchange)
         finally:
-            # Has an effect only after an exception: the scheduler must drop a request that nobody waits for.
+            # After an exception nobody waits for the request, so the scheduler must drop it. This call has no
+            # effect on a finished request.
             self._scheduler_loop.client_disconnected(exchange.handle)
 
     async def _run(self, exchange: Exchange) -> FinalResponse:
@@ -137,8 +138,8 @@
                 previous()
             self._scheduler_loop.client_disconnected(exchange.handle)
             attempt = exchange.running
-            # The store executes a completely written attempt anyway: its end is awaited, so that the concurrency limit of
-            # its endpoint accounts for it.
+            # The store executes a completely written request even without a client. The gateway waits for the end of
+            # that attempt, because it counts against the endpoint's concurrency limit.
             if attempt is not None and not attempt.write_completed:
                 attempt.cancel()
 
@@ -171,7 +172,7 @@
                 outgoing = exchange.outgoing(action.endpoint, number)
                 result = await attempt.run(action.endpoint, outgoing, timeout_ms, action.write_timeout_ms)
             except BaseException as error:
-                # Whatever the error is, the scheduler has to learn that the attempt has ended.
+                # The scheduler must learn that the attempt has ended, whatever the error is.
                 client_error = error if isinstance(error, Exception) else None
                 cancelled = AttemptResult(api.AttemptOutcome.CANCELLED, error=client_error)
                 self._report_end(handle, number, action.endpoint, cancelled)
--- a/winchdyke/gateway/listeners.py
+++ b/winchdyke/gateway/listeners.py
@@ -21,8 +21,8 @@
 from winchdyke.object_api import answers
 
 LISTEN_BACKLOG = 1024
-ACCEPT_RETRY_SECONDS = 0.05  # after running out of file descriptors or memory
-LAST_ACCEPT_SECONDS = 0.01  # at a shutdown, for connections that the kernel has already established
+ACCEPT_RETRY_SECONDS = 0.05  # delay after running out of file descriptors or memory
+LAST_ACCEPT_SECONDS = 0.01  # wait at a shutdown for the next connection that the kernel has established
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
                         continue
                     _pause_reading(stream)
                     group.start_soon(self._run_connection, stream, spec)
-            # Closing the socket resets the connections that the kernel has established and this process has not accepted.
+            # Closing the socket would reset connections that the kernel has established, so they are accepted first.
             while True:
                 with anyio.move_on_after(LAST_ACCEPT_SECONDS) as none_left:
                     stream = await listener.socket.accept()
--- a/winchdyke/gateway/metering.py
+++ b/winchdyke/gateway/metering.py
@@ -80,7 +80,7 @@
         return None if length is None else min(length, self._max_object_bytes)
 
     async def charge(self, context: RequestContext) -> FinalResponse | None:
-        """Charge a transfer of known length when its turn comes, and have any other charged while it proceeds.
+        """Charge a transfer of known length once the limit allows it; let any other be charged while it proceeds.
 
         Returns:
             The final response if the limit doesn't allow the transfer in time or the client disconnected; else None.
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -21,7 +21,7 @@
 from winchdyke.scheduling import Scheduler
 from winchdyke.scheduling.quota import VolumeQuota
 
-# Imported in the function that uses it, because it loads the configuration language: a third of the start-up time.
+# Imported at run time only where it is used: it loads the configuration language, a third of the start-up time.
 if TYPE_CHECKING:
     from winchdyke.latency_attribution.queue_observer import QueueObserver
 
@@ -260,7 +260,7 @@
         """Process events until cancelled."""
         while True:
             if self._pending_events or self._timer_due():
-                # Lets other ready tasks post their events first, so that these share a batch.
+                # Other ready tasks post their events first, so that these share a batch.
                 await anyio.sleep(0)
             else:
                 self._wake = anyio.Event()
