--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -240,7 +240,7 @@
 
 
 def test_queued_requests_are_not_all_checked_at_every_event(gateway, monkeypatch):
-    """Each event checked all queued requests for being hopeless, and a simulation exceeded its CPU time."""
+    """Each event checked whether every queued request could be served; a simulation exceeded its CPU time."""
     calls = []
     cannot_be_served = admission.cannot_be_served
 
@@ -442,7 +442,7 @@
     """Congestion of an endpoint with a dozen volumes and two cores outlasted its cause (issue 10).
 
     The minimum limit was one request for all gateways of the endpoint's largest volume, so the gateways of
-    each volume kept one in flight, or one per gateway where these were few.
+    each volume kept one in flight, or one per gateway if the volume had few gateways.
     """
     assert mean_in_flight_at_a_slow_endpoint(gateways=36, volume_gateways=3) < 36 / 4
 
@@ -461,7 +461,7 @@
 
 
 def test_averages_adapt_as_if_the_responses_of_all_sharing_gateways_were_recorded():
-    """At one response in several seconds, an average over seven was half a minute old (incident ib65c5d)."""
+    """At one response in several seconds, an average of seven was half a minute old (incident ib65c5d)."""
     one, many = limit_shared_by(1), limit_shared_by(120)
     many.sharing_gateways = 20.0
     for limit in (one, many):
@@ -564,7 +564,7 @@
     serves.
     """
     max_units = max(units_sent_to_a_starting_endpoint(gateways, served_units_per_s))
-    # The stated units or those of the overload factor, and three requests for chance and for overdrafts.
+    # The stated units or what the overload factor allows, plus three requests for chance and for overdrafts.
     assert (
         0
         < max_units
@@ -628,7 +628,7 @@
 
 
 def test_failed_endpoint_list_requests_back_off():
-    """All gateways called one list service twice a second while it could not respond (incident i353827)."""
+    """All gateways called the list service twice a second while it could not respond (incident i353827)."""
     gateway = Gateway(polls_endpoint_list=True)
     gateway.handle()
     requested_at = []
@@ -643,7 +643,7 @@
 
 
 def test_gateways_with_equal_state_spread_new_objects_over_shards():
-    """Least load, with ties to the lowest shard, sent all gateways' first new objects to one endpoint."""
+    """Choosing the lowest shard among equally loaded ones sent all gateways' first objects to one endpoint."""
     chosen = set()
     for index in range(60):
         gateway = Gateway(seed=index)
--- a/winchdyke/object_api/answers.py
+++ b/winchdyke/object_api/answers.py
@@ -10,7 +10,7 @@
 from winchdyke.http1 import Headers
 
 REQUEST_ID, OUTCOME, REASON = b"x-request-id", b"winchdyke-outcome", b"winchdyke-reason"
-ACKNOWLEDGED = b"winchdyke-acknowledged"  # what acknowledged a write that no store has executed yet
+ACKNOWLEDGED = b"winchdyke-acknowledged"  # names the component that acknowledged a write before its store
 
 
 class RequestError(Exception):
--- a/winchdyke/object_api/listing.py
+++ b/winchdyke/object_api/listing.py
@@ -35,7 +35,7 @@
 def merge(pages: list[Page], limit: int) -> Page:
     """Merges one page of each shard into one page of at most ``limit`` objects.
 
-    The page ends at the first end of a shard's page, because that shard may have further keys behind it.
+    The page ends where the first shard's page ends, because that shard may have more keys after that one.
     """
     bounds = [page.next for page in pages if page.next is not None]
     bound = min(bounds) if bounds else None
--- a/winchdyke/object_api/routes.py
+++ b/winchdyke/object_api/routes.py
@@ -266,8 +266,8 @@
 ) -> float:
     """Estimates the cost of an operation in units, from 1 to ``max_units``.
 
-    It is the transferred bytes in units of ``unit_bytes``, ``usual_units`` if the size is not known in advance,
-    and one for operations that transfer no object data.
+    The cost is the number of transferred bytes divided by ``unit_bytes``, rounded up; ``usual_units`` if the
+    size is not known in advance; 1 for operations that transfer no object data.
     """
     size: int | None = 0
     if operation.name in ("put", "post", "put-part"):
--- a/winchdyke/scheduling/admission.py
+++ b/winchdyke/scheduling/admission.py
@@ -126,10 +126,10 @@
 def _first_received_at_ms(
     state: SchedulerState, request: api.Request, request_class: api.RequestClass
 ) -> float:
-    """Returns when the client first sent a request: for the retry of a shed one, the time of the first try.
+    """Returns when a request was first received: for the retry of a shed request, when the first try was.
 
-    A request whose deadline is later than that of the shed one could be is not its retry, but another
-    client's request for the same key.
+    A retry's deadline is no later than the class's deadline counted from the first try. A request with a
+    later deadline is another client's request for the same key.
     """
     now = state.now
     first_received_at_ms = state.shed_requests.pop((request.volume, request.key), now)
--- a/winchdyke/scheduling/endpoint_health.py
+++ b/winchdyke/scheduling/endpoint_health.py
@@ -48,16 +48,16 @@
     if outcome is AttemptOutcome.SERVED:
         is_warm = state.now - endpoint.started_at_ms >= state.settings.slow_start_duration_ms
         state.shards[endpoint.shard].record_served(state.now, pending.request.units, is_warm)
-    # If the endpoint has responded since the attempt was sent, the duration of a time-out counts as a
-    # latency.
+    # If the endpoint has responded to others since the attempt was sent, the duration of a timed-out attempt
+    # counts as a latency.
     timed_out_alone = outcome is AttemptOutcome.TIMED_OUT and sent_at_ms <= endpoint.last_response_at_ms
     if outcome is AttemptOutcome.SERVED or timed_out_alone:
         _record_latency(state, endpoint, pending, event)
     elif outcome is AttemptOutcome.SHED:
         endpoint.concurrency_limit.reduce_after_shed()
     elif outcome in (AttemptOutcome.TIMED_OUT, AttemptOutcome.CONNECT_FAILED):
-        # A connection reset raises no suspicion: the endpoint may have responded, and only the response been
-        # lost.
+        # A connection reset raises no suspicion: the endpoint may have responded, and only the response may
+        # have been lost.
         endpoint.restart_suspected = endpoint.restart_suspected or outcome is AttemptOutcome.CONNECT_FAILED
         suspect(state, endpoint)
     if event.volume_usage_percent is not None:
@@ -136,8 +136,8 @@
     if suspected_for_ms > tolerated_ms:
         endpoint.begin_slow_start(state.now, state.now, state.random.random())
     limit = endpoint.concurrency_limit
-    gives_back = is_prompt and not endpoint.restart_suspected
-    recovered_limit = max(limit.limit, endpoint.limit_before_suspicion if gives_back else 0.0)
+    restores_limit = is_prompt and not endpoint.restart_suspected
+    recovered_limit = max(limit.limit, endpoint.limit_before_suspicion if restores_limit else 0.0)
     endpoint.suspected_since_ms = None
     endpoint.restart_suspected = False
     limit.limit = min(recovered_limit, INITIAL_LIMIT / limit.sharing_gateways)
--- a/winchdyke/scheduling/maintenance.py
+++ b/winchdyke/scheduling/maintenance.py
@@ -15,7 +15,7 @@
 from winchdyke.scheduling.shard import Shard
 from winchdyke.scheduling.state import MAX_WATCH_BACKOFF_MS, SchedulerState
 
-LOST_RESPONSE_LATENCIES = 8.0  # number of expected latencies after which a response counts as lost
+LOST_RESPONSE_LATENCIES = 8.0  # time after which a response counts as lost, in expected latencies
 
 
 @dataclass(frozen=True, slots=True)
--- a/winchdyke/scheduling/quota.py
+++ b/winchdyke/scheduling/quota.py
@@ -5,7 +5,7 @@
 from winchdyke import interface as api
 
 LN_2 = 0.693
-RATE_HALF_LIFE_MS = 1500.0  # of the volume's rate; close to the second over which plans are measured
+RATE_HALF_LIFE_MS = 1500.0  # half-life of the volume's rate; close to the 1 s over which plans are measured
 USAGE_REPORT_LIFETIME_MS = 2 * RATE_HALF_LIFE_MS
 NEVER_MS = -1e18
 
--- a/winchdyke/scheduling/shard.py
+++ b/winchdyke/scheduling/shard.py
@@ -71,7 +71,7 @@
         )
 
     def update_readiness(self, now: float) -> None:
-        """Updates since when there is no ready endpoint, after a change of the endpoint list."""
+        """Updates ``without_ready_endpoint_since_ms`` after a change of the endpoint list."""
         if any(endpoint.ready for endpoint in self.endpoints.values()):
             self.without_ready_endpoint_since_ms = None
         elif self.without_ready_endpoint_since_ms is None:
--- a/winchdyke/scheduling/state.py
+++ b/winchdyke/scheduling/state.py
@@ -15,8 +15,8 @@
 # Maximum latency of an average request that counts as normal, as a fraction of the tightest latency
 # objective.
 NORMAL_LATENCY_FRACTION = 0.1
-SAFE_LATENCY_FACTOR = 2.0  # time left, in expected latencies, with which an objective counts as met
-SILENCE_OBJECTIVES = 2.0  # silence after which an endpoint is suspected, in shortest latency objectives
+SAFE_LATENCY_FACTOR = 2.0  # time left, in expected latencies, that suffices to meet an objective
+SILENCE_OBJECTIVES = 2.0  # silence after which an endpoint is suspected, in units of the shortest objective
 SHARD_SHARING_FACTOR = 1.5  # allows for shards that are used more than average or not yet observed
 UNIT_COST_GAIN = 0.01
 UNIT_COST_QUANTILE = 0.1  # a low quantile of the latency per unit is close to the cost without queueing
@@ -44,7 +44,7 @@
         shed_requests: When rejected requests were first received, by volume and key.
         shards: Shards by number.
         shards_with_queue: Numbers of the shards that may have queued requests.
-        settling_keys: When the pause of each key ends that follows an attempt that may still be executed.
+        settling_keys: By key, when the pause ends that follows an attempt that may still be executed.
         retry_budget: The retry budget.
         last_timer_id: The id of the newest deadline timer.
         watching: Whether changes of the endpoint list are received.
