--- a/tests/test_mechanism.py
+++ b/tests/test_mechanism.py
@@ -209,7 +209,7 @@
 
 
 def test_a_request_queued_for_a_whole_objective_is_shed_with_retry_after(gateway):
-    """A seventh of all attempts were late, at endpoints for which other requests waited (issue 10)."""
+    """A seventh of all attempts were late, and other requests waited for the same endpoints (issue 10)."""
     gateway.submit("a")
     (
         gateway.scheduler.endpoints["n0"].suspected_since_ms,
--- a/winchdyke/gateway/scheduler_loop.py
+++ b/winchdyke/gateway/scheduler_loop.py
@@ -21,7 +21,7 @@
 from winchdyke.scheduling import Scheduler
 from winchdyke.scheduling.quota import VolumeQuota
 
-# Imported at run time only where it is used: it loads the configuration language, a third of the start-up time.
+# Imported at run time only where it is used: it loads the configuration language, which takes a third of the start-up.
 if TYPE_CHECKING:
     from winchdyke.latency_attribution.queue_observer import QueueObserver
 
--- a/winchdyke/object_api/answers.py
+++ b/winchdyke/object_api/answers.py
@@ -10,7 +10,7 @@
 from winchdyke.http1 import Headers
 
 REQUEST_ID, OUTCOME, REASON = b"x-request-id", b"winchdyke-outcome", b"winchdyke-reason"
-ACKNOWLEDGED = b"winchdyke-acknowledged"  # names the component that acknowledged a write before its store
+ACKNOWLEDGED = b"winchdyke-acknowledged"  # the component that acknowledged a write before a store executed it
 
 
 class RequestError(Exception):
--- a/winchdyke/object_api/listing.py
+++ b/winchdyke/object_api/listing.py
@@ -35,7 +35,8 @@
 def merge(pages: list[Page], limit: int) -> Page:
     """Merges one page of each shard into one page of at most ``limit`` objects.
 
-    The page ends where the first shard's page ends, because that shard may have more keys after that one.
+    The page ends at the smallest key at which a shard's page ends, because that shard may have more keys
+    after it.
     """
     bounds = [page.next for page in pages if page.next is not None]
     bound = min(bounds) if bounds else None
--- a/winchdyke/platform/client_idle_eviction.py
+++ b/winchdyke/platform/client_idle_eviction.py
@@ -9,7 +9,7 @@
 from winchdyke.platform.client_idle_limit import IdleConnectionLimit
 
 NEW_CONNECTION_GRACE_MS = 150.0  # time after accept in which the first request may still be on its way
-REQUEST_TIMEOUT_MS = 2400.0  # time from accept, or from a later request's first byte, to its last byte
+REQUEST_TIMEOUT_MS = 2400.0  # time from accept (later requests: from the first byte) to the complete request
 IDLE_TIMEOUT_MS = 2000.0  # time between requests; some clients send one request and stay connected
 WRITE_TIMEOUT_MS = 10_000.0  # time for the client to read a response
 LINGER_TIMEOUT_MS = 800.0  # time for the client to read a last response before the connection is closed
--- a/winchdyke/platform/discovery_client.py
+++ b/winchdyke/platform/discovery_client.py
@@ -12,8 +12,8 @@
 from winchdyke.platform.discovery_watch import ENDED, EndpointWatch
 
 # Discovery sends an empty line every 2 s, so this timeout detects a dead watch almost at once. If a watch goes
-# silent, the platform regards the gateway as notified of a missed change after 6 s, and of whatever discovery
-# sends after its return at once. Until a new watch receives data, the drain of a store may go unnoticed.
+# silent, the platform regards the gateway as notified of a missed change 6 s later, and immediately of anything
+# that discovery sends when it returns. Until a new watch receives data, a store's drain may go unnoticed.
 WATCH_SILENCE_SECONDS = 2.25
 SILENCE_CHECK_SECONDS = 0.1
 MIN_BACKOFF_SECONDS = 0.05  # doubles with each consecutive failure; the first retry is immediate
--- a/winchdyke/platform/graceful_shutdown.py
+++ b/winchdyke/platform/graceful_shutdown.py
@@ -13,7 +13,7 @@
 
 MAX_COUNTED_DEADLINE_MS = 3000.0  # set by the platform, which counts longer deadlines as 3 s
 KILL_GRACE_MS = 700.0  # set by the platform: time from the longest deadline to the earliest kill
-NEW_CONNECTION_PERIOD_MS = 700.0  # time in which new connections may arrive: 0.4 s plus a margin
+NEW_CONNECTION_PERIOD_MS = 700.0  # how long new connections arrive: the platform's 0.4 s plus a margin
 RESPONSE_MARGIN_MS = 400.0  # time before the earliest kill for event loop lag and the transfer to clients
 CLOSING_MARGIN_MS = 900.0  # time before the earliest kill; leaves 0.5 s for the last requests
 
--- a/winchdyke/platform/service.py
+++ b/winchdyke/platform/service.py
@@ -27,16 +27,16 @@
 
 RESERVED_DESCRIPTORS = 24  # used by the standard streams, the event loop, the listener and discovery
 MIN_SHARED_DESCRIPTORS = 32
-CLIENT_DESCRIPTOR_FRACTION = 0.7  # fraction of the shared descriptors; stores' connections use the others
+CLIENT_DESCRIPTOR_FRACTION = 0.7  # clients' fraction of the shared descriptors; stores get the others
 # Some clients exceed the protocol's body limit of 64 KiB. These fractions of the machine's memory limit them.
 MAX_BODY_MEMORY_FRACTION = 1 / 256  # limit for one request body
 LARGE_BODIES_MEMORY_FRACTION = 1 / 16  # limit for all request bodies that exceed the protocol's limit
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
-# From the start of its process, the platform regards a gateway as notified of everything that discovery's
-# agent knows. The agent responds at once, so the gateway waits for its first response before it serves any
+# The platform regards a gateway as notified of everything that discovery's agent knows as soon as the gateway's
+# process starts. The agent responds at once, so the gateway waits for its first response before it serves any
 # client from the cached list of an earlier process. The wait is limited, because the agent sends nothing while
-# discovery is down. If lists are polled, the gateway is not regarded as notified before its first request, and
-# doesn't wait.
+# discovery is down. If lists are polled, the gateway doesn't wait: the platform regards nothing as
+# notified before it was requested.
 MAX_DISCOVERY_WAIT_SECONDS = 1.0
 MAX_RELOAD_ATTEMPTS = 5  # the file may be incomplete while it is being replaced
 RELOAD_RETRY_SECONDS = 0.2
--- a/winchdyke/scheduling/admission.py
+++ b/winchdyke/scheduling/admission.py
@@ -126,7 +126,7 @@
 def _first_received_at_ms(
     state: SchedulerState, request: api.Request, request_class: api.RequestClass
 ) -> float:
-    """Returns when a request was first received: for the retry of a shed request, when the first try was.
+    """Returns when a request was first received: for the retry of a shed request, the time of the first try.
 
     A retry's deadline is no later than the class's deadline counted from the first try. A request with a
     later deadline is another client's request for the same key.
--- a/winchdyke/scheduling/endpoint_state.py
+++ b/winchdyke/scheduling/endpoint_state.py
@@ -9,7 +9,7 @@
 from winchdyke.scheduling.quota import LN_2
 
 LONG_AGO_MS = -1e18
-SLOW_START_UTILIZATION = 1.0  # fraction of the load allowed by the settings' overload factor that is used
+SLOW_START_UTILIZATION = 1.0  # used fraction of the load that the settings' overload factor allows
 SLOW_START_BURST_FRACTION = 0.5  # fraction of a window's units available as a burst; the rest accrues evenly
 
 
