--- a/winchdyke/admin/client.py
+++ b/winchdyke/admin/client.py
@@ -15,7 +15,7 @@
 from winchdyke.config_rollout.operations import OperationError
 
 TIMEOUT_SECONDS = 60.0
-MAX_ATTEMPTS = 3  # if the gateway answers 503 with Retry-After, as it does just after a start
+MAX_ATTEMPTS = 3  # attempts if the gateway answers 503 with Retry-After, as it does just after a start
 MAX_RETRY_WAIT_SECONDS = 10.0
 UNIX_SCHEME = "unix:"
 
--- a/winchdyke/admin/listeners.py
+++ b/winchdyke/admin/listeners.py
@@ -14,8 +14,8 @@
 from winchdyke.admin.keys import KeyFileError, read_keys
 from winchdyke.config.model import Admin as AdminSettings
 
-SOCKET_NAME = "admin.sock"  # in the gateway's folder, unless the settings give a path
-MAX_SOCKET_PATH_BYTES = 100  # within the limit of all systems
+SOCKET_NAME = "admin.sock"  # file name in the gateway's folder, used unless the settings give a path
+MAX_SOCKET_PATH_BYTES = 100  # maximum length that all operating systems accept
 
 
 class AdminError(Exception):
@@ -48,9 +48,8 @@
     _check_socket_is_free(path)
     try:
         os.makedirs(os.path.dirname(path) or ".", mode=0o700, exist_ok=True)
-        old_umask = os.umask(
-            0o177
-        )  # so that the socket is never open to other users, not even before its mode is set
+        # The umask keeps other users out even before the socket's mode is set.
+        old_umask = os.umask(0o177)
         try:
             return [await anyio.create_unix_listener(path, mode=0o600)]
         finally:
--- a/winchdyke/admin/server.py
+++ b/winchdyke/admin/server.py
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """The sender of a request and its origin, as they are recorded."""
+    """The sender of a request and its origin, as the change log records them."""
 
     name: str
     origin: str
--- a/winchdyke/admin/signing.py
+++ b/winchdyke/admin/signing.py
@@ -106,7 +106,7 @@
         self._clock = clock
         # A caller's clock may be ahead, so the previous process may have accepted signatures created before this time.
         self._accepted_from_unix_s = clock() + MAX_CLOCK_SKEW_SECONDS
-        self._nonce_expiry_unix_s: dict[tuple[str, str], float] = {}  # by key and nonce
+        self._nonce_expiry_unix_s: dict[tuple[str, str], float] = {}  # expiry times by key id and nonce
 
     def verify(self, message: Message, body: bytes) -> Key:
         """Return the key that a request was signed with.
--- a/winchdyke/auth/sigv4.py
+++ b/winchdyke/auth/sigv4.py
@@ -21,12 +21,12 @@
 STREAMING_PAYLOAD_TRAILER = "STREAMING-AWS4-HMAC-SHA256-PAYLOAD-TRAILER"
 STREAMING_UNSIGNED_PAYLOAD_TRAILER = "STREAMING-UNSIGNED-PAYLOAD-TRAILER"
 EMPTY_SHA256 = hashlib.sha256(b"").hexdigest()
-MAX_CLOCK_SKEW_S = 900.0  # between client and gateway, as in S3
+MAX_CLOCK_SKEW_S = 900.0  # maximum difference between the clocks of client and gateway, as in S3
 MAX_PRESIGNED_S = 7 * 24 * 3600  # the longest validity of a presigned URL
 _DATE = re.compile(r"[0-9]{8}T[0-9]{6}Z")
 _HEX = re.compile(r"[0-9a-f]{64}")
 _ACCESS_KEY_ID = re.compile(r"[!-.0-~]{1,128}")  # visible ASCII without the slash
-_SINGLE_HEADERS = {  # a request may have each of these once
+_SINGLE_HEADERS = {  # headers that a request may have only once
     b"authorization",
     b"host",
     b"x-amz-date",
@@ -58,7 +58,7 @@
     headers: tuple[tuple[bytes, bytes], ...]
 
     def get(self, name: bytes) -> str | None:
-        """Return a header's value, several joined by commas; None if it is absent."""
+        """Return a header's value, with several values joined by commas; None if the header is absent."""
         found = [value.strip() for key, value in self.headers if key == name]
         return b",".join(found).decode("latin-1") if found else None
 
@@ -85,7 +85,7 @@
 
 @dataclass
 class VerifiedRequest:
-    """A request whose signature is valid, and what its body has to match.
+    """A request whose signature is valid, and the values against which its body is verified.
 
     ``payload_hash``: the body's SHA-256 or a marker. ``chunks``: verifies a body that is signed chunk by chunk; None for others.
     """
@@ -190,8 +190,8 @@
             "the Authorization header needs Credential, SignedHeaders and Signature, and nothing else",
             400,
         )
-    at = request.get(b"x-amz-date") or ""
-    if not _DATE.fullmatch(at):
+    amz_date = request.get(b"x-amz-date") or ""
+    if not _DATE.fullmatch(amz_date):
         raise AuthError("AccessDenied", "a signed request needs x-amz-date, such as 20260102T030405Z")
     payload = request.get(b"x-amz-content-sha256")
     if payload is None:
@@ -206,7 +206,7 @@
         raise AuthError("InvalidArgument", text, 400)
     signed = tuple(fields["SignedHeaders"].split(";"))
     return SignatureParameters(
-        *_parse_credential(fields["Credential"], code), signed, fields["Signature"], at, payload
+        *_parse_credential(fields["Credential"], code), signed, fields["Signature"], amz_date, payload
     )
 
 
@@ -261,17 +261,17 @@
 
 def _check_time(parameters: SignatureParameters, now_s: float) -> None:
     try:
-        at = datetime.strptime(parameters.amz_date, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
+        signed_at_s = datetime.strptime(parameters.amz_date, "%Y%m%dT%H%M%SZ").replace(tzinfo=UTC).timestamp()
     except ValueError as error:
         raise AuthError("AccessDenied", "x-amz-date is not a valid time") from error
     if parameters.date != parameters.amz_date[:8]:
         raise AuthError("SignatureDoesNotMatch", "the credential's date differs from the request's")
     if parameters.expires_s is None:
-        if abs(now_s - at) > MAX_CLOCK_SKEW_S:
+        if abs(now_s - signed_at_s) > MAX_CLOCK_SKEW_S:
             raise AuthError("RequestTimeTooSkewed", "the request's time and the gateway's are too far apart")
-    elif now_s > at + parameters.expires_s:
+    elif now_s > signed_at_s + parameters.expires_s:
         raise AuthError("AccessDenied", "Request has expired")
-    elif now_s < at - MAX_CLOCK_SKEW_S:
+    elif now_s < signed_at_s - MAX_CLOCK_SKEW_S:
         raise AuthError("AccessDenied", "Request is not yet valid")
 
 
@@ -331,11 +331,11 @@
 class ChunkSignatureChain:
     """Verifies the chain of signatures over the chunks of a body, each before its bytes are passed on."""
 
-    def __init__(self, key: bytes, at: str, scope: str, seed: str) -> None:
-        self._key, self._at, self._scope, self._previous_signature = key, at, scope, seed
+    def __init__(self, key: bytes, amz_date: str, scope: str, seed: str) -> None:
+        self._key, self._amz_date, self._scope, self._previous_signature = key, amz_date, scope, seed
 
     def _chained_signature(self, kind: str, rest: str) -> str:
-        text = f"{ALGORITHM}-{kind}\n{self._at}\n{self._scope}\n{self._previous_signature}\n{rest}"
+        text = f"{ALGORITHM}-{kind}\n{self._amz_date}\n{self._scope}\n{self._previous_signature}\n{rest}"
         return hmac.digest(self._key, text.encode(), "sha256").hex()
 
     def verify_chunk(self, digest: str, signature: str) -> None:
@@ -358,13 +358,13 @@
     region: str = "us-east-1",
 ) -> list[tuple[bytes, bytes]]:  # fmt: skip
     """Return the headers that sign a request, as a client sends them; ``payload``: the body's SHA-256 or a marker."""
-    at = datetime.fromtimestamp(now_s, UTC).strftime("%Y%m%dT%H%M%SZ")
+    amz_date = datetime.fromtimestamp(now_s, UTC).strftime("%Y%m%dT%H%M%SZ")
     signed = ("host", "x-amz-content-sha256", "x-amz-date")
-    parameters = SignatureParameters(key, at[:8], region, "s3", signed, "", at, payload)
+    parameters = SignatureParameters(key, amz_date[:8], region, "s3", signed, "", amz_date, payload)
     headers = [
         (b"host", host.encode()),
         (b"x-amz-content-sha256", payload.encode()),
-        (b"x-amz-date", at.encode()),
+        (b"x-amz-date", amz_date.encode()),
     ]
     text = string_to_sign(SignableRequest(method, path, query, tuple(headers)), parameters, False)
     signature = hmac.digest(signing_key(secret, parameters.date, region, "s3"), text.encode(), "sha256").hex()
--- a/winchdyke/config_rollout/canary_analysis.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -26,24 +26,24 @@
 Sample = tuple[str, int, str]  # volume, shard and outcome of finished requests
 
 LISTING_SHARD = -1
-MIN_GROUP_REQUESTS = 5  # with fewer at a shard, a group's latency and failure rise there are not used
-SHARD_FAULT_LATENCY_RATIO = 2.0  # the unaffected group's latency rises by more: the shard itself is at fault
-SHARD_FAULT_FAILURE_RISE = 0.05  # the same for a rise of the unaffected group's failure ratio
-MOVED_LOAD_RATIO = 1.5  # a shard's load grew by more: the change moved requests to it, or the load rose
-MIN_SHARD_STANDARD_ERRORS = 2.0  # a smaller excess at a shard is not counted
-MIN_VARIANCE = 0.01  # of an outcome, so that a ratio near 0 still has a standard error
-MAX_VARIANCE = 0.25  # of a Bernoulli outcome, at a ratio of 0.5
+MIN_GROUP_REQUESTS = 5  # minimum requests of a group at a shard for its latency and failure rise to count
+SHARD_FAULT_LATENCY_RATIO = 2.0  # a larger rise of the unaffected group's latency is a fault of the shard
+SHARD_FAULT_FAILURE_RISE = 0.05  # a larger rise of the unaffected group's failure ratio is one too
+MOVED_LOAD_RATIO = 1.5  # a larger growth of a shard's load: the change moved requests to it, or the load rose
+MIN_SHARD_STANDARD_ERRORS = 2.0  # minimum excess at a shard, in standard errors; a smaller one is not counted
+MIN_VARIANCE = 0.01  # minimum variance of an outcome, so that a ratio near 0 still has a standard error
+MAX_VARIANCE = 0.25  # maximum variance of a Bernoulli outcome, reached at a ratio of 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class CanaryCriteria:
-    """The thresholds from which a change is harmful.
+    """The periods that are compared, and the thresholds above which a change is harmful.
 
     Attributes:
         watch_ms: How long a change is observed.
         baseline_ms: The time before the change with which it is compared.
         min_requests: The number of affected requests that have to finish before a verdict is given.
-        max_excess_ratio: The fraction of them that may be refused or fail beyond the expected ratio.
+        max_excess_ratio: The fraction of affected requests that may be refused or fail beyond the expected ratio.
         min_standard_errors: The number of standard errors by which the excess has to differ from zero.
     """
 
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -43,7 +43,7 @@
 DATABASE_FILE = "changes.db"
 BUSY_TIMEOUT_SECONDS = 5.0
 FORMAT_VERSION = 2  # format 2 added the column at_ms
-MAX_NEWER_FORMATS = 16  # a format number beyond this many newer ones is damage, not a later format
+MAX_NEWER_FORMATS = 16  # a format number higher by more than this means damage, not a later format
 SCHEMA = """
 CREATE TABLE IF NOT EXISTS versions (id INTEGER PRIMARY KEY, parent INTEGER NOT NULL, text TEXT NOT NULL, difference TEXT NOT NULL);
 CREATE TABLE IF NOT EXISTS trail (
@@ -165,7 +165,7 @@
         origin: str = "",
         expected: RolloutState | None = None,
     ) -> None:
-        """Take one step. Raises as :meth:`append_all` does."""
+        """Append one step. Raises as :meth:`append_all` does."""
         self.append_all([(step, note)], actor, origin, expected)
 
     def append_all(
@@ -175,7 +175,7 @@
         origin: str = "",
         expected: RolloutState | None = None,
     ) -> None:
-        """Take several steps, each with its note, all or none.
+        """Append several steps with their notes in one transaction: all or none.
 
         Raises:
             ConcurrentStepError: The current state is not the ``expected`` one.
--- a/winchdyke/config_rollout/change_log_archive.py
+++ b/winchdyke/config_rollout/change_log_archive.py
@@ -62,7 +62,7 @@
         self.faults: list[str] = []
         self._find_version = find_version
         self._versions: dict[int, Row] = {}
-        self._entries: list[tuple[str, LogEntry]] = []  # each with the file name of its archive
+        self._entries: list[tuple[str, LogEntry]] = []  # entries with the file names of their archives
         for path in archive_paths(folder):
             self._read(path)
 
@@ -82,7 +82,7 @@
         previous_hash = ""
         for archive, entry in self._entries:
             if prune is None or entry.seq > prune.seq:
-                continue  # written by an interrupted prune, and still in the database
+                continue  # an interrupted prune wrote the entry, which is still in the database
             content = self._proposed_content(archive, entry)
             if entry_hash(previous_hash, entry.hashed_values(), content, entry.activate_at_ms) != entry.hash:
                 self.faults.append(
--- a/winchdyke/config_rollout/change_log_records.py
+++ b/winchdyke/config_rollout/change_log_records.py
@@ -19,7 +19,8 @@
 
 # The columns are in the order of the fields of LogEntry, Step and Version.
 ENTRY_COLUMNS = "seq, unix_ms, who, what, version, until_ms, note, origin, hash, at_ms"
-HASHED_COLUMNS = 8  # the first eight of an entry; at_ms is hashed separately, and only if it is not 0
+# Number of an entry's first columns that are hashed; at_ms is hashed separately, and only if it is not 0.
+HASHED_COLUMNS = 8
 STEP_COLUMNS = "what, version, unix_ms, until_ms, at_ms"
 VERSION_COLUMNS = "id, parent, text, difference"
 STORED_STATE_KEYS = {
--- a/winchdyke/config_rollout/controller.py
+++ b/winchdyke/config_rollout/controller.py
@@ -28,15 +28,15 @@
 from winchdyke.config_rollout.swap import PreparedSwap, prepare_swap
 
 POLL_SECONDS = 0.1
-PRECISE_WAIT_MS = 300.0  # closer to an activation instant, the controller sleeps until exactly that instant
+PRECISE_WAIT_MS = 300.0  # this close to an activation instant, the controller sleeps until exactly then
 ERROR_LOG_INTERVAL_SECONDS = 10.0
 REFILL_BATCH_VOLUMES = 100
-MAX_LISTED_KEYS = 5  # in a note that lists the changes that need a restart
+MAX_LISTED_KEYS = 5  # maximum keys in a note that lists changes that need a restart
 
 
 @dataclass(frozen=True, slots=True)
 class CheckedVersion:
-    """A staged version that passed the check, and the state in which it did."""
+    """A staged version that passed the check, and the state of the rollout at that time."""
 
     state: RolloutState
     config: Config
@@ -96,11 +96,12 @@
         self._log = structlog.get_logger("changes")
         self._effective = EffectiveConfig(config, config)
         self._version = 0
-        self._volumes_with_phase_plans = 0  # volumes added later have no plan of the current phase yet
+        # The number of volumes with a plan of the current phase; volumes added later have none yet.
+        self._volumes_with_phase_plans = 0
         self._swap_count = 0
         self._checked: CheckedVersion | None = None
         self._observed: ObservedChange | None = None
-        # The activation instant after which the lower limits are still in effect; 0: they are not.
+        # The past activation instant for which the lower limits are still in effect; 0: they are not in effect.
         self._settling_instant_ms = 0.0
         self._last_read_seq = -1
         self._state = RolloutState()
@@ -312,7 +313,7 @@
         await self._append(step, "", state)
         await self._refill_ahead(swap)
         self._checked = None
-        # Taken before the log is written: failures during the write are due to the change.
+        # The time is taken before the log is written, since failures during the write are due to the change.
         applied_at_ms = self._clock_ms()
         self._serve(swap)
         await self._record_applied(step.version, state, old)
--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -64,7 +64,7 @@
 
 def _change_plan(quota: VolumeQuota, plan: api.Plan, settings: api.Settings, now_ms: float) -> None:
     if now_ms - quota.refilled_at_ms > RECENT_REFILL_MS:
-        quota.refill(now_ms)  # under the old plan up to this instant
+        quota.refill(now_ms)  # units up to this instant accrue under the old plan
     else:
         quota.refilled_at_ms = now_ms
     if not quota.plan.limit_units_per_s:
--- a/winchdyke/config_rollout/journal.py
+++ b/winchdyke/config_rollout/journal.py
@@ -13,7 +13,7 @@
 from winchdyke.config_rollout.last_known_good import GATEWAY_ACTOR
 from winchdyke.config_rollout.rollout_state import RolloutState, Step
 
-PRUNE_EXCESS_RATIO = 1.25  # the ratio of stored to retained versions at about which the log is pruned
+PRUNE_EXCESS_RATIO = 1.25  # approximate ratio of stored to retained versions at which the log is pruned
 
 
 class GatewayJournal:
--- a/winchdyke/config_rollout/last_known_good.py
+++ b/winchdyke/config_rollout/last_known_good.py
@@ -64,7 +64,7 @@
         if not error.damaged:
             raise
         faults = [str(error)]
-    except (ValueError, TypeError, KeyError) as error:  # damage changed the types of values
+    except (ValueError, TypeError, KeyError) as error:  # a damaged value has another type
         faults = [f"{folder / DATABASE_FILE} is damaged: {error}"]
     if not faults:
         return change_log, ""
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -20,8 +20,8 @@
 from winchdyke.config_rollout.hot_reload import requiring_restart
 from winchdyke.config_rollout.rollout_state import ON_HOLD_MS, RolloutState, Step
 
-MAX_TEXT_CHARACTERS = 4096  # in a name, a path or a reason
-MAX_LISTED_KEYS = 5  # in an error that lists the changes that need a restart
+MAX_TEXT_CHARACTERS = 4096  # maximum length of a name, a path or a reason
+MAX_LISTED_KEYS = 5  # maximum keys in an error that lists changes that need a restart
 
 
 class OperationError(Exception):
@@ -51,7 +51,7 @@
 
 
 class Log(msgspec.Struct, tag="log", tag_field="op", forbid_unknown_fields=True):
-    """Return the entries after one; ``archives``: archived ones as well."""
+    """Return the entries after the number ``after``; ``archives``: archived ones as well."""
 
     after: int = 0
     archives: bool = False
@@ -64,7 +64,7 @@
 
 
 class Verify(msgspec.Struct, tag="verify", tag_field="op", forbid_unknown_fields=True):
-    """Verify the hash chain; ``archives``: over archived entries as well."""
+    """Verify the hash chain; ``archives``: that of archived entries as well."""
 
     archives: bool = False
 
@@ -92,7 +92,7 @@
 
 
 class Stage(msgspec.Struct, tag="stage", tag_field="op", forbid_unknown_fields=True):
-    """Have the gateway check a version and apply it: at once, at an instant (Unix ms), or after another stage (``hold``)."""
+    """Have the gateway check a version and apply it: at once, at an instant (Unix ms), or once it is staged again (``hold``)."""
 
     version: int
     at_ms: float = 0.0
--- a/winchdyke/discovery/endpoint_view.py
+++ b/winchdyke/discovery/endpoint_view.py
@@ -22,7 +22,8 @@
 )
 from winchdyke.interface import Endpoint, EndpointStatus
 
-MIN_MASS_OMISSION = 2  # endpoints; a list that omits a single one has probably not lost its data
+# Minimum number of endpoints; a list that omits a single one has probably not lost its data.
+MIN_MASS_OMISSION = 2
 
 
 @dataclass(slots=True)
--- a/winchdyke/discovery/list_protocol.py
+++ b/winchdyke/discovery/list_protocol.py
@@ -22,7 +22,7 @@
     "cached": EndpointListKind.CACHED,
 }
 MAX_PORT = 65535
-EARLIEST_START_MS = 1e-3  # 0 stands for a start long ago
+EARLIEST_START_MS = 1e-3  # the earliest time of a listed start, since 0 stands for a start long ago
 
 
 class EndpointJson(msgspec.Struct):
--- a/winchdyke/discovery/persistence.py
+++ b/winchdyke/discovery/persistence.py
@@ -14,7 +14,7 @@
 from winchdyke.discovery.records import NEVER_MS, CachedEndpoint
 
 MIN_SAVE_INTERVAL_SECONDS = 1.0
-CONFIRMATION_SAVE_INTERVAL_SECONDS = 60.0  # if only the times of confirmation changed
+CONFIRMATION_SAVE_INTERVAL_SECONDS = 60.0  # interval between saves if only times of confirmation changed
 
 
 class ViewPersistence:
--- a/winchdyke/discovery/seeds.py
+++ b/winchdyke/discovery/seeds.py
@@ -20,7 +20,7 @@
 from winchdyke.discovery.polling import jittered_backoff_seconds
 from winchdyke.interface import EndpointListKind, EndpointStatus
 
-MAX_GATEWAYS = 1024  # as many as membership tracks
+MAX_GATEWAYS = 1024  # the maximum number of members that membership tracks
 
 
 class GatewaySeeds:
--- a/winchdyke/discovery/sources.py
+++ b/winchdyke/discovery/sources.py
@@ -9,8 +9,8 @@
 
 MAX_LIST_BYTES = 16 << 20
 
-OnList = Callable[[str, ReceivedList], Awaitable[None]]  # the source's name, its list
-OnFailure = Callable[[str, str], Awaitable[None]]  # the source's name, the error
+OnList = Callable[[str, ReceivedList], Awaitable[None]]  # called with the source's name and its list
+OnFailure = Callable[[str, str], Awaitable[None]]  # called with the source's name and the error
 
 
 class EndpointSource(Protocol):
--- a/winchdyke/membership/agent.py
+++ b/winchdyke/membership/agent.py
@@ -42,7 +42,7 @@
 KEY_RELOAD_SECONDS = 1.0
 CACHE_WRITE_SECONDS = 2.0
 MIN_TURN_MS = 1.0
-MAX_HISTORY = 500  # events listed in the status
+MAX_HISTORY = 500  # maximum events listed in the status
 
 
 class MembershipAgent:
@@ -59,8 +59,8 @@
         self.transport = Transport(self.keys, clock, self.counts)
         self._settings = config.fleet
         self._log = structlog.get_logger("membership")
-        self._cached_seeds: tuple[str, ...] = ()  # from the member cache
-        self._listed_seeds: tuple[str, ...] = ()  # from a list service
+        self._cached_seeds: tuple[str, ...] = ()  # addresses from the member cache
+        self._listed_seeds: tuple[str, ...] = ()  # addresses from a list service
 
     # Lifecycle.
 
--- a/winchdyke/membership/datagrams.py
+++ b/winchdyke/membership/datagrams.py
@@ -25,11 +25,11 @@
 VERSION = 1
 MAC_BYTES = 16
 HEADER_BYTES = len(MAGIC) + 2 + MAC_BYTES
-MAX_DATAGRAM_BYTES = 1200  # below IPv6's minimum path MTU (1,280) with the headers of IPv6 and UDP
+MAX_DATAGRAM_BYTES = 1200  # with the headers of IPv6 and UDP, below IPv6's minimum path MTU (1,280)
 MAX_STATE_EXCHANGE_BYTES = 1 << 20
 MAX_NAME_BYTES = 64
 MAX_ADDRESS_BYTES = 64
-MAX_RECORDS = 4096  # in a state exchange; a datagram's are bounded by its bytes
+MAX_RECORDS = 4096  # maximum records in a state exchange; in a datagram, its size is the bound
 MAX_INTEGER = (1 << 63) - 1
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
@@ -52,9 +52,11 @@
 
     PING = 1  # answered by an ACK with its request id
     ACK = 2
-    PING_REQ = 3  # requests a ping of ``target``: ACK if that answers, NACK if it has not after a fraction of the timeout
+    # Requests a ping of ``target``; answered by an ACK if the target answers, by a NACK if it has not answered after a
+    # fraction of the timeout.
+    PING_REQ = 3
     NACK = 4
-    STATE_EXCHANGE = 5  # over TCP: all records of the sender, answered with all records of the receiver
+    STATE_EXCHANGE = 5  # sent over TCP: all records of the sender; answered with those of the receiver
 
 
 class MemberRecord(msgspec.Struct, array_like=True, frozen=True):
@@ -146,7 +148,8 @@
     if any(_is_oversized(record) for record in message.records):
         raise MessageRejectedError("fields")
     if message.kind not in _KNOWN_KINDS:
-        raise MessageRejectedError("kind")  # from a later version, whose records may have another meaning
+        # The message is of a later version, whose records may have another meaning.
+        raise MessageRejectedError("kind")
     return message
 
 
@@ -160,7 +163,7 @@
     """Accepts each message counter of one generation once, and none far behind the highest (RFC 4303, section 3.4.3)."""
 
     __slots__ = ("_bits", "generation", "highest")
-    SIZE = 256  # counters behind the highest that are still accepted, for reordered datagrams
+    SIZE = 256  # number of counters behind the highest that are still accepted, for reordered datagrams
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
--- a/winchdyke/membership/events.py
+++ b/winchdyke/membership/events.py
@@ -20,8 +20,8 @@
     zone: str
     index: int
     generation: int
-    gateway_count: int = 0  # from the settings; 0: unknown
-    seeds: tuple[str, ...] = ()  # addresses
+    gateway_count: int = 0  # number of gateways in the settings; 0: unknown
+    seeds: tuple[str, ...] = ()  # addresses of the seeds
     address_overrides: tuple[tuple[str, str], ...] = ()
 
 
--- a/winchdyke/membership/member.py
+++ b/winchdyke/membership/member.py
@@ -41,9 +41,9 @@
 
     record: MemberRecord
     state_since_ms: float
-    unreachable_since_ms: float = 0.0  # when it stopped being alive
-    last_received_ms: float = NEVER_MS  # last message received directly from its current generation
-    last_ack_ms: float = NEVER_MS  # last ack of a direct probe
+    unreachable_since_ms: float = 0.0  # time at which it stopped being alive
+    last_received_ms: float = NEVER_MS  # time of the last direct message from its current generation
+    last_ack_ms: float = NEVER_MS  # time of the last ack of a direct probe
     link_state: LinkState = LinkState.UNTRIED
     link_since_ms: float = 0.0
     suspicion: Suspicion | None = None
--- a/winchdyke/membership/probing.py
+++ b/winchdyke/membership/probing.py
@@ -15,7 +15,7 @@
 from winchdyke.membership.suspicion import SuspicionMonitor
 from winchdyke.membership.swim_context import SwimContext
 
-NACK_TIMEOUT_FRACTION = 0.8  # of the probe timeout, after which a helper sends a nack
+NACK_TIMEOUT_FRACTION = 0.8  # fraction of the probe timeout after which a helper sends a nack
 
 
 @dataclass
--- a/winchdyke/membership/resolver.py
+++ b/winchdyke/membership/resolver.py
@@ -10,9 +10,9 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-ADDRESS_TTL_MS = 30_000.0  # after which it is looked up again; the old address is used meanwhile
-RETRY_DELAY_MS = 2_000.0  # after a failed lookup
-MAX_QUEUED_DATAGRAMS = 4  # per name without an address; more are dropped
+ADDRESS_TTL_MS = 30_000.0  # age at which an address is looked up again; the old one is used meanwhile
+RETRY_DELAY_MS = 2_000.0  # delay before the next lookup after a failed one
+MAX_QUEUED_DATAGRAMS = 4  # maximum datagrams queued for a name without an address; more are dropped
 MAX_HOST_NAMES = 1024
 
 
--- a/winchdyke/membership/swim_config.py
+++ b/winchdyke/membership/swim_config.py
@@ -15,20 +15,21 @@
     """Parameters of one member. Times are in ms."""
 
     probe_interval_ms: float = 1000.0  # one member is probed per interval
-    probe_timeout_ms: float = 300.0  # for a direct ack; the rest of the interval is left to indirect probes
-    indirect_probe_count: int = 3  # members that are sent a ping-req when no direct ack came
-    min_suspicion_intervals: float = 3.0  # probe intervals, times log10 of the members
-    max_suspicion_factor: float = 4.0  # times the minimum: the timeout of an unconfirmed suspicion
-    max_confirmations: int = 3  # by other members, after which the minimum timeout applies
+    probe_timeout_ms: float = 300.0  # timeout of a direct ack; indirect probes have the rest of the interval
+    indirect_probe_count: int = 3  # members that are sent a ping-req if no direct ack arrives in time
+    min_suspicion_intervals: float = 3.0  # minimum suspicion timeout: intervals times log10 of the members
+    max_suspicion_factor: float = 4.0  # timeout of an unconfirmed suspicion: times the minimum
+    max_confirmations: int = 3  # confirmations by other members after which the minimum timeout applies
     max_local_health_score: int = 3
-    retransmit_factor: float = 4.0  # transmissions of one update, times log10 of the members
+    retransmit_factor: float = 4.0  # transmissions of one update: times log10 of the members
     state_exchange_interval_ms: float = 30_000.0
-    min_reconnect_backoff_ms: float = 1000.0  # between attempts to reach seeds or dead members
+    min_reconnect_backoff_ms: float = 1000.0  # backoff between attempts to reach seeds or dead members
     max_reconnect_backoff_ms: float = 10_000.0
-    departed_retention_ms: float = 600_000.0  # after which dead members and those that left are removed
+    departed_retention_ms: float = 600_000.0  # time after which dead members and those that left are removed
     min_pause_ms: float = 250.0  # a turn that starts this late is evidence of a pause of the process
     max_members: int = 1024
-    direct_evidence_intervals: float = 2.0  # probe intervals: a received message overrides gossip of a death
+    # Number of probe intervals for which a received message overrides gossip of a death.
+    direct_evidence_intervals: float = 2.0
 
     def log10_members(self, members: int) -> float:
         """Returns log10 of the number of members, at least 1."""
--- a/winchdyke/membership/swim_context.py
+++ b/winchdyke/membership/swim_context.py
@@ -34,14 +34,14 @@
         self.incarnation = 0
         self.message_counter = 0
         self.has_left = False
-        self.is_isolated = True  # until the first contact with another member
+        self.is_isolated = True  # true until the first contact with another member
         self.address_overrides = dict(local.address_overrides)
         self.table = MemberTable(local.name, config)
         self.gossip = GossipQueue()
         self.local_health = LocalHealth(config.max_local_health_score)
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
-        # Unpredictable, so that an ack can't be forged by replaying an earlier one.
+        # Request ids are unpredictable, so that an ack can't be forged by replaying an earlier one.
         self._last_request_id = self.random.getrandbits(48) << 8
 
     def begin_turn(self, now: float) -> list[Action]:
--- a/winchdyke/membership/transport.py
+++ b/winchdyke/membership/transport.py
@@ -31,11 +31,11 @@
 from winchdyke.membership.shared_keys import SharedKeys
 
 LENGTH_PREFIX = struct.Struct(">I")
-MAX_STATE_EXCHANGES = 8  # concurrent, in each direction
+MAX_STATE_EXCHANGES = 8  # maximum concurrent state exchanges in each direction
 STATE_EXCHANGE_TIMEOUT_SECONDS = 2.0
 MAX_DATAGRAMS_PER_TURN = 256
 MAX_PENDING_EVENTS = 1024
-RECEIVE_BUFFER_BYTES = 1 << 18  # requested for the UDP socket
+RECEIVE_BUFFER_BYTES = 1 << 18  # size requested for the receive buffer of the UDP socket
 LOOKUP_TIMEOUT_SECONDS = 5.0
 MIN_REJECTION_LOG_GAP_SECONDS = 10.0
 ACCEPT_RETRY_SECONDS = 0.05
@@ -49,7 +49,7 @@
     def __init__(self, keys: SharedKeys, clock: Callable[[], float], counts: Counter[str]) -> None:
         self.counts = counts
         self.address = ("", 0)
-        self.is_stopped = False  # received messages are dropped
+        self.is_stopped = False  # if true, received messages are dropped
         self._keys = keys
         self._clock = clock
         self._log = structlog.get_logger("membership")
@@ -87,7 +87,7 @@
         self._listeners = []
 
     def start(self, group: TaskGroup, answer: Callable[[MessageReceived], SwimMessage | None]) -> None:
-        """Receives in a task group; ``answer`` returns the reply to a state exchange's request, or None."""
+        """Starts receiving in a task group; ``answer`` returns the reply to a state exchange's request, or None."""
         self._group = group
         group.start_soon(self._receive_datagrams)
         for listener in self._listeners:
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -9,7 +9,7 @@
 from winchdyke.membership.member import LinkState, Member
 
 OUTAGE_GAP_MS = 20_000.0  # the longest time between consecutive failures of one outage
-MIN_OUTAGE_FRACTION = 0.3  # of all members
+MIN_OUTAGE_FRACTION = 0.3  # minimum fraction of all members that an outage affects
 MIN_OUTAGE_MEMBERS = 3
 
 
@@ -49,7 +49,7 @@
 
     started_at_ms: float
     members: tuple[str, ...]
-    total_members: int  # at that time, the local one included
+    total_members: int  # number of members at that time, the local one included
     zone: str  # the zone that is unreachable as a whole, else ""
 
     @property
@@ -71,7 +71,7 @@
     members: tuple[MemberView, ...]  # sorted by name, without the local one
     outage: Outage | None
     local_health_score: int
-    is_isolated: bool  # no contact with another member yet
+    is_isolated: bool  # whether there was no contact with another member yet
 
     @property
     def active_count(self) -> int:
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -15,9 +15,9 @@
 from winchdyke.object_api.sinks import Sink
 from winchdyke.quotas.token_bucket import QuotaBalance, QuotaExceededError, TransferDebt, units_for_bytes
 
-MIN_WAIT_MS = 2.0  # between two checks of a debt
+MIN_WAIT_MS = 2.0  # minimum wait between two checks of a debt
 STREAM_STEP_UNITS = 16.0  # a body of unknown length is charged in steps of at least this size
-MAX_OBJECT_SIZES = 10_000  # remembered at a gateway
+MAX_OBJECT_SIZES = 10_000  # maximum number of object sizes stored at a gateway
 
 
 @dataclass(slots=True)
--- a/winchdyke/quotas/token_bucket.py
+++ b/winchdyke/quotas/token_bucket.py
@@ -26,12 +26,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-DEBT_RATE_FRACTION = 0.5  # of the rate that fills the bucket; small requests have the rest
+DEBT_RATE_FRACTION = 0.5  # fraction of the fill rate that pays off a debt; small requests have the rest
 NEGLIGIBLE_DEBT_UNITS = 1e-9
 
 
 class QuotaExceededError(Exception):
-    """A volume's limit leaves no capacity before the request's deadline. ``wait_ms``: the wait after which it does, at the latest."""
+    """A volume's limit leaves no capacity before the request's deadline. ``wait_ms``: the longest wait until it does."""
 
     def __init__(self, wait_ms: float) -> None:
         super().__init__(f"the volume's limit is used up; retry after {wait_ms:.0f} ms")
