--- a/benchmarks/membership_mutants.py
+++ b/benchmarks/membership_mutants.py
@@ -1,10 +1,10 @@
-"""Membership of gateway processes with one defence removed at a time, on a day with the faults that need this defence.
+"""Runs gateway processes with one membership defence removed at a time, on a day with the faults that need this defence.
 
     python benchmarks/membership_mutants.py [NAME ...] [--seed 1] [--jobs 2] [--gateways 8]
 
 Each day is played twice, with unmodified gateways and with the defence removed from all of them. Printed are the verdict on
 the views, the number of deaths of members that ran and were reachable, the number of suspicions that a gateway raised itself,
-and how many of these a gateway raised within a probe interval of the end of its own pause. Gateways are real processes.
+and how many of these suspicions it raised within a probe interval after the end of its own pause. Gateways are real processes.
 """
 
 from __future__ import annotations
@@ -31,7 +31,8 @@
 from winchdyke.membership.refutation import Refutation
 from winchdyke.membership.swim import SwimProtocol
 
-FAULTS_MS, RECOVERY_MS = 12_000.0, 15_000.0  # with faults, and without, for views to converge
+# The duration of the faults, and that of the recovery in which views converge.
+FAULTS_MS, RECOVERY_MS = 12_000.0, 15_000.0
 
 
 def without_refutation() -> None:
@@ -129,8 +130,8 @@
     kept: bool
     why: str
     dead: int  # transitions to dead, in any view, of reachable members
-    suspected: int  # raised by the viewing gateway itself
-    suspected_after_pause: int  # of these, within a probe interval after a pause of that gateway
+    suspected: int  # suspicions that the viewing gateway raised itself
+    suspected_after_pause: int  # of ``suspected``, those within a probe interval after that gateway's pause
 
     def __str__(self) -> str:
         verdict_text = "kept" if self.kept else "BROKEN"
@@ -168,16 +169,16 @@
 
 
 def _suspicions(log: Path, offset: float) -> list[tuple[float, dict[str, Any]]]:
-    wanted = log_event("suspect", "any")
-    found = []
+    event_name = log_event("suspect", "any")
+    suspicions = []
     for line in log.read_bytes().splitlines():
         try:
             row = json.loads(line)
         except ValueError:
             continue
-        if isinstance(row, dict) and row.get("event") == wanted and "timestamp" in row:
-            found.append((row["timestamp"] * 1000 - offset, row))
-    return found
+        if isinstance(row, dict) and row.get("event") == event_name and "timestamp" in row:
+            suspicions.append((row["timestamp"] * 1000 - offset, row))
+    return suspicions
 
 
 def serve_as(name: str, arguments: list[str]) -> None:
--- a/tests/test_config_rollout.py
+++ b/tests/test_config_rollout.py
@@ -40,10 +40,10 @@
 APPLIED_ONCE = [Step("proposed", 1), Step("staged", 1), Step("applying", 1), Step("applied", 1)]
 
 
-def run_changes(*words: str, ends: int = 0) -> str:
-    done = CliRunner().invoke(main, ["changes", *words])
-    assert done.exit_code == ends, done.output
-    return done.output
+def run_changes(*words: str, exit_code: int = 0) -> str:
+    result = CliRunner().invoke(main, ["changes", *words])
+    assert result.exit_code == exit_code, result.output
+    return result.output
 
 
 # The state machine
@@ -62,13 +62,13 @@
         Step("undoing", 1),
         Step("undone", 1),
     ]
-    served = {6: 1, 7: 1, 8: 1 if confirm_by_ms else 2, 9: 2, 10: 2, 11: 1, 12: 1}
-    for cut, version in served.items():
-        found = replay(steps[:cut])
-        added, why = recover(found)
-        after = replay([*steps[:cut], *added])
-        assert after.serving == version and not after.applying and not after.confirm_by_ms, (cut, why)
-        assert f"version {version}" in why
+    served_versions = {6: 1, 7: 1, 8: 1 if confirm_by_ms else 2, 9: 2, 10: 2, 11: 1, 12: 1}
+    for cut, version in served_versions.items():
+        state = replay(steps[:cut])
+        added_steps, reason = recover(state)
+        after = replay([*steps[:cut], *added_steps])
+        assert after.serving == version and not after.applying and not after.confirm_by_ms, (cut, reason)
+        assert f"version {version}" in reason
     assert replay(steps[:6]).staged == 2, "the staged version is still to be applied"
 
 
@@ -78,27 +78,27 @@
 @given(st.lists(st.tuples(st.sampled_from(STEPS), st.integers(1, 4)), max_size=14))
 @examples(max_examples=300)
 def test_recovery_after_arbitrary_steps_serves_one_version_that_was_applied(steps):
-    found = replay(APPLIED_ONCE)
+    state = replay(APPLIED_ONCE)
     applied = {1}
-    for what, version in steps:
-        if what == "undone":
-            version = found.previous or found.serving
+    for action, version in steps:
+        if action == "undone":
+            version = state.previous or state.serving
         try:
-            found = found.advance(Step(what, version))
+            state = state.advance(Step(action, version))
         except ValueError:
             continue
-        applied |= {found.serving}
-    added, _ = recover(found)
-    for step in added:
-        found = found.advance(step)
-    assert found.serving in applied | {found.previous} and not found.applying and not found.confirm_by_ms
+        applied |= {state.serving}
+    added_steps, _ = recover(state)
+    for step in added_steps:
+        state = state.advance(step)
+    assert state.serving in applied | {state.previous} and not state.applying and not state.confirm_by_ms
 
 
 def test_a_requested_undo_is_done_once():
     """The target of the undo must not stay staged: it would be undone again and again."""
     steps = [*APPLIED_ONCE, Step("staged", 2), Step("applying", 2), Step("applied", 2), Step("staged", 1)]
-    found = replay([*steps, Step("undoing", 1), Step("undone", 1)])
-    assert due_step(found, 0.0) is None and (found.serving, found.previous) == (1, 2)
+    state = replay([*steps, Step("undoing", 1), Step("undone", 1)])
+    assert due_step(state, 0.0) is None and (state.serving, state.previous) == (1, 2)
     newer = replay([*steps[:-1], Step("staged", 3), Step("undoing", 1), Step("undone", 1)])
     assert due_step(newer, 0.0) == Step("applying", 3), "a version staged meanwhile is still to be applied"
 
@@ -135,41 +135,48 @@
         api.Request(f"{name}{n}", "fetch", "a", "v", f"{name}{n}", 1.0, 0, 1, 2500.0) for n in range(count)
     ]
     actions = scheduler.handle(now, list(requests))
-    done = [action for action in actions if isinstance(action, api.StartAttempt)]
-    ended = [api.AttemptEnded(a.request_id, 0, "n", api.AttemptOutcome.SERVED, 1.0, True) for a in done]
+    started = [action for action in actions if isinstance(action, api.StartAttempt)]
+    ended = [api.AttemptEnded(a.request_id, 0, "n", api.AttemptOutcome.SERVED, 1.0, True) for a in started]
     scheduler.handle(now, list(ended))
-    return len(done)
+    return len(started)
 
 
 def test_a_lowered_limit_applies_at_once_and_a_raised_one_allows_no_burst():
-    made = make_scheduler(50.0)
-    made.handle(
+    scheduler = make_scheduler(50.0)
+    scheduler.handle(
         0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
     )
-    send_requests(made, 0.0, 1, "x")
-    send_requests(made, 2000.0, 1, "y")  # the quota is full by now: 50 units
-    assert made.quotas["v"].limit_units > 40
+    send_requests(scheduler, 0.0, 1, "x")
+    send_requests(scheduler, 2000.0, 1, "y")  # the quota is full by now: 50 units
+    assert scheduler.quotas["v"].limit_units > 40
     assert (
-        apply_settings(made, settings_with_limit(2.0), {"v": settings_with_limit(2.0).plans[0]}, 2000.0) == 1
+        apply_settings(scheduler, settings_with_limit(2.0), {"v": settings_with_limit(2.0).plans[0]}, 2000.0)
+        == 1
     )
-    assert made.quotas["v"].limit_units == 2.0
-    total = sum(send_requests(made, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
+    assert scheduler.quotas["v"].limit_units == 2.0
+    total = sum(send_requests(scheduler, 2000.0 + at, 3, f"z{at}-") for at in range(0, 3000, 100))
     assert total <= 2 + 2.0 * 3, "at most the burst and the rate of the new limit"
-    before = made.quotas["v"].limit_units
-    apply_settings(made, settings_with_limit(500.0), {"v": settings_with_limit(500.0).plans[0]}, 5000.0)
-    assert made.quotas["v"].limit_units == pytest.approx(before, abs=1.0)
+    before = scheduler.quotas["v"].limit_units
+    apply_settings(scheduler, settings_with_limit(500.0), {"v": settings_with_limit(500.0).plans[0]}, 5000.0)
+    assert scheduler.quotas["v"].limit_units == pytest.approx(before, abs=1.0)
 
 
 def test_a_reload_keeps_concurrency_limits_and_retry_budget_and_a_volume_may_change_its_plan():
-    made = make_scheduler()
-    made.handle(
+    scheduler = make_scheduler()
+    scheduler.handle(
         0.0, [api.EndpointList(api.EndpointListKind.FULL, (api.Endpoint("n", api.EndpointStatus.READY, 0),))]
     )
-    send_requests(made, 0.0, 3, "x")
-    window, taken = made.endpoints["n"].concurrency_limit, list(made.retry_budget.request_times)
-    apply_settings(made, settings_with_limit(0.0), {"v": settings_with_limit(0.0).plans[1]}, 1.0)
-    assert made.quotas["v"].plan.name == "b"
-    assert made.endpoints["n"].concurrency_limit is window and list(made.retry_budget.request_times) == taken
+    send_requests(scheduler, 0.0, 3, "x")
+    concurrency_limit, request_times = (
+        scheduler.endpoints["n"].concurrency_limit,
+        list(scheduler.retry_budget.request_times),
+    )
+    apply_settings(scheduler, settings_with_limit(0.0), {"v": settings_with_limit(0.0).plans[1]}, 1.0)
+    assert scheduler.quotas["v"].plan.name == "b"
+    assert (
+        scheduler.endpoints["n"].concurrency_limit is concurrency_limit
+        and list(scheduler.retry_budget.request_times) == request_times
+    )
     base = settings()
     other = parse(set_values(base, "volume", "school-*", ["plan=contest"]))
     names = ["school-1", "contest-1", "x"]
@@ -207,22 +214,22 @@
     change_log = ChangeLog(folder)
     for number in range(versions):
         version = change_log.add_version(f"text {number}", number, "[]", "ann", "why", "here")
-        for what in ("staged", "applying", "applied"):
-            change_log.append(Step(what, version), "gateway")
+        for action in ("staged", "applying", "applied"):
+            change_log.append(Step(action, version), "gateway")
     return change_log
 
 
 def test_the_hash_chain_detects_every_altered_or_removed_entry_and_text(tmp_path):
     change_log = make_change_log(tmp_path)
     assert change_log.verify() == []
-    whole = change_log.entries()
+    entries = change_log.entries()
     for statement in [
         *(
             f"UPDATE trail SET {column} = 'x' WHERE seq = {entry.seq}"
-            for entry in whole
+            for entry in entries
             for column in ("who", "note", "what")
         ),
-        *(f"DELETE FROM trail WHERE seq = {entry.seq}" for entry in whole[:-1]),
+        *(f"DELETE FROM trail WHERE seq = {entry.seq}" for entry in entries[:-1]),
         "UPDATE versions SET text = 'other' WHERE id = 2",
         "DELETE FROM versions WHERE id = 1",
     ]:
@@ -230,10 +237,10 @@
         copy.mkdir(exist_ok=True)
         with sqlite3.connect(change_log.path) as source, sqlite3.connect(copy / "changes.db") as target:
             source.backup(target)
-        other = ChangeLog(copy)
-        with sqlite3.connect(other.path) as db:
+        altered = ChangeLog(copy)
+        with sqlite3.connect(altered.path) as db:
             db.execute(statement)
-        assert other.verify(), statement
+        assert altered.verify(), statement
     assert change_log.path.stat().st_mode & 0o777 == 0o600
 
 
@@ -245,13 +252,13 @@
     with pytest.raises(ChangeLogError, match="meanwhile"):
         change_log.append(Step("staged", 2), "x", expected=RolloutState())
     assert change_log.entries() == before
-    assert "does not exist" in run_changes("log", str(tmp_path / "none"), ends=1)
+    assert "does not exist" in run_changes("log", str(tmp_path / "none"), exit_code=1)
 
 
 def test_a_damaged_file_is_an_error_that_names_it(tmp_path):
     change_log = make_change_log(tmp_path)
     change_log.path.write_bytes(b"no database" * 1000)
-    assert "changes.db" in run_changes("log", str(tmp_path), ends=1)
+    assert "changes.db" in run_changes("log", str(tmp_path), exit_code=1)
 
 
 ENDLESS_APPLIES = """
@@ -271,14 +278,14 @@
 def test_no_version_that_was_reported_applied_is_lost_by_kills(
     tmp_path, rounds: int = int(os.environ.get("CHANGE_KILLS", "6"))
 ):
-    draw = random.Random(4)
+    rng = random.Random(4)
     for _ in range(rounds):
         process = subprocess.Popen(
             [sys.executable, "-c", ENDLESS_APPLIES, str(tmp_path)], stdout=subprocess.PIPE, text=True
         )
         assert process.stdout is not None
         reported = int(process.stdout.readline())
-        time.sleep(draw.uniform(0.0, 0.1))
+        time.sleep(rng.uniform(0.0, 0.1))
         process.kill()
         for line in process.stdout:
             reported = int(line) if line.endswith("\n") else reported
@@ -286,8 +293,8 @@
         process.stdout.close()
         change_log = ChangeLog(tmp_path)
         assert change_log.verify() == []
-        added, _ = recover(change_log.state())
-        for step in added:
+        added_steps, _ = recover(change_log.state())
+        for step in added_steps:
             change_log.append(step, "g")
         assert change_log.state().serving >= reported
 
@@ -323,8 +330,8 @@
                     assert answer.status in (404, 503)
                     versions[name] = answer.headers["winchdyke-version"]
 
-            async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
+            async def cli(*words: str, exit_code: int = 0) -> str:
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, exit_code=exit_code))
 
             folder = str(tmp_path)
             async with anyio.create_task_group() as group:
@@ -408,8 +415,8 @@
         config = dataclasses.replace(with_changes(tmp_path / "changes"), fleet=fleet)
         async with rig(config) as it:
 
-            async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
+            async def cli(*words: str, exit_code: int = 0) -> str:
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, exit_code=exit_code))
 
             folder = str(tmp_path / "changes")
             protocol = it.gateway.membership_agent.protocol
@@ -421,7 +428,7 @@
             await cli("apply", folder, "3")
             await it.wait_until(lambda: protocol.seeds == ("127.0.0.1:8", "127.0.0.1:7"))
             assert protocol.address_overrides == {"east": "127.0.0.1:7"}
-            wrong = await cli("set", folder, "fleet", "interval=2s", ends=1)
+            wrong = await cli("set", folder, "fleet", "interval=2s", exit_code=1)
             assert "interval of a fleet can't change in service; these can: seeds" in wrong
             await cli("set", folder, "peer", "east", "--remove")
             await cli("apply", folder, "4")
@@ -437,26 +444,26 @@
     async def run():
         async with rig(with_changes(tmp_path)) as it:
 
-            async def cli(*words: str, ends: int = 0) -> str:
-                return await anyio.to_thread.run_sync(lambda: run_changes(*words, ends=ends))
+            async def cli(*words: str, exit_code: int = 0) -> str:
+                return await anyio.to_thread.run_sync(lambda: run_changes(*words, exit_code=exit_code))
 
             folder = str(tmp_path)
             assert "there is no plan shcool; existing: school" in await cli(
-                "set", folder, "plan", "shcool", "weight=2", ends=1
+                "set", folder, "plan", "shcool", "weight=2", exit_code=1
             )
-            assert "the keys are" in await cli("set", folder, "plan", "school", "colour=2", ends=1)
+            assert "the keys are" in await cli("set", folder, "plan", "school", "colour=2", exit_code=1)
             assert "does not pass the check" in await cli(
-                "set", folder, "volume", "school-*", "plan=none", ends=1
+                "set", folder, "volume", "school-*", "plan=none", exit_code=1
             )
             text = await cli("show", folder, "1")
             file = tmp_path / "new.conf"
             file.write_text(text + "\nlimits {\n    connections = 77\n}\n")
-            assert "can't change in service" in await cli("propose", folder, str(file), ends=1)
+            assert "can't change in service" in await cli("propose", folder, str(file), exit_code=1)
             await cli("set", folder, "plan", "school", "weight=3")
             await cli("set", folder, "plan", "school", "weight=4")
             await cli("set", folder, "plan", "basic", "weight=5")
             await cli("apply", folder, "2")
-            conflict = await cli("apply", folder, "3", ends=1)
+            conflict = await cli("apply", folder, "3", exit_code=1)
             assert "yours" in conflict and "theirs" in conflict
             assert "merged" in await cli("apply", folder, "4")
             plans = {
@@ -473,22 +480,26 @@
 
 def observe(**rates: tuple[float, float]) -> CanaryObserver:
     """Observe two shards for ten seconds before a change and five after; rates: failure ratios before and after, by volume."""
-    draw, watch = random.Random(3), CanaryObserver()
+    rng, observer = random.Random(3), CanaryObserver()
     for second in range(100, 116):
         for volume, (before, after) in rates.items():
             for _ in range(20):
-                share = after if second > 110 else before
-                watch.record_request(
+                failure_ratio = after if second > 110 else before
+                observer.record_request(
                     second * 1000.0,
                     volume,
-                    draw.randrange(2),
-                    "served" if draw.random() >= share else "failed",
+                    rng.randrange(2),
+                    "served" if rng.random() >= failure_ratio else "failed",
                 )
-    return watch
+    return observer
 
 
-def is_harmful(watch: CanaryObserver, *volumes: str, dead: tuple[int, ...] = ()) -> bool:
-    return watch.evaluate(110_000.0, 116_000.0, lambda volume: volume in volumes, dead).harmful
+def is_harmful(
+    observer: CanaryObserver, *volumes: str, shards_without_endpoint: tuple[int, ...] = ()
+) -> bool:
+    return observer.evaluate(
+        110_000.0, 116_000.0, lambda volume: volume in volumes, shards_without_endpoint
+    ).harmful
 
 
 def test_harm_to_affected_volumes_is_detected_and_faults_that_all_volumes_see_are_not_attributed_to_a_change():
@@ -500,7 +511,7 @@
     assert not is_harmful(observe(mine=(0.3, 0.32), other=(0.3, 0.3)), "mine"), (
         "the failure ratio was as high before"
     )
-    assert not is_harmful(observe(mine=(0.02, 0.9)), "mine", dead=(0, 1)), (
+    assert not is_harmful(observe(mine=(0.02, 0.9)), "mine", shards_without_endpoint=(0, 1)), (
         "no endpoint is left, which no setting causes"
     )
     assert not is_harmful(CanaryObserver(), "mine"), "without requests there is no harmful verdict"
@@ -518,14 +529,14 @@
 
 
 def test_a_surge_is_not_attributed_to_a_change():
-    draw, watch = random.Random(4), CanaryObserver()
+    rng, observer = random.Random(4), CanaryObserver()
     for second in range(100, 116):
-        surge = 3 if second > 110 else 1
-        for _ in range(20 * surge):
-            watch.record_request(
-                second * 1000.0, "mine", 0, "served" if draw.random() < 1 / surge else "refused"
+        load_factor = 3 if second > 110 else 1
+        for _ in range(20 * load_factor):
+            observer.record_request(
+                second * 1000.0, "mine", 0, "served" if rng.random() < 1 / load_factor else "refused"
             )
-    assert not is_harmful(watch, "mine")
+    assert not is_harmful(observer, "mine")
 
 
 def test_a_change_that_makes_a_volume_unreachable_is_rolled_back_automatically(tmp_path):
@@ -579,18 +590,20 @@
     run()
 
 
-# Every interleaving
+# Exhaustive exploration of the rollout model
 
 
 def test_every_interleaving_of_edits_kills_and_time_keeps_reported_versions_and_serves_one_complete_version():
-    found = explore(RolloutModel())
-    assert found.complete and not found.violation, (found.violation, found.trace)
-    assert found.states > 1000
+    result = explore(RolloutModel())
+    assert result.complete and not result.violation, (result.violation, result.trace)
+    assert result.states > 1000
 
 
-@pytest.mark.parametrize("careless", ["recover", "begin"])
-def test_the_model_checker_detects_a_start_without_recovery_and_an_apply_that_is_not_written_first(careless):
-    assert explore(RolloutModel(omitted_step=careless)).violation
+@pytest.mark.parametrize("omitted_step", ["recover", "begin"])
+def test_the_model_checker_detects_a_start_without_recovery_and_an_apply_that_is_not_written_first(
+    omitted_step,
+):
+    assert explore(RolloutModel(omitted_step=omitted_step)).violation
 
 
 @measured
@@ -598,11 +611,13 @@
     from winchdyke.days import script
     from winchdyke.days.run import run_scenario
 
-    verdict, seen, ends = run_scenario(script.change_day(2, length=18_000.0))
-    assert verdict.kept and ends == [0, 0, 0], [ruling.violations[:2] for ruling in verdict.rule_results]
-    changed = [each for each in seen if each["what"] == "changed"]
-    assert len(changed) == 6 and all(each["version"] for each in changed)
-    assert len({each["version"] for each in seen if each["what"] == "head"}) >= 2
+    verdict, record, exit_codes = run_scenario(script.change_day(2, length=18_000.0))
+    assert verdict.kept and exit_codes == [0, 0, 0], [
+        ruling.violations[:2] for ruling in verdict.rule_results
+    ]
+    changes = [entry for entry in record if entry["what"] == "changed"]
+    assert len(changes) == 6 and all(entry["version"] for entry in changes)
+    assert len({entry["version"] for entry in record if entry["what"] == "head"}) >= 2
 
 
 def test_blame_names_the_last_change_of_each_value_and_a_change_log_is_exported_and_imported(tmp_path):
@@ -631,9 +646,9 @@
     file.write_text(text)
     assert "9 entries" in run_changes("import", str(tmp_path / "b"), str(file))
     assert run_changes("export", str(tmp_path / "b")) == text
-    assert "is not empty" in run_changes("import", folder, str(file), ends=1)
+    assert "is not empty" in run_changes("import", folder, str(file), exit_code=1)
     file.write_text(text.replace("ann", "eva"))
-    assert "does not verify" in run_changes("import", str(tmp_path / "c"), str(file), ends=1)
+    assert "does not verify" in run_changes("import", str(tmp_path / "c"), str(file), exit_code=1)
     file.write_text("no json\n")
-    assert "line 1" in run_changes("import", str(tmp_path / "d"), str(file), ends=1)
+    assert "line 1" in run_changes("import", str(tmp_path / "d"), str(file), exit_code=1)
     assert ChangeLog(tmp_path / "c").last_seq() == 0, "nothing was imported"
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""The SWIM protocol in virtual time, on a network that loses, delays, duplicates and partitions."""
+"""The SWIM protocol in virtual time, on a simulated network with loss, delays, duplicates and partitions."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 def link_state(fleet: Fleet, viewer: str, member: str) -> str:
     """Returns the state of the link to a member, as the viewer sees it."""
     view = fleet.processes[viewer].protocol.view(fleet.now)
-    return next(seen.link for seen in view.members if seen.name == member)
+    return next(entry.link for entry in view.members if entry.name == member)
 
 
 def longest_false_death_ms(fleet: Fleet, since: float) -> float:
@@ -103,12 +103,12 @@
     """Timeouts run on the viewers' own clocks: a slow clock extends the bounds only by its drift."""
     drift = 0.01
     fleet = converged_fleet(8, 3, drift=drift)
-    rates = [life.clock_rate for life in fleet.processes.values()]
+    rates = [process.clock_rate for process in fleet.processes.values()]
     assert max(rates) - min(rates) > drift, "the clocks must differ in rate"
     fleet.links.loss = 0.2
     since = fleet.now
     fleet.run(since + 600_000.0)
-    clocks = [life.clock(fleet.now) - fleet.now for life in fleet.processes.values()]
+    clocks = [process.clock(fleet.now) - fleet.now for process in fleet.processes.values()]
     assert max(clocks) - min(clocks) > 5_000.0, "the clocks have drifted apart by seconds"
     assert not transitions(fleet, since, "dead")
     fleet.links.loss = 0.0
@@ -137,7 +137,7 @@
     fleet.links.copies, fleet.links.delay, fleet.links.tail = 0.3, (5.0, 20.0), 0.02
     fleet.run(since + 120_000.0)
     assert not transitions(fleet, since, "dead")
-    assert sum(life.protocol.counts["replay"] for life in fleet.processes.values()) > 100
+    assert sum(process.protocol.counts["replay"] for process in fleet.processes.values()) > 100
 
 
 def test_a_member_paused_for_3_s_every_10_s_is_never_dead():
@@ -255,8 +255,10 @@
     fleet = converged_fleet(8)
     fleet.leave("g5")
     fleet.run(fleet.now + 5000.0)
-    views = [life.protocol.view(fleet.now) for life in fleet.processes.values()]
-    assert all(next(s.state for s in view.members if s.name == "g5") == "left" for view in views)
+    views = [process.protocol.view(fleet.now) for process in fleet.processes.values()]
+    assert all(
+        next(member.state for member in view.members if member.name == "g5") == "left" for view in views
+    )
 
 
 def test_a_start_without_reachable_seeds_retries_at_a_bounded_rate():
@@ -479,7 +481,9 @@
     protocol = new_protocol()
     actions = Peer(protocol).send(other_records=[MemberRecord("x", "at-x", "z", 9, 1, 0, 0, "")])
     assert "index-unknown" in [action.code for action in actions if isinstance(action, events.ReportEvent)]
-    assert next(seen.index_in_settings for seen in protocol.view(0.0).members if seen.name == "x") is False
+    assert (
+        next(member.index_in_settings for member in protocol.view(0.0).members if member.name == "x") is False
+    )
 
 
 def test_a_member_is_sent_to_at_its_new_address_unless_the_settings_override_it():
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""A volume's rate limit for every byte: the debt by itself, waiting for quota, and both protocols on sockets."""
+"""A volume's rate limit for every byte: the accounting of debts, waits for quota, and both protocols on sockets."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 def make_quota(limit: float, burst: float, gateways: int = 1, largest: float = 8.0) -> VolumeQuota:
     plan = api.Plan("p", 1.0, 1.0, 5.0, 0.0, limit, burst)
-    cfg = api.Settings(gateways, 0, (), (plan,), max_request_units=largest)
-    made = VolumeQuota(cfg, plan, 0.0)
-    made.sharing_gateways = gateways
-    return made
+    scheduler_settings = api.Settings(gateways, 0, (), (plan,), max_request_units=largest)
+    quota = VolumeQuota(scheduler_settings, plan, 0.0)
+    quota.sharing_gateways = gateways
+    return quota
 
 
-# The debt
+# The debt of a volume
 
 
 @given(
@@ -56,33 +56,33 @@
     gateways, rate, burst, seed
 ):
     """Small requests admitted by the scheduler and large ones, some partly refunded, at all gateways at once."""
-    draw, transfers = random.Random(seed), list[tuple[float, float]]()
+    rng, transfers = random.Random(seed), list[tuple[float, float]]()
     largest = 0.0
-    parts = [(TransferDebt(0.0), make_quota(rate, burst, gateways)) for _ in range(gateways)]
+    debts_and_quotas = [(TransferDebt(0.0), make_quota(rate, burst, gateways)) for _ in range(gateways)]
     now = 0.0
     for _ in range(120):
-        now += draw.expovariate(1 / 200)
-        debt, quota = draw.choice(parts)
+        now += rng.expovariate(1 / 200)
+        debt, quota = rng.choice(debts_and_quotas)
         debt.settle(now, quota, rate / gateways, 8.0)
         quota.refill(now)
-        small = draw.uniform(1, 8)
-        if draw.random() < 0.6:
-            if quota.limit_units >= small:
-                quota.limit_units -= small
-                transfers.append((now, small))
+        small_units = rng.uniform(1, 8)
+        if rng.random() < 0.6:
+            if quota.limit_units >= small_units:
+                quota.limit_units -= small_units
+                transfers.append((now, small_units))
         elif debt.is_settled:
-            units = draw.uniform(9, 300)
-            moved = units if draw.random() < 0.7 else draw.uniform(0, units)
+            units = rng.uniform(9, 300)
+            transferred = units if rng.random() < 0.7 else rng.uniform(0, units)
             debt.add(units)
-            debt.refund(units - moved, quota)
-            transfers.append((now, moved))
-            largest = max(largest, moved)
+            debt.refund(units - transferred, quota)
+            transfers.append((now, transferred))
+            largest = max(largest, transferred)
     for first in range(len(transfers)):
         total = 0.0
         for at, units in transfers[first:]:
             total += units
-            most = rate * (at - transfers[first][0]) / 1000 + burst + gateways * largest
-            assert total <= most + 1e-6
+            max_units = rate * (at - transfers[first][0]) / 1000 + burst + gateways * largest
+            assert total <= max_units + 1e-6
 
 
 def test_a_debt_ends_by_the_predicted_time_however_many_small_requests_arrive():
@@ -134,7 +134,7 @@
 
 
 def test_a_read_of_5_gib_is_charged_in_full_and_the_reported_wait_is_sufficient():
-    """The read costs 81,920 units; the next large request is refused at once, with the wait after which quota is certain."""
+    """The read costs 81,920 units; the next large request is refused at once, with the wait after which there is quota."""
     clock = [0.0]
     quota = make_quota(240.0, 480.0)
     byte_meter = ByteMeter(lambda: clock[0], lambda _: quota, lambda: 8.0)
@@ -166,33 +166,34 @@
 PROTOCOLS = ("object", "s3")
 
 
-def limited_config(**more: Any) -> Any:
+def limited_config(**changes: Any) -> Any:
     base = settings(SMALL, limits__object_bytes="200MiB")
     volumes = tuple(
-        dataclasses.replace(rule, plan="small") if rule.pattern == "school-*" else rule
-        for rule in base.volumes
+        dataclasses.replace(volume, plan="small") if volume.pattern == "school-*" else volume
+        for volume in base.volumes
     )
-    kinds = tuple(
+    request_classes = tuple(
         dataclasses.replace(
-            kind, rules=dataclasses.replace(kind.rules, deadline_ms=4000.0, latency_objective_ms=500.0)
+            request_class,
+            rules=dataclasses.replace(request_class.rules, deadline_ms=4000.0, latency_objective_ms=500.0),
         )
-        for kind in base.kinds
+        for request_class in base.kinds
     )
     s3 = S3(Listen("127.0.0.1", 0), unsigned="all", part_least=1)
-    return dataclasses.replace(base, s3=s3, volumes=volumes, kinds=kinds, **more)
+    return dataclasses.replace(base, s3=s3, volumes=volumes, kinds=request_classes, **changes)
 
 
 async def connect(it: Rig, protocol: str) -> Peer:
-    where = it.gateway.addresses[0 if protocol == "object" else -1]
-    return Peer(await anyio.connect_tcp(*where), h11.CLIENT)
+    address = it.gateway.addresses[0 if protocol == "object" else -1]
+    return Peer(await anyio.connect_tcp(*address), h11.CLIENT)
 
 
 async def ask(
-    it: Rig, protocol: str, method: str, path: str, body: bytes | None = None, **more: str
+    it: Rig, protocol: str, method: str, path: str, body: bytes | None = None, **headers: str
 ) -> Reply:
     peer = await connect(it, protocol)
     try:
-        return await it.request(method, path, body, peer, **more)
+        return await it.request(method, path, body, peer, **headers)
     finally:
         await anyio.aclose_forcefully(peer.stream)
 
@@ -209,7 +210,7 @@
 
 def bytes_in(it: Rig) -> int:
     """Return the bytes of the bodies that the stores received completely."""
-    return sum(seen["bytes"] for seen in it.record.entries if seen["what"] == "whole")
+    return sum(entry["bytes"] for entry in it.record.entries if entry["what"] == "whole")
 
 
 @pytest.mark.parametrize("protocol", PROTOCOLS)
@@ -222,13 +223,13 @@
         async with rig(limited_config(), unit_ms=0.02) as it:
             began = anyio.current_time()
             data = b"x" * (128 * UNIT)
-            went: list[tuple[float, float]] = []
+            served: list[tuple[float, float]] = []
 
             async def client(number: int) -> None:
                 while True:
                     answer = await ask(it, protocol, "PUT", f"/school-1/o{number}", data)
                     if answer.status < 300:
-                        went.append((anyio.current_time(), 128.0))
+                        served.append((anyio.current_time(), 128.0))
                         return
                     await anyio.sleep(retry_after_of_refusal(protocol, answer))
 
@@ -256,11 +257,11 @@
             it.gateway.service.byte_meter._meters.clear()  # the upload's debt is not part of this test
             quota = it.gateway.scheduler_loop.quota("school-1")
             quota.limit_units = 60.0
-            more = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
-            first = await ask(it, protocol, "GET", "/school-1/o", **more)
-            assert len(first.body) == (250 if more else 300) * UNIT
+            headers = {"range": f"bytes=0-{250 * UNIT - 1}"} if asked == "range" else {}
+            first = await ask(it, protocol, "GET", "/school-1/o", **headers)
+            assert len(first.body) == (250 if headers else 300) * UNIT
             began = anyio.current_time()
-            second = await ask(it, protocol, "GET", "/school-1/o", **more)
+            second = await ask(it, protocol, "GET", "/school-1/o", **headers)
             assert second.status in (200, 206)
             assert anyio.current_time() - began >= (250 - 60) / RATE * 0.8, (
                 "the first read's debt is settled first"
@@ -272,7 +273,7 @@
 @pytest.mark.parametrize("protocol", PROTOCOLS)
 @measured
 def test_small_requests_of_a_volume_continue_beside_its_large_one(protocol):
-    """While there is a debt, small requests get half of the rate, and large ones a Retry-After within the predicted time."""
+    """While there is a debt, small requests get half of the rate; a large one gets a Retry-After within the predicted time."""
 
     @run_async
     async def run():
@@ -308,26 +309,28 @@
     run()
 
 
-async def send_chunks(peer: Peer, path: str, pieces: int, size: int, pause: float = 0.0) -> None:
+async def send_chunks(
+    peer: Peer, path: str, chunks: int, chunk_bytes: int, pause_seconds: float = 0.0
+) -> None:
     """Send a PUT without a Content-Length; fails if the gateway closes the connection early."""
     request = h11.Request(
         method="PUT", target=path, headers=[("host", "t"), ("transfer-encoding", "chunked")]
     )
     await peer.send(request)
-    for _ in range(pieces):
-        await peer.send(h11.Data(data=b"x" * size))
-        if pause:
-            await anyio.sleep(pause)
+    for _ in range(chunks):
+        await peer.send(h11.Data(data=b"x" * chunk_bytes))
+        if pause_seconds:
+            await anyio.sleep(pause_seconds)
     await peer.send(h11.EndOfMessage())
 
 
 def test_an_upload_of_unknown_length_is_charged_in_steps_and_refused_beyond_the_limit():
-    """Three uploads at once, each beyond what the limit allows before its deadline, transfer at most limit, burst and steps."""
+    """Three uploads at once, each too large for the limit before its deadline, transfer at most limit, burst and steps."""
 
     @run_async
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
-            moved, answers = [0], deque[Reply]()
+            transferred_bytes, answers = [0], deque[Reply]()
             service = it.gateway.service
 
             async def client(number: int) -> None:
@@ -349,9 +352,9 @@
                 charge = open_charge(*args)
                 record_bytes = charge.record_bytes
 
-                async def record_and_count(more: int) -> None:
-                    await record_bytes(more)
-                    moved[0] += more
+                async def record_and_count(count: int) -> None:
+                    await record_bytes(count)
+                    transferred_bytes[0] += count
 
                 charge.record_bytes = record_and_count
                 return charge
@@ -364,9 +367,9 @@
             assert (
                 all(retry_after_of_refusal("object", answer) > 0 for answer in answers) and len(answers) == 3
             )
-            assert moved[0] / UNIT <= RATE * took + BURST + 3 * 20 + 16
-            assert moved[0] / UNIT >= RATE * took * 0.3, "the uploads were paced, not blocked"
-            assert not any(seen["what"] == "effect" for seen in it.record.entries), (
+            assert transferred_bytes[0] / UNIT <= RATE * took + BURST + 3 * 20 + 16
+            assert transferred_bytes[0] / UNIT >= RATE * took * 0.3, "the uploads were paced, not blocked"
+            assert not any(entry["what"] == "effect" for entry in it.record.entries), (
                 "a refused upload has no effect at a store"
             )
 
@@ -385,7 +388,7 @@
             await peer.send(request, h11.Data(data=b"x" * (size * 3 // 4)))
             byte_meter = it.gateway.service.byte_meter
             await it.wait_until(lambda: byte_meter.debt_units("school-1") > 250)
-            await it.wait_until(lambda: any(seen["what"] == "head" for seen in it.record.entries))
+            await it.wait_until(lambda: any(entry["what"] == "head" for entry in it.record.entries))
             await anyio.sleep(0.1)
             before = byte_meter.debt_units("school-1")
             await peer.reset()
@@ -424,7 +427,7 @@
     @run_async
     async def run():
         async with rig(limited_config(), unit_ms=0.02) as it:
-            engine, byte_meter = it.gateway.scheduler_loop, it.gateway.service.byte_meter
+            scheduler_loop, byte_meter = it.gateway.scheduler_loop, it.gateway.service.byte_meter
             size = 1024 * UNIT
             peer = await connect(it, "object")
             request = h11.Request(
@@ -433,15 +436,15 @@
             await peer.send(request, h11.Data(data=b"x" * (size // 2)))
             await it.wait_until(lambda: byte_meter.debt_units("school-1") > 0)
             plan = dataclasses.replace(
-                engine.quota("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
+                scheduler_loop.quota("school-1").plan, limit_units_per_s=20.0, limit_burst_units=20.0
             )
-            engine.apply_settings(engine.settings, {"school-1": plan})
-            since, owed = anyio.current_time(), byte_meter.debt_units("school-1")
+            scheduler_loop.apply_settings(scheduler_loop.settings, {"school-1": plan})
+            since, debt_before = anyio.current_time(), byte_meter.debt_units("school-1")
             await peer.send(h11.Data(data=b"x" * (size // 2)), h11.EndOfMessage())
             assert (await reply(peer)).status < 300
             refused = await it.request("PUT", "/school-1/p", b"x" * (100 * UNIT))
             assert retry_after_of_refusal("object", refused) > 10
-            paid = owed - byte_meter.debt_units("school-1")
+            paid = debt_before - byte_meter.debt_units("school-1")
             assert paid <= 20.0 * (anyio.current_time() - since) + 20.0 + 5
 
     run()
@@ -449,15 +452,15 @@
 
 def test_a_debt_survives_the_replacement_of_a_failed_scheduler():
     """The token buckets of a new scheduler begin empty; the debt remains."""
-    engine = SchedulerLoop(
+    scheduler_loop = SchedulerLoop(
         api.Settings(1, 0, (), (api.Plan("p", 1, 1, 5, 0, 10.0, 20.0),)), 1, Scheduler, lambda: 0.0
     )
-    byte_meter = ByteMeter(lambda: 0.0, engine.quota, lambda: 8.0)
+    byte_meter = ByteMeter(lambda: 0.0, scheduler_loop.quota, lambda: 8.0)
 
     async def run() -> None:
         charge = byte_meter.open_charge("v", 10.0, 1, UNIT, 8.0, 0.0)
         await charge.charge_length(100 * UNIT)
-        engine._replace_scheduler(RuntimeError("x"))
+        scheduler_loop._replace_scheduler(RuntimeError("x"))
         assert byte_meter.debt_units("v") == units_for_bytes(100 * UNIT, UNIT) - 8.0
         charge.transferred_bytes = 100 * UNIT
         charge.close()
@@ -486,10 +489,10 @@
     """Without the charge, objects of four times the scheduled units get three times the reservation at others' cost (simulated)."""
     from benchmarks import reserve
 
-    lost, mended = reserve.simulate(4.0, ""), reserve.simulate(4.0, "reserve")
-    assert lost["large"] > 2 * reserve.RESERVED_UNITS_PER_S
-    assert mended["large"] < 1.3 * reserve.RESERVED_UNITS_PER_S and mended["rest"] > 2 * lost["rest"]
-    assert mended["small"] >= 0.9 * lost["small"]
+    uncharged, charged = reserve.simulate(4.0, ""), reserve.simulate(4.0, "reserve")
+    assert uncharged["large"] > 2 * reserve.RESERVED_UNITS_PER_S
+    assert charged["large"] < 1.3 * reserve.RESERVED_UNITS_PER_S and charged["rest"] > 2 * uncharged["rest"]
+    assert charged["small"] >= 0.9 * uncharged["small"]
 
 
 @pytest.mark.parametrize("asked", ["put", "range", "whole"])
@@ -503,15 +506,15 @@
             assert quota.plan.reserved_units_per_s and not quota.plan.limit_units_per_s
             if asked != "put":
                 quota.reserved_units = 10.0
-                more = {"range": f"bytes=0-{len(body) - 1}"} if asked == "range" else {}
-                assert len((await it.request("GET", "/contest-1/o", **more)).body) == len(body)
+                headers = {"range": f"bytes=0-{len(body) - 1}"} if asked == "range" else {}
+                assert len((await it.request("GET", "/contest-1/o", **headers)).body) == len(body)
             assert -50.0 <= quota.reserved_units < -30.0, quota.reserved_units
 
     run()
 
 
 def test_small_reads_of_unknown_size_come_out_of_the_bucket():
-    """Scheduled as two units, the read has eight: the volume is charged eight, once for each read, without a wait."""
+    """The read is scheduled as two units and has eight: the volume is charged eight units for each read, without a wait."""
 
     @run_async
     async def run():
@@ -523,8 +526,8 @@
                 quota.refill(it.gateway.scheduler_loop.clock())
                 quota.limit_units, before = 50.0, it.gateway.scheduler_loop.clock()
                 assert len((await it.request("GET", "/school-1/o")).body) == len(body)
-                filled = RATE * (quota.refilled_at_ms - before) / 1000
-                assert 50.0 - 8.0 - 0.5 <= quota.limit_units <= 50.0 - 8.0 + filled + 0.5
+                refill = RATE * (quota.refilled_at_ms - before) / 1000
+                assert 50.0 - 8.0 - 0.5 <= quota.limit_units <= 50.0 - 8.0 + refill + 0.5
             assert service.byte_meter.debt_units("school-1") == 0
 
     run()
@@ -557,7 +560,7 @@
                     "PUT", f"/{volume}/same", b"x", winchdyke_class="turns", idempotency_key="i"
                 )
                 assert answer.status < 300
-            told = [seen["order"] for seen in it.record.entries if seen["what"] == "head"]
-            assert told == ["contest-1/same", "contest-2/same"]
+            order_keys = [entry["order"] for entry in it.record.entries if entry["what"] == "head"]
+            assert order_keys == ["contest-1/same", "contest-2/same"]
 
     run()
