--- a/benchmarks/membership_mutants.py
+++ b/benchmarks/membership_mutants.py
@@ -131,7 +131,7 @@
     why: str
     dead: int  # transitions to dead, in any view, of reachable members
     suspected: int  # suspicions that the viewing gateway raised itself
-    suspected_after_pause: int  # of ``suspected``, those within a probe interval after that gateway's pause
+    suspected_after_pause: int  # suspicions within a probe interval after that gateway's own pause
 
     def __str__(self) -> str:
         verdict_text = "kept" if self.kept else "BROKEN"
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -399,7 +399,7 @@
     for _ in range(200):
         for action in peer.pass_time(peer.now + 100.0):
             if isinstance(action, events.SendDatagram) and action.message.kind == MessageKind.PING:
-                peer.send(MessageKind.ACK, action.message.request_id)  # from b, whatever the target
+                peer.send(MessageKind.ACK, action.message.request_id)  # b answers, whatever the target
     assert peer.state("c") is MemberState.DEAD and peer.state("b") is MemberState.ALIVE
 
 
--- a/winchdyke/admin/signing.py
+++ b/winchdyke/admin/signing.py
@@ -32,7 +32,7 @@
 MAX_AGE_SECONDS = 30
 MAX_CLOCK_SKEW_SECONDS = 5
 MAX_NONCES = 100_000
-MIN_NONCES_TO_EXPIRE = 1000  # with fewer nonces, expired ones are not removed
+MIN_NONCES_TO_EXPIRE = 1000  # number of nonces from which expired ones are removed
 MAX_DETAIL_CHARACTERS = 200
 BUSY_RETRY_SECONDS = 5.0
 
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -71,7 +71,7 @@
         self._find_balance = find_balance
         self._max_request_units = max_request_units
         self._meters: dict[str, _VolumeMeter] = {}
-        self._fallback_shares: dict[str, QuotaShare] = {}  # for volumes without a token bucket yet
+        self._fallback_shares: dict[str, QuotaShare] = {}  # shares of volumes that have no token bucket yet
         self.object_sizes = ObjectSizes()
 
     def __len__(self) -> int:
