--- a/winchdyke/writeback/commit.py
+++ b/winchdyke/writeback/commit.py
@@ -14,7 +14,7 @@
 
 from winchdyke.writeback.log import SEQUENCE, DurabilityUnknownError, Log, LogError, LogFullError, RecordKind
 
-MAX_BATCH_RECORDS = 512  # covered by one sync
+MAX_BATCH_RECORDS = 512  # records covered by one sync
 
 
 class Committer:
@@ -25,7 +25,8 @@
         self.syncs = self.records = 0
         self._queue: deque[tuple[bytes, RecordKind, Future[int]]] = deque()
         self._done: list[int] = []
-        self._unlogged_done: list[int] = []  # done, but the record that says so could not be appended
+        # Writes that are done, but whose DONE record could not be appended.
+        self._unlogged_done: list[int] = []
         self._wakeup = threading.Condition()
         self._closing = False
         self._allocator: threading.Thread | None = None  # preallocates the next segment
--- a/winchdyke/writeback/drain.py
+++ b/winchdyke/writeback/drain.py
@@ -7,13 +7,13 @@
 - for each order key only the oldest record; the next one follows once that one is done;
 - for a shard with queued live requests one record at a time, for other shards up to ``max_in_flight``;
 - among several volumes, the one that has drained the fewest units for its weight, and its oldest record first;
-- a record older than ``urgent_after_ms`` goes before all others, and up to ``max_in_flight`` of them also beside live
-  requests. Live requests then give way by the scheduler's shares and CoDel, so the age of records stays bounded by the
-  capacity of the stores.
+- records older than ``urgent_after_ms`` are urgent: they go before all others, up to ``max_in_flight`` of them for each
+  shard, even if live requests are queued for it. Those then get less capacity by the scheduler's shares and CoDel, so the
+  age of records stays bounded by the capacity of the stores.
 
 Admission: while less than ``UNRESTRICTED_FRACTION`` of the log is in use, every volume may append. Above that, a volume may
-hold a share of the log in proportion to its weight, among the volumes that hold records and one more. So a volume that
-keeps writing through a long outage can't keep others out.
+use a share of the log: its weight, divided by the total weight of itself and of all volumes with records in the log, plus
+its own weight once more. So a volume that keeps writing through a long outage can't keep others out.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-UNRESTRICTED_FRACTION = 0.5  # of the log, which any volume may fill
+UNRESTRICTED_FRACTION = 0.5  # share of the log that any volume may fill
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     """A record that is to be sent to its store.
 
     Attributes:
-        units: Its work, in the unit of plans.
-        size: Its bytes.
-        since_ms: When it was acknowledged.
+        units: Work of the write, in the units of plans.
+        size: Size in bytes.
+        since_ms: Time at which it was acknowledged.
         order_key: Records with the same key are sent one after the other; "" without an order.
     """
 
@@ -72,7 +72,8 @@
     def add(self, record: QueuedRecord) -> None:
         """Queues a record that was acknowledged."""
         if not self._count[record.volume]:
-            # A volume that was idle starts level with the others; else it would catch up on all the turns it missed.
+            # A volume that was idle starts level with the others; otherwise it would be preferred until it had caught
+            # up with what they drained meanwhile.
             busy = [self._drained[volume] for volume in self._bytes]
             self._drained[record.volume] = max(self._drained[record.volume], min(busy, default=0.0))
         self.queued[record.sequence] = record
@@ -132,14 +133,14 @@
             return False
         if total_bytes - free_bytes + size <= UNRESTRICTED_FRACTION * total_bytes:
             return True
-        # The share is reckoned with one more volume of the same weight: else a volume that is alone could fill the log.
+        # The share leaves space for one more volume of the same weight; otherwise a single volume could fill the log.
         weight = self.weights.get(volume, 1.0)
         share = weight / (weight + sum(self.weights.get(each, 1.0) for each in {*self._bytes, volume}))
         return self._bytes.get(volume, 0) + size <= share * total_bytes
 
     @property
     def oldest_since_ms(self) -> float | None:
-        """When the oldest record, queued or in flight, was acknowledged; None without records."""
+        """Time at which the oldest record, queued or in flight, was acknowledged; None without records."""
         return min(
             (record.since_ms for record in (*self.queued.values(), *self.in_flight.values())), default=None
         )
--- a/winchdyke/writeback/emulated.py
+++ b/winchdyke/writeback/emulated.py
@@ -98,7 +98,7 @@
 
     def _put(self, name: str, offset: int, data: bytes) -> None:
         self.visible[name][offset : offset + len(data)] = data
-        while data:  # by sector: a crash keeps each one whole or not at all
+        while data:  # split by sector, because a crash keeps or loses whole sectors
             cut = SECTOR - offset % SECTOR
             self.pending_writes.append(PendingWrite(name, offset, data[:cut]))
             data, offset = data[cut:], offset + cut
--- a/winchdyke/writeback/log.py
+++ b/winchdyke/writeback/log.py
@@ -18,9 +18,10 @@
 Crash safety: a record is valid only if its checksum fits. The checksum covers the segment's number and epoch too, so data
 left by an earlier use of the blocks is never taken for a record. Bytes of a segment are written once, in order, and a record
 is acknowledged only after a sync of its segment has returned. So after a crash all acknowledged records are valid, and the
-first invalid record begins the part that no sync covered: it is *torn*. If a valid record after it has a ``synced`` that
-reaches it, it is *corrupt* instead: it had been acknowledged. It is reported, and recovery goes on behind it. Damage to the
-very last batch, with no valid record after it, can't be told from a torn end, so it is reported as an incomplete end.
+first invalid record begins the part that no sync covered, which is *torn*. If the ``synced`` of a later valid record covers
+the invalid one, that one is *corrupt* instead, because it had been acknowledged: the damage is reported, and recovery
+continues with the later record. Damage to the very last batch, with no valid record after it, can't be distinguished from a
+torn end, so it is reported as an incomplete end.
 
 Failed syncs: a sync that fails ends its segment. Nothing more is written to it, its unacknowledged records stay
 unacknowledged, and the log continues in a new segment. The old segment is not synced again, because the system may have
@@ -52,7 +53,7 @@
     RECORD_HEADER.size + CHECKSUM.size,
 )
 MAX_PAYLOAD_BYTES = 64 << 20
-READ_CHUNK_BYTES = 1 << 20  # read at once during recovery
+READ_CHUNK_BYTES = 1 << 20  # minimum size of a read from a segment
 SEQUENCE = struct.Struct("<Q")
 
 
@@ -527,8 +528,8 @@
         try:
             self.disk.sync(segment_file_name(last))
         except OSError as error:
-            # The sync is not repeated: the system may have dropped the data and would report success. The price is the
-            # rest of this segment, and clients whose writes are reported as possibly lost.
+            # The sync is not repeated: the system may have dropped the data and would report success. The cost is that
+            # the rest of this segment stays unused, and that clients are told that their writes may be lost.
             self._last_segment_ended = True
             self.failed_sequences.update(sequence for sequence, _, _ in dirty)
             for sequence, kind, _ in dirty:
@@ -543,7 +544,7 @@
     def mark_done(self, sequences: list[int]) -> None:
         """Records that writes have reached their stores.
 
-        Durable after the next sync; a crash before it recovers the writes as pending.
+        The record is durable after the next sync; after a crash before that, the writes are recovered as pending.
         """
         for each in sequences:
             self._forget_write(each)
@@ -574,7 +575,7 @@
             yield sequence, self.read_payload(sequence)
 
     def close(self) -> None:
-        """Syncs all records, with a record that marks the log as closed, and closes the disk."""
+        """Appends a record that marks the log as closed, syncs all records and closes the disk."""
         self.append(b"", RecordKind.CLOSED)
         self.sync()
         self.disk.close()
--- a/winchdyke/writeback/replay.py
+++ b/winchdyke/writeback/replay.py
@@ -3,8 +3,8 @@
 An attempt of a record may have been executed if no complete response arrived (``gateway/outcomes.py``), or if the gateway
 was killed while the attempt was in flight: the log can't tell. The first of these rules that applies is used:
 
-1. Within the deduplication window of its idempotency key, the write is sent again under that key: the rack replies with
-   the response of the first attempt.
+1. Within the deduplication window of its idempotency key, the write is sent again under that key: a store that
+   remembers the key replies with the response of the first attempt.
 2. A write with a precondition (``If-Match``, ``If-None-Match``) may be sent again at any time: if it has been executed, its
    precondition no longer holds, and a ``412`` is resolved as in the next rule.
 3. A store that reports the ETag of its object is queried. The write's own ETag means that it has been executed. The ETag
@@ -12,7 +12,7 @@
    ETag means that another write has happened since, and whether it came before or after this one is unknown.
 4. Otherwise the record is quarantined and reported; nothing is guessed.
 
-The window is shortened by a margin for the way to the store: a repeat has to arrive while its key is still known there.
+The window is shortened by a margin for transmission: a repeat has to arrive while the store still remembers its key.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 import enum
 from dataclasses import dataclass
 
-# The part of the deduplication window that is not used, because of queues, clocks and the way to the store.
+# The part of the deduplication window that is not used, to allow for queues, clock differences and transmission.
 DEDUPLICATION_MARGIN_MS = 250.0
 
 
@@ -47,8 +47,8 @@
     """The attempts of a record so far.
 
     Attributes:
-        first_sent_ms: When the first attempt that may have been executed was sent, by the gateway's monotonic clock;
-            None without such an attempt.
+        first_sent_ms: Time at which the first attempt that may have been executed was sent, by the gateway's monotonic
+            clock; None without such an attempt.
         same_process: Whether this process sent it; clock readings of another process can't be compared.
     """
 
