--- a/winchdyke/latency_attribution/ledger_writer.py
+++ b/winchdyke/latency_attribution/ledger_writer.py
@@ -20,7 +20,7 @@
 from winchdyke.latency_attribution.retention import delete_oldest_files, segments_due
 from winchdyke.latency_attribution.segments import SEGMENT_HEADER, SEGMENT_SUFFIX, frame_record
 
-BATCH_RECORDS = 200  # encoded and written together
+BATCH_RECORDS = 200  # records encoded and written together
 CLOSE_TIMEOUT_SECONDS = 5.0
 SEGMENT_MODE = 0o640
 
@@ -142,7 +142,7 @@
         except OSError as error:
             self.last_error = error.strerror or str(error)
             self.failed += len(batch)
-            self._close_segment()  # it may end in an incomplete record; the next batch begins a new segment
+            self._close_segment()  # may end in an incomplete record, so the next batch begins a new segment
 
     def _append(self, data: bytes) -> None:
         segment = self._segment
--- a/winchdyke/latency_attribution/live.py
+++ b/winchdyke/latency_attribution/live.py
@@ -26,7 +26,7 @@
 from winchdyke.latency_attribution.wording import describe_holder
 
 STALE_AFTER_SECONDS = 5.0
-TAIL_BYTES = 1 << 20  # read from the end of the newest segment at the start
+TAIL_BYTES = 1 << 20  # bytes at the end of the newest segment that are read first
 MAX_HOLDERS_PER_VOLUME = 2
 MAX_HOLDERS_PER_GROUP = 3
 NS_PER_MS = 1e6
--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -29,7 +29,8 @@
 )
 
 MIN_BIN_MS = 500.0  # in shorter bins, random variation hides the throughput
-THROUGHPUT_QUANTILE = 0.9  # over an endpoint's bins; the maximum would vary at random
+# The quantile of an endpoint's bins that counts as its best throughput; the maximum would vary at random.
+THROUGHPUT_QUANTILE = 0.9
 MAX_TRACKED_KEYS = 200_000
 # A request counts as a possible retry up to this time after an unserved one.
 MAX_RETRY_DELAY_MS = 15_000.0
--- a/winchdyke/latency_attribution/queue_observer.py
+++ b/winchdyke/latency_attribution/queue_observer.py
@@ -55,8 +55,9 @@
 Reading = tuple[TimesByHolder, TimesByCause]
 CauseAndShares = tuple[str, Shares]
 
-MAX_OBSERVED_REQUESTS = 512  # whose own causes are examined in one observation
-SLOW_ATTEMPT_FACTOR = 1.5  # times the expected latency; slower attempts are attributed to their endpoint
+MAX_OBSERVED_REQUESTS = 512  # requests examined for causes of their own in one observation
+# Multiple of the expected latency beyond which an attempt is attributed to its endpoint.
+SLOW_ATTEMPT_FACTOR = 1.5
 TURN: CauseAndShares = (CAUSE_TURN, {TURN_HOLDER: 1.0})
 BACKOFF_HOLDER: Holder = (KIND_DESIGN, "window", "pause")
 RETRY_BUDGET_HOLDER: Holder = (KIND_DESIGN, "budget", "attempts")
--- a/winchdyke/latency_attribution/summary.py
+++ b/winchdyke/latency_attribution/summary.py
@@ -19,7 +19,7 @@
 )
 
 SLOWEST_REQUESTS = 10
-MAX_MATRIX_CELLS = 2000  # left by a folding, which happens once there are more than twice as many
+MAX_MATRIX_CELLS = 2000  # cells kept when the matrix is folded, once it has more than twice as many
 LAST_MS_OF_MINUTE = MS_PER_MINUTE - 1
 
 
@@ -232,8 +232,8 @@
 ) -> Summary:
     """Returns a summary of the requests that began in an interval and had an attempt at an endpoint.
 
-    Minute sums are included if their minute lies within the interval. Minutes that the interval cuts, and all minutes if an
-    endpoint is given, are counted as omitted.
+    Minute sums are included if their minute lies within the interval. Minutes that lie partly within it, and all minutes if
+    an endpoint is given, are counted as omitted.
     """
     summary = Summary()
     since = -math.inf if since_unix_ms is None else since_unix_ms
--- a/winchdyke/latency_attribution/sums.py
+++ b/winchdyke/latency_attribution/sums.py
@@ -33,8 +33,8 @@
 MAX_MATRIX_CELLS = 400
 MAX_VOLUMES = 500
 MAX_VOLUMES_PER_ENDPOINT = 8
-SLOWEST_REQUESTS = 3  # whose accounts are retained for each minute
-SLOW_ATTEMPT_FACTOR = 1.5  # times the expected time; attempts past it count as slow
+SLOWEST_REQUESTS = 3  # requests of each minute whose accounts are retained
+SLOW_ATTEMPT_FACTOR = 1.5  # multiple of the expected time beyond which an attempt counts as slow
 MS_PER_MINUTE = 60_000
 NS_PER_US = 1000
 MAX_LATENCY_US = 3_600_000_000
--- a/winchdyke/latency_attribution/wording.py
+++ b/winchdyke/latency_attribution/wording.py
@@ -29,7 +29,7 @@
 
 
 def describe_holder(holder: Holder, waiter: str) -> str:
-    """Describes a holder that a volume waited for, as "behind ..." or "for ..."."""
+    """Describes a holder that a volume waited for, as "behind ...", "for ..." or "by ..."."""
     kind, name, detail = holder
     if kind == KIND_VOLUME:
         return _describe_volume(name, detail, waiter)
