--- a/winchdyke/s3/body.py
+++ b/winchdyke/s3/body.py
@@ -216,7 +216,7 @@
         if self._state not in ("complete", "trailer") or (
             self._state == "trailer" and (self._undecoded or self._trailers)
         ):
-            # Some clients omit the final empty line if there are no trailers.
+            # The state "trailer" is accepted: some clients omit the final empty line if there are no trailers.
             raise S3Error("IncompleteBody", "the body ended before its last chunk", 400)
         signature = ""
         lines = []
--- a/winchdyke/s3/requests.py
+++ b/winchdyke/s3/requests.py
@@ -51,7 +51,7 @@
 
     Attributes:
         level: "service", "bucket" or "object".
-        required_right: "list", "read", "write" or "delete"; "own": the settings determine the result.
+        required_right: "list", "read", "write" or "delete"; "own": none, and the result depends on the key's rights.
         required_query: Query parameters that distinguish the operation from others.
         optional_query: Further query parameters that are accepted.
         required_header: A header that distinguishes the operation from others; empty: none.
--- a/winchdyke/s3/service.py
+++ b/winchdyke/s3/service.py
@@ -38,11 +38,11 @@
 from winchdyke.s3.lanes import KeyQueues
 from winchdyke.s3.requests import ParsedRequest
 
-MAX_BUFFERED_RESPONSE_BYTES = 16 << 20  # of a store's response: the parts of an upload, a page of a listing
-MAX_CONCURRENT_DELETES = 8  # of one DeleteObjects request
+MAX_BUFFERED_RESPONSE_BYTES = 16 << 20  # a list of an upload's parts, or a page of a listing
+MAX_CONCURRENT_DELETES = 8  # deletions at once for one DeleteObjects request
 PIPE_CAPACITY = 4  # chunks of a copy that have been read from the source and not yet written
 MAX_LISTING_ROUNDS = 64  # pages requested from the stores for one page of an S3 listing
-MAX_SWEEP_INTERVAL_S = 600.0  # between searches for expired uploads
+MAX_SWEEP_INTERVAL_S = 600.0  # time between searches for expired uploads
 ALL_RIGHTS = [Right("*", "", ["list", "read", "write", "delete"])]
 
 
@@ -158,7 +158,7 @@
         self._log = structlog.get_logger("s3")
 
     async def handle(self, connection: ClientConnection, head: RequestHead) -> None:
-        """Handles one request; it gets one response, even after an unexpected exception."""
+        """Handles one request, and sends one response to it, even after an unexpected exception."""
         service = self.service
         self._request_count += 1
         handler = RequestHandler(
@@ -225,7 +225,7 @@
                 self._log.info("upload_expired", volume=volume, key=upload.key, upload=upload.uploadId)
         except (S3Error, RequestError, ClientDisconnectedError) as error:
             self._log.warning(
-                "upload_expiry_failed", volume=volume, trouble=str(error)
+                "upload_expiry_failed", volume=volume, error=str(error)
             )  # retried at the next sweep
         return aborted
 
@@ -334,7 +334,7 @@
             try:
                 key = access_keys.find(access_key_id, now * 1000)
             except AccessKeyFileError as error:
-                self.s3._log.error("keys", trouble=str(error))
+                self.s3._log.error("keys", error=str(error))
                 raise S3Error(
                     "ServiceUnavailable", "the access keys cannot be read; see the gateway's log"
                 ) from error
@@ -1021,7 +1021,7 @@
         except S3Error as error:
             if error.code != "NoSuchUpload":
                 raise
-            parts = None  # possibly completed before: then the store repeats the first response
+            parts = None  # the upload may be complete already; the store then repeats its first response
         if parts is not None:
             multipart.validate_completion(requested, parts, self.s3.settings.part_least)
         body = msgspec.json.encode(
