--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -102,8 +102,10 @@
             lines.append(f"{name:10}{values}   {counts}")
         late = data["sent_late_ms"]
         lines.append(
-            f"ms from each request's own time; the tool sent at most {late['p99']:.1f} ms late for 99% of them"
+            f"ms since each request's planned time; 99% of the requests were sent at most {late['p99']:.1f} ms late"
         )
         if late["p99"] > 50:
-            lines.append("the tool itself was behind: give it more --processes, or a lower --rate")
+            lines.append(
+                "the load generator itself was too slow: give it more --processes, or a lower --rate"
+            )
         return "\n".join(lines)
--- a/winchdyke/load/run.py
+++ b/winchdyke/load/run.py
@@ -23,7 +23,7 @@
     OSError,
     h11.RemoteProtocolError,
 )
-PARTS = 3  # of a multipart upload
+PARTS = 3  # parts of each multipart upload
 PART_BYTES = 5 << 20  # the minimum size that S3 allows
 MAX_CONNECTIONS = 2000
 
