--- a/winchdyke/config/crosscheck.py
+++ b/winchdyke/config/crosscheck.py
@@ -195,8 +195,8 @@
             text = f"is more than the {count} gateways of the deployment"
             builder.report_value("volume", name, "gateways", "out-of-range", text, f"write {count} or less")
         pool, shards = keys.get("pool"), keys.get("shards")
-        read = {"pool", "shards"} <= keys.keys()
-        if read and not pool and not shards:
+        are_valid = {"pool", "shards"} <= keys.keys()
+        if are_valid and not pool and not shards:
             fix = "add shards = 0-7, or a pool"
             builder.report_value("volume", name, "shards", "missing", "is missing and has no default", fix)
         if pool and shards:
--- a/winchdyke/config/schema.py
+++ b/winchdyke/config/schema.py
@@ -147,7 +147,7 @@
             "wide": Key(
                 t.Count(low=1),
                 "4",
-                "Records that may be in flight to one shard while no live request waits for it; otherwise one, unless it is urgent.",
+                "Maximum records in flight to one shard; 1 while live requests wait for the shard, except for urgent records.",
             ),
             "urgent": _time(
                 "60s",
@@ -351,7 +351,7 @@
             ),
             "hold": _time(
                 "5m",
-                "How long such a list is doubted while the omitted nodes still answer.",
+                "How long nodes that a doubted list omits stay in service while they still answer.",
                 SECONDS,
                 24 * 3600 * SECONDS,
             ),
@@ -434,11 +434,16 @@
                 "0",
                 "Multiple of its present capacity at which a store that is warming up is overloaded.",
             ),
-            "fall_window": _time("0", "Time window over which that load is measured.", 10 * MS, 60 * SECONDS),
+            "fall_window": _time(
+                "0",
+                "Time window over which the load on a store that is warming up is measured.",
+                10 * MS,
+                60 * SECONDS,
+            ),
             "cold_units": Key(
                 t.Number(),
                 "0",
-                "Units that a newly started store can take within that window; 0: not stated.",
+                "Units that a newly started store can take within `fall_window`; 0: not stated.",
             ),
             "settle": _time(
                 "0", "Pause of an order key after an attempt that may still be executing.", MS, 60 * SECONDS
