--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -2,10 +2,11 @@
 
 python benchmarks/kills.py [--kills 500] [--workers 6]
 
-In each round a gateway process is started and its version is requested continuously, while an editor proposes, stages (at once, on
-trial, or for an instant), confirms and undoes versions; then the process is killed with SIGKILL. Faults are: a gateway that does not
-start, a change log whose hash chain does not verify, a start that serves another version than the change log records, a version that
-was reported as finally applied and is gone without an entry that explains it, and a response under a version that was never served.
+In each round a gateway process is started and its version is requested continuously, while an editor proposes, confirms and undoes
+versions, and stages them: at once or for a set time, some with a time limit for the confirmation. Then the process is killed with
+SIGKILL. Faults are: a gateway that does not start, a change log whose hash chain does not verify, a start that serves another
+version than the change log records, a version that was reported as finally applied and is no longer served without an entry that
+explains it, and a response under a version that was never served.
 """
 
 from __future__ import annotations
