--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -201,7 +201,7 @@
                 assert (held["shard"], held["cause"], held["class"]) == (0, "window", "submit")
                 assert held["count"] >= 4 and held["holders"]
             await it.wait_until(lambda: view.snapshot()["requests"] == 12)
-            volumes = {row["volume"]: row for row in view.snapshot()["volumes"]}
+            volumes = {row["volume"]: row for row in view.snapshot()["courses"]}
             assert set(volumes) == {"school-0", "school-1"}
             assert volumes["school-1"]["held_ms"] > 100
             await it.wait_until(lambda: not view.snapshot()["gateways"][0]["held"])
@@ -300,11 +300,11 @@
     that differ by 50 ms from the true time.
     """
     all_gateways = tuple(range(12))
-    courses = (
+    workloads = (
         *(Workload(f"c{n}", 6.0, shards=(n % 3,), gateways=(n, (n + 5) % 12)) for n in range(12)),
         Workload("burst", 150.0, "export", 4.0, "basic", (0,), all_gateways, 1000.0, 3000.0),
     )
-    world = Simulation(SimulationSetup(courses, gateways=12, stores=3, length_ms=5000.0), omniscient=True)
+    world = Simulation(SimulationSetup(workloads, gateways=12, stores=3, length_ms=5000.0), omniscient=True)
     requests = world.run()
     truth = Counter()
     for each in requests:
