--- a/winchdyke/load/report.py
+++ b/winchdyke/load/report.py
@@ -105,7 +105,5 @@
             f"ms since each request's planned time; 99% of the requests were sent at most {late['p99']:.1f} ms late"
         )
         if late["p99"] > 50:
-            lines.append(
-                "the load generator itself was too slow: give it more --processes, or a lower --rate"
-            )
+            lines.append("the load generator itself was behind: give it more --processes, or a lower --rate")
         return "\n".join(lines)
