--- a/tests/test_judge.py
+++ b/tests/test_judge.py
@@ -91,7 +91,7 @@
 
 def check_rule(record: list[dict], number: int):
     verdict = InvariantChecker(SCENARIO, record).verdict()
-    others = [ruling.rule for ruling in verdict.rule_results if not ruling.kept and ruling.rule != number]
+    others = [result.rule for result in verdict.rule_results if not result.kept and result.rule != number]
     assert not others, f"only rule {number} should be violated: {others}"
     return verdict.rule_results[number - 1]
 
@@ -108,7 +108,7 @@
     verdict = InvariantChecker(SCENARIO, valid_record()).verdict()
     assert verdict.kept
     assert len(verdict.rule_results) == len(RULES)
-    assert [ruling.checked > 0 for ruling in verdict.rule_results] == [
+    assert [result.checked > 0 for result in verdict.rule_results] == [
         True,
         True,
         True,
@@ -153,7 +153,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         _answer_after_deadline,
         _lose_answer,
@@ -214,7 +214,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "corrupt",
     [
         _repeat_at_most_once,
         _repeat_on_another_shard,
@@ -274,7 +274,7 @@
     find_entry(record, "w3.0", "answer")["t"] = 1490.0
 
 
-@pytest.mark.parametrize("spoil", [_overlap_requests_of_a_key, _send_before_settle_time])
+@pytest.mark.parametrize("corrupt", [_overlap_requests_of_a_key, _send_before_settle_time])
 def test_violations_of_rule_5_are_detected(corrupt):
     record = valid_record()
     corrupt(record)
@@ -320,17 +320,17 @@
             elif isinstance(event, api.AttemptEnded) and not event.request_finished:
                 request = self.requests[event.request_id]
                 self.sent[event.request_id] += 1
-                again = self.sent[event.request_id] <= 4
+                may_retry = self.sent[event.request_id] <= 4
                 actions.append(
                     api.StartAttempt(request.request_id, self.nodes[request.shard])
-                    if again
+                    if may_retry
                     else api.ShedRequest(request.request_id)
                 )
         return actions
 
 
 def test_each_rule_that_a_faulty_scheduler_violates_is_detected():
-    """Over sockets: the scheduler ignores lost answers, a drain, a cold start, an order key and a limit."""
+    """Over sockets, with a scheduler that ignores lost answers, a drain, a cold start, order keys and a limit."""
     rules = Rules(drain_grace=100.0, cold_from=0.1, warm_after=5000.0, fall_window=300.0, settle=100.0)
     scenario = msgspec.structs.replace(
         SCENARIO, rules=rules, volumes=[Volume("plain", "basic", list(range(8)), [0], 1.0)]
@@ -350,7 +350,8 @@
             warm_up_ms=5000.0,
             overload_window_ms=300.0,
         ) as it:
-            it.gateway.pool.verify_identity = None  # otherwise the store's own drain report would stop it
+            # Otherwise the gateway would stop sending when the store itself reports its drain.
+            it.gateway.pool.verify_identity = None
             draining, cold, losing = it.stores[0], it.stores[1], it.stores[2]
             losing.lost_share, losing.lost_how = 1.0, "reset"
             await it.list.set(draining.name, "draining", 0, "hall-a")
@@ -372,7 +373,7 @@
             clients = Clients(it.record, lambda _: it.gateway.address, 1)
             await clients.run(requests)
             verdict = InvariantChecker(scenario, it.record.entries).verdict()
-            assert {ruling.rule for ruling in verdict.rule_results if not ruling.kept} >= {
+            assert {result.rule for result in verdict.rule_results if not result.kept} >= {
                 2,
                 3,
                 4,
