--- a/winchdyke/days/campaign.py
+++ b/winchdyke/days/campaign.py
@@ -21,9 +21,9 @@
 
 from winchdyke.days.judge import RULES
 
-CORES_PER_SCENARIO = 3  # for three gateways and a process of stand-ins and clients, not all busy at once
-SCENARIO_TIMEOUT_S = 300.0  # after which a scenario counts as hung
-MAX_KEPT_VIOLATIONS = 3  # violations kept for each rule
+CORES_PER_SCENARIO = 3  # three gateways and a process of stand-ins and clients, not all busy at once
+SCENARIO_TIMEOUT_S = 300.0  # a scenario that runs longer counts as hung
+MAX_KEPT_VIOLATIONS = 3  # violations stored for each rule
 
 
 class CampaignError(Exception):
@@ -210,7 +210,7 @@
         if out.stat().st_size and not out.read_bytes().endswith(b"\n"):
             file.write(b"\n")
 
-        async def one(each: ScenarioRun) -> None:
+        async def run_one(each: ScenarioRun) -> None:
             async with slots:
                 result = await anyio.to_thread.run_sync(play, each, abandon_on_cancel=True)
             file.write(msgspec.json.encode(result) + b"\n")
@@ -221,7 +221,7 @@
 
         async with anyio.create_task_group() as group:
             for each in remaining_runs(runs, previous):
-                group.start_soon(one, each)
+                group.start_soon(run_one, each)
     run_keys = {(each.day, each.seed, each.mark) for each in runs}
     latest = {(result.day, result.seed, result.mark): result for result in results}
     return [result for key, result in latest.items() if key in run_keys]
@@ -234,11 +234,12 @@
         by_day[each.day].append(each)
     width = max([len(day) for day in by_day] + [3])
     lines = [
-        f"{'day':{width}}  runs  kept  untried  broken  failed  least held by rule             most of each bound, %"
+        f"{'day':{width}}  runs  kept  untried  broken  failed  least exercised, by rule       most of each bound used, %"
     ]
     for day, runs in by_day.items():
         counts = [
-            sum(each.outcome == word for each in runs) for word in ("kept", "untried", "broken", "failed")
+            sum(each.outcome == outcome for each in runs)
+            for outcome in ("kept", "untried", "broken", "failed")
         ]
         finished = [each for each in runs if each.held]
         held = (
@@ -256,13 +257,14 @@
         )
     for each in results:
         if each.outcome == "untried":
-            what = ", ".join(RULES[rule - 1] for rule in each.untried)
-            lines.append(f"not tried: {each.day}, seed {each.seed}: {what}")
+            rules = ", ".join(RULES[rule - 1] for rule in each.untried)
+            lines.append(f"not tried: {each.day}, seed {each.seed}: {rules}")
     for each in results:
         if not each.acceptable:
             lines.append(f"{each.outcome}: {each.replay_command}")
             lines += [
-                f"    {RULES[b.rule - 1]}, {b.times} times, first: {b.first[:200]}" for b in each.broken
+                f"    {RULES[violation.rule - 1]}, {violation.times} times, first: {violation.first[:200]}"
+                for violation in each.broken
             ]
             if each.trouble:
                 lines.append(f"    {each.trouble}")
--- a/winchdyke/days/frombench.py
+++ b/winchdyke/days/frombench.py
@@ -211,19 +211,21 @@
         """A part of the volumes, in proportion to the stores, with at least one of each plan."""
         fam = self.bench.fam
         count = max(len(fam.plans), round(len(fam.volumes) * self.store_fraction))
-        chosen = sorted(range(len(fam.volumes)), key=lambda at: (at * 7919) % len(fam.volumes))[:count]
+        chosen = sorted(range(len(fam.volumes)), key=lambda index: (index * 7919) % len(fam.volumes))[:count]
         for plan in range(len(fam.plans)):
-            if not any(fam.volumes[at].plan == plan for at in chosen):
-                chosen += [at for at, volume in enumerate(fam.volumes) if volume.plan == plan][:1]
-        sizes = {at: fam.volumes[at].base * fam.plans[fam.volumes[at].plan].rate for at in chosen}
-        whole = sum(sizes.values()) or 1.0
+            if not any(fam.volumes[index].plan == plan for index in chosen):
+                chosen += [index for index, volume in enumerate(fam.volumes) if volume.plan == plan][:1]
+        sizes = {index: fam.volumes[index].base * fam.plans[fam.volumes[index].plan].rate for index in chosen}
+        total_size = sum(sizes.values()) or 1.0
         result = []
-        for at in sorted(chosen):
-            volume = fam.volumes[at]
+        for index in sorted(chosen):
+            volume = fam.volumes[index]
             shards = sorted({node % len(self.shards) for node in volume.nodes})
             gateways = sorted({(volume.first + turn) % self.gateways for turn in range(max(1, volume.hosts))})
             name = self.bench.tenants[volume.plan].name
-            result.append(script.Volume(f"v{at}", name, shards, gateways, self.rate * sizes[at] / whole))
+            result.append(
+                script.Volume(f"v{index}", name, shards, gateways, self.rate * sizes[index] / total_size)
+            )
         return result
 
     def events(self, volumes: list[script.Volume]) -> list[script.Event]:
@@ -254,8 +256,8 @@
                 name = self.bench.tenants[fault.which % len(self.bench.tenants)].name
                 for number, volume in enumerate(volumes):
                     if fault.kind == "burst" or volume.plan == name:
-                        more = volume.rate * max(0.0, fault.size - 1)
-                        result.append(script.Event("burst", at, length, [number], more))
+                        extra_rate = volume.rate * max(0.0, fault.size - 1)
+                        result.append(script.Event("burst", at, length, [number], extra_rate))
             else:
                 self.not_carried.append(f"the fault {fault.kind!r}, which has no counterpart here")
         return result
@@ -268,7 +270,7 @@
     events = conversion.events(volumes)
     tier, budget = bench.tiers[0], bench.budget or {}
     request_classes: list[script.RequestClass] = []
-    for at, bench_class in enumerate(bench.classes):
+    for index, bench_class in enumerate(bench.classes):
         first = not any(other.writes == bench_class.write for other in request_classes)
         reads, writes = (script.READS, script.WRITES) if first else ("get", "put post")
         request_classes.append(
@@ -283,12 +285,12 @@
                 memory=bench_class.window / 1000,
                 writes=bench_class.write,
                 share=bench_class.share,
-                new=bench_class.write and bench.fam.fresh[at : at + 1] == [True],
+                new=bench_class.write and bench.fam.fresh[index : index + 1] == [True],
             )
         )
     plans = [
         script.Plan(
-            bench.tenants[at].name,
+            bench.tenants[index].name,
             plan.rate,
             plan.weight,
             plan.price,
@@ -297,7 +299,7 @@
             plan.limit_burst,
             plan.slack,
         )
-        for at, plan in enumerate(bench.fam.plans)
+        for index, plan in enumerate(bench.fam.plans)
     ]
     rules = script.Rules(
         drain_grace=bench.drain_grace / 1000,
--- a/winchdyke/days/judge.py
+++ b/winchdyke/days/judge.py
@@ -20,9 +20,9 @@
 from winchdyke.days.script import LARGEST_UNITS, UNIT_BYTES, Plan, RequestClass, Scenario
 
 TRANSIT_MS = 100.0  # upper bound of a message's time between two sockets of one busy host
-MAX_UNSIZED_READS = 3  # in flight at a gateway, of unknown size, for a volume that has used up its limit
+MAX_UNSIZED_READS = 3  # reads of unknown size in flight at a gateway for a volume that has used up its limit
 Entry = dict[str, Any]  # one entry of the record
-# All gateways together keep to a lowered limit after the first time; a harmful change is rolled back within the second.
+# The longest time until all gateways together keep to a lowered limit, and until a harmful change is rolled back.
 LOWERED_LIMIT_BOUND_MS, ROLLBACK_BOUND_MS = 5000.0, 10_000.0
 RULES = (
     "one final answer, in time", "no duplicate effects", "drains respected", "no cold store overloaded",
@@ -67,7 +67,7 @@
 
     rule_results: list[RuleResult]
     figures: dict[str, float]
-    log_directory: str = ""  # with the logs and settings of the gateways; empty if they were deleted
+    log_directory: str = ""  # holds the logs and settings of the gateways; empty if it was deleted
     members: MembershipResult | None = None  # None if the gateways run without membership
 
     @property
@@ -111,7 +111,7 @@
         for what in ("gateway-down", "gateway-gone"):
             for entry in self.by_what[what]:
                 self.process_ends[entry["gateway"]].append(entry["t"])
-        self.pause_spans = pause_spans(self.record)  # of stopped gateway processes
+        self.pause_spans = pause_spans(self.record)  # times for which gateway processes were stopped
 
     change_figures: dict[str, float]
 
@@ -171,15 +171,15 @@
             if any(entry["what"] == "unreachable" for entry in own_entries):
                 continue  # the gateway never accepted the try
             if any(entry["what"] == "left" for entry in own_entries):
-                over = min(entry["t"] for entry in own_entries if entry["what"] == "left")
+                ended_at = min(entry["t"] for entry in own_entries if entry["what"] == "left")
             elif self._was_unavailable(gateway, try_entry["t"] - TRANSIT_MS, latest + TRANSIT_MS):
                 continue  # clients retry what a killed gateway had accepted
             else:
-                over = self._check_single_answer(result, try_entry, own_entries, latest)
+                ended_at = self._check_single_answer(result, try_entry, own_entries, latest)
             result.checked += 1
             for entry in self.by_client[try_entry["client"]]:
-                if entry["what"] in ("head", "unheard") and entry["t"] > over + TRANSIT_MS:
-                    result.add_violation(f"sent {entry['t'] - over:.0f} ms after the final answer", entry)
+                if entry["what"] in ("head", "unheard") and entry["t"] > ended_at + TRANSIT_MS:
+                    result.add_violation(f"sent {entry['t'] - ended_at:.0f} ms after the final answer", entry)
         return result
 
     def _check_single_answer(
@@ -192,12 +192,12 @@
         if end["what"] == "gave-up":
             result.add_violation("no answer", try_entry)
         elif end["what"] == "cut":
-            lost = [
+            store_answers = [
                 entry
                 for entry in self.by_client[try_entry["client"]]
                 if entry["what"] in ("lost", "answered")
             ]
-            if not lost:
+            if not store_answers:
                 result.add_violation("the connection was closed without an answer", end)
         elif end["t"] > latest:
             result.add_violation(
@@ -273,7 +273,7 @@
     # Rule 3: drains respected
 
     def check_drains(self) -> RuleResult:
-        """A store that drains or is removed receives nothing after the grace period, and another store at its address never.
+        """A store that drains or is removed receives nothing after the grace period; another store at its address, nothing at all.
 
         The grace period of a gateway starts with the report that reaches it first, from the list service or the store.
         """
@@ -301,21 +301,21 @@
             if entry["drains"]:
                 own_drain_reports[entry["who"], entry["gateway"]].append(entry["t"])
         for head in self.request_heads:
-            up = next((u for u in reversed(ups[head["who"]]) if u["t"] <= head["t"]), None)
+            up = next((entry for entry in reversed(ups[head["who"]]) if entry["t"] <= head["t"]), None)
             if up is not None and up.get("stranger") and (head["gateway"], head["who"]) in knew_previous:
                 result.add_violation("sent to another store at a reused address", head)
             store_start = up["t"] if up is not None else 0.0
-            own = next(
+            own_report_at = next(
                 (at for at in own_drain_reports[head["who"], head["gateway"]] if at >= store_start), None
             )
             process = self.process_number(head["gateway"], head["t"])
             if (
-                own is not None
-                and process == self.process_number(head["gateway"], own)
-                and head["t"] > own + self.rules.drain_grace + TRANSIT_MS
+                own_report_at is not None
+                and process == self.process_number(head["gateway"], own_report_at)
+                and head["t"] > own_report_at + self.rules.drain_grace + TRANSIT_MS
             ):
                 result.add_violation(
-                    f"sent {head['t'] - own:.0f} ms after the store itself reported its drain", head
+                    f"sent {head['t'] - own_report_at:.0f} ms after the store itself reported its drain", head
                 )
             reports = list_reports[head["gateway"], self.process_number(head["gateway"], head["t"])]
             since: float | None = None
@@ -339,22 +339,23 @@
     def check_cold_starts(self) -> RuleResult:
         """No cold store is overloaded by work of which at least two thirds came from gateways informed of its start."""
         result = RuleResult(4, checked=sum(bool(up["cold"]) for up in self.by_what["up"]))
-        for fallen in self.by_what["fallen"]:
-            up = max(
+        for overload in self.by_what["fallen"]:
+            started_at = max(
                 entry["t"]
                 for entry in self.by_what["up"]
-                if entry["who"] == fallen["who"] and entry["t"] <= fallen["t"]
+                if entry["who"] == overload["who"] and entry["t"] <= overload["t"]
             )
-            began = max(up, fallen["t"] - self.rules.fall_window)
+            window_start = max(started_at, overload["t"] - self.rules.fall_window)
             heads = [
                 head
                 for head in self.request_heads
-                if head["who"] == fallen["who"] and began <= head["t"] <= fallen["t"]
+                if head["who"] == overload["who"] and window_start <= head["t"] <= overload["t"]
             ]
-            informed = sum(head["units"] for head in heads if self.was_told_of_start(head, up))
+            informed = sum(head["units"] for head in heads if self.was_told_of_start(head, started_at))
             if informed >= 2 / 3 * sum(head["units"] for head in heads):
                 result.add_violation(
-                    f"overloaded with {fallen['sent']:.1f} units; its limit was {fallen['most']:.1f}", fallen
+                    f"overloaded with {overload['sent']:.1f} units; its limit was {overload['most']:.1f}",
+                    overload,
                 )
         return result
 
@@ -429,13 +430,13 @@
     def check_retry_budget(self) -> RuleResult:
         """Retries stay within the fixed allowance and the share of the accepted requests in each window."""
         result, rules = RuleResult(6), self.rules
-        taken = self.try_times()
+        try_times = self.try_times()
         retries: defaultdict[tuple[str, int], list[float]] = defaultdict(list)
         for head in self.request_heads:
             if head["attempt"] == 0:
                 continue
             process = head["gateway"], self.process_number(head["gateway"], head["t"])
-            times, tries = retries[process], taken[process]
+            times, tries = retries[process], try_times[process]
             times.append(head["t"])
             since = head["t"] - rules.extra_window
             count = len(times) - bisect_left(times, since + TRANSIT_MS)
@@ -465,12 +466,12 @@
             sent.add(head["request"])
             result.checked += 1
             previous_level, at = level.get(head["volume"], (plan.limit_burst, head["t"]))
-            left = (
+            units_left = (
                 min(plan.limit_burst, previous_level + plan.limit * (head["t"] - at) / 1000) - head["units"]
             )
-            level[head["volume"]] = left, head["t"]
-            if left < -plan.slack - plan.limit * TRANSIT_MS / 1000:
-                result.add_violation(f"{-left:.1f} units past the limit, {plan.slack:g} allowed", head)
+            level[head["volume"]] = units_left, head["t"]
+            if units_left < -plan.slack - plan.limit * TRANSIT_MS / 1000:
+                result.add_violation(f"{-units_left:.1f} units past the limit, {plan.slack:g} allowed", head)
         self._check_bytes(result, limited)
         self._check_lowered_limit(result)
         self._check_settings_versions(result)
@@ -520,7 +521,7 @@
         since, limit = max(entry["t"] for entry in changes), changes[0]["limit"]
         plans = {plan.name: plan for plan in self.scenario.plans}
         lowered = {volume.name for volume in self.scenario.volumes if volume.plan == "basic"}
-        slack, burst, late = plans["basic"].slack, float(LARGEST_UNITS), 0.0
+        slack, burst, late_ms = plans["basic"].slack, float(LARGEST_UNITS), 0.0
         level: dict[str, tuple[float, float]] = {}
         sent: set[str] = set()
         for head in self.request_heads:
@@ -528,19 +529,19 @@
                 continue
             sent.add(head["request"])
             previous_level, at = level.get(head["volume"], (burst, since))
-            left = min(burst, previous_level + limit * (head["t"] - at) / 1000) - head["units"]
-            if left < -slack:
-                late = max(late, head["t"] - since)
+            units_left = min(burst, previous_level + limit * (head["t"] - at) / 1000) - head["units"]
+            if units_left < -slack:
+                late_ms = max(late_ms, head["t"] - since)
                 if head["t"] > first + LOWERED_LIMIT_BOUND_MS:
                     result.add_violation(
                         f"past the lowered limit {head['t'] - first:.0f} ms after the change was requested",
                         head,
                     )
-            level[head["volume"]] = left, head["t"]
-        for merged in self.by_what["merged"]:
-            if "merged with" not in merged["said"] or "other" not in merged["editors"]:
-                result.add_violation("one of two concurrent edits is not recorded or not applied", merged)
-        self.change_figures["lowered limit holds after ms"] = since - first + late
+            level[head["volume"]] = units_left, head["t"]
+        for merge in self.by_what["merged"]:
+            if "merged with" not in merge["said"] or "other" not in merge["editors"]:
+                result.add_violation("one of two concurrent edits is not recorded or not applied", merge)
+        self.change_figures["lowered limit holds after ms"] = since - first + late_ms
 
     def _check_settings_versions(self, result: RuleResult) -> None:
         """Each request is handled under one settings version, and a harmful change is rolled back in time."""
@@ -557,13 +558,13 @@
         for change in self.by_what["changed"]:
             if change["how"] != "unreachable" or not change["version"]:
                 continue
-            bad = [
+            failure_times = [
                 entry["t"] for entry in self.by_what["answer"]
                 if entry.get("version") == int(change["version"]) and entry["outcome"] != "served"
                 and entry["path"].startswith(f"/{change['volume']}/")
             ]  # fmt: skip
-            if bad:
-                harmful_ms = max(bad) - min(bad)
+            if failure_times:
+                harmful_ms = max(failure_times) - min(failure_times)
                 self.change_figures["undone after ms"] = max(
                     self.change_figures.get("undone after ms", 0.0), harmful_ms
                 )
@@ -575,7 +576,7 @@
     def figures(self) -> dict[str, float]:
         """Counts and latencies of the whole record, for the report."""
         tries, answers = self.by_what["try"], self.by_what["answer"]
-        at = {entry["client"]: entry["t"] for entry in tries}
+        start_times = {entry["client"]: entry["t"] for entry in tries}
         figures = {"tries": float(len(tries)), "attempts": float(len(self.request_heads))}
         for outcome in ("served", "refused", "failed"):
             figures[outcome] = float(sum(entry["outcome"] == outcome for entry in answers))
@@ -583,11 +584,13 @@
             figures[what] = float(len(self.by_what[what]))
         served = [entry for entry in answers if entry["outcome"] == "served"]
         aims = {request_class.name: request_class.aim for request_class in self.scenario.classes}
-        in_aim = sum(entry["t"] - at[entry["client"]] <= aims.get(entry["class"], 0.0) for entry in served)
+        in_aim = sum(
+            entry["t"] - start_times[entry["client"]] <= aims.get(entry["class"], 0.0) for entry in served
+        )
         figures["served in aim"] = float(in_aim)
-        waits = sorted(entry["t"] - at[entry["client"]] for entry in served)
+        latencies = sorted(entry["t"] - start_times[entry["client"]] for entry in served)
         for percent in (50, 99):
-            figures[f"p{percent} ms"] = waits[int(len(waits) * percent / 100)] if waits else 0.0
+            figures[f"p{percent} ms"] = latencies[int(len(latencies) * percent / 100)] if latencies else 0.0
         figures |= self.change_figures
         late = [
             entry["t"] - try_entry["deadline"]
--- a/winchdyke/days/members.py
+++ b/winchdyke/days/members.py
@@ -26,7 +26,7 @@
 from winchdyke.membership.swim_config import SwimConfig
 
 Entry = dict[str, Any]  # one entry of the record
-HOST_DELAY_MS = 1500.0  # by which a busy host may delay its processes
+HOST_DELAY_MS = 1500.0  # the longest delay of a process by a busy host
 MAX_USABLE_LOSS = 0.65  # share of lost datagrams up to which a link counts as usable
 STATE_BY_EVENT = {
     "membership_member_found": "alive",
@@ -69,10 +69,10 @@
 
     Attributes:
         checked: How often each invariant was checked.
-        longest_ms: The longest time of each that counts against its bound.
-        bounds_ms: The bound of each.
-        violations: Index of the invariant, and message.
-        final_views: What the admin sockets said at the end, by gateway.
+        longest_ms: The longest time measured for each, to compare with its bound.
+        bounds_ms: The bound of each invariant.
+        violations: The index of the invariant, and a message.
+        final_views: The views at the end, read from the admin sockets, by gateway.
     """
 
     names: tuple[str, ...] = ("no false death", "deaths detected", "agreement")
@@ -108,7 +108,7 @@
 class MembershipChecker:
     """Checks the record and the logs of one played scenario."""
 
-    def __init__(self, scenario: Scenario, record: Sequence[Entry], where: Path) -> None:
+    def __init__(self, scenario: Scenario, record: Sequence[Entry], directory: Path) -> None:
         self.scenario, self.record = scenario, sorted(record, key=lambda entry: entry["t"])
         self.names = [f"gateway-{index}" for index in range(scenario.gateways)]
         self.config = swim_config_of(scenario)
@@ -118,7 +118,7 @@
         self.offset = next(entry["unix_ms"] - entry["t"] for entry in record if entry["what"] == "clock")
         self.run_spans, self.down_spans = self._find_run_spans()
         self.pause_spans = dict(pause_spans(self.record))
-        self.transitions = {name: self._read_transitions(where / f"{name}.log") for name in self.names}
+        self.transitions = {name: self._read_transitions(directory / f"{name}.log") for name in self.names}
         self.fault_periods = self._find_fault_periods()
 
     def _find_run_spans(self) -> tuple[dict[str, list[Span]], dict[str, list[Span]]]:
@@ -134,8 +134,8 @@
             run_spans[name].append((since, self.end))
         down_spans: dict[str, list[Span]] = defaultdict(list)
         for name, spans in run_spans.items():
-            for at, (_, until) in enumerate(spans):
-                following = spans[at + 1][0] if at + 1 < len(spans) else self.end
+            for index, (_, until) in enumerate(spans):
+                following = spans[index + 1][0] if index + 1 < len(spans) else self.end
                 if until < self.end:
                     down_spans[name].append((until, following))
         return run_spans, down_spans
@@ -264,13 +264,13 @@
                 and fault.get("loss", 0.0) <= MAX_USABLE_LOSS
             )
 
-        def both(a: str, b: str) -> bool:
+        def passes_both_ways(a: str, b: str) -> bool:
             return passes(a, b) and passes(b, a)
 
-        if both(viewer, member):
+        if passes_both_ways(viewer, member):
             return True
         others = (name for name in self.names if name not in (viewer, member) and self._is_running(name, at))
-        return any(both(viewer, other) and both(other, member) for other in others)
+        return any(passes_both_ways(viewer, other) and passes_both_ways(other, member) for other in others)
 
     def _check_false_deaths(
         self,
@@ -316,13 +316,13 @@
             if not known:
                 continue  # the viewer did not know the member
             result.checked[1] += 1
-            took = max(0.0, min(death_times) - down) if death_times else float("inf")
-            result.longest_ms[1] = max(result.longest_ms[1], min(took, back - down))
-            if took > bound_ms:
+            took_ms = max(0.0, min(death_times) - down) if death_times else float("inf")
+            result.longest_ms[1] = max(result.longest_ms[1], min(took_ms, back - down))
+            if took_ms > bound_ms:
                 result.violations.append(
                     (
                         1,
-                        f"{viewer} did not learn of the end of {member} within {bound_ms:.0f} ms (took {took:.0f} ms)",
+                        f"{viewer} did not learn of the end of {member} within {bound_ms:.0f} ms (took {took_ms:.0f} ms)",
                     )
                 )
 
@@ -334,14 +334,14 @@
             return False
         for a, b, faults in self.fault_periods:
             if a < until and since < b:
-                cut = {x for (x, y), fault in faults.items() if fault.get("cut") and y == viewer}
-                cut |= {y for (x, y), fault in faults.items() if fault.get("cut") and x == viewer}
-                if len(cut) * 2 >= len(self.names):
+                unreachable = {x for (x, y), fault in faults.items() if fault.get("cut") and y == viewer}
+                unreachable |= {y for (x, y), fault in faults.items() if fault.get("cut") and x == viewer}
+                if len(unreachable) * 2 >= len(self.names):
                     return False
         return True
 
     def _check_agreement(self, result: MembershipResult) -> None:
-        last = max(
+        last_fault_at = max(
             [
                 entry["t"]
                 for entry in self.record
@@ -349,11 +349,11 @@
             ],
             default=0.0,
         )
-        if self.end - last < result.bounds_ms[2]:
+        if self.end - last_fault_at < result.bounds_ms[2]:
             result.violations.append(
                 (
                     2,
-                    f"the scenario ended {self.end - last:.0f} ms after its last fault, before views had to agree",
+                    f"the scenario ended {self.end - last_fault_at:.0f} ms after its last fault, before views had to agree",
                 )
             )
             return
@@ -366,22 +366,25 @@
                     continue
                 result.checked[2] += 1
                 final = spans[member][-1] if spans[member] else (0.0, 0.0, "unknown")
-                # The time from the last fault to the last change of this view.
-                result.longest_ms[2] = max(result.longest_ms[2], final[0] - last)
-                right = (
+                # The time from the last fault to the last change of this member in the view.
+                result.longest_ms[2] = max(result.longest_ms[2], final[0] - last_fault_at)
+                is_correct = (
                     (final[2] == "alive")
                     if self._is_running(member, self.end - 1)
                     else final[2] in ("dead", "left")
                 )
-                if not right:
+                if not is_correct:
                     result.violations.append((2, f"at the end {viewer} holds {member} as {final[2]}"))
-                elif final[0] - last > result.bounds_ms[2]:
+                elif final[0] - last_fault_at > result.bounds_ms[2]:
                     result.violations.append(
-                        (2, f"{viewer} agreed on {member} only {final[0] - last:.0f} ms after the last fault")
+                        (
+                            2,
+                            f"{viewer} agreed on {member} only {final[0] - last_fault_at:.0f} ms after the last fault",
+                        )
                     )
 
 
-async def read_final_views(names: list[str], where: Path) -> dict[str, Any]:
+async def read_final_views(names: list[str], directory: Path) -> dict[str, Any]:
     """The current view of each running gateway, from its admin socket, with counts and health."""
     from winchdyke.admin.client import AdminClient
     from winchdyke.config_rollout.operations import OperationError
@@ -395,7 +398,7 @@
             return None
 
     for index, name in enumerate(names):
-        status = await anyio.to_thread.run_sync(fetch, where / f"members-{index}" / "admin.sock")
+        status = await anyio.to_thread.run_sync(fetch, directory / f"members-{index}" / "admin.sock")
         if status is not None:
             rows = {row["name"]: [row["state"], row["life"]] for row in status["members"]}
             result[name] = {
--- a/winchdyke/days/pressure.py
+++ b/winchdyke/days/pressure.py
@@ -1,7 +1,7 @@
 """How thoroughly a scenario exercised each rule, measured from its record. Pure.
 
 A rule without violations counts as tried only if the scenario exercised it enough: :data:`COVERAGE_REQUIREMENTS`. ``exercised``
-counts the exchanges, as clients and stores observed them, whose course depended on the rule. ``bound_usage`` is the largest
+counts the exchanges, as clients and stores observed them, whose handling depended on the rule. ``bound_usage`` is the largest
 part of the rule's bound that was used; 1 is all of it. The JSON report calls them ``held`` and ``near``.
 
 ====  =====================================================================================  ===================================
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class CoverageRequirement:
-    """The coverage from which on a rule counts as tried."""
+    """The minimum coverage for a rule to count as tried."""
 
     min_checked: int  # exchanges checked
     min_exercised: int
@@ -189,7 +189,9 @@
             try_entry["t"] for try_entry in self.checker.by_what["try"]
             if try_entry["path"].split("/")[1] in volumes and up["t"] <= try_entry["t"] <= up["t"] + self.rules.warm_after
         ]  # fmt: skip
-        peak = max((at - bisect_left(times, now - window) + 1 for at, now in enumerate(times)), default=0)
+        peak = max(
+            (index - bisect_left(times, now - window) + 1 for index, now in enumerate(times)), default=0
+        )
         return float(peak * sum(units) / len(units))
 
     def order(self) -> Coverage:
@@ -220,8 +222,8 @@
                 coverage.bound_usage = max(coverage.bound_usage, used / bound if bound else 0.0)
         for shed in checker.by_what["shed"]:
             try_entry = self.tries.get(shed["client"])
-            left = shed["attempt"] + 1 < rules.max_attempts
-            if try_entry is None or not left or shed["t"] > try_entry["deadline"] - 100.0:
+            may_retry = shed["attempt"] + 1 < rules.max_attempts
+            if try_entry is None or not may_retry or shed["t"] > try_entry["deadline"] - 100.0:
                 continue
             process = shed["gateway"], checker.process_number(shed["gateway"], shed["t"])
             used, bound = self._budget_use(retries[process], try_times[process], shed["t"])
@@ -248,7 +250,7 @@
                 limit, burst = self._limit_at(plan, now)
                 level, at = min(burst, level + limit * (now - at) / 1000) - units, now
                 coverage.bound_usage = max(coverage.bound_usage, 1 - level / burst)
-            usual = sum(units for _, units, _ in sent) / len(sent) if sent else 1.0
+            mean_units = sum(units for _, units, _ in sent) / len(sent) if sent else 1.0
             for number in volume.gateways:
                 gateway = f"gateway-{number}"
                 tries = [
@@ -258,23 +260,23 @@
                 ]
                 sent_here = [(now, units) for now, units, process in sent if process == gateway]
                 coverage.exercised += self._count_tries_without_room(
-                    plan, len(volume.gateways), sorted([*tries, *sent_here]), usual
+                    plan, len(volume.gateways), sorted([*tries, *sent_here]), mean_units
                 )
         return coverage
 
     def _count_tries_without_room(
-        self, plan: Plan, parts: int, arrivals: list[tuple[float, float]], usual: float
+        self, plan: Plan, parts: int, arrivals: list[tuple[float, float]], mean_units: float
     ) -> int:
-        """The number of tries that came while the gateway's part of the limit had no room for an average request.
+        """The number of tries that came while the gateway's part of the limit had too few units left for an average request.
 
-        ``arrivals`` are the tries at one gateway, with 0 units, and the requests it sent, with theirs; in order of time.
+        ``arrivals`` holds (time, units) of the tries at one gateway, with 0 units, and of the requests it sent; in order of time.
         """
         level, at, count = 0.0, 0.0, 0
         for now, units in arrivals:
             limit, burst = self._limit_at(plan, now)
             level = min(burst / parts, level + limit / parts * (now - at) / 1000) - units if at else -units
             at = now
-            count += not units and level < min(usual, burst / parts)
+            count += not units and level < min(mean_units, burst / parts)
         return count
 
     def _limit_at(self, plan: Plan, at: float) -> tuple[float, float]:
--- a/winchdyke/days/run.py
+++ b/winchdyke/days/run.py
@@ -28,11 +28,11 @@
 from winchdyke.standins.store import DeduplicationGroup, ObjectStore, Store, StoreSpec, UsageMeter
 
 GATEWAY_START_TIMEOUT_S = 15.0
-SETTLE_S = 0.3  # from the start of all gateways to the first request
-DRAIN_NOTICE_S = 2.2  # from the start of a drain in a deploy to the end of the process
-TRAILING_S = 0.2  # from the last answer to the stop of the gateways
+SETTLE_S = 0.3  # seconds from the start of all gateways to the first request
+DRAIN_NOTICE_S = 2.2  # seconds from the start of a drain in a deploy to the end of the process
+TRAILING_S = 0.2  # seconds from the last answer to the stop of the gateways
 PROGRAM = ("-m", "winchdyke")  # arguments of the gateways' interpreter; benchmarks pass others
-ACTIVATION_DELAY_S = 3.5  # from the request for a change to its scheduled activation
+ACTIVATION_DELAY_S = 3.5  # seconds from the request for a change to its scheduled activation
 
 
 class ScenarioError(Exception):
@@ -138,8 +138,8 @@
         """Start a gateway process and wait for its address. Raises ScenarioError if it does not start."""
         port_file = self.directory / f"gateway-{index}.port"
         port_file.unlink(missing_ok=True)
-        for beside in (".s3", ".fleet"):
-            port_file.with_name(port_file.name + beside).unlink(missing_ok=True)
+        for suffix in (".s3", ".fleet"):
+            port_file.with_name(port_file.name + suffix).unlink(missing_ok=True)
         settings = self.directory / f"gateway-{index}.conf"
         extra_settings = self.extra_settings.replace(
             "{name}", f"gateway-{index}"
@@ -189,7 +189,7 @@
         await anyio.sleep(event.at / 1000)
         duration_s = event.length / 1000
         self.record.note("day", "trouble", kind=event.kind, on=event.on, length=event.length)
-        stores = [self.stores[at % len(self.stores)] for at in event.on]
+        stores = [self.stores[index % len(self.stores)] for index in event.on]
         if event.kind == "deploy":
             await self._deploy(event)
         elif event.kind in ("silent", "crash"):
@@ -269,19 +269,19 @@
 
     async def _deploy(self, event: script.Event) -> None:
         """Replace stores in batches: drain each, end it, and start a cold successor at another port with the same objects."""
-        step = max(1, int(event.size))
-        steps = [event.on[at : at + step] for at in range(0, len(event.on), step)]
-        gap = max(0.1, event.length / 1000 / len(steps) - DRAIN_NOTICE_S - 0.3)
-        for batch in steps:
-            for at in batch:
-                old = self.stores[at]
+        batch_size = max(1, int(event.size))
+        batches = [event.on[start : start + batch_size] for start in range(0, len(event.on), batch_size)]
+        gap = max(0.1, event.length / 1000 / len(batches) - DRAIN_NOTICE_S - 0.3)
+        for batch in batches:
+            for index in batch:
+                old = self.stores[index]
                 self.group.start_soon(self.list.set, old.name, "draining", old.spec.shard, old.spec.zone)
             await anyio.sleep(DRAIN_NOTICE_S)
-            for at in batch:
-                old = self.stores[at]
+            for index in batch:
+                old = self.stores[index]
                 old.kill()
-                fresh = self._make_store(old.spec.shard, old.object_store, len(self.stores) + at)
-                self.stores[at] = fresh
+                fresh = self._make_store(old.spec.shard, old.object_store, len(self.stores) + index)
+                self.stores[index] = fresh
                 await fresh.start(self.group, cold=True)
                 started = time.time() * 1000
                 self.group.start_soon(self.list.set, old.name, "gone", old.spec.shard, old.spec.zone)
@@ -291,7 +291,7 @@
             await anyio.sleep(gap)
 
     async def _change(self, event: script.Event) -> None:
-        """Change the settings of every gateway separately; a limit at one instant, and together with a concurrent edit."""
+        """Change the settings of each gateway separately: a limit at one instant for all, with a concurrent edit of another value."""
         if event.how == "limit":
             arguments = [
                 "plan",
@@ -322,7 +322,7 @@
         async with anyio.create_task_group() as group:
             for index in range(self.scenario.gateways):
                 group.start_soon(prepare, index)
-        at = datetime.fromtimestamp(time.time() + ACTIVATION_DELAY_S, UTC).isoformat()
+        activate_at = datetime.fromtimestamp(time.time() + ACTIVATION_DELAY_S, UTC).isoformat()
         self.record.note("day", "changing", how=event.how, limit=event.size)
 
         async def apply(index: int) -> None:
@@ -335,7 +335,7 @@
                     await self._winchdyke("changes", "apply", folder, version)
                 self.record.note("day", "changed", limit=event.size, version=version, **details)
                 return
-            output = await self._winchdyke("changes", "apply", folder, version, "--at", at)
+            output = await self._winchdyke("changes", "apply", folder, version, "--at", activate_at)
             self.record.note(
                 "day",
                 "changed",
@@ -344,7 +344,7 @@
                 said=output.strip(),
                 **details,
             )
-            await anyio.sleep(max(0.0, datetime.fromisoformat(at).timestamp() - time.time()) + 0.5)
+            await anyio.sleep(max(0.0, datetime.fromisoformat(activate_at).timestamp() - time.time()) + 0.5)
             for _ in range(3):
                 output = await self._winchdyke("changes", "apply", folder, own_versions[-1])
                 if "try again" not in output:
@@ -361,11 +361,11 @@
 
     @staticmethod
     async def _winchdyke(*arguments: str) -> str:
-        done = await anyio.run_process([sys.executable, "-m", "winchdyke", *arguments], check=False)
-        return (done.stdout + done.stderr).decode(errors="replace")
+        completed = await anyio.run_process([sys.executable, "-m", "winchdyke", *arguments], check=False)
+        return (completed.stdout + completed.stderr).decode(errors="replace")
 
     async def _drain_in_place(self, stores: list[Store], duration_s: float) -> None:
-        """One after another, stores report their drain, end, and restart cold at the same address."""
+        """Drain stores one after another: each reports its drain, ends, and restarts cold at the same address."""
         for store in stores:
             store.draining = True
             await anyio.sleep(duration_s / len(stores))
@@ -374,7 +374,7 @@
             await self._restart(store)
 
     async def _reuse_address(self, old: Store, duration_s: float) -> None:
-        """Another store uses the address of a store for a while; the previous one restarts at a new address."""
+        """Let another store use the address of a store for a while; the previous store restarts at a new address."""
         old.kill()
         other = self._make_store(old.spec.shard, ObjectStore(), 900 + old.spec.shard)
         other.port, other.is_other_store = old.port, True
@@ -407,11 +407,14 @@
             "tail": Fault(delay=2.0, tail=size), "large": Fault(large=int(size)), "no-udp": Fault(datagrams=False),
             "no-tcp": Fault(streams=False),
         }[how]  # fmt: skip
-        before = {pair: links.links[pair].fault for pair in pairs}
+        previous_faults = {pair: links.links[pair].fault for pair in pairs}
         links.set_fault(pairs, fault)
         await anyio.sleep(duration_s)
-        for was in set(before.values()):
-            links.set_fault([pair for pair, each in before.items() if each == was], was)
+        for previous_fault in set(previous_faults.values()):
+            links.set_fault(
+                [pair for pair, fault_before in previous_faults.items() if fault_before == previous_fault],
+                previous_fault,
+            )
 
     async def _stop_gateway(self, index: int, duration_s: float) -> None:
         process = self.processes[index]
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -111,12 +111,12 @@
     late_list: float = 300.0
     must_ask: bool = False
     s3_share: float = (
-        0.0  # of plain reads and writes sent over S3; some writes have a body that fails its checksum
+        0.0  # share of plain reads and writes sent over S3; some writes have a body that fails its checksum
     )
     keeps: bool = False  # whether gateways cache the endpoint list on disk
     changes: bool = False  # whether settings are changed at run time
     fleet: float = 0.0  # probe interval of membership (ms), over links with faults; 0: no membership
-    zones: int = 1  # of the gateways
+    zones: int = 1  # number of zones of the gateways
     carried_not: list[str] = []
 
 
@@ -130,7 +130,7 @@
         "turns", "put", 500.0, 2500.0, 2.0, "keyed", memory=4000.0, in_order=True, writes=True, share=0.1
     ),
 ]
-# Its deduplication window ends before its deadline, so that answers are lost within the window and after it.
+# A class whose deduplication window ends before its deadline, so that answers are lost within the window and after it.
 SHORT_MEMORY_CLASS = RequestClass(
     "brief", "put", 500.0, 2500.0, 2.0, "keyed", memory=600.0, writes=True, share=0.06
 )
@@ -170,7 +170,7 @@
     ]
     order = rng.sample(shards, stores)
     hour = length / 24
-    limited = [at for at, volume in enumerate(volumes) if volume.plan == "basic"]
+    limited = [index for index, volume in enumerate(volumes) if volume.plan == "basic"]
     events = [
         Event("lost", 2 * hour, 6 * hour, [order[0]], 0.3, rng.choice(["silence", "reset"])),
         Event("slow", 3 * hour, 6 * hour, [order[1]], rng.uniform(3, 8)),
@@ -182,8 +182,8 @@
         Event("list-down", 4 * hour, 3 * hour, [], 0, rng.choice(["error", "silence"])),
         Event("hurry", 16 * hour, 3 * hour, [], 0.12),
         Event("crash", 18 * hour, 1.5 * hour, [order[1]]),
-        *(Event("leave-upload", (3 + 4 * at) * hour, 0.0) for at in range(5)),
-        *(Event("leave-download", (4 + 4 * at) * hour, 0.0) for at in range(5)),
+        *(Event("leave-upload", (3 + 4 * n) * hour, 0.0) for n in range(5)),
+        *(Event("leave-download", (4 + 4 * n) * hour, 0.0) for n in range(5)),
     ]
     return with_boundary_load(
         Scenario("bad-day", seed, gateways, stores, length, CLASSES, PLANS, volumes, events), order
@@ -211,8 +211,8 @@
     events = [
         # The second burst lasts while a killed gateway restarts, with empty limit and retry budget accounts.
         *(
-            Event("burst", at * hour, length * hour, [flood], 90.0)
-            for at, length in ((4, 1.8), (11, 4.8), (18, 1.8))
+            Event("burst", start * hour, length * hour, [flood], 90.0)
+            for start, length in ((4, 1.8), (11, 4.8), (18, 1.8))
         ),
         *(Event("large", (5 + 5 * n) * hour, 0.0, [large], 60.0) for n in range(4)),
         Event("trick", 12 * hour, 2.2 * hour, list(range(scenario.stores)), 0.95, "shed"),
@@ -276,7 +276,9 @@
     scenario = bad_day(seed, length, rate=140.0)
     rng = random.Random(f"change/{seed}")
     hour = length / 24
-    volume_index = rng.choice([at for at, volume in enumerate(scenario.volumes) if volume.plan == "contest"])
+    volume_index = rng.choice(
+        [index for index, volume in enumerate(scenario.volumes) if volume.plan == "contest"]
+    )
     shard = rng.randrange(scenario.stores)
     events = [
         Event("slow", 3 * hour, 3 * hour, [shard], rng.uniform(3, 6)),
@@ -321,7 +323,7 @@
         Event("gateway-stop", 11 * hour, 0.7 * hour, some[few:]),
         Event("gateway-leave", 13.5 * hour, 1 * hour, some[2:3]),
     ]
-    if gateways >= 8:  # 70% of the gateways are killed at once
+    if gateways >= 8:  # kills 70% of the gateways at once
         events.append(Event("gateway-kill", 14.5 * hour, 0.5 * hour, some[3 : 3 + 7 * gateways // 10 - 2]))
     return msgspec.structs.replace(
         scenario, name="fleet-day", gateways=gateways, volumes=volumes, events=events, fleet=PROBE_INTERVAL_MS,
@@ -383,11 +385,11 @@
     """All requests of a scenario's clients, drawn from its seed: Poisson arrivals for each volume, with bursts added."""
     rng = random.Random(f"{scenario.name}/{scenario.seed}/traffic")
     requests: list[PlannedRequest] = []
-    for at, volume in enumerate(scenario.volumes):
+    for index, volume in enumerate(scenario.volumes):
         now = 0.0
         while True:
             # Arrivals are drawn at the peak rate and thinned, so that bursts start and end exactly on time.
-            bursts = [e.size for e in scenario.events if e.kind == "burst" and at in e.on]
+            bursts = [e.size for e in scenario.events if e.kind == "burst" and index in e.on]
             peak_rate = volume.rate + sum(bursts)
             now += rng.expovariate(peak_rate) * 1000
             if now >= scenario.length:
@@ -395,24 +397,24 @@
             burst = sum(
                 e.size
                 for e in scenario.events
-                if e.kind == "burst" and at in e.on and e.at <= now < e.at + e.length
+                if e.kind == "burst" and index in e.on and e.at <= now < e.at + e.length
             )
             if rng.random() * peak_rate <= volume.rate + burst:
                 requests.append(_draw_request(scenario, volume, now, rng))
-    plain = next(volume for volume in scenario.volumes if volume.plan == scenario.plans[-1].name)
-    gateway, big = plain.gateways[0], f"/{plain.name}/big"
+    plain_volume = next(volume for volume in scenario.volumes if volume.plan == scenario.plans[-1].name)
+    gateway, big_path = plain_volume.gateways[0], f"/{plain_volume.name}/big"
     writer = next(request_class for request_class in scenario.classes if request_class.writes)
     reader = next(request_class for request_class in scenario.classes if not request_class.writes)
     disconnects = [event for event in scenario.events if event.kind.startswith("leave-")]
     if disconnects:
         requests.append(
             PlannedRequest(
-                0.0, gateway, "PUT", big, BIG_BYTES, class_name=writer.name, has_idempotency_key=True
+                0.0, gateway, "PUT", big_path, BIG_BYTES, class_name=writer.name, has_idempotency_key=True
             )
         )
     for event in disconnects:
         method, name = ("PUT", writer.name) if event.kind == "leave-upload" else ("GET", reader.name)
-        path = f"{big}-{event.at:.0f}" if method == "PUT" else big
+        path = f"{big_path}-{event.at:.0f}" if method == "PUT" else big_path
         direction = event.kind.removeprefix("leave-")
         requests.append(
             PlannedRequest(
@@ -429,7 +431,7 @@
     for event in scenario.events:
         if event.kind == "large":
             requests += _large_object_requests(scenario, event, writer, reader)
-    return sorted(requests, key=lambda wish: wish.at)
+    return sorted(requests, key=lambda request: request.at)
 
 
 def _large_object_requests(
@@ -497,13 +499,16 @@
             "extra_share": f"{rules.extra_share * 100}%",
         }),
     ]  # fmt: skip
-    taken: set[str] = set()
+    assigned_operations: set[str] = set()
     for request_class in scenario.classes:
         operations = request_class.operations.split()
-        own, also = [o for o in operations if o not in taken], [o for o in operations if o in taken]
-        taken |= set(own)
-        keys: dict[str, object] = {"operations": ", ".join(own)} if own else {}
-        keys |= {"also": ", ".join(also)} if also else {}
+        own_operations, shared_operations = (
+            [o for o in operations if o not in assigned_operations],
+            [o for o in operations if o in assigned_operations],
+        )
+        assigned_operations |= set(own_operations)
+        keys: dict[str, object] = {"operations": ", ".join(own_operations)} if own_operations else {}
+        keys |= {"also": ", ".join(shared_operations)} if shared_operations else {}
         keys |= {
             "worth": request_class.worth, "aim": f"{request_class.aim}ms", "deadline": f"{request_class.deadline}ms",
             "late_share": "10%", "effect": request_class.effect, "scope": request_class.scope, "memory": f"{request_class.memory}ms",
--- a/winchdyke/days/shrink.py
+++ b/winchdyke/days/shrink.py
@@ -32,7 +32,7 @@
         return [], True
     while len(smallest) > 1:
         size = -(-len(smallest) // part_count)
-        parts = [smallest[at : at + size] for at in range(0, len(smallest), size)]
+        parts = [smallest[start : start + size] for start in range(0, len(smallest), size)]
         smaller: list[T] | None = None
         # Each part alone first, then each complement of a part.
         complements = [[item for other in parts if other is not part for item in other] for part in parts]
