--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -33,7 +33,7 @@
 
 
 def test_blame_names_the_workload_whose_removal_shortens_the_queueing():
-    """In 20 runs: queueing gets shorter without the blamed workload, and an idle workload is not blamed."""
+    """In 20 runs queueing is shorter without the blamed workload; an almost idle workload is hardly blamed."""
     for seed in range(20):
         comparison = counterfactual(example_setup(seed), "school", "burst")
         assert comparison.blamed_ms > 0.1 * comparison.queued_ms, comparison
@@ -75,7 +75,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "message"),
     [
         ('name = "e"\n', "missing required field `courses`"),
         ('name = "e"\nsweep = "colour"\n[[courses]]\nname = "c"\n', "sweep is 'colour'; it can be gateways"),
@@ -84,16 +84,16 @@
         ('name = "e"\nvalues = []\n[[courses]]\nname = "c"\n', "one entry at least"),
     ],
 )
-def test_an_invalid_experiment_is_reported(tmp_path, text, said):
+def test_an_invalid_experiment_is_reported(tmp_path, text, message):
     file = tmp_path / "e.toml"
     file.write_text(text)
     result = CliRunner().invoke(main, ["model", "run", str(file)])
     assert result.exit_code == 1
-    assert any(words in result.output for words in said.split("|")), result.output
+    assert any(alternative in result.output for alternative in message.split("|")), result.output
 
 
 def test_gateways_that_start_without_discovery_use_cached_endpoints_and_send_nothing_to_other_stores():
-    words = [
+    arguments = [
         "model",
         "start",
         "--gateways",
@@ -108,7 +108,7 @@
         "4",
         "--json",
     ]
-    run = lambda *more: json.loads(CliRunner().invoke(main, [*words, *more]).output)  # noqa: E731
+    run = lambda *options: json.loads(CliRunner().invoke(main, [*arguments, *options]).output)  # noqa: E731
     belief, outright, wait = run(), run("--policy", "outright"), run("--policy", "wait")
     assert belief["to_strangers"] == 0 < outright["to_strangers"]
     assert belief["pushed_over"] == 0 and belief["first_answer_ms"] < 500
--- a/winchdyke/model/changing.py
+++ b/winchdyke/model/changing.py
@@ -6,7 +6,7 @@
     whole      a running gateway serves the version that the change log names
     kept       a version that was applied without a trial, or confirmed, is served until another is applied or it is undone
     known      each version that is served was staged by an editor
-    trial      a version applied on trial and not confirmed is not served after its time, once the gateway has acted
+    trial      a version applied on trial and not confirmed is not served after its deadline, once the gateway has acted on it
     gone       a version undone for lack of confirmation is no ancestor of a version served later, unless it is staged again
     finished   a start finishes an undo that had begun
 """
@@ -213,7 +213,7 @@
             )
 
     def key(self) -> Hashable:
-        """The whole state, with the change log reduced to what it replays to."""
+        """The whole state, with the change log reduced to its staged versions and the state that it replays to."""
         staged = frozenset(step.version for step in self.change_log if step.action == "staged")
         rest = (
             self.serving,
--- a/winchdyke/model/checker.py
+++ b/winchdyke/model/checker.py
@@ -21,7 +21,7 @@
         """A new state, one step on. Raises InvariantViolation."""
 
     def key(self) -> Hashable:
-        """Equal for states from which the same can follow."""
+        """A key that is equal for states with the same possible futures."""
 
 
 @dataclass
@@ -53,7 +53,7 @@
 ) -> Exploration:
     """Explore until no new state is left, or up to a bound; stops at the first violation.
 
-    ``on_layer`` is called after each further depth.
+    ``on_layer`` is called after each depth.
     """
     result = Exploration(states=1)
     visited = {initial.key()}
--- a/winchdyke/model/experiment.py
+++ b/winchdyke/model/experiment.py
@@ -104,12 +104,14 @@
 
 
 def _figures(requests: list[RequestResult]) -> tuple[float, ...]:
-    waits = sorted(done.latency for done in requests if done.outcome == "served") or [0.0]
+    latencies = sorted(done.latency for done in requests if done.outcome == "served") or [0.0]
     queued_ms = sum(done.queued_ms for done in requests)
-    volumes = sum(v for done in requests for holder, v in done.blame.items() if holder[0] == "volume")
+    volumes = sum(
+        share_ms for done in requests for holder, share_ms in done.blame.items() if holder[0] == "volume"
+    )
     return (
         float(len(requests)), sum(done.outcome == "served" for done in requests) / max(1, len(requests)),
-        waits[len(waits) // 2], waits[int(len(waits) * 0.99)],
+        latencies[len(latencies) // 2], latencies[int(len(latencies) * 0.99)],
         queued_ms / max(1, len(requests)), volumes / queued_ms if queued_ms else 0.0,
     )  # fmt: skip
 
@@ -119,7 +121,7 @@
     rows = []
     for value in experiment.values:
         runs = [_figures(play(simulation_setup(experiment, value, seed))) for seed in experiment.seeds]
-        rows.append(Row(value, *(statistics.median(run[at] for run in runs) for at in range(6))))
+        rows.append(Row(value, *(statistics.median(run[index] for run in runs) for index in range(6))))
     return rows
 
 
--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -91,7 +91,7 @@
         start_ms: float = 1000.0,
         drift: float = 0.0,
     ) -> None:
-        """``drift``: the largest relative error of a clock's rate, drawn for each process."""
+        """``drift``: the largest relative error of a clock's rate; each process draws its own."""
         self.config, self.rng, self.make_protocol = config or SwimConfig(), random.Random(seed), make
         self.links, self.drift = links or Links(), drift
         self.now, self._order = 0.0, 0
@@ -118,7 +118,7 @@
         heapq.heappush(self._events, (max(when, self.now), self._order, callback))
 
     def start(self, name: str, clock: float | None = None) -> None:
-        """Start a process under a name, unless it runs. ``clock`` replaces the time from which its generation is made (ms)."""
+        """Start a process under a name, unless it runs. ``clock`` (ms) replaces the current time in its generation."""
         if name in self.processes:
             return
         index = int(name[1:])
--- a/winchdyke/model/instant.py
+++ b/winchdyke/model/instant.py
@@ -1,4 +1,4 @@
-"""A model of a cutover at a scheduled instant for the model checker: gateways with different clocks that are killed and start.
+"""A model of a cutover at a scheduled instant, for the model checker. Gateways have different clocks, are killed, and restart.
 
 Time passes in ticks; each gateway's clock has its own offset. A gateway checks its clock at least once in a tick, at any
 moment of it, and stays in the phase that it found until its next check. Invariants:
@@ -46,7 +46,7 @@
                 yield f"start {number}"
                 continue
             if not self.checked[number]:
-                yield f"look {number}"
+                yield f"check {number}"
             if self.remaining_kills:
                 yield f"kill {number}"
 
--- a/winchdyke/model/members.py
+++ b/winchdyke/model/members.py
@@ -68,14 +68,14 @@
                     yield f"start {viewer}"
                 continue
             for statement in sorted(self.statements - self.received[viewer]):
-                yield f"hear {viewer} {'-'.join(map(str, statement))}"
+                yield f"receive {viewer} {'-'.join(map(str, statement))}"
             if self.faults:
                 yield f"end {viewer}"
                 for member in self.tables[viewer].members.values():
                     if member.state is MemberState.ALIVE:
-                        yield f"accuse {viewer} {member.name}"
+                        yield f"suspect {viewer} {member.name}"
                     elif member.state is MemberState.SUSPECT:
-                        yield f"bury {viewer} {member.name}"
+                        yield f"declare-dead {viewer} {member.name}"
 
     def after(self, step: str) -> MergeModel:
         """The state one step on. Raises InvariantViolation."""
@@ -85,7 +85,7 @@
         kind, reporter, *rest = step.split()
         viewer = int(reporter)
         generation, incarnation, _ = successor.own_state[viewer]
-        if kind == "hear":
+        if kind == "receive":
             parts = [int(part) for part in rest[0].split("-")]
             statement: Statement = (parts[0], parts[1], parts[2], parts[3])
             if statement[0] == viewer:
@@ -104,7 +104,7 @@
             successor.statements |= {(viewer, generation + 1, 0, int(MemberState.ALIVE))}
         else:
             successor.faults -= 1
-            state = MemberState.SUSPECT if kind == "accuse" else MemberState.DEAD
+            state = MemberState.SUSPECT if kind == "suspect" else MemberState.DEAD
             record = with_state(successor.tables[viewer].members[rest[0]].record, state, reporter)
             statement = (int(rest[0]), record.generation, record.incarnation, int(state))
             successor.statements |= {statement}
@@ -159,7 +159,7 @@
                 )
 
     def key(self) -> Hashable:
-        """Equal for states from which the same can follow."""
+        """A key that is equal for states with the same possible futures."""
         tables = tuple(
             tuple(sorted((n, m.record.precedence) for n, m in table.members.items())) for table in self.tables
         )
--- a/winchdyke/model/starts.py
+++ b/winchdyke/model/starts.py
@@ -1,6 +1,6 @@
 """Simulates starts of many gateways while discovery is down, with the real scheduler and the real endpoint view.
 
-The capacity of stores grows after a start, and they are overloaded by more units than the rule allows, like the stand-ins.
+The capacity of stores grows after a start, and more units than the rule allows overload them, as with the stand-ins.
 A gateway's cached list names endpoints that have moved, addresses that other stores use by now, and stores that restarted
 shortly before. List calls, connections and identity checks take fixed times; stores report their uptime as over sockets.
 """
@@ -66,7 +66,7 @@
         return 1.0 if age >= WARM_MS else COLD_FROM + (1 - COLD_FROM) * max(0.0, age) / WARM_MS
 
     def record_sent(self, now: float, units: float) -> None:
-        """Count units sent to it while it is cold; too many in a window overload it for good."""
+        """Count units sent to it while it is cold; too many in a window overload it permanently."""
         if now - self.started_at_ms >= WARM_MS:
             return
         self.sent.append((now, units))
@@ -121,8 +121,8 @@
         self.checked: set[tuple[int, str]] = set()
         self.checking: set[int] = set()
         self.started: set[int] = set()
-        self.list_calls: Counter[int] = Counter()  # to the list service, by second
-        self.failed_calls: Counter[int] = Counter()  # by gateway
+        self.list_calls: Counter[int] = Counter()  # calls of the list service, by second
+        self.failed_calls: Counter[int] = Counter()  # failed calls of the list service, by gateway
         self.watching: set[int] = set()
         settings = api.Settings(
             gateway_count=setup.gateways,
@@ -168,7 +168,7 @@
     def _on_arrive(self, now: float, gateway: int, request: api.Request) -> None:
         if (
             gateway not in self.started and self.started
-        ):  # it has not started: the client uses another gateway
+        ):  # the gateway has not started, so the client uses another one
             gateway = self.rng.choice(sorted(self.started))
         super()._on_arrive(now, gateway, request)
 
@@ -229,7 +229,7 @@
         if not store.alive or store.overloaded:
             self.endpoint_views[index].record_connect_failure(name, now)
             return False
-        identity = "stranger" if store.has_other_identity else f"store-{store.shard}"
+        identity = "other-store" if store.has_other_identity else f"store-{store.shard}"
         accepted = self.endpoint_views[index].record_response(
             name, EndpointEvidence(identity, "b", now - store.started_at_ms), now
         )
@@ -347,9 +347,9 @@
 
     def value_served(self, until_ms: float) -> float:
         """The summed priority weights of the requests that were served within their latency objective until a time."""
-        aims = {kind.name: (kind.latency_objective_ms, kind.priority_weight) for kind in CLASSES}
+        objectives = {kind.name: (kind.latency_objective_ms, kind.priority_weight) for kind in CLASSES}
         return sum(
-            aims[done.class_name][1] * (done.latency <= aims[done.class_name][0])
+            objectives[done.class_name][1] * (done.latency <= objectives[done.class_name][0])
             for done in self.done.values()
             if done.outcome == "served" and done.end <= until_ms
         )
--- a/winchdyke/model/world.py
+++ b/winchdyke/model/world.py
@@ -118,7 +118,7 @@
     def __init__(self, cores: int, unit_ms: float, slow: float, slow_from_ms: float) -> None:
         self.free, self._unit_ms, self._slow, self._slow_from_ms = cores, unit_ms, slow, slow_from_ms
         self.queue: deque[tuple[int, str, int, float, float]] = deque()
-        self.busy: set[tuple[int, str]] = set()  # gateway and request being worked on
+        self.busy: set[tuple[int, str]] = set()  # (gateway, request) of the work in progress
 
     def unit_ms(self, now: float) -> float:
         """Core time per unit of work, in milliseconds."""
@@ -147,19 +147,20 @@
             shares[holder] = shares.get(holder, 0.0) + share
 
         for (request, _), (sent, class_name) in node.in_flight.items():
-            held = self.scheduler.requests.get(request)
+            pending = self.scheduler.requests.get(request)
             if now - sent <= SLOW_ATTEMPT_FACTOR * self.expected_latency_ms(
-                node, class_name, held.request.units if held else 1.0
+                node, class_name, pending.request.units if pending else 1.0
             ):
                 add(("volume", simulation.done[request].volume, class_name), share_of_node)
                 continue
-            served = [simulation.done[other] for _, other in store.busy]
-            if (self.index, request) in store.busy or not served:
-                served = [simulation.done[request]]
+            in_progress = [simulation.done[other] for _, other in store.busy]
+            if (self.index, request) in store.busy or not in_progress:
+                in_progress = [simulation.done[request]]
             add(("node", node.name, "slow"), share_of_node * slow_share)
-            for other in served:
+            for other in in_progress:
                 add(
-                    ("volume", other.volume, other.class_name), share_of_node * (1 - slow_share) / len(served)
+                    ("volume", other.volume, other.class_name),
+                    share_of_node * (1 - slow_share) / len(in_progress),
                 )
         return shares
 
@@ -270,10 +271,10 @@
                 self._open[action.request_id] = request, attempt + 1
                 self._record_queueing(now, index, action.request_id)
                 done = self.done[action.request_id]
-                view = self.schedulers[index].endpoints[action.endpoint]
+                endpoint = self.schedulers[index].endpoints[action.endpoint]
                 done.sent, done.node = now, action.endpoint
                 done.expected_ms = self.observers[index].expected_latency_ms(
-                    view, done.class_name, done.units
+                    endpoint, done.class_name, done.units
                 )
                 self._send_attempt(now, index, request, attempt, action.endpoint)
             elif isinstance(action, (api.ShedRequest, api.FailRequest)):
