--- a/tests/test_ledgers.py
+++ b/tests/test_ledgers.py
@@ -157,7 +157,7 @@
     with (tmp_path / "compact.lock").open("a") as lock:
         fcntl.flock(lock, fcntl.LOCK_EX)
         output = CliRunner().invoke(main, ["waits", "compact", str(tmp_path), "--older", "0"]).output
-        assert output == "another process is at it\n"
+        assert output == "another process is compacting this ledger\n"
     result = CliRunner().invoke(main, ["waits", "compact", str(tmp_path), "--older", "0", "--json"])
     assert json.loads(result.output)["segments"] == 1
     output = CliRunner().invoke(main, ["waits", "report", str(tmp_path)]).output
--- a/winchdyke/cli/access.py
+++ b/winchdyke/cli/access.py
@@ -27,11 +27,11 @@
     """
 
 
-def _call_or_exit(call: Callable[..., T], *words: Any) -> T:
+def _call_or_exit(function: Callable[..., T], *arguments: Any) -> T:
     from winchdyke.auth.keys import AccessKeyFileError
 
     try:
-        return call(*words)
+        return function(*arguments)
     except AccessKeyFileError as error:
         raise click.ClickException(str(error)) from None
 
@@ -158,13 +158,13 @@
     from winchdyke.s3.requests import SUPPORTED_OPERATIONS, UNSUPPORTED_PARAMETERS
 
     click.echo("| operation | as | right | notes |\n| --- | --- | --- | --- |")
-    for each in SUPPORTED_OPERATIONS:
-        resource = {"service": "/", "bucket": "/BUCKET", "object": "/BUCKET/KEY"}[each.level]
-        query = "&".join(each.required_query)
-        header = f", `{each.required_header.decode()}`" if each.required_header else ""
-        right = {"own": ""}.get(each.required_right, each.required_right)
+    for entry in SUPPORTED_OPERATIONS:
+        resource = {"service": "/", "bucket": "/BUCKET", "object": "/BUCKET/KEY"}[entry.level]
+        query = "&".join(entry.required_query)
+        header = f", `{entry.required_header.decode()}`" if entry.required_header else ""
+        right = {"own": ""}.get(entry.required_right, entry.required_right)
         click.echo(
-            f"| {each.name} | `{each.method} {resource}{'?' + query if query else ''}`{header} | {right} | {each.notes} |"
+            f"| {entry.name} | `{entry.method} {resource}{'?' + query if query else ''}`{header} | {right} | {entry.notes} |"
         )
     click.echo(
         "\nNot spoken (501 `NotImplemented`): "
--- a/winchdyke/cli/changes.py
+++ b/winchdyke/cli/changes.py
@@ -87,8 +87,8 @@
 def check(target: str, file: Path, parent: int, key_file: Path | None) -> None:
     """Show what the settings in FILE would change, and whether that is possible in service; store nothing."""
     execute = connect(target, None, key_file)
-    found = execute(op="propose", text=_read_text(file), parent=parent, check=True)
-    click.echo(f"valid; compared with version {found['parent']}:\n{format_changes(found['changes'])}")
+    result = execute(op="propose", text=_read_text(file), parent=parent, check=True)
+    click.echo(f"valid; compared with version {result['parent']}:\n{format_changes(result['changes'])}")
 
 
 @command.command("set")
@@ -269,15 +269,15 @@
 def show(target: str, version: int | None, difference: bool, as_json: bool, key_file: Path | None) -> None:
     """Show the settings of VERSION; without VERSION, which versions are in service and staged."""
     execute = connect(target, None, key_file)
-    found = execute(op="standing") if version is None else execute(op="show", version=version)
+    result = execute(op="standing") if version is None else execute(op="show", version=version)
     if as_json:
-        click.echo(json.dumps(found))
+        click.echo(json.dumps(result))
     elif version is None:
-        _print_status(found)
+        _print_status(result)
     elif difference:
-        _print_difference(found)
+        _print_difference(result)
     else:
-        click.echo(found["text"], nl=False)
+        click.echo(result["text"], nl=False)
 
 
 def _print_status(status: dict[str, Any]) -> None:
@@ -286,7 +286,7 @@
     click.echo(f"version {status['serving']} is served{trial}")
     if not status["staged"]:
         return
-    activation = "held until told"
+    activation = "held until 'changes apply'"
     if not status["held"]:
         activation = f"for {format_unix_ms(status['staged_at_ms'] or status['now_ms'])}"
     click.echo(f"version {status['staged']} is staged, {activation}")
@@ -308,12 +308,12 @@
 def verify(target: str, archives: bool, key_file: Path | None) -> None:
     """Verify that no entry of the change log was altered, removed or inserted. Exits with 1 if one was."""
     execute = connect(target, None, key_file)
-    found = execute(op="verify", archives=archives)
-    for text in found["wrong"]:
+    result = execute(op="verify", archives=archives)
+    for text in result["wrong"]:
         click.echo(text)
-    if found["wrong"]:
+    if result["wrong"]:
         raise SystemExit(1)
-    click.echo(f"{found['entries']} entries, all in the chain")
+    click.echo(f"{result['entries']} entries, all in the chain")
 
 
 @command.command("blame")
@@ -403,11 +403,11 @@
         activate_at_ms = parse_instant_ms(at)
         confirm_within_ms = parse_duration_ms(confirm_within, "--confirm-within")
         execute = connect(target, actor, key_file)
-        made = execute(op="set", kind=kind, name=name, values=assignments, why=reason)
-        print_version(made)
+        created = execute(op="set", kind=kind, name=name, values=assignments, why=reason)
+        print_version(created)
         staged = execute(
             op="stage",
-            version=made["version"],
+            version=created["version"],
             at_ms=activate_at_ms,
             confirm_within_ms=confirm_within_ms,
             why=reason,
--- a/winchdyke/cli/config.py
+++ b/winchdyke/cli/config.py
@@ -29,18 +29,20 @@
 def check(file: Path, as_json: bool, as_sarif: bool) -> None:
     """Check FILE and the files it includes, and report every mistake."""
     try:
-        found = load_all(file).warnings
+        problems = load_all(file).warnings
     except ConfigError as error:
-        found = error.problems
-    errors = sum(problem.severity == ERROR for problem in found)
+        problems = error.problems
+    errors = sum(problem.severity == ERROR for problem in problems)
     if as_json:
-        click.echo(json.dumps([problem.to_dict() for problem in found], indent=1))
+        click.echo(json.dumps([problem.to_dict() for problem in problems], indent=1))
     elif as_sarif:
-        click.echo(json.dumps(sarif(found), indent=1))
+        click.echo(json.dumps(sarif(problems), indent=1))
     else:
-        for problem in found:
+        for problem in problems:
             click.echo(problem.render())
-        click.echo(f"{file}: {errors} mistakes, {len(found) - errors} warnings" if found else f"{file}: good")
+        click.echo(
+            f"{file}: {errors} mistakes, {len(problems) - errors} warnings" if problems else f"{file}: good"
+        )
     raise SystemExit(2 if errors else 0)
 
 
@@ -66,12 +68,12 @@
             for problem in problems:
                 click.echo(problem.render(), err=True)
             raise SystemExit(2)
-        made = formatted(text)
-        if made != file.read_bytes().decode("utf-8"):
+        formatted_text = formatted(text)
+        if formatted_text != file.read_bytes().decode("utf-8"):
             unformatted += 1
             click.echo(f"{file}: {'is not formatted' if only else 'formatted'}")
             if not only:
-                file.write_text(made, encoding="utf-8")
+                file.write_text(formatted_text, encoding="utf-8")
     raise SystemExit(1 if only and unformatted else 0)
 
 
@@ -148,8 +150,8 @@
     from winchdyke.placement import shard_of
 
     config = load_config_or_exit(file)
-    found = re.fullmatch(r"/([^/]+)/?(.*)", path)
-    if not found:
+    match = re.fullmatch(r"/([^/]+)/?(.*)", path)
+    if not match:
         raise click.ClickException(f"{path!r} is not /VOLUME/KEY")
     try:
         length = units.size(size)
@@ -157,7 +159,7 @@
         raise click.ClickException(f"--size: {error}") from None
     pairs = [header.partition(":") for header in headers]
     fields = {name.strip().lower(): value.strip() for name, _, value in pairs}
-    request = RequestAttributes(method, found[1], found[2], length, fields)
+    request = RequestAttributes(method, match[1], match[2], length, fields)
     volume = config.volume(request.volume)
     if volume is None:
         click.echo(f"404: no volume rule matches {request.volume!r}")
--- a/winchdyke/cli/day.py
+++ b/winchdyke/cli/day.py
@@ -1,4 +1,4 @@
-"""``winchdyke day``: plays scripted fault scenarios (days) against real gateways and judges their traffic."""
+"""``winchdyke day``: runs scripted fault scenarios (days) against real gateways and checks their traffic."""
 
 from __future__ import annotations
 
@@ -57,34 +57,37 @@
 
     day = _load_day(name, seed, length)
     try:
-        verdict, seen, ends = run_scenario(day, keep, more.read_text(encoding="utf-8") if more else "")
+        verdict, record, exit_codes = run_scenario(
+            day, keep, more.read_text(encoding="utf-8") if more else ""
+        )
     except ScenarioError as error:
         raise click.ClickException(str(error)) from None
     click.echo(judge.report(day, verdict))
-    if any(ends):
-        click.echo(f"  gateways ended with {ends}; 0 is a clean stop")
+    if any(exit_codes):
+        click.echo(f"  gateways ended with {exit_codes}; 0 is a clean stop")
     if out is not None:
         result = {
-            "day": msgspec.to_builtins(day), "kept": verdict.kept, "figures": verdict.figures, "ends": ends,
+            "day": msgspec.to_builtins(day), "kept": verdict.kept, "figures": verdict.figures, "ends": exit_codes,
             "rules": [
                 {
-                    "rule": r.rule, "checked": r.checked, "broken": r.violations, "held": r.coverage.exercised,
-                    "near": r.coverage.bound_usage, "untried": r.untried,
+                    "rule": rule_result.rule, "checked": rule_result.checked, "broken": rule_result.violations,
+                    "held": rule_result.coverage.exercised,
+                    "near": rule_result.coverage.bound_usage, "untried": rule_result.untried,
                 }
-                for r in verdict.rule_results
+                for rule_result in verdict.rule_results
             ],
-            "logs": verdict.log_directory, "record": seen,
+            "logs": verdict.log_directory, "record": record,
         }  # fmt: skip
         out.write_text(json.dumps(result))
     if verdict.log_directory:
         click.echo(f"  logs: {verdict.log_directory}")
-    if not verdict.kept or any(ends):
+    if not verdict.kept or any(exit_codes):
         click.echo(f"  again: winchdyke day run {name} --seed {day.seed}")
         raise SystemExit(1)
 
 
 def _load_day(name: str, seed: int | None, length: float | None = None) -> Scenario:
-    """Return a day of the list, generated from a seed, or of a day file, with another seed if given."""
+    """Return a listed day, generated from the seed, or the day in a file, with its seed replaced if one is given."""
     from winchdyke.days import script
 
     if name in script.SCENARIOS:
@@ -124,29 +127,30 @@
     """
     import anyio
 
-    from winchdyke.days import campaign as plan
+    from winchdyke.days import campaign as campaigns
 
     names = [name.strip() for name in days.split(",") if name.strip()]
     for name in names:
-        _load_day(name, 1)  # reports a wrong name before hours of playing
+        _load_day(name, 1)  # reports a wrong name before a campaign that may take hours
     try:
-        asked = [plan.ScenarioRun(name, seed) for name in names for seed in plan.parse_seeds(which)]
-        count, width = 0, len(plan.remaining_runs(asked, plan.read_results(out)))
+        runs = [campaigns.ScenarioRun(name, seed) for name in names for seed in campaigns.parse_seeds(which)]
+        finished, total = 0, len(campaigns.remaining_runs(runs, campaigns.read_results(out)))
 
-        def heard(came: plan.ScenarioResult) -> None:
-            nonlocal count
-            count += 1
+        def print_result(result: campaigns.ScenarioResult) -> None:
+            nonlocal finished
+            finished += 1
             click.echo(
-                f"{count}/{width} {came.day} seed {came.seed}: {came.outcome}, {came.seconds:.0f} s", err=True
+                f"{finished}/{total} {result.day} seed {result.seed}: {result.outcome}, {result.seconds:.0f} s",
+                err=True,
             )
 
-        found = anyio.run(plan.run, asked, out, jobs or plan.default_job_count(), heard)
-    except (plan.CampaignError, OSError) as error:
+        results = anyio.run(campaigns.run, runs, out, jobs or campaigns.default_job_count(), print_result)
+    except (campaigns.CampaignError, OSError) as error:
         raise click.ClickException(str(error)) from None
-    click.echo(msgspec.json.encode(found).decode() if as_json else plan.report(found))
-    if any(came.outcome == "broken" for came in found):
+    click.echo(msgspec.json.encode(results).decode() if as_json else campaigns.report(results))
+    if any(result.outcome == "broken" for result in results):
         raise SystemExit(1)
-    if any(came.outcome != "kept" for came in found):
+    if any(result.outcome != "kept" for result in results):
         raise SystemExit(2)
 
 
@@ -171,26 +175,26 @@
 def shrink(name: str, seed: int | None, tries: int, most: int, out: Path) -> None:
     """Reduce the events of a day that breaks a rule to as few as possible that still break it."""
     from winchdyke.days import script
-    from winchdyke.days import shrink as cut
+    from winchdyke.days import shrink as minimizer
     from winchdyke.days.run import ScenarioError, run_scenario
 
     day = _load_day(name, seed)
     target_rules: set[int] = set()
 
     def broken_rules(events: list[script.Event]) -> set[int]:
-        found: set[int] = set()
+        broken: set[int] = set()
         for _ in range(tries):
             smaller = msgspec.structs.replace(day, events=events)
             try:
-                verdict, _, ends = run_scenario(smaller)
+                verdict, _, exit_codes = run_scenario(smaller)
             except ScenarioError as error:
                 raise click.ClickException(str(error)) from None
-            found |= {ruling.rule for ruling in verdict.rule_results if not ruling.kept} | (
-                {0} if any(ends) else set()
+            broken |= {rule_result.rule for rule_result in verdict.rule_results if not rule_result.kept} | (
+                {0} if any(exit_codes) else set()
             )
-            if found & target_rules if target_rules else found:
+            if broken & target_rules if target_rules else broken:
                 break
-        return found
+        return broken
 
     target_rules = broken_rules(day.events)
     if not target_rules:
@@ -200,15 +204,15 @@
     click.echo(f"broken: {', '.join(map(str, sorted(target_rules)))}; {len(day.events)} events", err=True)
 
     def fails(events: list[script.Event]) -> bool:
-        still = bool(broken_rules(events) & target_rules)
-        click.echo(f"  {len(events)} events: {'still broken' if still else 'kept'}", err=True)
-        return still
+        still_broken = bool(broken_rules(events) & target_rules)
+        click.echo(f"  {len(events)} events: {'still broken' if still_broken else 'kept'}", err=True)
+        return still_broken
 
-    events, whole = cut.minimize(day.events, fails, most)
-    made = msgspec.structs.replace(day, name=f"{day.name}-shrunk", events=events)
-    out.write_bytes(msgspec.json.format(msgspec.json.encode(made)) + b"\n")
+    events, minimal = minimizer.minimize(day.events, fails, most)
+    shrunk = msgspec.structs.replace(day, name=f"{day.name}-shrunk", events=events)
+    out.write_bytes(msgspec.json.format(msgspec.json.encode(shrunk)) + b"\n")
     click.echo(
-        f"{out}: {len(events)} of {len(day.events)} events{'' if whole else '; more may be removable with a larger --most'}"
+        f"{out}: {len(events)} of {len(day.events)} events{'' if minimal else '; more may be removable with a larger --most'}"
     )
     for event in events:
         click.echo(f"  {event.kind} at {event.at / 1000:.1f} s on {event.on}")
--- a/winchdyke/cli/dev.py
+++ b/winchdyke/cli/dev.py
@@ -65,16 +65,16 @@
             config = dev_config(await start_stand_ins(group, STORES), "127.0.0.1", port)
             logs.configure("none" if quiet else config.log.form)
 
-            def started(gateway: daemon.Gateway) -> None:
-                host, chosen = gateway.address
+            def print_usage(gateway: daemon.Gateway) -> None:
+                host, bound_port = gateway.address
                 click.echo(
-                    f"winchdyke dev: a gateway at http://{host}:{chosen}, {STORES} stand-in stores. Try:"
+                    f"winchdyke dev: a gateway at http://{host}:{bound_port}, {STORES} stand-in stores. Try:"
                 )
-                click.echo(f"  curl -i -T README.md http://{host}:{chosen}/school-1/hello.md")
-                click.echo(f"  curl -i -r 0-99 http://{host}:{chosen}/school-1/hello.md")
+                click.echo(f"  curl -i -T README.md http://{host}:{bound_port}/school-1/hello.md")
+                click.echo(f"  curl -i -r 0-99 http://{host}:{bound_port}/school-1/hello.md")
                 click.echo("Stop it with Ctrl-C.")
 
-            await daemon.serve(config, started)
+            await daemon.serve(config, print_usage)
             group.cancel_scope.cancel()
 
     try:
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -56,9 +56,9 @@
 
 
 def _status_lines(status: dict[str, Any]) -> list[str]:
-    more = f", health {status['health']} (its own responses are late)" if status["health"] else ""
+    health = f", health {status['health']} (its own responses are late)" if status["health"] else ""
     lines = [
-        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} alive{more}"
+        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} alive{health}"
     ]
     if status["left"]:
         lines.append("  it has left the fleet; see 'winchdyke fleet history'")
@@ -99,16 +99,16 @@
 )
 def watch(where: str, key: Path | None, every: float, times: int | None) -> None:
     """Print each change when it occurs."""
-    last, looks = -1.0, 0
-    while times is None or looks < times:
-        if looks:
+    last, polls = -1.0, 0
+    while times is None or polls < times:
+        if polls:
             time.sleep(every)
         rows = _fetch_status(where, key)["history"]
         for row in rows:
             if row["unix_ms"] > last:
                 click.echo(_history_line(row))
         last = max([last, *(row["unix_ms"] for row in rows)])
-        looks += 1
+        polls += 1
 
 
 def _history_line(row: dict[str, Any]) -> str:
--- a/winchdyke/cli/model.py
+++ b/winchdyke/cli/model.py
@@ -25,14 +25,14 @@
     from winchdyke.model import experiment
 
     try:
-        made = experiment.read(file)
-        rows = experiment.run(made)
+        loaded = experiment.read(file)
+        rows = experiment.run(loaded)
         if picture is not None:
-            experiment.plot(made, rows, picture)
+            experiment.plot(loaded, rows, picture)
     except experiment.ExperimentError as error:
         raise click.ClickException(str(error)) from None
     click.echo(
-        json.dumps([dataclasses.asdict(row) for row in rows]) if as_json else experiment.table(made, rows)
+        json.dumps([dataclasses.asdict(row) for row in rows]) if as_json else experiment.table(loaded, rows)
     )
 
 
@@ -67,17 +67,18 @@
         raise click.ClickException(
             "--gateways and --stores must be 1 or more, --load and --seconds greater than 0, --gone plus --fresh from 0 to 1"
         )
-    world = StartupSimulation(
+    simulation = StartupSimulation(
         startup_simulation_setup(gateways, stores, seed, seconds * 1000, load),
         StartupConditions(policy, down * 1000, gone, fresh),
     )
-    found = world.run()
+    results = simulation.run()
     data = {
-        "requests": len(found), "served": sum(done.outcome == "served" for done in found), "worth": world.value_served(seconds * 1000),
-        "first_answer_ms": None if not any(done.outcome == "served" for done in found) else world.first_served_ms(),
-        "pushed_over": sum(machine.overloaded for machine in world.simulated_stores.values()),
-        "to_strangers": sum(machine.misdirected_requests for machine in world.simulated_stores.values()),
-        "list_calls_in_a_second": max(world.list_calls.values(), default=0),
+        "requests": len(results), "served": sum(result.outcome == "served" for result in results),
+        "worth": simulation.value_served(seconds * 1000),
+        "first_answer_ms": None if not any(result.outcome == "served" for result in results) else simulation.first_served_ms(),
+        "pushed_over": sum(store.overloaded for store in simulation.simulated_stores.values()),
+        "to_strangers": sum(store.misdirected_requests for store in simulation.simulated_stores.values()),
+        "list_calls_in_a_second": max(simulation.list_calls.values(), default=0),
     }  # fmt: skip
     click.echo(
         json.dumps(data)
--- a/winchdyke/cli/rollout_client.py
+++ b/winchdyke/cli/rollout_client.py
@@ -73,10 +73,10 @@
     return "\n".join(lines)
 
 
-def print_version(made: dict[str, Any]) -> None:
+def print_version(created: dict[str, Any]) -> None:
     """Print the number of a new version and its difference."""
-    changes = format_changes(made["changes"])
-    click.echo(f"version {made['version']}, from {made['parent']}:\n{changes}")
+    changes = format_changes(created["changes"])
+    click.echo(f"version {created['version']}, from {created['parent']}:\n{changes}")
 
 
 def parse_instant_ms(text: str | None) -> float:
--- a/winchdyke/cli/serve.py
+++ b/winchdyke/cli/serve.py
@@ -25,10 +25,10 @@
     except daemon.StartError as error:
         raise click.ClickException(str(error)) from None
     except BaseExceptionGroup as group:
-        refused, rest = group.split(daemon.StartError)
-        if rest is not None or refused is None:
+        start_errors, rest = group.split(daemon.StartError)
+        if rest is not None or start_errors is None:
             raise
-        inner: BaseException = refused
-        while isinstance(inner, BaseExceptionGroup):
-            inner = inner.exceptions[0]
-        raise click.ClickException(str(inner)) from None
+        start_error: BaseException = start_errors
+        while isinstance(start_error, BaseExceptionGroup):
+            start_error = start_error.exceptions[0]
+        raise click.ClickException(str(start_error)) from None
--- a/winchdyke/cli/standin.py
+++ b/winchdyke/cli/standin.py
@@ -18,14 +18,14 @@
 
 @click.group("standin")
 def command() -> None:
-    """Run stand-ins on loopback until Ctrl-C. With --record they write the events they saw to a file."""
+    """Run stand-ins on loopback until Ctrl-C. With --record they write the observed events to a file."""
 
 
 def _address(text: str) -> tuple[str, int]:
-    found = re.fullmatch(r"(?:http://)?(127\.0\.0\.1|localhost):(\d{1,5})/?", text)
-    if not found:
+    match = re.fullmatch(r"(?:http://)?(127\.0\.0\.1|localhost):(\d{1,5})/?", text)
+    if not match:
         raise click.ClickException(f"{text!r} is not a loopback address such as 127.0.0.1:8080")
-    return "127.0.0.1", int(found[2])
+    return "127.0.0.1", int(match[2])
 
 
 RECORD = click.option(
@@ -81,10 +81,10 @@
         async with anyio.create_task_group() as group:
             for shard in shards:
                 spec = StoreSpec(shard, unit_ms=unit_ms, cores=cores, queue=queue)
-                made = Store(spec, ObjectStore(), deduplication_group, meter, record, seed=shard)
-                await made.start(group, cold)
-                made.slowdown, made.lost_share = slow, lose
-                click.echo(f"{made.name} {shard}")
+                new_store = Store(spec, ObjectStore(), deduplication_group, meter, record, seed=shard)
+                await new_store.start(group, cold)
+                new_store.slowdown, new_store.lost_share = slow, lose
+                click.echo(f"{new_store.name} {shard}")
 
     _until_stopped(run, record, out)
 
@@ -133,31 +133,38 @@
     from winchdyke.standins.clients import Clients, PlannedRequest
 
     addresses = [_address(gateway) for gateway in gateways]
-    record, draw = Record(), random.Random(seed)
-    wishes, at = [], 0.0
-    while (at := at + draw.expovariate(rate) * 1000) < seconds * 1000:
-        write = draw.random() < 1 / 3
-        path, where = f"/{volume}/object-{draw.randrange(50)}", draw.randrange(len(addresses))
-        wishes.append(
+    record, rng = Record(), random.Random(seed)
+    requests, at = [], 0.0
+    while (at := at + rng.expovariate(rate) * 1000) < seconds * 1000:
+        is_write = rng.random() < 1 / 3
+        path, gateway_index = f"/{volume}/object-{rng.randrange(50)}", rng.randrange(len(addresses))
+        requests.append(
             PlannedRequest(
-                at, where, "PUT" if write else "GET", path, 1024 if write else 0, has_idempotency_key=write
+                at,
+                gateway_index,
+                "PUT" if is_write else "GET",
+                path,
+                1024 if is_write else 0,
+                has_idempotency_key=is_write,
             )
         )
-    began = time.monotonic()
-    anyio.run(Clients(record, lambda index: addresses[index], seed).run, wishes)
-    answers = [seen for seen in record.entries if seen["what"] == "answer"]
-    starts = {seen["client"]: seen["t"] for seen in record.entries if seen["what"] == "try"}
-    waits = sorted(seen["t"] - starts[seen["client"]] for seen in answers)
-    click.echo(f"{len(starts)} tries in {time.monotonic() - began:.1f} s")
-    for name in sorted({(seen["status"], seen["reason"]) for seen in answers}):
+    started_at = time.monotonic()
+    anyio.run(Clients(record, lambda index: addresses[index], seed).run, requests)
+    answers = [entry for entry in record.entries if entry["what"] == "answer"]
+    starts = {entry["client"]: entry["t"] for entry in record.entries if entry["what"] == "try"}
+    latencies = sorted(entry["t"] - starts[entry["client"]] for entry in answers)
+    click.echo(f"{len(starts)} tries in {time.monotonic() - started_at:.1f} s")
+    for answer in sorted({(entry["status"], entry["reason"]) for entry in answers}):
         click.echo(
-            f"  {name[0]} {name[1]}: {sum((seen['status'], seen['reason']) == name for seen in answers)}"
+            f"  {answer[0]} {answer[1]}: {sum((entry['status'], entry['reason']) == answer for entry in answers)}"
         )
     for what in ("cut", "gave-up", "unreachable"):
-        if count := sum(seen["what"] == what for seen in record.entries):
+        if count := sum(entry["what"] == what for entry in record.entries):
             click.echo(f"  {what}: {count}")
-    if waits:
-        click.echo(f"  p50 {waits[len(waits) // 2]:.1f} ms, p99 {waits[int(len(waits) * 0.99)]:.1f} ms")
+    if latencies:
+        click.echo(
+            f"  p50 {latencies[len(latencies) // 2]:.1f} ms, p99 {latencies[int(len(latencies) * 0.99)]:.1f} ms"
+        )
     if out is not None:
         record.save(out)
 
@@ -186,5 +193,5 @@
         except (OSError, ValueError) as error:
             raise click.ClickException(f"{path} can't be read as JSON lines: {error}") from None
 
-    seen = [line for path in records for line in lines(path)]
-    click.echo(beside.format_table(beside.compare(lines(log), seen)))
+    store_entries = [line for path in records for line in lines(path)]
+    click.echo(beside.format_table(beside.compare(lines(log), store_entries)))
--- a/winchdyke/cli/waits.py
+++ b/winchdyke/cli/waits.py
@@ -139,17 +139,17 @@
         clock_skew_ms = units.duration(clocks_off)
     except ValueError as error:
         raise click.ClickException(f"--clocks-off: {error}") from None
-    found = _summarize(ledgers, since, until, node, clock_skew_ms)
-    data = report_data(found.summary, volumes or None)
+    ledger_summary = _summarize(ledgers, since, until, node, clock_skew_ms)
+    data = report_data(ledger_summary.summary, volumes or None)
     if html is not None:
         from winchdyke.latency_attribution.page import render_page
 
-        html.write_text(render_page(data, found.losses), encoding="utf-8")
+        html.write_text(render_page(data, ledger_summary.losses), encoding="utf-8")
         click.echo(f"{html}: written")
     if as_json:
-        click.echo(json.dumps({**data, "losses": found.losses}))
+        click.echo(json.dumps({**data, "losses": ledger_summary.losses}))
         return
-    _echo_losses(found.losses)
+    _echo_losses(ledger_summary.losses)
     if data["minutes_left_out"]:
         minutes = data["minutes_left_out"]
         click.echo(
@@ -290,7 +290,7 @@
     if as_json:
         click.echo(json.dumps(_compaction_data(result)))
     elif result.busy:
-        click.echo("another process is at it")
+        click.echo("another process is compacting this ledger")
     else:
         sizes = f"{result.bytes_before} bytes are now {result.bytes_after}"
         click.echo(f"{result.segments} segments summed up: {sizes}")
@@ -356,7 +356,7 @@
 
 def _queue_text(gateway: dict[str, Any]) -> str:
     if gateway["age_s"] is None:
-        return "has not reported what it holds"
+        return "has not reported its queue"
     count = sum(group["count"] for group in gateway["held"])
     age = f", reported {gateway['age_s']:.0f} s ago" if gateway["stale"] else ""
     return f"holds {count}{age}"
