--- a/benchmarks/mutants.py
+++ b/benchmarks/mutants.py
@@ -1,4 +1,4 @@
-"""Which scenario detects that a defence is missing: scenarios run with one defence removed, until a rule is violated.
+"""Mutation tests by scenario: removes one defence at a time and runs scenarios until a rule is violated.
 
     python -m benchmarks.mutants [--jobs 6] [--only NAME,..] [--out mutants.jsonl]
 
@@ -220,7 +220,7 @@
 
 @click.command()
 @click.option("--jobs", default=6, show_default=True, type=click.IntRange(1, 64))
-@click.option("--only", default="", help="Names, with commas between.")
+@click.option("--only", default="", help="Names of mutants, separated by commas.")
 @click.option("--out", default=Path("mutants.jsonl"), type=click.Path(path_type=Path))
 def main(jobs: int, only: str, out: Path) -> None:
     """Run all mutants without a result in OUT, and write the page."""
@@ -236,7 +236,7 @@
     async def run() -> None:
         slots = anyio.Semaphore(jobs)
 
-        async def one(mutant: Mutant) -> None:
+        async def run_one(mutant: Mutant) -> None:
             async with slots:
                 result = await anyio.to_thread.run_sync(play, mutant)
             results.append(result)
@@ -248,7 +248,7 @@
 
         async with anyio.create_task_group() as group:
             for mutant in remaining:
-                group.start_soon(one, mutant)
+                group.start_soon(run_one, mutant)
 
     anyio.run(run)
     order = {mutant.name: number for number, mutant in enumerate(MUTANTS)}
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -96,8 +96,8 @@
     record = valid_record()
     for number in range(6):
         record += exchange(f"extra{number}", 6000.0 + 30 * number, attempts=2)
-    found = coverage_of(record, 6)
-    assert found.bound_usage >= 1.0 and found.exercised >= 2
+    coverage = coverage_of(record, 6)
+    assert coverage.bound_usage >= 1.0 and coverage.exercised >= 2
 
 
 def test_coverage_7_counts_tries_beyond_the_limit_of_a_volume():
@@ -105,8 +105,8 @@
     before = coverage_of(record, 7)
     for number in range(21):
         record += exchange(f"more{number}", 9000.0 + number)
-    found = coverage_of(record, 7)
-    assert found.exercised >= before.exercised + 5 and found.bound_usage > 0.8 > before.bound_usage
+    after = coverage_of(record, 7)
+    assert after.exercised >= before.exercised + 5 and after.bound_usage > 0.8 > before.bound_usage
 
 
 def test_a_rule_counts_as_tried_from_its_coverage_requirement_on():
@@ -130,16 +130,16 @@
         entries = exchange(f"big{number}", 8000.0 + 800 * number, units=1.0)
         find_entry(entries, f"big{number}.0", "whole")["bytes"] = 100 * 1024
         record += entries
-    broken = InvariantChecker(SCENARIO, record).verdict().rule_results[6].violations
-    assert broken and "counted in bytes moved" in broken[0][0]
+    violations = InvariantChecker(SCENARIO, record).verdict().rule_results[6].violations
+    assert violations and "counted in bytes moved" in violations[0][0]
 
 
 # Campaigns
 
 
-def make_result(planned: ScenarioRun, **more: object) -> ScenarioResult:
+def make_result(planned: ScenarioRun, **fields: object) -> ScenarioResult:
     return ScenarioResult(
-        planned.day, planned.seed, planned.mark, "kept", held=[1] * 7, near=[0.5] * 7, **more
+        planned.day, planned.seed, planned.mark, "kept", held=[1] * 7, near=[0.5] * 7, **fields
     )  # type: ignore[arg-type]
 
 
@@ -162,8 +162,8 @@
     anyio.run(campaign.run, planned[:3], out, 2, lambda _: None, play)
     with out.open("ab") as file:
         file.write(b'{"day":"bad-day","se')  # a line truncated by a kill
-    found = anyio.run(campaign.run, planned, out, 2, lambda _: None, play)
-    assert sorted(executed_seeds) == [1, 2, 3, 4, 5, 6] and sorted(each.seed for each in found) == [
+    results = anyio.run(campaign.run, planned, out, 2, lambda _: None, play)
+    assert sorted(executed_seeds) == [1, 2, 3, 4, 5, 6] and sorted(each.seed for each in results) == [
         1,
         2,
         3,
@@ -224,9 +224,9 @@
     arguments = ["day", "campaign", "--days", str(file), "--seeds", "1,90210377", "--out", str(out), "--json"]
     result = CliRunner().invoke(main, arguments)
     assert result.exit_code == 2, result.output  # no violations, but not all rules tried
-    found = json.loads(next(line for line in result.output.splitlines() if line.startswith("[")))
-    assert {each["seed"] for each in found} == {1, 90210377}
-    assert all(each["outcome"] == "untried" for each in found)
+    results = json.loads(next(line for line in result.output.splitlines() if line.startswith("[")))
+    assert {each["seed"] for each in results} == {1, 90210377}
+    assert all(each["outcome"] == "untried" for each in results)
 
 
 # The minimizer
@@ -235,8 +235,8 @@
 @given(st.integers(1, 24), st.integers(0, 2**32))
 @examples(max_examples=200)
 def test_the_minimized_part_fails_and_has_no_superfluous_item(count, seed):
-    draw = random.Random(seed)
-    culprits = set(draw.sample(range(count), draw.randint(0, min(3, count))))
+    rng = random.Random(seed)
+    culprits = set(rng.sample(range(count), rng.randint(0, min(3, count))))
     calls = 0
 
     def fails(part: list[int]) -> bool:
@@ -244,14 +244,14 @@
         calls += 1
         return culprits <= set(part)
 
-    left, whole = minimize(range(count), fails)
-    assert whole and set(left) == culprits
+    smallest, minimal = minimize(range(count), fails)
+    assert minimal and set(smallest) == culprits
     assert calls <= 60 + 12 * count
 
 
 def test_the_smallest_part_so_far_is_returned_after_the_maximum_of_calls():
-    left, whole = minimize(range(16), lambda part: {3, 12} <= set(part), max_calls=4)
-    assert not whole and {3, 12} <= set(left)
+    smallest, minimal = minimize(range(16), lambda part: {3, 12} <= set(part), max_calls=4)
+    assert not minimal and {3, 12} <= set(smallest)
 
 
 def test_a_scenario_without_violations_is_not_minimized(tmp_path):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -39,7 +39,7 @@
     assert exit_codes == [0, 0, 0], "every gateway exits with 0"
     assert verdict.figures["served"] > 400
     assert {entry["what"] for entry in record} >= {"told", "lost", "unheard", "fallen"} - {"fallen"}
-    assert all(ruling.checked for ruling in verdict.rule_results if ruling.rule != 6)
+    assert all(result.checked for result in verdict.rule_results if result.rule != 6)
 
 
 def test_a_scenario_depends_on_its_seed_alone():
@@ -124,16 +124,16 @@
     )
     assert process.stdout is not None
     for line in process.stdout:
-        if found := re.search(r"http://127\.0\.0\.1:\d+", line):
-            return process, found[0]
+        if match := re.search(r"http://127\.0\.0\.1:\d+", line):
+            return process, match[0]
     raise AssertionError("the process ended without printing an address")
 
 
 def send_request(url: str, data: bytes | None = None, method: str | None = None) -> tuple[int, bytes]:
     """Send one request with the standard library's client; returns status and body."""
     try:
-        with urllib.request.urlopen(urllib.request.Request(url, data, method=method), timeout=5) as answer:
-            return answer.status, answer.read()
+        with urllib.request.urlopen(urllib.request.Request(url, data, method=method), timeout=5) as response:
+            return response.status, response.read()
     except urllib.error.HTTPError as error:
         return error.code, error.read()
 
@@ -141,9 +141,9 @@
 def test_dev_serves_and_exits_with_0_on_sigterm():
     process, url = start_process("dev", "--quiet")
     try:
-        until = time.monotonic() + 5  # the first endpoint list may not have arrived yet
+        deadline = time.monotonic() + 5  # the first endpoint list may not have arrived yet
         while send_request(f"{url}/school-1/a", b"hello", "PUT")[0] != 201:
-            assert time.monotonic() < until
+            assert time.monotonic() < deadline
             time.sleep(0.05)
         assert send_request(f"{url}/school-1/a") == (200, b"hello")
         assert json.loads(send_request(f"{url}/nowhere/../a")[1])["reason"] == "bad-path"
@@ -180,8 +180,8 @@
             port_file.unlink(missing_ok=True)
             gateway = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
             try:
-                until = time.monotonic() + 10
-                while not port_file.exists() and time.monotonic() < until:
+                deadline = time.monotonic() + 10
+                while not port_file.exists() and time.monotonic() < deadline:
                     time.sleep(0.02)
                 status, body = send_request(f"http://{port_file.read_text().strip()}/school-1/a")
                 assert (status, json.loads(body)["outcome"]) == (503, "refused")
