--- a/winchdyke/config_rollout/canary_analysis.py
+++ b/winchdyke/config_rollout/canary_analysis.py
@@ -146,6 +146,7 @@
         self._latencies_ms[second][volume, shard, outcome] += latency_ms  # type: ignore[assignment]
 
     def _forget_before(self, oldest_second: int) -> None:
+        """Delete the counts and latencies of all seconds before ``oldest_second``."""
         for second in [second for second in self._counts if second < oldest_second]:
             del self._counts[second]
             self._latencies_ms.pop(second, None)
--- a/winchdyke/config_rollout/change_log.py
+++ b/winchdyke/config_rollout/change_log.py
@@ -59,6 +59,7 @@
 
 
 def _is_damage(error: sqlite3.Error) -> bool:
+    """Return whether an error means a damaged file; the errors in :data:`TRANSIENT_ERRORS` do not."""
     name = getattr(error, "sqlite_errorname", "") or ""
     return not name.startswith(TRANSIENT_ERRORS)
 
@@ -83,6 +84,7 @@
             raise ChangeLogError(f"{self.path} can't be used: {error.strerror or error}") from error
 
     def _check_format(self, db: sqlite3.Connection) -> None:
+        """Migrate a file of an earlier format. Raises ChangeLogError if the format is later or does not exist."""
         found = _stored_format(db)
         if found < 0 or found > FORMAT_VERSION + MAX_NEWER_FORMATS:
             raise ChangeLogError(f"{self.path} is damaged: it has format {found}, which does not exist", True)
@@ -95,6 +97,7 @@
 
     @staticmethod
     def _migrate(db: sqlite3.Connection, found: int) -> None:
+        """Create the tables that are missing, add the column that format 1 lacks, and set the format, in one transaction."""
         db.execute("BEGIN IMMEDIATE")
         if _stored_format(db) == found:  # no other process has migrated it meanwhile
             for statement in SCHEMA.split(";"):
@@ -195,6 +198,7 @@
                 self._insert(db, step, actor, note, origin)
 
     def _insert(self, db: sqlite3.Connection, step: Step, actor: str, note: str, origin: str) -> None:
+        """Append an entry. Its hash covers the previous entry's hash, so that a later alteration of either is detected."""
         last = db.execute("SELECT seq, hash FROM trail ORDER BY seq DESC LIMIT 1").fetchone()
         last_seq, last_hash = last or (0, "")
         hashed_row = (
@@ -217,6 +221,7 @@
 
     @staticmethod
     def _state(db: sqlite3.Connection) -> RolloutState:
+        """Return the state after all entries, beginning with the state that the last prune recorded."""
         prune = _last_prune(db)
         rows = db.execute(
             f"SELECT {STEP_COLUMNS} FROM trail WHERE seq > ? ORDER BY seq", (prune.seq if prune else 0,)
@@ -281,6 +286,7 @@
         return last_changes
 
     def _changed_paths(self, versions: Iterable[int]) -> Iterator[str]:
+        """Yield the paths of the values that the versions changed; archived versions yield none."""
         for number in versions:
             try:
                 difference = self.version(number).difference
@@ -344,6 +350,10 @@
     def _move_to_archive(
         self, db: sqlite3.Connection, state: RolloutState, before_seq: int, before_version: int
     ) -> int:
+        """Move entries before ``before_seq`` and versions before ``before_version`` that are not in use to an archive.
+
+        Returns the number of entries. The archive is written before the rows are deleted.
+        """
         last_prune = _last_prune(db)
         entry_rows = db.execute(
             f"SELECT {ENTRY_COLUMNS} FROM trail WHERE seq > ? AND seq < ? ORDER BY seq",
@@ -409,6 +419,7 @@
 
 
 def _chain_faults(db: sqlite3.Connection) -> list[str]:
+    """Return the faults of the entries and versions in the database; their hash chain begins at the last prune."""
     faults: list[str] = []
     prune = _last_prune(db)
     previous_hash = prune.hash if prune else ""
@@ -452,6 +463,7 @@
 
 
 def _last_prune(db: sqlite3.Connection) -> PruneRecord | None:
+    """Return the record of the last prune, or None if the log was never pruned."""
     row = db.execute("SELECT note FROM trail WHERE what = 'pruned' ORDER BY seq DESC LIMIT 1").fetchone()
     return PruneRecord.from_note(row[0]) if row else None
 
--- a/winchdyke/config_rollout/change_log_archive.py
+++ b/winchdyke/config_rollout/change_log_archive.py
@@ -67,6 +67,7 @@
             self._read(path)
 
     def _read(self, path: Path) -> None:
+        """Read an archive's versions and entries; a line that can't be read is added to the faults."""
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             try:
                 record = json.loads(line)
@@ -96,6 +97,7 @@
         return self.faults
 
     def _proposed_content(self, archive: str, entry: LogEntry) -> str:
+        """Return what an entry's hash covers of the version that it proposes; a version in no archive is looked up in the log."""
         if entry.action != "proposed":
             return ""
         if entry.version not in self._versions:
--- a/winchdyke/config_rollout/controller.py
+++ b/winchdyke/config_rollout/controller.py
@@ -1,4 +1,4 @@
-"""Follows a serving gateway's change log: checks staged versions, applies each at its instant, and rolls back harmful ones."""
+"""Follows a serving gateway's change log: checks staged versions, applies each at its activation time, and rolls back harmful ones."""
 
 from __future__ import annotations
 
@@ -57,11 +57,13 @@
     """Follows the change log in a folder.
 
     Attributes:
-        change_log: The change log.
+        change_log: The change log in the folder, also for other readers and writers in this process.
         canary: Counts finished requests; its owner calls ``record_request`` for each.
         wall_clock_ms: The clock for activation instants, in Unix ms.
         last_swap_ms: How long the last swap occupied the event loop.
-        stopping: Set at shutdown: no step is begun any more, and a staged version waits for the next start.
+        stopping: Set at shutdown: no staged version is checked or applied, and no undo is begun that an operator requested or
+            that is due for lack of a confirmation; they wait for the next start. The controller still writes deferred steps,
+            observes the last change and undoes it if it does harm, and changes the limits around an activation time.
     """
 
     def __init__(
@@ -94,13 +96,15 @@
         self.last_swap_ms = 0.0
         self.stopping = False
         self._log = structlog.get_logger("changes")
+        # The same version twice: no change is in progress, and its limits apply as they are.
         self._effective = EffectiveConfig(config, config)
         self._version = 0
         self._volumes_with_phase_plans = 0  # volumes added later have no plan of the current phase yet
         self._swap_count = 0
         self._checked: CheckedVersion | None = None
         self._observed: ObservedChange | None = None
-        # The activation instant after which the lower limits are still in effect; 0: they are not.
+        # The activation time (Unix ms) of the served version while the lower limits are still in effect after it (NEW_LOWER);
+        # 0: the served version is not in that phase.
         self._settling_instant_ms = 0.0
         self._last_read_seq = -1
         self._state = RolloutState()
@@ -136,6 +140,7 @@
             await anyio.sleep(POLL_SECONDS)
 
     def _log_unavailable(self, error: ChangeLogError) -> None:
+        """Log that the change log can't be used, at most once in ``ERROR_LOG_INTERVAL_SECONDS``."""
         now_ms = self._clock_ms()
         next_ms = self._error_logged_at_ms + ERROR_LOG_INTERVAL_SECONDS * 1000
         if now_ms >= next_ms or not self._error_logged_at_ms:
@@ -143,6 +148,7 @@
             self._log.warning("change_log_unavailable", error=str(error))
 
     async def _poll(self) -> None:
+        """Write deferred steps, evaluate the last change, update the phase, and take the step that is due."""
         if self._journal.has_deferred_steps:
             await anyio.to_thread.run_sync(self._journal.flush)
         if self._observed is not None:
@@ -169,12 +175,14 @@
             await self._apply(step, state, self._checked.config)
 
     def _read_state(self) -> RolloutState:
+        """Return the state that the change log records, and note the last entry that it covers."""
         self._last_read_seq = self.change_log.last_seq()
         return self.change_log.state()
 
     # Swaps
 
     def _serve(self, swap: PreparedSwap) -> None:
+        """Put a prepared swap into service, in the event loop and without waiting."""
         began = time.perf_counter()
         self._swap(swap)
         self.last_swap_ms = (time.perf_counter() - began) * 1000
@@ -184,6 +192,7 @@
         self._swap_count += 1
 
     async def _change_to(self, new: EffectiveConfig, version: int) -> None:
+        """Prepare a swap in a thread, and put it into service."""
         names = self._volume_names()
         swap = await anyio.to_thread.run_sync(prepare_swap, self._effective, new, version, names)
         await self._refill_ahead(swap)
@@ -228,6 +237,7 @@
             await self._change_to(EffectiveConfig(effective.config, effective.config), self._version)
 
     async def _settle(self) -> None:
+        """End the lower limits once the time after the activation has passed; until then, apply them to new volumes too."""
         new = self._effective.new
         if self._phase_at(self._settling_instant_ms) is Phase.NEW:
             self._settling_instant_ms = 0.0
@@ -292,12 +302,14 @@
         return self.change_log.version(version).parent, staged[-1].note == "undo"
 
     async def _refuse(self, state: RolloutState, reason: str) -> bool:
+        """Record that the staged version is refused; returns False."""
         await self._append(Step("refused", state.staged), reason)
         return False
 
     # Applying and undoing
 
     async def _apply(self, step: Step, state: RolloutState, config: Config) -> None:
+        """Apply the staged version: record the step, swap, record the result, and begin to observe the change."""
         old = self._effective
         activate_at_ms = state.staged_activate_at_ms
         phase = self._phase_at(activate_at_ms)
@@ -323,6 +335,7 @@
         await self._housekeep()
 
     async def _record_applied(self, version: int, state: RolloutState, old: EffectiveConfig) -> None:
+        """Record that a version was applied; if that fails, serve the old one again. Raises ChangeLogError."""
         applied = Step("applied", version, confirm_by_ms=state.staged_confirm_by_ms)
         try:
             await self._append(applied, f"swapped in {self.last_swap_ms:.2f} ms")
@@ -335,6 +348,7 @@
             raise
 
     async def _evaluate_canary(self, observed: ObservedChange) -> None:
+        """Undo the observed change if it does harm; stop observing it once ``watch_ms`` have passed without harm."""
         now_ms = self._clock_ms()
         verdict = self.canary.evaluate(
             observed.applied_at_ms,
@@ -349,21 +363,28 @@
             self._log.info("config_canary_passed", version=observed.version, reason=verdict.reason)
             self._observed = None
 
-    async def _undo(self, version: int, reason: str) -> None:
-        """Roll back to the previous version, even if the change log can't be written: otherwise the harm would continue."""
+    async def _undo(self, target_version: int, reason: str) -> None:
+        """Serve an earlier version again.
+
+        The undo is carried out even if the change log can't be written, because the current version may do harm. The target's
+        text is read from the change log, however: raises ChangeLogError if that fails.
+
+        ``target_version``: the number of the version to serve again. ``reason``: the note of the step.
+        """
         self._observed = None
         self._checked = None
         self._settling_instant_ms = 0.0
-        config = await anyio.to_thread.run_sync(self._journal.read_config, version)
-        step = Step("undoing", version)
+        config = await anyio.to_thread.run_sync(self._journal.read_config, target_version)
+        step = Step("undoing", target_version)
         try:
             await self._append(step, reason)
         except ChangeLogError:
             self._journal.defer(step, reason)
-        await self._change_to(EffectiveConfig(config, config), version)
-        undone = Step("undone", version)
+        await self._change_to(EffectiveConfig(config, config), target_version)
+        undone = Step("undone", target_version)
         note = f"swapped in {self.last_swap_ms:.2f} ms"
         self._log_step(undone, note)
+        # The target is served already. A deferred step is written after those deferred before it, and again if a write fails.
         self._journal.defer(undone, note)
         await anyio.to_thread.run_sync(self._journal.flush)
         await self._housekeep()
--- a/winchdyke/config_rollout/edit.py
+++ b/winchdyke/config_rollout/edit.py
@@ -58,6 +58,7 @@
 
 
 def _parse_assignment(kind: str, assignment: str) -> tuple[str, object]:
+    """Return the key and the value of a ``KEY=VALUE``. Raises EditError if either is not allowed."""
     known_keys = BLOCKS[kind].keys
     key, separator, text = assignment.partition("=")
     key = key.strip()
@@ -109,6 +110,7 @@
 
 
 def _conflicts(own: Change, other: Change) -> bool:
+    """Return whether two changes give one value, or a block and a value in it, different new values."""
     if (own.kind, own.name) != (other.kind, other.name):
         return False
     same_value = own.key == other.key or not own.key or not other.key
--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -1,4 +1,4 @@
-"""Puts new settings into a running scheduler at one instant, between two of its batches.
+"""Puts new settings into a running scheduler in one step, between two of its batches.
 
 Only settings that are looked up for each request can change: plans, volumes, routes and pools; and peers and the seeds of the
 fleet, which are the addresses of other gateways. Concurrency limits, quota balances, slow-start credit, retry budgets and
@@ -18,7 +18,9 @@
 
 RELOADABLE_BLOCKS = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
 RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks whose other keys need a restart
-RECENT_REFILL_MS = 100.0  # a quota refilled within this time is not refilled again; it gets slightly less
+RECENT_REFILL_MS = (
+    100.0  # a quota refilled within this time before a swap is not refilled again, and gets slightly less
+)
 
 
 def is_reloadable(kind: str, key: str) -> bool:
@@ -63,15 +65,20 @@
 
 
 def _change_plan(quota: VolumeQuota, plan: api.Plan, settings: api.Settings, now_ms: float) -> None:
+    """Refill the quota under the old plan up to now, then limit its two balances to those that the new plan allows."""
     if now_ms - quota.refilled_at_ms > RECENT_REFILL_MS:
-        quota.refill(now_ms)  # under the old plan up to this instant
+        quota.refill(now_ms)
     else:
+        # The units since that refill are left out, to save the time of another one.
         quota.refilled_at_ms = now_ms
     if not quota.plan.limit_units_per_s:
-        # Without a limit the balance is charged but never refilled: a volume that gets a limit must not start with that debt.
+        # Without a limit the limit's balance is charged but never refilled: a volume that gets a limit must not start with a
+        # negative balance.
         quota.limit_units = 0.0
     quota.plan = plan
     quota.settings = settings
+    # Bounds as in VolumeQuota.refill: each gateway enforces an even share of the limit, so the burst is divided by the number of
+    # gateways that share it. This gateway's share of the reservation follows the reported usage, as a fraction from 0 to 1.
     max_limit_units = plan.limit_burst_units / quota.sharing_gateways
     if quota.limit_units > max_limit_units:
         quota.limit_units = max_limit_units
--- a/winchdyke/config_rollout/operations.py
+++ b/winchdyke/config_rollout/operations.py
@@ -276,6 +276,7 @@
     # Steps
 
     def _stage(self, operation: Stage) -> dict[str, Any]:
+        """Stage a version; one that was not made from the served version is merged with that first."""
         state = self.change_log.state()
         version = operation.version
         merged_from = None
@@ -347,6 +348,7 @@
         return {"version": state.serving}
 
     def _undo(self, operation: Undo) -> dict[str, Any]:
+        """Stage the previous version with the note "undo", by which the gateway recognizes an undo."""
         state = self.change_log.state()
         if not state.previous or state.previous == state.serving:
             raise OperationError("nothing-before", "there is no previous version to return to")
@@ -379,6 +381,7 @@
 
 
 def _staged_step(operation: Stage, version: int) -> Step:
+    """Return the step that stages a version; the time for its confirmation runs from its activation."""
     now_ms = time.time() * 1000
     activate_at_ms = ON_HOLD_MS if operation.hold else operation.at_ms
     if activate_at_ms and activate_at_ms < now_ms:
--- a/winchdyke/config_rollout/rollout_state.py
+++ b/winchdyke/config_rollout/rollout_state.py
@@ -98,6 +98,7 @@
                 raise ValueError(f"{action!r} is not an action of a change log")
 
     def _begin(self, step: Step) -> RolloutState:
+        """Return the state after an apply or an undo begins. A staged version that it concerns is no longer staged."""
         if self.applying:
             raise ValueError(
                 f"version {step.version} can't be applied while {self.applying} is being applied"
@@ -128,6 +129,7 @@
         )
 
     def _finish_undo(self, step: Step) -> RolloutState:
+        """Return the state after an undo. The version that was served becomes the previous one, unless the undo returns to it."""
         return replace(
             self,
             serving=step.version,
--- a/winchdyke/quotas/byte_metering.py
+++ b/winchdyke/quotas/byte_metering.py
@@ -108,6 +108,7 @@
                 del self._fallback_shares[volume]
 
     def _settle_volume(self, volume: str, meter: _VolumeMeter) -> QuotaShare:
+        """Pay off a volume's debt up to now; returns its share, the stored one if the scheduler has no quota for it."""
         share = self._fallback_shares[volume]
         balance = self._find_balance(volume)
         if balance is not None:
