--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -446,7 +446,7 @@
 
     output = run_command("show", "unix:x")
     assert (
-        "2 of 2 alive" in output and "zone b unreachable since 4.0 s ago" in output and "health 2" in output
+        "2 of 2 alive" in output and "zone b unreachable, began 4.0 s ago" in output and "health 2" in output
     )
     assert "never" in output and "(index 9 is not in the settings)" in output and "3 min" in output
     assert json.loads(run_command("show", "unix:x", "--json"))["own"] == "one"
--- a/winchdyke/cli/fleet.py
+++ b/winchdyke/cli/fleet.py
@@ -29,9 +29,11 @@
 KEY = click.option(
     "--key",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="File with your key, for an admin API over TCP.",
+    help="File with the admin key; needed if WHERE is an http:// address.",
+)
+AS_JSON = click.option(
+    "--json", "as_json", is_flag=True, help="Print JSON: one object; 'history' prints one object per line."
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group("fleet")
@@ -56,18 +58,18 @@
 
 
 def _status_lines(status: dict[str, Any]) -> list[str]:
-    more = f", health {status['health']} (its own responses are late)" if status["health"] else ""
+    health_note = f", health {status['health']} (its own responses are late)" if status["health"] else ""
     lines = [
-        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} alive{more}"
+        f"{status['own']} at {status['address']}: {status['alive']} of {1 + len(status['members'])} alive{health_note}"
     ]
     if status["left"]:
         lines.append("  it has left the fleet; see 'winchdyke fleet history'")
     elif status["alone"]:
         lines.append(
-            "  it has not heard from any gateway since its start; check that `fleet, seeds` are right and listening"
+            "  it has not heard from any gateway since its start; check that `fleet, seeds` is correct and that gateways listen there"
         )
     if status["event"] is not None:
-        lines.append(f"  {status['event']['text']} since {_format_age(status['event']['since_ms'])} ago")
+        lines.append(f"  {status['event']['text']}, began {_format_age(status['event']['since_ms'])} ago")
     lines.append(f"{'member':20}{'state':9}{'for':>9}  {'link':9}{'heard':>9}  {'zone':10}{'address':22}by")
     for row in status["members"]:
         note = "" if row["index_known"] else f"  (index {row['index']} is not in the settings)"
@@ -83,7 +85,7 @@
 @KEY
 @AS_JSON
 def show(where: str, key: Path | None, as_json: bool) -> None:
-    """Show all members, as the gateway sees them now."""
+    """Show the gateway at WHERE and the state of every other member that it knows."""
     status = _fetch_status(where, key)
     click.echo(json.dumps(status) if as_json else "\n".join(_status_lines(status)))
 
@@ -99,16 +101,16 @@
 )
 def watch(where: str, key: Path | None, every: float, times: int | None) -> None:
     """Print each change when it occurs."""
-    last, looks = -1.0, 0
-    while times is None or looks < times:
-        if looks:
+    last_shown_unix_ms, poll_count = -1.0, 0
+    while times is None or poll_count < times:
+        if poll_count:
             time.sleep(every)
         rows = _fetch_status(where, key)["history"]
         for row in rows:
-            if row["unix_ms"] > last:
+            if row["unix_ms"] > last_shown_unix_ms:
                 click.echo(_history_line(row))
-        last = max([last, *(row["unix_ms"] for row in rows)])
-        looks += 1
+        last_shown_unix_ms = max([last_shown_unix_ms, *(row["unix_ms"] for row in rows)])
+        poll_count += 1
 
 
 def _history_line(row: dict[str, Any]) -> str:
--- a/winchdyke/membership/gossip_queue.py
+++ b/winchdyke/membership/gossip_queue.py
@@ -55,6 +55,7 @@
         return selected
 
     def _count_transmission(self, name: str, update: _QueuedUpdate, retransmit_limit: int) -> None:
+        """Counts a transmission of a record, and removes it from the queue at the limit."""
         transmissions = update.transmissions + 1
         if transmissions >= retransmit_limit:
             del self._updates[name]
--- a/winchdyke/membership/member_table.py
+++ b/winchdyke/membership/member_table.py
@@ -125,6 +125,7 @@
         return departed
 
     def _add(self, record: MemberRecord, now: float, reporter: str) -> Member | None:
+        """Adds a member; returns None if the table is full."""
         if len(self.members) >= self.config.max_members:
             self.rejected_when_full += 1
             return None
@@ -136,6 +137,7 @@
         return member
 
     def _replace_record(self, member: Member, record: MemberRecord, now: float, reporter: str) -> None:
+        """Replaces a member's record. A suspicion ends with another state, and begins anew with a later incarnation."""
         before = member.record
         member.record = record
         if record.state != MemberState.SUSPECT:
@@ -158,6 +160,7 @@
         return now - member.last_received_ms <= valid_ms
 
     def _confirm_suspicion(self, member: Member, record: MemberRecord, reporter: str) -> None:
+        """Counts a report of the suspected generation and incarnation as a confirmation, by its reporter."""
         suspicion = member.suspicion
         if suspicion is None or record.state not in (MemberState.SUSPECT, MemberState.DEAD):
             return
@@ -167,6 +170,7 @@
             suspicion.suspected_by.add(record.reported_by or reporter)
 
     def _is_expired(self, member: Member, active_count: int, now: float) -> bool:
+        """Returns whether a suspicion has lasted its timeout, which its confirmations shorten."""
         suspicion = member.suspicion
         if suspicion is None or member.state is not MemberState.SUSPECT:
             return False
--- a/winchdyke/membership/probing.py
+++ b/winchdyke/membership/probing.py
@@ -110,6 +110,7 @@
     # Starting probes.
 
     def _probe_next_member(self) -> None:
+        """Pings the next member of the round; a poor local health prolongs the timeout and the probe."""
         context = self._context
         member = self._next_in_round()
         if member is None:
@@ -144,6 +145,7 @@
     # Answers.
 
     def _handle_direct_ack(self, probe: Probe, message: SwimMessage) -> None:
+        """Ends a probe that the target answered; the ack is passed on if another member requested the probe."""
         context = self._context
         member = context.table.members.get(probe.target)
         if member is not None and message.generation == member.record.generation:
@@ -162,6 +164,7 @@
         del self._probes[probe.request_id]
 
     def _finish_own_probe(self, probe: Probe, member: Member | None) -> None:
+        """Stores that the link works; an ack that arrived in time improves the local health."""
         context = self._context
         if member is not None:
             was_untried = member.link_state is LinkState.UNTRIED
@@ -171,6 +174,7 @@
             context.local_health.improve()
 
     def _handle_indirect_ack(self, probe: Probe, message: SwimMessage) -> None:
+        """Records that a helper reached the target, and the shortest silence (ms) that the target reported."""
         probe.reached_indirectly = True
         silence_ms = message.target_silence_ms
         if silence_ms < 0:
@@ -182,6 +186,7 @@
     # Timeouts.
 
     def _advance_requested(self, probe: Probe) -> None:
+        """Sends a nack to the requester when the ack is overdue, and drops the probe when it ends."""
         now = self._context.now
         if now >= probe.ack_due_ms and not probe.ack_timed_out:
             probe.ack_timed_out = True
@@ -192,6 +197,7 @@
             del self._probes[probe.request_id]
 
     def _advance(self, probe: Probe) -> None:
+        """Requests indirect probes when the ack is overdue, and concludes the probe when it ends."""
         now = self._context.now
         if now >= probe.ends_at_ms:
             del self._probes[probe.request_id]
@@ -218,6 +224,7 @@
             context.send(name, MessageKind.PING_REQ, probe.request_id, target=probe.target)
 
     def _helper_candidates(self, probe: Probe) -> list[Member]:
+        """Returns the members that are alive, without the target."""
         return [
             member
             for member in self._context.table.active_members()
@@ -251,6 +258,7 @@
 
 
 def _link_state(receives_target: bool, target_receives: bool) -> LinkState:
+    """Returns the link state of a member that did not ack directly, by the directions in which messages arrived."""
     if receives_target and target_receives:
         return LinkState.BIDIRECTIONAL  # only the ack was lost
     if receives_target:
@@ -261,4 +269,5 @@
 
 
 def _suspect_record(member: Member) -> MemberRecord | None:
+    """Returns a suspect's record, to be sent with its ping so that it can refute the suspicion; otherwise None."""
     return member.record if member.state is MemberState.SUSPECT else None
--- a/winchdyke/membership/refutation.py
+++ b/winchdyke/membership/refutation.py
@@ -81,6 +81,7 @@
         context.has_left = True
 
     def _refute(self, record: MemberRecord, reporter: str) -> None:
+        """Refutes a suspicion or death of this member with a higher incarnation, and pings those that reported it."""
         context = self._context
         if record.incarnation >= datagrams.MAX_INTEGER:
             context.start_generation_after(context.generation)
@@ -94,12 +95,14 @@
             context.send(name, MessageKind.PING, context.new_request_id())
 
     def _accusers(self, record: MemberRecord, reporter: str) -> set[str]:
+        """Returns the member that passed a report on, and the one that it names as its origin if that is active."""
         accuser = self._context.table.members.get(record.reported_by)
         if accuser is None or not accuser.is_active:
             return {reporter}
         return {reporter, accuser.name}
 
     def _handle_later_generation(self, record: MemberRecord) -> None:
+        """Takes a later generation than the record's; if another process may run at its address, that is pinged first."""
         context = self._context
         if record.state != MemberState.ALIVE or record.address == context.local.address:
             context.start_generation_after(record.generation)
--- a/winchdyke/membership/state_exchange.py
+++ b/winchdyke/membership/state_exchange.py
@@ -140,6 +140,7 @@
         return message.sender
 
     def _next_due_ms(self) -> float:
+        """Returns the time of the next exchange: after 0.5 to 1.5 intervals, at random."""
         interval_ms = self._context.config.state_exchange_interval_ms
         return self._context.now + interval_ms * (0.5 + self._context.random.random())
 
--- a/winchdyke/membership/suspicion.py
+++ b/winchdyke/membership/suspicion.py
@@ -49,6 +49,7 @@
         self._set_state(member, MemberState.DEAD)
 
     def _set_state(self, member: Member, state: MemberState) -> None:
+        """Merges a member's record with another state, as reported by the local member."""
         local_name = self._context.local.name
         self._dissemination.apply(with_state(member.record, state, local_name), local_name)
 
--- a/winchdyke/membership/swim.py
+++ b/winchdyke/membership/swim.py
@@ -175,6 +175,7 @@
             self.prober.handle_state_exchange(event.request_id, sender)
 
     def _handle_message(self, event: MessageReceived) -> None:
+        """Merges the records of a message that is accepted, the sender's own first, and handles it by its kind."""
         context = self.context
         message = event.message
         context.counts["arrived"] += 1
@@ -208,6 +209,7 @@
         return True
 
     def _dispatch(self, event: MessageReceived) -> None:
+        """Handles an accepted message by its kind. A state exchange is answered only over TCP."""
         context = self.context
         message = event.message
         if message.kind == MessageKind.PING:
@@ -227,6 +229,7 @@
             context.actions.append(ReplyToStateExchange(reply))
 
     def _send_ack(self, event: MessageReceived) -> None:
+        """Answers a ping; a sender that is suspect or dead here gets its own record, so that it can refute it."""
         context = self.context
         message = event.message
         member = context.table.members.get(message.sender)
--- a/winchdyke/membership/swim_context.py
+++ b/winchdyke/membership/swim_context.py
@@ -29,7 +29,7 @@
         self.local = local
         self.config = config
         self.random = random.Random(seed)
-        self.now = now
+        self.now = now  # time of the current turn, ms on the local monotonic clock
         self.generation = local.generation
         self.incarnation = 0
         self.message_counter = 0
@@ -41,11 +41,12 @@
         self.local_health = LocalHealth(config.max_local_health_score)
         self.counts: Counter[str] = Counter()
         self.actions: list[Action] = []
-        # Unpredictable, so that an ack can't be forged by replaying an earlier one.
+        # The random start and the random steps of new_request_id make the next id hard to guess, so that a replayed or
+        # forged ack does not match a request. The generator is not cryptographic.
         self._last_request_id = self.random.getrandbits(48) << 8
 
     def begin_turn(self, now: float) -> list[Action]:
-        """Sets the time; returns the empty list to which this turn's actions are added."""
+        """Sets the time in ms; returns the empty list to which this turn's actions are added."""
         self.now = now
         self.actions = []
         return self.actions
@@ -85,7 +86,7 @@
     # Outgoing messages.
 
     def new_request_id(self) -> int:
-        """Returns a request id that was not used before."""
+        """Returns a request id: unique within this process until the integer wraps at ``datagrams.MAX_INTEGER``."""
         self._last_request_id += 1 + self.random.getrandbits(8)
         return self._last_request_id & datagrams.MAX_INTEGER
 
@@ -149,6 +150,7 @@
         self.actions.append(SendDatagram(self.address_of(member), message))
 
     def _select_records(self, first: MemberRecord | None) -> list[MemberRecord]:
+        """Returns the local record, ``first``, and as much gossip as fits into a datagram."""
         own = self.local_record()
         capacity_bytes = _RECORDS_CAPACITY_BYTES - datagrams.encoded_size(own)
         limit = self.config.retransmit_limit(self.table.active_count)
--- a/winchdyke/membership/view.py
+++ b/winchdyke/membership/view.py
@@ -143,10 +143,12 @@
 
 
 def _unreachable_since_ms(member: Member) -> float:
+    """Returns since when an unreachable member is so: since its link failed if it is alive, otherwise since it was last alive."""
     return member.link_since_ms if member.state is MemberState.ALIVE else member.unreachable_since_ms
 
 
 def _is_unreachable(member: Member) -> bool:
+    """Returns whether a member is suspect or dead, or neither direction of its link works."""
     return (
         member.state in (MemberState.SUSPECT, MemberState.DEAD) or member.link_state is LinkState.UNREACHABLE
     )
