--- a/winchdyke/latency_attribution/merge.py
+++ b/winchdyke/latency_attribution/merge.py
@@ -181,6 +181,7 @@
         return count
 
     def _may_retry(self, request: _ObservedRequest, earlier: _ObservedRequest) -> bool:
+        """Returns whether a request may retry an earlier one that another gateway did not serve, by the time between them."""
         if earlier.served or earlier.gateway == request.gateway:
             return False
         delay_ms = request.began_unix_ms - earlier.began_unix_ms
@@ -210,6 +211,7 @@
             bin_number += 1
 
     def _remember(self, account: Account) -> None:
+        """Remembers a request by volume and key; the oldest key is evicted beyond ``MAX_TRACKED_KEYS``."""
         observed = _ObservedRequest(account.began_unix_ms, account.gateway, account.outcome == OUTCOME_SERVED)
         self._observed.setdefault((account.volume, account.key), []).append(observed)
         if len(self._observed) > MAX_TRACKED_KEYS:
--- a/winchdyke/latency_attribution/queue_observer.py
+++ b/winchdyke/latency_attribution/queue_observer.py
@@ -153,6 +153,7 @@
 def _add_increase(
     times_ms: dict[Key, float], current_ms: Mapping[Key, float], before_ms: Mapping[Key, float]
 ) -> None:
+    """Adds the increase of each time since ``before_ms`` to ``times_ms``; decreases are ignored."""
     for key, value_ms in current_ms.items():
         increase_ms = value_ms - before_ms.get(key, 0.0)
         if increase_ms > 0:
@@ -235,6 +236,7 @@
         return float(unit_cost_ms * units * max(1.0, endpoint.concurrency_limit.long_ratio))
 
     def _start_wait(self, name: str, shard_number: int, class_name: str, now_ms: float) -> None:
+        """Begins the wait of a request; it is examined for a cause of its own at least once."""
         group = (shard_number, class_name)
         integral = self._groups.get(group)
         if integral is None:
@@ -246,6 +248,7 @@
         self._individual[name] = None
 
     def _observe_request(self, name: str, now_ms: float) -> None:
+        """Updates the cause of one request; its time so far is settled before its cause changes."""
         waiting = self._waiting[name]
         pending = self.scheduler.requests.get(name)
         found = None
@@ -264,11 +267,13 @@
     # Causes of one request
 
     def _own_cause(self, pending: PendingRequest, now_ms: float) -> CauseAndShares | None:
+        """Returns the cause that holds back this request alone, or None if it waits for the same as its group."""
         if pending.attempts:
             return self._retry_cause(pending, now_ms)
         return self._order_cause(pending, now_ms) or _quota_cause(pending, now_ms)
 
     def _order_cause(self, pending: PendingRequest, now_ms: float) -> CauseAndShares | None:
+        """Returns the cause if an earlier request of the same key has to finish, or its outcome is not settled yet."""
         key = pending.request.key
         if not pending.request_class.in_order or not key:
             return None
@@ -286,6 +291,7 @@
         return None
 
     def _retry_cause(self, pending: PendingRequest, now_ms: float) -> CauseAndShares | None:
+        """Returns the cause if the retry budget is spent, or a repetition at the active endpoint may not be safe."""
         scheduler = self.scheduler
         if self._is_retry_budget_spent(now_ms):
             return CAUSE_RETRY_BUDGET, {RETRY_BUDGET_HOLDER: 1.0}
@@ -296,6 +302,7 @@
         return None
 
     def _is_retry_budget_spent(self, now_ms: float) -> bool:
+        """Returns whether the budget has no retry left, computed without changing the scheduler's state."""
         settings = self.scheduler.settings
         budget = self.scheduler.retry_budget
         if not settings.retry_budget_window_ms:
@@ -308,6 +315,7 @@
     # Causes of a group
 
     def _group_cause(self, shard: Shard, shard_number: int, class_name: str, now_ms: float) -> CauseAndShares:
+        """Returns the cause for which the requests of a class wait at a shard, and the holders' shares."""
         endpoint = shard.active_endpoint()
         if endpoint is None:
             return CAUSE_NO_ENDPOINT, {(KIND_ENDPOINT, f"shard {shard_number}", DETAIL_NO_ENDPOINT): 1.0}
@@ -328,6 +336,7 @@
         return cause, self._in_flight_shares(endpoint, now_ms)
 
     def _is_in_slow_start(self, endpoint: EndpointState, now_ms: float) -> bool:
+        """Returns whether an endpoint has started less than the slow-start duration ago, if slow start is enabled."""
         settings = self.scheduler.settings
         age_ms = now_ms - endpoint.started_at_ms
         return bool(settings.slow_start_overload_window_ms) and age_ms < settings.slow_start_duration_ms
@@ -351,11 +360,13 @@
 
 
 def _may_have_own_cause(pending: PendingRequest) -> bool:
+    """Returns whether a request has to be examined by itself: after an attempt, with a key order, or with a limit."""
     has_quota_limit = bool(pending.quota.plan.limit_units_per_s)
     return bool(pending.attempts) or pending.request_class.in_order or has_quota_limit
 
 
 def _quota_cause(pending: PendingRequest, now_ms: float) -> CauseAndShares | None:
+    """Returns the cause if the bucket of the volume's limit holds fewer units than the request needs."""
     quota = pending.quota
     if not quota.plan.limit_units_per_s:
         return None
--- a/winchdyke/latency_attribution/summary.py
+++ b/winchdyke/latency_attribution/summary.py
@@ -194,6 +194,7 @@
             endpoint.lost_by_volume[account.volume] += attempt.outcome in NO_RESPONSE_OUTCOMES
 
     def _add_retry(self, account: Account) -> None:
+        """Counts a retry of a known request, or a request without success whose key was first seen at another gateway as possible."""
         if account.first_request:
             self.retries[account.first_request] += 1
         elif account.client_request and account.outcome != OUTCOME_SERVED:
@@ -251,6 +252,7 @@
 
 
 def _add_minute(summary: Summary, sums: MinuteSums, since: float, until: float, endpoint: str | None) -> None:
+    """Adds a minute that lies within the interval; one that the interval or an endpoint filter divides counts as omitted."""
     begin_unix_ms = float(sums.minute * MS_PER_MINUTE)
     end_unix_ms = begin_unix_ms + LAST_MS_OF_MINUTE
     if end_unix_ms < since or begin_unix_ms >= until:
--- a/winchdyke/latency_attribution/sums.py
+++ b/winchdyke/latency_attribution/sums.py
@@ -2,8 +2,10 @@
 
 Counts, times and histograms are exact and add up over minutes, segments and gateways. For each minute, the cells of the
 wait matrix (``MAX_MATRIX_CELLS``) and the volumes with figures of their own (``MAX_VOLUMES``) are bounded. Smaller cells are
-merged by waiting volume into "others"; none of them is larger than ``max_omitted_cell_ns``, the error bound of a cell for
-each part of a minute.
+merged by waiting volume into "others", and volumes with shorter waits into "(others)".
+
+In each record no cell that was merged into "others" is larger than ``max_omitted_cell_ns``. So a cell that the record lacks had
+at most that time, unless its volume was merged into "(others)": those cells are not counted in this bound.
 """
 
 from __future__ import annotations
@@ -61,11 +63,13 @@
     minutes: defaultdict[tuple[int, str], MinuteAccumulator] = defaultdict(MinuteAccumulator)
     for account in accounts:
         minutes[int(account.began_unix_ms // MS_PER_MINUTE), account.gateway].add(account)
-    return [accumulator.sums(minute, gateway) for (minute, gateway), accumulator in sorted(minutes.items())]
+    return [
+        accumulator.to_record(minute, gateway) for (minute, gateway), accumulator in sorted(minutes.items())
+    ]
 
 
 class VolumeAccumulator:
-    """Collects the figures of one volume in one minute."""
+    """Collects the figures of one volume in one minute. Times are in nanoseconds."""
 
     def __init__(self) -> None:
         self.latencies_ns: list[int] = []
@@ -90,7 +94,7 @@
         self.phases_ns.update(other.phases_ns)
         self.causes_ns.update(other.causes_ns)
 
-    def sums(self, volume: str) -> VolumeSum:
+    def to_record(self, volume: str) -> VolumeSum:
         """Returns the record of the volume."""
         return VolumeSum(
             volume=volume,
@@ -103,16 +107,18 @@
 
 
 class MinuteAccumulator:
-    """Collects the figures of one gateway in one minute."""
+    """Collects the figures of one gateway in one minute. Times are in nanoseconds."""
 
     def __init__(self) -> None:
         self._requests = 0
         self._queued_ns = 0
         self._retries = 0
         self._volumes: defaultdict[str, VolumeAccumulator] = defaultdict(VolumeAccumulator)
-        self._classes: defaultdict[str, list[int]] = defaultdict(list)
+        self._classes: defaultdict[str, list[int]] = defaultdict(list)  # latencies in ns, by request class
+        # Waiting volume and times of each attempt, by endpoint.
         self._attempts: defaultdict[str, list[tuple[str, AttemptTimes]]] = defaultdict(list)
-        self._matrix: Counter[tuple[str, Holder]] = Counter()
+        self._matrix: Counter[tuple[str, Holder]] = Counter()  # ns by waiting volume and holder
+        # A min-heap by latency in ns; the request's name orders equal latencies.
         self._slowest: list[tuple[int, str, Account]] = []
 
     def add(self, account: Account) -> None:
@@ -133,13 +139,13 @@
         else:
             heapq.heappushpop(self._slowest, entry)
 
-    def sums(self, minute: int, gateway: str) -> MinuteSums:
-        """Returns the record of the minute."""
-        self._fold_volumes()
+    def to_record(self, minute: int, gateway: str) -> MinuteSums:
+        """Returns the record of the minute (minutes since the Unix epoch); merges the smaller volumes and cells."""
+        self._merge_smaller_volumes()
         cells = self._matrix.most_common()
-        omitted = cells[MAX_MATRIX_CELLS:]
+        merged_cells = cells[MAX_MATRIX_CELLS:]
         others_ns: Counter[str] = Counter()
-        for (volume, _), share_ns in omitted:
+        for (volume, _), share_ns in merged_cells:
             others_ns[volume] += share_ns
         matrix = [(volume, *holder, share_ns) for (volume, holder), share_ns in cells[:MAX_MATRIX_CELLS]]
         matrix += [(volume, *OTHER_HOLDERS, share_ns) for volume, share_ns in others_ns.items()]
@@ -148,30 +154,31 @@
             gateway=gateway,
             requests=self._requests,
             queued_ns=self._queued_ns,
-            volumes=[accumulator.sums(volume) for volume, accumulator in self._volumes.items()],
+            volumes=[accumulator.to_record(volume) for volume, accumulator in self._volumes.items()],
             classes=[(name, _latency_sum(values_ns)) for name, values_ns in self._classes.items()],
             endpoints=[_endpoint_sum(name, attempts) for name, attempts in self._attempts.items()],
             matrix=matrix,
             folded_ns=sum(others_ns.values()),
-            max_omitted_cell_ns=omitted[0][1] if omitted else 0,
+            max_omitted_cell_ns=merged_cells[0][1] if merged_cells else 0,
             retries=self._retries,
             slowest=[account for _, _, account in self._slowest],
         )
 
-    def _fold_volumes(self) -> None:
-        """Merges volumes beyond ``MAX_VOLUMES`` into "others"; those with the longest waits keep their figures."""
+    def _merge_smaller_volumes(self) -> None:
+        """Merges volumes beyond ``MAX_VOLUMES`` into "(others)"; those with the longest waits keep their figures."""
         if len(self._volumes) <= MAX_VOLUMES:
             return
         queued_ns = Counter({volume: each.queued_ns for volume, each in self._volumes.items()})
         retained = {volume for volume, _ in queued_ns.most_common(MAX_VOLUMES)}
         for volume in [volume for volume in self._volumes if volume not in retained]:
-            folded = self._volumes.pop(volume)
-            self._volumes[OTHER_VOLUMES].merge(folded)
+            merged = self._volumes.pop(volume)
+            self._volumes[OTHER_VOLUMES].merge(merged)
         for volume, holder in [cell for cell in self._matrix if cell[0] not in retained]:
             self._matrix[OTHER_VOLUMES, holder] += self._matrix.pop((volume, holder))
 
 
 def _latency_sum(values_ns: list[int]) -> LatencySum:
+    """Returns the count and total of latencies, which are exact, and their encoded histogram in microseconds."""
     histogram = new_histogram()
     for value_ns in values_ns:
         histogram.record_value(to_histogram_us(value_ns))
@@ -179,6 +186,7 @@
 
 
 def _endpoint_sum(name: str, attempts: list[tuple[str, AttemptTimes]]) -> EndpointSum:
+    """Returns the record of an endpoint from the volume and times of each attempt."""
     excess_ns: Counter[str] = Counter()
     lost: Counter[str] = Counter()
     slow_attempts = 0
--- a/winchdyke/latency_attribution/wording.py
+++ b/winchdyke/latency_attribution/wording.py
@@ -1,4 +1,7 @@
-"""Describes holders and waits in sentences for reports."""
+"""Describes holders and waits in sentences for reports.
+
+A holder is the volume, endpoint or rule of the scheduler that a queued request waited for.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 def describe_holder(holder: Holder, waiter: str) -> str:
-    """Describes a holder that a volume waited for, as "behind ..." or "for ..."."""
+    """Returns a phrase for what the volume ``waiter`` waited for, put after a share of time: "behind ...", "for ..." or "by ..."."""
     kind, name, detail = holder
     if kind == KIND_VOLUME:
         return _describe_volume(name, detail, waiter)
@@ -39,10 +42,12 @@
         return "behind others (merged)"
     if detail == CAUSE_TURN:
         return "for the scheduler's next turn"
+    # KIND_DESIGN with another detail: a rule of the scheduler, such as slow start.
     return f"by the scheduler's rule {name}"
 
 
 def _describe_volume(name: str, detail: str, waiter: str) -> str:
+    """Returns the phrase for a volume: "for" its limit, or "behind" its requests of the class ``detail``."""
     is_own = name == waiter
     if detail == DETAIL_QUOTA:
         return "for its own limit" if is_own else f"for the limit of {name}"
@@ -50,6 +55,7 @@
 
 
 def _describe_endpoint(name: str, detail: str) -> str:
+    """Returns the phrase for an endpoint or a shard, "for ...", with its fault if ``detail`` names one."""
     if detail == DETAIL_SLOW:
         return f"for {name}, which was slow"
     if detail == DETAIL_SUSPECTED:
@@ -79,6 +85,7 @@
 
 
 def _describe_requests(name: str, volume: VolumeSummary) -> str:
+    """Returns the start of a volume's sentence: its requests by outcome, and their time at gateways and at stores."""
     p99_s = volume.latencies_us.get_value_at_percentile(99) / US_PER_S
     phases_ns = volume.phases_ns
     upstream_ns = phases_ns[PHASE_UPSTREAM] + phases_ns[PHASE_RESPONSE]
@@ -92,6 +99,7 @@
 
 
 def _describe_slow_endpoints(summary: Summary, volume: str) -> list[str]:
+    """Returns a clause for each endpoint that delayed the volume most beyond its expected time; put after the holders."""
     excess_ns = {name: each.excess_ns_by_volume[volume] for name, each in summary.endpoints.items()}
     return [
         f"{name} added {excess_ns[name] / NS_PER_S:.2f} s beyond its expected time"
@@ -100,11 +108,12 @@
 
 
 def _describe_lost_responses(summary: Summary, volume: str) -> list[str]:
+    """Returns a clause for each endpoint that lost the most responses of the volume; put after the slow endpoints."""
     lost = {name: each.lost_by_volume[volume] for name, each in summary.endpoints.items()}
     return [f"{name} lost {lost[name]} answers" for name in _largest(lost)]
 
 
 def _largest(figures: dict[str, int]) -> list[str]:
-    """Returns the names with the largest figures above 0."""
+    """Returns up to ``MAX_ENDPOINTS`` names, those with the largest figures above 0."""
     names = sorted(figures, key=lambda name: -figures[name])[:MAX_ENDPOINTS]
     return [name for name in names if figures[name] > 0]
