--- a/winchdyke/config/sources.py
+++ b/winchdyke/config/sources.py
@@ -82,24 +82,35 @@
 
 
 class SourceLoader:
-    """Reads a settings file and all files it includes into one list of statements."""
+    """Reads a settings file and all files it includes into one list of statements.
+
+    Mistakes raise no exception: they are added to ``problems``, and reading continues with the next statement or file.
+
+    Attributes:
+        problems: The mistakes found in the files and their includes.
+        statements: The statements of all files except includes, each file's at the place where it is included.
+        sources: The texts that were parsed, in the order of parsing.
+    """
 
     def __init__(self) -> None:
         self.problems: list[Diagnostic] = []
         self.statements: list[Statement] = []
         self.sources: list[Source] = []
-        self._seen: dict[Path, Source] = {}
-        self._total = 0
-        self._root = Path()
+        self._sources_by_path: dict[Path, Source] = {}  # by resolved path; also files that can't be read
+        self._total_length = 0  # length of all texts, in characters
+        self._root_directory = Path()  # the main file's directory; includes must not lead out of it
 
     def load(self, path: Path, text: str | None = None) -> None:
-        """Read a file and the files it includes. ``text``: the file's content, if it was read before."""
-        self._root = path.parent.resolve()
-        self._file(path, (), None, text)
+        """Read a file and the files it includes; adds to ``statements``, ``sources`` and ``problems``.
+
+        ``text``: the file's content, if it was read before. Included files must be in the file's directory or below it.
+        """
+        self._root_directory = path.parent.resolve()
+        self._load_file(path, (), None, text)
 
     def load_text_source(self, text: str, file: str) -> None:
-        """Parse a text that does not come from a file; it can't include files."""
-        self._statements(Source(file, text), (), False)
+        """Parse a text that does not come from a file; an include in it is a problem. ``file``: its name in messages."""
+        self._load_source(Source(file, text), (), False)
 
     def _report(self, code: str, text: str, fix: str, span: Span, *related: tuple[str, Span]) -> None:
         self.problems.append(
@@ -113,13 +124,18 @@
             )
         )
 
-    def _file(self, path: Path, stack: tuple[Path, ...], at: Span | None, text: str | None = None) -> None:
+    def _load_file(
+        self, path: Path, stack: tuple[Path, ...], at: Span | None, text: str | None = None
+    ) -> None:
+        """Load a file once. ``stack``: the files that include it, outermost first; ``at``: the include, None for the main file."""
         real = path.resolve()
         chain = () if at is None else (*at.source.chain, (at.source.file, at.line))
         source = Source(str(path), "", chain)
         if real in stack:
             assert at is not None
-            names = [_short(path_name, self._root) for path_name in (*stack[stack.index(real) :], real)]
+            names = [
+                _short(path_name, self._root_directory) for path_name in (*stack[stack.index(real) :], real)
+            ]
             self._report(
                 "include-loop",
                 f"includes form a loop: {' -> '.join(names)}",
@@ -127,10 +143,10 @@
                 at,
             )
             return
-        if real in self._seen:
+        if real in self._sources_by_path:
             return  # included by several files: read once
-        if at is not None and not real.is_relative_to(self._root):
-            text = f"{path.name} is outside {self._root}"
+        if at is not None and not real.is_relative_to(self._root_directory):
+            text = f"{path.name} is outside {self._root_directory}"
             self._report(
                 "outside",
                 text,
@@ -138,14 +154,14 @@
                 at,
             )
             return
-        if len(self._seen) >= MAX_FILES:
+        if len(self._sources_by_path) >= MAX_FILES:
             assert at is not None
             self._report("too-many", f"more than {MAX_FILES} files are included", "merge some of them", at)
             return
         try:
             text = read(path) if text is None else text
-            self._total += len(text)
-            if self._total > MAX_TOTAL_LENGTH:
+            self._total_length += len(text)
+            if self._total_length > MAX_TOTAL_LENGTH:
                 raise UnreadableFileError(
                     "too-large",
                     f"all files together are over {MAX_TOTAL_LENGTH >> 20} MiB",
@@ -156,19 +172,20 @@
             if error.code in ("not-utf8", "control"):
                 place = Span(source, error.line, error.column, error.column + 1)
             self.problems.append(Diagnostic(error.code, str(path), str(error), error.fix, place))
-            self._seen[real] = source
+            self._sources_by_path[real] = source
             return
         source = Source(str(path), text, chain)
-        self._seen[real] = source
-        self._statements(source, (*stack, real), True)
+        self._sources_by_path[real] = source
+        self._load_source(source, (*stack, real), True)
 
-    def _statements(self, source: Source, stack: tuple[Path, ...], files: bool) -> None:
+    def _load_source(self, source: Source, stack: tuple[Path, ...], may_include: bool) -> None:
+        """Parse a source and load the files that it includes. ``stack``: the source's file and the files that include it."""
         self.sources.append(source)
         statements, problems = parse(source)
         self.problems += problems
         for statement in statements:
             if isinstance(statement, Directive) and statement.words[0].text == "include":
-                self._include(statement, stack, files)
+                self._include(statement, stack, may_include)
             else:
                 if isinstance(statement, Block):
                     self._reject_inner_includes(statement)
@@ -181,13 +198,14 @@
                     "include-inside", "include is inside a block", "move it out of all blocks", inner.span
                 )
 
-    def _include(self, statement: Directive, stack: tuple[Path, ...], files: bool) -> None:
+    def _include(self, statement: Directive, stack: tuple[Path, ...], may_include: bool) -> None:
+        """Load the file, or the files of a pattern in the order of their paths, that an include names."""
         span = statement.span
         if len(statement.words) != 2:
             self._report("bad-include", "include takes one path", 'write include "conf.d/*.conf"', span)
             return
         path_word = statement.words[1]
-        if not files:
+        if not may_include:
             self._report(
                 "bad-include", "only a file can include files", "write the settings to a file", path_word.span
             )
@@ -203,9 +221,9 @@
                     path_word.span,
                 )
             for path_name in found:
-                self._file(Path(path_name), stack, path_word.span)
+                self._load_file(Path(path_name), stack, path_word.span)
             return
-        self._file(here / path_word.text, stack, path_word.span)
+        self._load_file(here / path_word.text, stack, path_word.span)
 
 
 def _short(path: Path, root: Path) -> str:
--- a/winchdyke/http1.py
+++ b/winchdyke/http1.py
@@ -13,7 +13,7 @@
 
 REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 Headers = list[tuple[bytes, bytes]]
-Bytes = bytes | bytearray
+Bytes = bytes | bytearray  # a piece of a body, in the type in which the parser returns it
 
 
 class ProtocolError(Exception):
@@ -145,7 +145,13 @@
 
     @property
     def body_done(self) -> bool:
-        """Whether the request was read completely."""
+        """Whether no more of the request's body is to be read.
+
+        True once the request was read to its end, and also after a protocol error or after the client has closed. False before
+        a request's head was read.
+        """
+        # IDLE: before the head; SEND_BODY: the client still sends. In all other states there is no body to wait for: DONE,
+        # MUST_CLOSE, MIGHT_SWITCH_PROTOCOL and SWITCHED_PROTOCOL follow the end of a request; CLOSED and ERROR have no more data.
         return self._h11.their_state not in (h11.SEND_BODY, h11.IDLE)
 
     @property
--- a/winchdyke/standins/store.py
+++ b/winchdyke/standins/store.py
@@ -49,15 +49,21 @@
     """Capacity, cold-start behaviour and limits of an emulated store. Times in milliseconds.
 
     Attributes:
+        shard: The shard that it serves.
+        zone: Its zone.
+        rack: Its rack; not read by the store.
         cores: Number of requests that are served at the same time.
         speed: Speed relative to a store that needs ``unit_ms`` for one unit on one core.
+        unit_ms: Time for one unit on one core at speed 1.
         queue: Number of requests that may wait for a core; more are shed.
         deduplication_window_ms: Time for which the response of a request with an idempotency key is repeated.
         cold_start_capacity: Fraction of the warm capacity at a cold start, which then grows linearly.
         warm_up_ms: Time from a cold start until the full capacity is reached.
         overload_factor: A cold store fails until its next start once it receives more than this multiple of
             its current capacity within ``overload_window_ms``.
+        overload_window_ms: Length of the interval over which received units are added up.
         min_overload_units: Units within that window that never make it fail.
+        meter_ms: Not read; the period is that of the :class:`UsageMeter`.
         typical_units_per_s: Usual rate of a volume; reported usage is in percent of it.
         tls_context: TLS settings; None: plain TCP.
     """
@@ -116,23 +122,25 @@
 
 
 class UsageMeter:
-    """Units served to each volume by all stores, in periods of fixed length."""
+    """Units served to each volume by all stores, in periods of ``period_ms``."""
 
     def __init__(self, period_ms: float = 500.0) -> None:
-        self.period = period_ms
-        self._sums: defaultdict[str, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
+        self.period_ms = period_ms
+        # Units by volume and period; a period's number is its start divided by its length.
+        self._units: defaultdict[str, defaultdict[int, float]] = defaultdict(lambda: defaultdict(float))
 
     def add(self, volume: str, units: float) -> None:
         """Add units that are served now."""
-        sums = self._sums[volume]
-        sums[int(clock() // self.period)] += units
-        for old in [period for period in sums if period < clock() // self.period - 4]:
-            del sums[old]
+        by_period = self._units[volume]
+        by_period[int(clock() // self.period_ms)] += units
+        # The current period and the four before it are retained; only the last complete one is read.
+        for old in [period for period in by_period if period < clock() // self.period_ms - 4]:
+            del by_period[old]
 
     def percent(self, volume: str, typical_units_per_s: float) -> int:
         """Return the rate in the last complete period, in percent of the typical rate."""
-        done = self._sums[volume].get(int(clock() // self.period) - 1, 0.0)
-        return round(100 * done * 1000 / self.period / typical_units_per_s)
+        done = self._units[volume].get(int(clock() // self.period_ms) - 1, 0.0)
+        return round(100 * done * 1000 / self.period_ms / typical_units_per_s)
 
 
 @dataclass
@@ -183,7 +191,7 @@
     """An emulated store process, which can be killed and started again any number of times.
 
     Attributes:
-        is_other_store: Whether the store has taken the address of another one, for which requests are meant.
+        is_other_store: Whether the store at this address is not the one that the endpoint list means.
         slowdown: Factor by which service takes longer.
         slow_volume_prefix: ``slowdown`` applies only to volumes whose names start with this.
         lost_share: Fraction of responses that are lost.
