--- a/winchdyke/config_rollout/hot_reload.py
+++ b/winchdyke/config_rollout/hot_reload.py
@@ -18,9 +18,8 @@
 
 RELOADABLE_BLOCKS = frozenset({"plan", "volume", "route", "pool", "template", "peer"})
 RELOADABLE_KEYS = {"fleet": frozenset({"seeds"})}  # single keys of blocks whose other keys need a restart
-RECENT_REFILL_MS = (
-    100.0  # a quota refilled within this time before a swap is not refilled again, and gets slightly less
-)
+# A quota refilled within this time before a swap is not refilled again, and gets slightly less.
+RECENT_REFILL_MS = 100.0
 
 
 def is_reloadable(kind: str, key: str) -> bool:
--- a/winchdyke/days/frombench.py
+++ b/winchdyke/days/frombench.py
@@ -12,9 +12,8 @@
 
 from winchdyke.days import script
 
-MAX_REQUESTS_PER_S = (
-    120.0  # requests per second that stand-ins, clients and gateways on one host can keep up with
-)
+# Requests per second that stand-ins, clients and gateways on one host can keep up with.
+MAX_REQUESTS_PER_S = 120.0
 MAX_STORES, MAX_GATEWAYS, MIN_STORES = 8, 4, 3
 NOT_CARRIED = [
     "network latency between zones and its jitter: loopback has neither",
--- a/winchdyke/days/script.py
+++ b/winchdyke/days/script.py
@@ -110,9 +110,8 @@
     queue: int = 32
     late_list: float = 300.0
     must_ask: bool = False
-    s3_share: float = (
-        0.0  # share of plain reads and writes sent over S3; some writes have a body that fails its checksum
-    )
+    # Share of plain reads and writes sent over S3; some writes have a body that fails its checksum.
+    s3_share: float = 0.0
     keeps: bool = False  # whether gateways cache the endpoint list on disk
     changes: bool = False  # whether settings are changed at run time
     fleet: float = 0.0  # probe interval of membership (ms), over links with faults; 0: no membership
--- a/winchdyke/model/fleet.py
+++ b/winchdyke/model/fleet.py
@@ -52,9 +52,8 @@
     clock_rate: float = 1.0  # milliseconds of its clock per true millisecond
     ended_at: float | None = None
     paused_until: float = 0.0
-    drops_messages: bool = (
-        False  # whether datagrams are lost while it is paused, as with a full socket buffer
-    )
+    # Whether datagrams are lost while it is paused, as with a full socket buffer.
+    drops_messages: bool = False
     queued_messages: list[events.MessageReceived | events.StateExchangeFinished] = field(default_factory=list)
 
     def clock(self, now: float) -> float:
